--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -1,97 +1,97 @@
 package quota
 
-// This file holds what is left of a part.
-
 import "time"
 
-// A Timed bucket is filled by time. It is full at first: within any span d its holder
-// spends at most most + rate x d.
+// A Timed is a token bucket that refills at a constant rate and starts full: within any span d
+// its holder spends at most capacity + rate x d. The zero value is ready to use.
 type Timed struct {
-	left float64
-	at   time.Time
+	tokens float64
+	at     time.Time
 }
 
-// Available returns what may be spent at now, where the bucket gains rate a second and
-// holds most.
-func (b *Timed) Available(rate, most float64, now time.Time) float64 {
+// Available returns the tokens at now of a bucket that refills at rate per second up to
+// capacity.
+func (b *Timed) Available(rate, capacity float64, now time.Time) float64 {
 	if b.at.IsZero() {
-		return most
+		return capacity
 	}
-	return min(most, b.left+rate*now.Sub(b.at).Seconds())
+	return min(capacity, b.tokens+rate*now.Sub(b.at).Seconds())
 }
 
-// Spend takes one out.
-func (b *Timed) Spend(rate, most float64, now time.Time) {
-	b.left = b.Available(rate, most, now) - 1
+// Spend takes one token. It doesn't check that one is available.
+func (b *Timed) Spend(rate, capacity float64, now time.Time) {
+	b.tokens = b.Available(rate, capacity, now) - 1
 	b.at = now
 }
 
 const (
-	// savedFor is how long what was earned raises what a bucket may hold: half of the
-	// windows, of 10 s, in which retries are counted.
-	savedFor = 5 * time.Second
-	// savedPart is the part of what a request earns that is kept for that.
-	savedPart = 0.3
+	// recentWindow is how long deposits raise the capacity of an Earned bucket: half of the
+	// 10 s windows in which retries are counted.
+	recentWindow = 5 * time.Second
+	// reserveRatio is the part of a deposit that raises the capacity rather than the balance.
+	reserveRatio = 0.3
 
-	slots = 5
-	slot  = savedFor / slots
+	slots        = 5
+	slotDuration = recentWindow / slots
 )
 
-// An Earned bucket is filled by what its holder serves, and is empty at first. It holds its
-// part of the number beyond the share, most, which may change, and as much again as requests
-// have earned it of late: on a busy service that is more, and an endpoint that fails takes
-// down as many more requests. What is more than it may hold is lost.
+// An Earned is a token bucket filled by the requests that its holder serves. It starts empty.
+// Its capacity is base, which may change between calls, plus reserveRatio of the deposits of
+// the last recentWindow, so that a busy service, which loses more requests with each failed
+// endpoint, can retry more of them. Tokens beyond the capacity are lost.
 type Earned struct {
-	left   float64
-	began  time.Time      // the first use; slots of time are counted from then
-	recent [slots]float64 // earned by slot
-	last   int64          // the newest
+	tokens   float64
+	start    time.Time      // of the first slot
+	recent   [slots]float64 // deposits by slot
+	lastSlot int64          // newest slot seen
 }
 
-// Earn adds what one request earns at now to a bucket with so much beyond the share.
-func (b *Earned) Earn(n, most float64, now time.Time) {
-	if most <= 0 || n <= 0 {
+// Earn deposits n tokens for one request at now. It does nothing unless n and base are
+// positive.
+func (b *Earned) Earn(n, base float64, now time.Time) {
+	if base <= 0 || n <= 0 {
 		return
 	}
-	b.pass(now)
-	b.recent[b.last%slots] += n
-	b.left = min(b.full(most, now), b.left+(1-savedPart)*n)
+	b.expire(now)
+	b.recent[b.lastSlot%slots] += n
+	b.tokens = min(b.capacity(base, now), b.tokens+(1-reserveRatio)*n)
 }
 
-// pass forgets what was earned too long ago.
-func (b *Earned) pass(now time.Time) {
-	if b.began.IsZero() {
-		b.began = now
+// expire clears the slots that are older than recentWindow.
+func (b *Earned) expire(now time.Time) {
+	if b.start.IsZero() {
+		b.start = now
 	}
-	at := int64(now.Sub(b.began) / slot) // by the monotonic clock
-	for i := max(b.last+1, at-slots+1); i <= at; i++ {
+	current := int64(now.Sub(b.start) / slotDuration) // monotonic clock
+	for i := max(b.lastSlot+1, current-slots+1); i <= current; i++ {
 		b.recent[i%slots] = 0
 	}
-	b.last = max(b.last, at)
+	b.lastSlot = max(b.lastSlot, current)
 }
 
-// full returns what the bucket holds at most.
-func (b *Earned) full(most float64, now time.Time) float64 {
-	if most <= 0 {
+// capacity returns the most tokens that the bucket holds at now.
+func (b *Earned) capacity(base float64, now time.Time) float64 {
+	if base <= 0 {
 		return 0
 	}
-	b.pass(now)
-	saved := 0.0
+	b.expire(now)
+	sum := 0.0
 	for _, n := range b.recent {
-		saved += n
+		sum += n
 	}
-	return most + savedPart*saved
+	return base + reserveRatio*sum
 }
 
-// Left returns what is left at now of a bucket with so much beyond the share.
-func (b *Earned) Left(most float64, now time.Time) float64 {
-	return max(0, min(b.full(most, now), b.left))
+// Left returns the tokens at now.
+func (b *Earned) Left(base float64, now time.Time) float64 {
+	return max(0, min(b.capacity(base, now), b.tokens))
 }
 
-// Has reports whether one may be spent so that the part kept of a full bucket is left.
-func (b *Earned) Has(most, kept float64, now time.Time) bool {
-	return b.Left(most, now) >= 1+kept*b.full(most, now)
+// Has reports whether one token can be spent at now with the part reserve of the capacity
+// left.
+func (b *Earned) Has(base, reserve float64, now time.Time) bool {
+	return b.Left(base, now) >= 1+reserve*b.capacity(base, now)
 }
 
-// Spend takes one out. The caller has asked Has.
-func (b *Earned) Spend(most float64, now time.Time) { b.left = b.Left(most, now) - 1 }
+// Spend takes one token. The caller has checked Has.
+func (b *Earned) Spend(base float64, now time.Time) { b.tokens = b.Left(base, now) - 1 }
--- a/quota/claim.go
+++ b/quota/claim.go
@@ -1,71 +1,72 @@
 package quota
 
-// This file decides who holds a part of a bound that those who choose endpoints hold.
+// This file decides whether a scheduler may use its share of a limit that the schedulers
+// divide.
 //
-// The parts of all instances together are the whole at most, but for moments in which two
-// take themselves for the first scheduler of a data centre: each data centre that the
-// settings name has the same part, whoever is heard there. What can't be known is taken for
-// the worst: an instance that hears less than half of those whom it heard of late may be cut
-// off, and one that hears nobody may be one of many.
+// Each configured data centre has the same share, whether or not its instances can be heard.
+// The shares in use add up to at most the whole limit, except while two instances briefly both
+// act as the same scheduler of a data centre. Uncertainty counts against the instance: one
+// that hears at most half of the instances it heard recently may be partitioned, and one that
+// hears nobody may be one of many such.
 
 import "time"
 
 const (
-	// presenceFor is how long an instance remembers how many others it heard in its data
-	// centre: longer than a cut or a restart of many lasts.
-	presenceFor = 30 * time.Second
-	// holdsAfter is how long an instance has been one that chooses endpoints, and has heard
-	// most of the others, without a break before it has a part. One that is cut off notices
-	// that up to 1.5 s later, as late as those that take over from it; and two that were cut
-	// off from each other hear most of the others 0.3 s after the cut has healed, and not yet
-	// each other. Without it, the parts were up to 3 wholes (TestColdPartsAfterACutHeals).
-	holdsAfter = 2 * time.Second
-	// overlap is how many data centres' parts may count twice for a moment.
-	overlap = 2
+	// peakWindow is how long an instance remembers the highest number of instances heard in
+	// its data centre. It outlasts a network partition and a rolling restart.
+	peakWindow = 30 * time.Second
+	// claimDelay is how long an instance must have been a scheduler that hears a majority,
+	// without a break, before it uses its share. An isolated instance notices up to 1.5 s
+	// late, as late as its successors do, and after a partition heals both sides hear a
+	// majority before they hear each other.
+	claimDelay = 2 * time.Second
+	// maxDuplicates is how many data centres' shares may be in use twice at a time.
+	maxDuplicates = 2
 )
 
-// A Sight is what an instance sees of those who divide a bound.
+// A Sight is an instance's view of the instances that divide a limit.
 type Sight struct {
-	Heard       int  // instances of its own data centre, itself among them
-	Alone       bool // it hears nobody, though there are others
-	Chooses     bool // it is one of those of its data centre that choose endpoints
-	Choosers    int  // how many choose endpoints in a data centre
-	DataCentres int  // that divide the bound
+	Heard       int  // instances heard in its data centre, including itself
+	Alone       bool // no other instance is heard although others are expected
+	Chooses     bool // it is one of its data centre's schedulers
+	Choosers    int  // schedulers per data centre
+	DataCentres int  // data centres that divide the limit
 }
 
-// A Claim is an instance's claim to a part. The zero value is that of one that has just
-// started.
+// A Claim tracks whether an instance may use its share. The zero value is the claim of an
+// instance that has just started. A Claim is not safe for concurrent use.
 type Claim struct {
-	most  int       // the most that were heard in the own data centre of late
-	at    time.Time // when so many were heard last
-	since time.Time // the claim stands since then; zero: it does not
+	peak   int       // highest number of instances heard recently
+	peakAt time.Time // when peak was last reached
+	since  time.Time // start of the current claim; zero if there is none
 }
 
-// Part returns the instance's part at now, which is 0 while its claim does not stand. It
-// must be asked often, since what it is told is all that it knows of the time between.
+// Part returns the share of the limit at now, from 0 to 1, which is 0 until the claim has
+// lasted claimDelay. Call it often: interruptions between calls go unnoticed.
 func (c *Claim) Part(s Sight, now time.Time) float64 {
-	present := c.see(s.Heard, now)
-	if !present || s.Alone || !s.Chooses {
+	majority := c.hearsMajority(s.Heard, now)
+	if !majority || s.Alone || !s.Chooses {
 		c.since = time.Time{}
 		return 0
 	}
 	if c.since.IsZero() {
 		c.since = now
 	}
-	if now.Sub(c.since) < holdsAfter {
+	if now.Sub(c.since) < claimDelay {
 		return 0
 	}
 	return 1 / float64(s.Choosers*s.DataCentres)
 }
 
-// see takes up that n are heard, and reports whether that is more than half of the most.
-func (c *Claim) see(n int, now time.Time) bool {
-	if n >= c.most || now.Sub(c.at) > presenceFor {
-		c.most, c.at = n, now
+// hearsMajority records that n instances are heard and reports whether they are more than half
+// of the recent peak.
+func (c *Claim) hearsMajority(n int, now time.Time) bool {
+	if n >= c.peak || now.Sub(c.peakAt) > peakWindow {
+		c.peak, c.peakAt = n, now
 	}
-	return 2*n > c.most
+	return 2*n > c.peak
 }
 
-// Wholes returns what the parts of all instances are together at most, as a multiple of the
-// bound, where so many data centres divide it.
-func Wholes(dataCentres int) float64 { return 1 + overlap/float64(max(1, dataCentres)) }
+// Wholes returns an upper limit of the sum of the shares of all instances, as a multiple of
+// the limit that dataCentres divide.
+func Wholes(dataCentres int) float64 { return 1 + maxDuplicates/float64(max(1, dataCentres)) }
--- a/quota/claim_test.go
+++ b/quota/claim_test.go
@@ -7,54 +7,54 @@
 	"ivyridge/quota"
 )
 
-// The model of claims: one data centre of three instances, of which the first that is heard
-// chooses for all. Each hears the others as long as it had something of them within the last
-// hearFor. What happens between two steps is one event; all sequences of events are played.
+// The model is one data centre of three instances, of which the first that is heard is the
+// scheduler. An instance counts as heard for heartbeatTimeout after its last message. One
+// event happens before each step.
 const (
-	modelSize  = 3
-	modelStep  = 900 * time.Millisecond
-	modelSteps = 7
-	hearFor    = 1500 * time.Millisecond
+	modelSize        = 3
+	modelStep        = 900 * time.Millisecond
+	modelSteps       = 7
+	heartbeatTimeout = 1500 * time.Millisecond
 )
 
-// A claimant is one instance of the model.
 type claimant struct {
-	claim quota.Claim
-	part  quota.Part
-	heard [modelSize]time.Time // the last word of each other
-	dead  bool
-	pause bool // it does nothing, and works out nothing anew
+	claim     quota.Claim
+	share     quota.Part           // its lease on a share
+	lastHeard [modelSize]time.Time // by sender
+	dead      bool
+	paused    bool // neither sends nor updates its share
 }
 
-// A model is a data centre of them.
+// A model is a data centre of claimants.
 type model struct {
 	all [modelSize]claimant
-	cut [modelSize]bool // the links between others than the instance
+	cut [modelSize]bool // cut[i]: the link between the two instances other than i
 	now time.Time
 }
 
-// step lets time pass.
+// step advances time, delivers messages and renews the shares.
 func (m *model) step() {
 	m.now = m.now.Add(modelStep)
 	for i := range m.all {
 		for j := range m.all {
-			if link := modelSize - i - j; i != j && !m.cut[link] && !m.all[i].dead && !m.all[j].dead && !m.all[j].pause {
-				m.all[i].heard[j] = m.now
+			if link := modelSize - i - j; i != j && !m.cut[link] && !m.all[i].dead && !m.all[j].dead && !m.all[j].paused {
+				m.all[i].lastHeard[j] = m.now
 			}
 		}
 	}
 	for i := range m.all {
-		if c := &m.all[i]; !c.dead && !c.pause {
-			c.part.Hold(c.claim.Part(m.sight(i), m.now), m.now)
+		if c := &m.all[i]; !c.dead && !c.paused {
+			c.share.Hold(c.claim.Part(m.view(i), m.now), m.now)
 		}
 	}
 }
 
-// sight returns what instance i sees: those that it hears, of which the first chooses.
-func (m *model) sight(i int) quota.Sight {
+// view returns what instance i hears. The instance with the lowest index heard is the
+// scheduler.
+func (m *model) view(i int) quota.Sight {
 	s := quota.Sight{Heard: 1, Chooses: true, Choosers: 1, DataCentres: 1}
-	for j, at := range m.all[i].heard {
-		if j != i && m.now.Sub(at) < hearFor {
+	for j, at := range m.all[i].lastHeard {
+		if j != i && m.now.Sub(at) < heartbeatTimeout {
 			s.Heard++
 			s.Chooses = s.Chooses && j > i
 		}
@@ -63,18 +63,18 @@
 	return s
 }
 
-// wholes returns what all that live and go on hold together.
-func (m *model) wholes() (sum float64) {
+// totalShare returns the sum of the shares of all instances that run.
+func (m *model) totalShare() (sum float64) {
 	for i := range m.all {
-		if c := &m.all[i]; !c.dead && !c.pause {
-			sum += c.part.Share(m.now)
+		if c := &m.all[i]; !c.dead && !c.paused {
+			sum += c.share.Share(m.now)
 		}
 	}
 	return sum
 }
 
-// events are what may happen before a step. A death is followed by a start under the same
-// name at any later time; the new one knows nothing.
+// events are what may happen before a step. An instance that died may start again later
+// without its state.
 var events = func() (out []func(*model)) {
 	out = append(out, func(*model) {})
 	for i := range modelSize {
@@ -87,28 +87,28 @@
 				}
 				m.all[i].dead = true
 			},
-			func(m *model) { m.all[i].pause = !m.all[i].pause },
+			func(m *model) { m.all[i].paused = !m.all[i].paused },
 		)
 	}
 	return out
 }()
 
-// Over all sequences of cuts, deaths, starts and pauses, the parts of a data centre are never
-// more than it may count twice.
-func TestClaimsOfADataCentre(t *testing.T) {
+// In every sequence of partitions, crashes, restarts and pauses, the shares of a data centre
+// add up to at most two, the duplicate that Wholes allows for.
+func TestClaimsStayWithinDuplicateAllowance(t *testing.T) {
 	m := model{now: start}
 	for range 10 {
 		m.step()
 	}
-	if m.wholes() != 1 {
-		t.Fatalf("%.1f wholes are held in a quiet data centre", m.wholes())
+	if m.totalShare() != 1 {
+		t.Fatalf("total share %.1f without failures, want 1", m.totalShare())
 	}
 	seen := make(map[model]bool)
 	worst := 0.0
 	var explore func(m model, left int)
 	explore = func(m model, left int) {
-		if worst = max(worst, m.wholes()); worst > 2 {
-			t.Fatalf("%.1f wholes are held", worst)
+		if worst = max(worst, m.totalShare()); worst > 2 {
+			t.Fatalf("total share %.1f, want at most 2", worst)
 		}
 		if left == 0 || seen[m] {
 			return
@@ -122,5 +122,5 @@
 		}
 	}
 	explore(m, modelSteps)
-	t.Logf("%d states, %.1f wholes at most", len(seen), worst)
+	t.Logf("%d states, highest total share %.1f", len(seen), worst)
 }
--- /dev/null
+++ b/quota/partition_test.go
@@ -0,0 +1,111 @@
+package quota_test
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"ivyridge/quota"
+)
+
+// stabilize gives a claim the same view for long enough to reach its share.
+func stabilize(c *quota.SideClaim, s quota.Side, now time.Time) float64 {
+	c.Part(s, now)
+	return c.Part(s, now.Add(2*time.Second))
+}
+
+// The share is zero at the start, whole while all instances are heard, and falls at once in a
+// partition.
+func TestShareFollowsReachableInstances(t *testing.T) {
+	var c quota.SideClaim
+	all := quota.Side{Heard: 6, Told: 6, DataCentres: 3, Named: 3}
+	if part := c.Part(all, start); part != 0 {
+		t.Errorf("share %.2f at the start, want 0", part)
+	}
+	if part := c.Part(all, start.Add(2*time.Second)); part != 1 {
+		t.Errorf("share %.2f while all instances are heard, want 1", part)
+	}
+	at := start.Add(3 * time.Second)
+	if part := c.Part(quota.Side{Heard: 2, Told: 2, DataCentres: 1, Named: 3}, at); part < 0.4 || part > 0.5 {
+		t.Errorf("share %.2f of one data centre of three, want 0.4 to 0.5", part)
+	}
+	if part := c.Part(all, at.Add(time.Second)); part > 0.5 {
+		t.Errorf("share %.2f right after a partition, want at most 0.5", part)
+	}
+	if part := stabilize(&c, all, at.Add(time.Second)); part != 1 {
+		t.Errorf("share %.2f some time after a partition, want 1", part)
+	}
+}
+
+// Losing one data centre of three or six leaves the share whole. The last instance of a fleet
+// has a share at once and, without configured data centres, the whole after a while.
+func TestInstanceLossKeepsShare(t *testing.T) {
+	for _, s := range []quota.Side{
+		{Heard: 83, Told: 83, DataCentres: 5, Named: 6},
+		{Heard: 5, Told: 5, DataCentres: 3, Named: 3},
+	} {
+		var c quota.SideClaim
+		stabilize(&c, quota.Side{Heard: 6 * s.Heard / 5, Told: 6 * s.Heard / 5, DataCentres: s.Named, Named: s.Named}, start)
+		if part := c.Part(s, start.Add(3*time.Second)); part != 1 {
+			t.Errorf("%+v: share %.2f, want 1", s, part)
+		}
+	}
+	var c quota.SideClaim
+	stabilize(&c, quota.Side{Heard: 6, Told: 6}, start)
+	last := quota.Side{Heard: 1, Told: 1}
+	if part := c.Part(last, start.Add(3*time.Second)); part < 0.2 {
+		t.Errorf("share %.2f of the last instance, want at least 0.2", part)
+	}
+	if part := stabilize(&c, last, start.Add(40*time.Second)); part != 1 {
+		t.Errorf("share %.2f of the last instance after a while, want 1", part)
+	}
+}
+
+// However a fleet is partitioned, the shares of all sides add up to less than one and a half,
+// at once and later, even if no instance remembers the size of the fleet or two sides hear the
+// same instances.
+func TestSharesOfAllPartitionsStayBounded(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		named := rapid.IntRange(2, 6).Draw(t, "data centres")
+		perDataCentre := rapid.IntRange(1, 60).Draw(t, "instances of each")
+		partition := make([]int, named) // index of the side, by data centre
+		for i := range partition {
+			partition[i] = rapid.IntRange(0, named-1).Draw(t, "side")
+		}
+		forgotten := rapid.Bool().Draw(t, "forgotten")
+		sum := 0.0
+		for p := range named {
+			heard := 0
+			for _, other := range partition {
+				if other == p {
+					heard++
+				}
+			}
+			if heard == 0 {
+				continue
+			}
+			var c quota.SideClaim
+			stabilize(&c, quota.Side{Heard: named * perDataCentre, Told: named * perDataCentre, DataCentres: named, Named: named}, start)
+			view := quota.Side{Heard: heard * perDataCentre, Told: heard * perDataCentre, DataCentres: heard, Named: named}
+			if forgotten {
+				c = quota.SideClaim{}
+				sum += stabilize(&c, view, start.Add(time.Hour))
+			} else {
+				sum += c.Part(view, start.Add(4*time.Second))
+			}
+		}
+		if sum > 1.4+1e-9 {
+			t.Fatalf("sides %v: total share %.2f, want at most 1.4", partition, sum)
+		}
+	})
+	// Two instances hear the same third data centre but not each other.
+	sum := 0.0
+	for range 2 {
+		var c quota.SideClaim
+		sum += stabilize(&c, quota.Side{Heard: 40, Told: 60, DataCentres: 2, Named: 3}, start)
+	}
+	if sum > 1.4+1e-9 {
+		t.Errorf("total share %.2f of two that hear the same others, want at most 1.4", sum)
+	}
+}
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,51 +1,51 @@
-// Package quota divides bounds that hold for all instances together and that none of them
-// can count: a rate, a number of retries, an endpoint's connections.
+// Package quota divides limits that apply to all instances together and that no instance can
+// count alone: a request rate, a number of retries, the connections to an endpoint.
 //
-// A bound is divided beforehand. An instance uses only its own part, so that what all use
-// follows from what all hold, whoever hears whom. Three questions are answered here, each
-// in a file:
+// Each instance spends only its own share, so the total is within the limit whatever the
+// state of the network between instances. Three questions are answered:
 //
-//   - Who holds a part, and since when (Claim). Parts of what must be pooled to be of use
-//     belong to the few instances that choose endpoints for others. What is not known is
-//     taken for the worst: an instance that has just started, or may be cut off, holds none.
-//   - Until when (Part). A part lapses unless it is worked out anew, so that an instance
-//     that was paused holds none when it goes on.
-//   - What is left of it (Timed, Earned). A Timed bucket is filled by time and keeps a
-//     rate; an Earned one is filled by the requests that its holder sees, and keeps a
-//     share of them and a number beyond.
+//   - Which instances hold a share (Claim, SideClaim). Shares that are useful only when pooled
+//     belong to the schedulers, the few instances that choose endpoints for others. An instance
+//     that has just started, or that may be partitioned from the others, holds less or nothing.
+//   - How long a share is valid (Part). A share expires unless it is renewed, so that an
+//     instance that was suspended holds none when it resumes.
+//   - How much of a share is left (Timed, Earned). A Timed bucket refills with time and limits a
+//     rate; an Earned bucket is filled by requests and limits retries to a ratio of them plus a
+//     constant.
 //
-// The bound of Earned buckets: what all of them spend within any window is at most what they
-// held at its start and what they earned within it. They held the parts of all together at
-// most, and what is kept of the earnings of the time before, which is shorter than a window.
-// So it is at most the extra and the share of the requests in the window, or in the one
-// before it if that has more. A bucket that is lost, with its holder or its part, takes its
-// content along, and a new one is empty: deaths, restarts and cuts create nothing.
+// Earned buckets together spend within any window at most what they contain at its start plus
+// what is deposited in it. They start with at most their base capacities plus a part of the
+// deposits of a period shorter than a window. So the total is at most the constant plus the
+// ratio of the requests in the window, or in the one before if that has more. A bucket that is
+// lost with its holder or its share is replaced by an empty one, so crashes, restarts and
+// partitions never add tokens.
 //
-// Consensus on one counter and leases from one owner were refused: both need all instances
-// that spend to reach one, and two owners in two halves are wrong by the whole.
+// A single counter under consensus, or one owner that grants leases, would need every instance
+// that spends to reach one place; and two owners on the two sides of a partition would double
+// the limit.
 package quota
 
 import "time"
 
-// PartFor is how long a part holds that was worked out from whom the instance hears: one
-// that was paused has none until it has looked again.
+// PartFor is how long a Part is valid without being renewed.
 const PartFor = time.Second
 
-// A Part is an instance's part of a bound, for a while. The zero value is none.
+// A Part is an instance's share of a limit, valid for PartFor. The zero value is no share. A
+// Part is not safe for concurrent use.
 type Part struct {
-	share float64 // of the whole
+	share float64 // of the limit, from 0 to 1
 	until time.Time
 }
 
-// Hold replaces the part, as of now. It reports whether none was held just before, so that
-// what was left of it is lost.
+// Hold sets the share and renews it for PartFor from now. It reports whether no share was held
+// before, in which case tokens left from an earlier one are to be discarded.
 func (p *Part) Hold(share float64, now time.Time) (lapsed bool) {
 	lapsed = p.Share(now) <= 0
 	p.share, p.until = share, now.Add(PartFor)
 	return lapsed
 }
 
-// Share returns the part at now, of the whole.
+// Share returns the share of the limit at now, or 0 if it has expired.
 func (p *Part) Share(now time.Time) float64 {
 	if now.After(p.until) {
 		return 0
@@ -53,9 +53,9 @@
 	return max(0, p.share)
 }
 
-// Each returns what one of several holders has of a count of which at most the part safe is
-// used, but least at any rate: it suits counts that many small holders use at once, and
-// that may be passed where holders are very many.
-func Each(whole int, safe float64, holders, least int) int {
-	return max(least, int(safe*float64(whole)/float64(holders)))
+// Each returns one holder's limit on a count that is shared by several, of which the part
+// utilization, from 0 to 1, is divided equally. Each holder gets at least minimum, so that
+// very many holders can exceed the total.
+func Each(total int, utilization float64, holders, minimum int) int {
+	return max(minimum, int(utilization*float64(total)/float64(holders)))
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -11,53 +11,51 @@
 
 var start = time.Unix(1000, 0)
 
-// A holder's part lapses when it is not renewed, and what is said of the time before tells
-// whether what was left is lost.
-func TestPartLapses(t *testing.T) {
+// A share expires unless it is renewed, and Hold reports whether it had.
+func TestPartExpiresUnlessRenewed(t *testing.T) {
 	var p quota.Part
 	if !p.Hold(0.5, start) {
-		t.Error("a part before the first one is said to have held")
+		t.Error("the first Hold reports that a share was held before")
 	}
 	at := start.Add(900 * time.Millisecond)
 	if p.Share(at) != 0.5 || p.Hold(0.25, at) {
-		t.Error("a part does not hold for 0.9 s")
+		t.Error("a share expired within 0.9 s")
 	}
 	at = at.Add(1100 * time.Millisecond)
 	if p.Share(at) != 0 || !p.Hold(0.25, at) {
-		t.Error("a part holds for 1.1 s")
+		t.Error("a share is still valid after 1.1 s")
 	}
 }
 
-// A bucketEvent is one step of the model of buckets.
+// A bucketEvent is one event of the model of Earned buckets.
 type bucketEvent int
 
 const (
-	request bucketEvent = iota // of a holder
+	request bucketEvent = iota // is served by a holder
 	retry
-	lose // the holder's part lapses, or the holder dies; what follows is a new one
-	pass // some seconds pass, for all
+	loss  // the holder dies or its share expires; a new bucket replaces it
+	delay // time passes for all holders
 	bucketEvents
 )
 
-// A bucketStep is what a step of the model brought.
 type bucketStep struct {
 	at    time.Time
 	event bucketEvent
 }
 
-// Over all interleavings of requests, retries, losses of two holders and time that passes,
-// what is spent within any window is at most both parts and the share of the requests in it,
-// or in the one before it.
-func TestEarnedBucketsKeepTheBound(t *testing.T) {
+// In every interleaving of requests, retries, bucket losses and delays of two holders, the
+// retries within any window are at most both base capacities plus the ratio of the requests in
+// it, or in the window before.
+func TestEarnedBucketsStayWithinLimit(t *testing.T) {
 	const (
-		earns = 3 // so that few steps can pass the bound
-		most  = 0.3
-		steps = 7
+		deposit = 3 // large, so that a few steps can reach the limit
+		base    = 0.3
+		steps   = 7
 	)
-	seen := 0
+	states := 0
 	var path []bucketStep
 	check := func() {
-		seen++
+		states++
 		end := path[len(path)-1].at
 		for i, first := range path {
 			if end.Sub(first.at) > 10*time.Second {
@@ -74,7 +72,7 @@
 					before++
 				}
 			}
-			if float64(retries) > earns*float64(max(now, before))+2*most {
+			if float64(retries) > deposit*float64(max(now, before))+2*base {
 				t.Fatalf("%v: %d retries since step %d, %d requests, and %d before", path, retries, i, now, before)
 			}
 		}
@@ -89,15 +87,15 @@
 				next, at := held, now
 				switch event {
 				case request:
-					next[holder].Earn(earns, most, at)
+					next[holder].Earn(deposit, base, at)
 				case retry:
-					if !next[holder].Has(most, 0, at) {
+					if !next[holder].Has(base, 0, at) {
 						continue
 					}
-					next[holder].Spend(most, at)
-				case lose:
+					next[holder].Spend(base, at)
+				case loss:
 					next[holder] = quota.Earned{}
-				case pass:
+				case delay:
 					at = at.Add(2 * time.Second)
 				}
 				path = append(path, bucketStep{at, event})
@@ -108,27 +106,27 @@
 		}
 	}
 	explore(steps, [2]quota.Earned{}, start)
-	t.Logf("%d states", seen)
+	t.Logf("%d states", states)
 }
 
-// However many instances and data centres there are, all buckets together hold no more than
-// the extra, also where two data centres count twice and two halves of the fleet have
-// started apart, and they earn no more than the share.
-func TestRetriesDivideTheBound(t *testing.T) {
+// For any number of instances and data centres, all buckets together hold at most the extra
+// and a request deposits at most the ratio, even while two data centres' shares are in use
+// twice and two halves of the fleet have started without hearing each other.
+func TestRetriesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bound := quota.Retries{Ratio: rapid.Float64Range(0, 1).Draw(t, "ratio"), Extra: rapid.Float64Range(0, 1000).Draw(t, "extra")}
+		limit := quota.Retries{Ratio: rapid.Float64Range(0, 1).Draw(t, "ratio"), Extra: rapid.Float64Range(0, 1000).Draw(t, "extra")}
 		instances := rapid.IntRange(1, 400).Draw(t, "instances")
 		dataCentres := rapid.IntRange(1, 8).Draw(t, "data centres")
-		apart := rapid.IntRange(0, instances/2).Draw(t, "started apart")
-		_, ownApart := bound.Own(apart)
-		ownEarns, own := bound.Own(instances - apart)
-		pooled := bound.Pooled(1, dataCentres, instances)
-		held := ownApart*float64(apart) + own*float64(instances-apart) + pooled*quota.Wholes(dataCentres)
-		if held > bound.Extra+1e-9 {
-			t.Fatalf("%v: %.2f held", bound, held)
+		separate := rapid.IntRange(0, instances/2).Draw(t, "started apart")
+		_, separateCapacity := limit.Own(separate)
+		instanceDeposit, instanceCapacity := limit.Own(instances - separate)
+		pooled := limit.Pooled(1, dataCentres, instances)
+		total := separateCapacity*float64(separate) + instanceCapacity*float64(instances-separate) + pooled*quota.Wholes(dataCentres)
+		if total > limit.Extra+1e-9 {
+			t.Fatalf("%v: capacity of all buckets is %.2f", limit, total)
 		}
-		if rest, whole := bound.Earns(quota.EarnsRest), bound.Earns(quota.EarnsWhole); ownEarns+rest > bound.Ratio || whole > bound.Ratio {
-			t.Fatalf("%v: %.3f and %.3f earned", bound, ownEarns+rest, whole)
+		if pooledDeposit, fullDeposit := limit.Earns(quota.EarnsRest), limit.Earns(quota.EarnsWhole); instanceDeposit+pooledDeposit > limit.Ratio || fullDeposit > limit.Ratio {
+			t.Fatalf("%v: a request deposits %.3f or %.3f", limit, instanceDeposit+pooledDeposit, fullDeposit)
 		}
 	})
 }
--- a/quota/retries.go
+++ b/quota/retries.go
@@ -1,83 +1,82 @@
 package quota
 
-// This file divides the retries that a service may receive: a share of the requests for it
-// and a number beyond.
+// This file divides the retries that a service may receive: a ratio of its requests plus a
+// constant.
 //
-// An engine that fails takes down several streams of a few instances, and a number that is
-// divided by all instances gives each of 70 of them one retry and each of 390 none. So most
-// of it belongs to those who choose endpoints, who see all requests of a data centre; a
-// small part stays with each instance for the time when none of them answers.
+// An endpoint that fails interrupts several requests of a few instances at once, and a constant
+// that is divided among hundreds of instances leaves each less than one retry. So most of it
+// is pooled at the schedulers, which see all requests of a data centre. A small part stays with
+// each instance for when no scheduler answers.
 
 const (
-	// ratioUsed is the part of the share of requests that is earned at all: a datagram that
-	// the network brings twice earns twice.
-	ratioUsed = 0.95
-	// ownRatio and ownExtra are what all instances' own buckets have together of the share
-	// of requests and of the number beyond it.
-	ownRatio = 0.2
-	ownExtra = 0.3
-	// leastInstances are assumed at least: those that start together hear each other one
-	// after the other.
-	leastInstances = 4
-	// halves keeps two halves of a fleet that do not hear each other within the bound, where
-	// their instances have started since.
-	halves = 2
+	// duplicateMargin scales all deposits: a message that the network duplicates is counted
+	// twice.
+	duplicateMargin = 0.95
+	// instanceRatio and instanceExtra are the parts of Ratio and Extra that the instances' own
+	// buckets have together.
+	instanceRatio = 0.2
+	instanceExtra = 0.3
+	// minInstances is the lowest number of instances assumed: instances that start together
+	// don't hear each other at once.
+	minInstances = 4
+	// maxPartitions is how many parts of the fleet, whose instances have started without
+	// hearing the other parts, together stay within the limit.
+	maxPartitions = 2
 )
 
-// Retries is the bound on the retries of a service within any window, for all instances: the
-// requests are those of that window or, if it has more, of the one before it.
+// Retries limits the retries of a service within any window, over all instances. Ratio applies
+// to the requests in that window or, if it has more, in the one before.
 type Retries struct {
-	Ratio float64 // of the requests for it
-	Extra float64 // beyond that
+	Ratio float64 // of the requests for the service
+	Extra float64 // retries beyond the ratio
 }
 
-// An Earning says which part of what a request earns is for those who choose endpoints.
-// Instances tell it by its number.
+// An Earning is the part of a request's deposit that goes to the scheduler's bucket. Its
+// number is sent between instances.
 type Earning uint8
 
-// The parts. The instance that holds the request decides, so that none is earned twice
-// however many instances each of them believes there are.
+// The instance that handles the request decides, so that nothing is deposited twice even if
+// instances disagree about the size of the fleet.
 const (
-	EarnsNothing Earning = iota // it has been placed before
-	EarnsRest                   // its instance has taken the part of its own bucket
-	EarnsWhole                  // its instance has no bucket of its own
+	EarnsNothing Earning = iota // the request was deposited before
+	EarnsRest                   // the instance has deposited its part in its own bucket
+	EarnsWhole                  // the instance has no bucket of its own
 )
 
-// Own returns what each request earns an instance's own bucket, and what that holds at
-// most, where the instance has heard so many at the same time, itself among them. It holds
-// nothing as long as that is not known, and where its part is less than one retry.
-func (r Retries) Own(instances int) (earns, most float64) {
+// Own returns the deposit of each request into an instance's own bucket and that bucket's base
+// capacity, given the number of instances heard, including itself. Both are zero if the number
+// is not yet known (zero), or if the capacity is below one retry.
+func (r Retries) Own(instances int) (deposit, capacity float64) {
 	if instances <= 0 {
 		return 0, 0
 	}
-	most = ownExtra * r.Extra / float64(halves*max(instances, leastInstances))
-	if most < 1 {
+	capacity = instanceExtra * r.Extra / float64(maxPartitions*max(instances, minInstances))
+	if capacity < 1 {
 		return 0, 0
 	}
-	return ratioUsed * ownRatio * r.Ratio, most
+	return duplicateMargin * instanceRatio * r.Ratio, capacity
 }
 
-// Earns returns what a request earns the bucket of an instance that chooses endpoints.
+// Earns returns the deposit of a request into the scheduler's bucket.
 func (r Retries) Earns(e Earning) float64 {
 	switch e {
 	case EarnsRest:
-		return ratioUsed * (1 - ownRatio) * r.Ratio
+		return duplicateMargin * (1 - instanceRatio) * r.Ratio
 	case EarnsWhole:
-		return ratioUsed * r.Ratio
+		return duplicateMargin * r.Ratio
 	}
 	return 0
 }
 
-// Pooled returns what the bucket of an instance that chooses endpoints and has a part holds
-// at most, where so many data centres divide the bound and so many instances are heard.
-//
-// Where these are too many for buckets of their own, also if half of them have started
-// apart, what is left for such buckets is that of one group that has heard few others: on
-// 70 instances and 180 retries 0.85 of them in place of 0.7.
-func (r Retries) Pooled(part float64, dataCentres, instances int) float64 {
-	own := ownExtra
-	if _, most := r.Own(instances / halves); most <= 0 && instances >= halves {
-		own = ownExtra / halves
+// Pooled returns the base capacity of the bucket of a scheduler with the given share of the
+// limit, where the limit is divided by dataCentres and the scheduler hears that many
+// instances. If these are too many for buckets of their own, even if half of them started
+// without hearing the others, only one part of the fleet, if it hears few others, can have
+// such buckets, and the rest of their reserve is pooled too.
+func (r Retries) Pooled(share float64, dataCentres, instances int) float64 {
+	reserved := instanceExtra
+	if _, capacity := r.Own(instances / maxPartitions); capacity <= 0 && instances >= maxPartitions {
+		reserved = instanceExtra / maxPartitions
 	}
-	return max(0, part) * (1 - own) * r.Extra / Wholes(dataCentres)
+	return max(0, share) * (1 - reserved) * r.Extra / Wholes(dataCentres)
 }
