--- a/fair/fair.go
+++ b/fair/fair.go
@@ -1,19 +1,19 @@
-// Package fair divides what is scarce at a service among teams.
+// Package fair divides the capacity of an overloaded service among teams.
 //
-// While a service has room, a team may use as much as it wants. Once it is short, a team
-// that uses more than the fair rate has the excess refused; one below it is left alone. The
-// fair rate is found by feedback (core-stateless fair queueing: Stoica, Shenker, Zhang
-// 1998): it is lowered while the service is short and raised while it is not, so that
-// nobody needs to know what the service can bear, and what one team does not use is left
-// to the others. Requests are told apart by their level of urgency; what a team uses at
-// more urgent levels counts before its less urgent requests.
+// While a service has spare capacity, a team may use as much as it wants. When the service is
+// congested, a team that uses more than the fair rate has the excess refused; teams below the
+// fair rate are not affected. The fair rate is found by feedback (core-stateless fair queueing:
+// Stoica, Shenker, Zhang 1998): it falls while the service is congested and rises while it is
+// not, so that the capacity needn't be known and what one team leaves is available to others.
+// Requests have a level of urgency; a team's use at more urgent levels counts against its less
+// urgent requests.
 //
-// What a team uses is the rate of work that its requests ask for, refused ones among them,
-// as far as this instance chose for them and other instances say. Only the teams that use
-// most are counted by name. All is forgotten within seconds, and what is not known counts
-// as not used.
+// A team's use is the rate of work that its requests ask for, including refused ones, as
+// counted by this instance and reported by others. Only the teams with the highest use are
+// tracked. Counts decay within seconds; unknown use counts as none.
 //
-// Shares are pure: time and chance are handed in. They are not safe for concurrent use.
+// Shares have no clock and no source of randomness: both are passed in. They are not safe for
+// concurrent use.
 package fair
 
 import (
@@ -23,100 +23,99 @@
 	"time"
 )
 
-// Levels is how many levels of urgency are told apart; 0 is the most urgent.
+// Levels is the number of levels of urgency; 0 is the most urgent.
 const Levels = 3
 
 const (
-	// lowerOver and raiseOver are the times in which the fair rate falls and rises by a
-	// factor of e, where the congestion is twice the bound and none. A team at 15 times its
-	// usual rate is brought down within a second; what is freed is found again in a few.
-	lowerOver = 400 * time.Millisecond
-	raiseOver = 1200 * time.Millisecond
-	// steerEvery is the pause between changes of the fair rate, and steerMost the longest
-	// time that one of them counts for: after a pause nothing is known of the time between.
-	steerEvery = 20 * time.Millisecond
-	steerMost  = 100 * time.Millisecond
-	// staleAfter is how long a fair rate holds that no request has moved.
+	// decreaseTime and increaseTime are the times in which the fair rate changes by a factor
+	// of e, down at a congestion of 2 or more and up at 0.
+	decreaseTime = 400 * time.Millisecond
+	increaseTime = 1200 * time.Millisecond
+	// adjustInterval is the least time between changes of the fair rate. maxAdjustStep is the
+	// longest time that one change accounts for, since nothing is known about the time without
+	// requests.
+	adjustInterval = 20 * time.Millisecond
+	maxAdjustStep  = 100 * time.Millisecond
+	// staleAfter is how long a fair rate is valid without requests.
 	staleAfter = 2 * time.Second
-	// freeAt is the fair rate, as a multiple of what the largest team uses, from which
-	// nobody is limited any more.
-	freeAt = 1.2
-	// fewestTeams is how many teams are assumed at least for the lowest fair rate, an equal
-	// share of what is asked for: teams below that can't be what makes the service short.
-	fewestTeams = 16
-	// lowestPart is the part of the work granted of late that teams keep in any case: without
-	// it the fair rate falls below what the service bears before its congestion is over, and
-	// teams below their share are refused in turns (0.91 of their requests were served, with
-	// it 0.99, beside 23,000 small teams).
-	lowestPart = 0.8
-	// leastSeen is how many recent requests of a team must have been seen here to
-	// limit it, unless others say that it uses much: fewer may be chance.
-	leastSeen = 4.0
-	// alone is the part of all use from which a team is by itself: what it is refused nobody
-	// else would have.
-	alone = 0.98
-	// limitedFor is how long after its last refusal a team counts as limited.
-	limitedFor = 2 * time.Second
+	// unlimitFactor is the fair rate, as a multiple of the use of the largest team, above
+	// which limiting ends.
+	unlimitFactor = 1.2
+	// minTeams is the lowest number of teams assumed for an equal share. Teams below that
+	// share can't be the cause of the congestion.
+	minTeams = 16
+	// minGrantedPart is the part of the recently granted work that the fair rate leaves in any
+	// case. Without it the rate falls below the capacity before the congestion is over, and
+	// teams below their share are refused too.
+	minGrantedPart = 0.8
+	// minRequests is how many recent requests of a team must have been counted to limit it,
+	// unless other instances report its use: fewer may be chance.
+	minRequests = 4.0
+	// soleUserPart is the part of the total use above which a team is not limited, since
+	// nobody else would use what it is refused.
+	soleUserPart = 0.98
+	// limitedTimeout is how long after its last refusal a team is reported as limited.
+	limitedTimeout = 2 * time.Second
 )
 
-// Shares are those of one service.
+// Shares divides one service. The zero value is ready to use.
 type Shares struct {
 	pools [Levels]pool
-	told  told
-	uses  []float64 // reused by survey
+	peers peers
+	uses  []float64 // buffer of collectUses
 }
 
-// A pool is what requests of one level of urgency compete for.
+// A pool is the state of one level of urgency.
 type pool struct {
-	own     sketch
-	rate    float64 // the fair rate; zero: nobody is limited
-	steered time.Time
-	short   time.Time // the congestion was last near the bound
-	limited []Limited
+	own         sketch
+	rate        float64 // the fair rate; zero if teams are not limited
+	adjustedAt  time.Time
+	nearLimitAt time.Time // when congestion was last at least nearLimit
+	limited     []Limited
 }
 
-// A Request asks for work.
+// A Request is a request for work.
 type Request struct {
 	Team       uint32
 	Level      int
 	Work       float64
-	Congestion float64 // of the service for this level; from 1 on it is short
-	Fixed      bool    // it is counted, and never refused
-	Chance     float64 // drawn from 0 to 1
+	Congestion float64 // of the service for this level; congested from 1
+	Fixed      bool    // count the request but never refuse it
+	Chance     float64 // random, from 0 to 1
 }
 
-// Above reports whether a team uses more than the fair rate of a level, while there is one.
+// Above reports whether a team's use at a level is above the fair rate.
 func (s *Shares) Above(now time.Time, team uint32, level int) bool {
 	p := &s.pools[level]
-	if p.rate == 0 || now.Sub(p.steered) > staleAfter {
+	if p.rate == 0 || now.Sub(p.adjustedAt) > staleAfter {
 		return false
 	}
-	return s.use(now, level, team)+s.urgent(now, level, team) > p.rate && !s.alone(now, level, team)
+	return s.use(now, level, team)+s.urgentUse(now, level, team) > p.rate && !s.soleUser(now, level, team)
 }
 
-// Offer counts a request, and reports whether it is refused for its team's share. Over is
-// then the use of the team as a multiple of the fair rate.
+// Offer counts a request and reports whether it is to be refused because the team is above the
+// fair rate. If so, over is the team's use as a multiple of the fair rate.
 func (s *Shares) Offer(now time.Time, r *Request) (over float64, refused bool) {
 	p := &s.pools[r.Level]
 	c := p.own.add(now, r.Team, r.Work)
-	s.steer(now, r.Level, r.Congestion)
+	s.adjustRate(now, r.Level, r.Congestion)
 	if r.Fixed || p.rate == 0 {
 		return 0, false
 	}
-	others := s.told.rate(now, r.Level, r.Team)
-	if p.own.seen(now, c) < leastSeen && others == 0 {
+	others := s.peers.rate(now, r.Level, r.Team)
+	if p.own.recentRequests(now, c) < minRequests && others == 0 {
 		return 0, false
 	}
 	use := p.own.rateOf(now, c) + others
-	urgent := s.urgent(now, r.Level, r.Team)
-	if use+urgent <= p.rate || s.alone(now, r.Level, r.Team) {
+	urgentUse := s.urgentUse(now, r.Level, r.Team)
+	if use+urgentUse <= p.rate || s.soleUser(now, r.Level, r.Team) {
 		return 0, false
 	}
-	if r.Chance < (p.rate-urgent)/use {
+	if r.Chance < (p.rate-urgentUse)/use {
 		return 0, false
 	}
-	p.limit(now, r.Team)
-	return (use + urgent) / p.rate, true
+	p.markLimited(now, r.Team)
+	return (use + urgentUse) / p.rate, true
 }
 
 // Grant counts the work of a request that was not refused.
@@ -124,21 +123,21 @@
 	s.pools[level].own.grant(now, team, work)
 }
 
-// idleAfter is how long a service is not asked for until its shares may be dropped.
+// idleAfter is how long a service has no requests until its Shares may be dropped.
 const idleAfter = time.Minute
 
-// Idle reports whether nothing has been asked for of late.
+// Idle reports whether the Shares may be dropped for lack of recent requests.
 func (s *Shares) Idle(now time.Time) bool {
 	for level := range s.pools {
-		if now.Sub(s.pools[level].steered) < idleAfter {
+		if now.Sub(s.pools[level].adjustedAt) < idleAfter {
 			return false
 		}
 	}
 	return true
 }
 
-// urgent returns what a team may use at more urgent levels.
-func (s *Shares) urgent(now time.Time, level int, team uint32) float64 {
+// urgentUse returns a team's use at more urgent levels, each limited to the fair rate.
+func (s *Shares) urgentUse(now time.Time, level int, team uint32) float64 {
 	sum := 0.0
 	for u := range level {
 		p := &s.pools[u]
@@ -151,114 +150,113 @@
 	return sum
 }
 
-// use returns what a team uses at a level.
+// use returns a team's use at a level.
 func (s *Shares) use(now time.Time, level int, team uint32) float64 {
 	p := &s.pools[level]
-	use := s.told.rate(now, level, team)
+	use := s.peers.rate(now, level, team)
 	if c := p.own.find(team); c != nil {
 		use += p.own.rateOf(now, c)
 	}
 	return use
 }
 
-// alone reports whether hardly any other team asks for anything at a level or more
-// urgent ones.
-func (s *Shares) alone(now time.Time, level int, team uint32) bool {
+// soleUser reports whether nearly all use at a level and more urgent ones is the team's.
+func (s *Shares) soleUser(now time.Time, level int, team uint32) bool {
 	sum := 0.0
 	for l := range level + 1 {
 		sum += s.use(now, l, team)
 	}
-	return sum > alone*s.total(now, level)
+	return sum > soleUserPart*s.total(now, level)
 }
 
-// total returns what all teams use at a level and more urgent ones.
+// total returns the use of all teams at a level and more urgent ones.
 func (s *Shares) total(now time.Time, level int) float64 {
 	sum := 0.0
 	for l := range level + 1 {
-		sum += s.pools[l].own.total(now) + s.told.total(now, l)
+		sum += s.pools[l].own.total(now) + s.peers.total(now, l)
 	}
 	return sum
 }
 
-// steer moves the fair rate of a level, if a pause has passed since it last did.
-func (s *Shares) steer(now time.Time, level int, congestion float64) {
+// adjustRate updates the fair rate of a level, at most once per adjustInterval.
+func (s *Shares) adjustRate(now time.Time, level int, congestion float64) {
 	p := &s.pools[level]
-	if congestion >= nearShort {
-		p.short = now
+	if congestion >= nearLimit {
+		p.nearLimitAt = now
 	}
-	passed := now.Sub(p.steered)
-	if passed < steerEvery {
+	elapsed := now.Sub(p.adjustedAt)
+	if elapsed < adjustInterval {
 		return
 	}
-	p.steered = now
-	if passed > staleAfter {
+	p.adjustedAt = now
+	if elapsed > staleAfter {
 		p.rate = 0
 	}
 	if p.rate == 0 && congestion <= 1 {
 		return
 	}
-	passed = min(passed, steerMost)
-	largest := s.survey(now, level)
+	elapsed = min(elapsed, maxAdjustStep)
+	largest := s.collectUses(now, level)
 	if congestion > 1 {
 		if p.rate == 0 {
 			p.rate = largest
 		}
-		p.rate *= math.Exp(-min(congestion-1, 1) * float64(passed) / float64(lowerOver))
-		p.rate = max(p.rate, s.lowest(now, level))
+		p.rate *= math.Exp(-min(congestion-1, 1) * float64(elapsed) / float64(decreaseTime))
+		p.rate = max(p.rate, s.minRate(now, level))
 		return
 	}
-	p.rate *= math.Exp((1 - congestion) * float64(passed) / float64(raiseOver))
-	if p.rate > freeAt*largest {
+	p.rate *= math.Exp((1 - congestion) * float64(elapsed) / float64(increaseTime))
+	if p.rate > unlimitFactor*largest {
 		p.rate = 0
 	}
 }
 
-// survey collects what each known team uses at a level and more urgent ones in s.uses, and
-// returns the most of it.
-func (s *Shares) survey(now time.Time, level int) (most float64) {
+// collectUses fills s.uses with the use of each tracked team at a level and more urgent ones,
+// and returns the largest.
+func (s *Shares) collectUses(now time.Time, level int) (largest float64) {
 	p := &s.pools[level]
 	s.uses = s.uses[:0]
 	for i := range p.own.counters {
 		team := p.own.counters[i].team
-		s.uses = append(s.uses, s.use(now, level, team)+s.urgent(now, level, team))
+		s.uses = append(s.uses, s.use(now, level, team)+s.urgentUse(now, level, team))
 	}
-	for _, team := range s.told.teams(now, level) {
+	for _, team := range s.peers.teams(now, level) {
 		if p.own.find(team) == nil {
-			s.uses = append(s.uses, s.use(now, level, team)+s.urgent(now, level, team))
+			s.uses = append(s.uses, s.use(now, level, team)+s.urgentUse(now, level, team))
 		}
 	}
 	for _, use := range s.uses {
-		most = max(most, use)
+		largest = max(largest, use)
 	}
-	return most
+	return largest
 }
 
-// lowest returns the least fair rate that is sensible at a level, after survey: an equal
-// share of what is asked for, or the one at which teams have lowestPart of what was granted
-// of late.
-func (s *Shares) lowest(now time.Time, level int) float64 {
+// minRate returns the lowest permitted fair rate of a level: an equal share of the total use,
+// or the rate that leaves teams minGrantedPart of the recently granted work. It is called
+// after collectUses.
+func (s *Shares) minRate(now time.Time, level int) float64 {
 	total := s.total(now, level)
 	asked, granted := 0.0, 0.0
 	for l := range level + 1 {
 		asked += s.pools[l].own.total(now)
 		granted += s.pools[l].own.grantedRate(now)
 	}
-	equal := total / float64(max(len(s.uses), fewestTeams))
+	equalShare := total / float64(max(len(s.uses), minTeams))
 	if asked == 0 {
-		return equal
+		return equalShare
 	}
-	return max(equal, s.level(total, lowestPart*total*granted/asked))
+	return max(equalShare, s.cutoff(total, minGrantedPart*total*granted/asked))
 }
 
-// level returns the rate to which the largest uses are to be cut down for the total to fall
-// to a bound.
-func (s *Shares) level(total, bound float64) float64 {
+// cutoff returns the rate to which the largest of s.uses must be limited to bring the total
+// down to a bound.
+func (s *Shares) cutoff(total, bound float64) float64 {
 	slices.SortFunc(s.uses, func(a, b float64) int { return cmp.Compare(b, a) })
 	excess := total - bound
 	if excess <= 0 {
-		return 0 // more is granted than is asked for: nothing is to be cut
+		return 0 // more is granted than asked for
 	}
-	cut := 0.0 // what is cut off if the uses before the i-th are brought down to it
+	cut := 0.0 // the total reduction if the uses before the i-th are limited to it
 	for i, use := range s.uses {
 		if i > 0 {
 			cut += float64(i) * (s.uses[i-1] - use)
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -10,66 +10,66 @@
 	"ivyridge/fair"
 )
 
-// Nobody is refused by itself, while there is room, or when only counted; whoever is refused
-// uses more than the fair rate. Requests, pauses and congestion are drawn.
+// A request is refused only if its team is above the fair rate, never while the service has
+// spare capacity, for a sole team, or if it is Fixed.
 func TestOnlyUseAboveTheFairRateIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		teams := rapid.IntRange(1, 100).Draw(t, "teams")
-		room := rapid.Bool().Draw(t, "room")
-		most := 3.0
-		if room {
-			most = 1
+		spare := rapid.Bool().Draw(t, "room")
+		maxCongestion := 3.0
+		if spare {
+			maxCongestion = 1
 		}
 		var s fair.Shares
 		for range 300 {
 			r := &fair.Request{
 				Team:  uint32(rapid.IntRange(1, teams).Draw(t, "team")),
 				Level: rapid.IntRange(0, fair.Levels-1).Draw(t, "level"), Work: rapid.Float64Range(0.1, 10).Draw(t, "work"),
-				Congestion: rapid.Float64Range(0, most).Draw(t, "congestion"), Chance: rapid.Float64Range(0, 1).Draw(t, "chance"),
+				Congestion: rapid.Float64Range(0, maxCongestion).Draw(t, "congestion"), Chance: rapid.Float64Range(0, 1).Draw(t, "chance"),
 				Fixed: rapid.IntRange(0, 3).Draw(t, "fixed") == 0,
 			}
 			over, refused := s.Offer(now, r)
-			if refused && (room || teams == 1 || r.Fixed || over <= 1) {
-				t.Fatalf("refused at %.2f of the fair rate: %+v", over, r)
+			if refused && (spare || teams == 1 || r.Fixed || over <= 1) {
+				t.Fatalf("refused at %.2f times the fair rate: %+v", over, r)
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "pause")) * time.Millisecond)
 		}
 	})
 }
 
-// A rush is teams that ask for many times their usual at a service, chosen for by several
-// schedulers that tell each other what teams use.
-type rush struct {
-	name  string
-	teams int     // usual ones, that ask for 0.8 of what the service bears
-	small int     // further teams that share 0.1 of it
-	heavy int     // teams of those that rush
-	times float64 // their usual
-	near  bool    // the teams that rush enter at half of the schedulers only
-	event func(f *fleet)
+// A surge is a scenario in which some teams send many times their usual rate, through several
+// schedulers that exchange reports.
+type surge struct {
+	name    string
+	teams   int     // together use 0.8 of the capacity
+	small   int     // further teams that together use 0.1 of the capacity
+	heavy   int     // of teams, those that surge
+	factor  float64 // increase of their rate
+	partial bool    // the surging teams use only half of the schedulers
+	failure func(f *fleet)
 }
 
-// A fleet is schedulers before a service that works off so much a second.
+// A fleet is several schedulers in front of one service.
 type fleet struct {
-	now        time.Time
-	schedulers []*fair.Shares
-	cut        bool // they don't hear each other
-	rand       *rand.Rand
-	queue      float64 // work that waits
+	now         time.Time
+	schedulers  []*fair.Shares
+	partitioned bool // schedulers don't receive each other's reports
+	rand        *rand.Rand
+	queue       float64 // work that is queued
 }
 
 const (
-	bears = 1000.0 // work a second
-	step  = 10 * time.Millisecond
+	capacity = 1000.0 // work per second
+	step     = 10 * time.Millisecond
 )
 
-// ask offers a request of one unit, and reports whether it is served.
-func (f *fleet) ask(at int, team uint32) bool {
+// send offers a request of one unit of work and reports whether it is served.
+func (f *fleet) send(at int, team uint32) bool {
 	s := f.schedulers[at%len(f.schedulers)]
-	// Shares bind from 60 ms of waiting work, and all are refused from 120.
-	_, refused := s.Offer(f.now, &fair.Request{Team: team, Level: 2, Work: 1, Congestion: f.queue / (0.06 * bears), Chance: f.rand.Float64()})
-	if refused || f.queue > 0.12*bears {
+	// Congestion is 1 at 60 ms of queued work; the queue is full at 120 ms.
+	_, refused := s.Offer(f.now, &fair.Request{Team: team, Level: 2, Work: 1, Congestion: f.queue / (0.06 * capacity), Chance: f.rand.Float64()})
+	if refused || f.queue > 0.12*capacity {
 		return false
 	}
 	s.Grant(f.now, team, 2, 1)
@@ -77,11 +77,11 @@
 	return true
 }
 
-// pass works off, and lets schedulers speak each 200 ms.
-func (f *fleet) pass() {
-	f.queue = max(0, f.queue-bears*step.Seconds())
+// advance serves queued work for one step and exchanges reports every 200 ms.
+func (f *fleet) advance() {
+	f.queue = max(0, f.queue-capacity*step.Seconds())
 	f.now = f.now.Add(step)
-	if f.cut || f.now.UnixMilli()%200 != 0 {
+	if f.partitioned || f.now.UnixMilli()%200 != 0 {
 		return
 	}
 	for i, s := range f.schedulers {
@@ -94,72 +94,72 @@
 	}
 }
 
-// play returns the part of the requests of usual teams without a rush that are served from
-// a second after the rush began.
-func (r *rush) play(times float64) float64 {
+// run returns the part of the requests of the non-surging teams that are served, from one
+// second after the start of the surge.
+func (r *surge) run(factor float64) float64 {
 	f := &fleet{now: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(1, 2))}
 	for range 6 {
 		f.schedulers = append(f.schedulers, new(fair.Shares))
 	}
-	asked, served := 0, 0
+	sent, served := 0, 0
 	for i := range 800 {
-		if i == 400 && r.event != nil {
-			r.event(f)
+		if i == 400 && r.failure != nil {
+			r.failure(f)
 		}
-		rushes := i >= 200
+		surging := i >= 200
 		for team := range r.teams {
-			rate := 0.8 * bears / float64(r.teams)
+			rate := 0.8 * capacity / float64(r.teams)
 			heavy := team < r.heavy
-			if heavy && rushes {
-				rate *= times
+			if heavy && surging {
+				rate *= factor
 			}
 			for n := rate*step.Seconds() + f.rand.Float64(); n >= 1; n-- {
 				at := f.rand.IntN(len(f.schedulers))
-				if heavy && r.near {
+				if heavy && r.partial {
 					at /= 2
 				}
-				ok := f.ask(at, uint32(team+1))
+				ok := f.send(at, uint32(team+1))
 				if !heavy && i >= 300 {
-					asked++
+					sent++
 					if ok {
 						served++
 					}
 				}
 			}
 		}
-		if r.small > 0 && f.rand.Float64() < 0.1*bears*step.Seconds() {
-			f.ask(f.rand.IntN(len(f.schedulers)), uint32(1000+f.rand.IntN(r.small)))
+		if r.small > 0 && f.rand.Float64() < 0.1*capacity*step.Seconds() {
+			f.send(f.rand.IntN(len(f.schedulers)), uint32(1000+f.rand.IntN(r.small)))
 		}
-		f.pass()
+		f.advance()
 	}
-	return float64(served) / float64(asked)
+	return float64(served) / float64(sent)
 }
 
-// Each other team keeps 0.95 or more of what it is served without the rush, also when a
-// scheduler is lost, starts anew or all are cut off from each other.
-func TestRushIsNotPaidByOthers(t *testing.T) {
-	for _, r := range []rush{
-		{name: "one", teams: 24, heavy: 1, times: 30},
-		{name: "three", teams: 24, heavy: 3, times: 15},
-		{name: "one at half of the schedulers", teams: 24, heavy: 1, times: 30, near: true},
-		{name: "23,000 small teams beside it", teams: 12, small: 23000, heavy: 1, times: 15},
-		{name: "a scheduler is lost", teams: 24, heavy: 1, times: 30, event: func(f *fleet) { f.schedulers = f.schedulers[1:] }},
-		{name: "schedulers start anew", teams: 24, heavy: 1, times: 30, event: func(f *fleet) { f.schedulers[0], f.schedulers[3] = new(fair.Shares), new(fair.Shares) }},
-		{name: "cut off from each other", teams: 24, heavy: 1, times: 30, event: func(f *fleet) { f.cut = true }},
+// Teams that don't surge keep at least 0.95 of what they are served without the surge, even if
+// a scheduler is lost or restarts or the schedulers are partitioned.
+func TestSurgeDoesNotAffectOtherTeams(t *testing.T) {
+	for _, r := range []surge{
+		{name: "one", teams: 24, heavy: 1, factor: 30},
+		{name: "three", teams: 24, heavy: 3, factor: 15},
+		{name: "one at half of the schedulers", teams: 24, heavy: 1, factor: 30, partial: true},
+		{name: "23,000 other small teams", teams: 12, small: 23000, heavy: 1, factor: 15},
+		{name: "scheduler lost", teams: 24, heavy: 1, factor: 30, failure: func(f *fleet) { f.schedulers = f.schedulers[1:] }},
+		{name: "schedulers restart", teams: 24, heavy: 1, factor: 30, failure: func(f *fleet) { f.schedulers[0], f.schedulers[3] = new(fair.Shares), new(fair.Shares) }},
+		{name: "schedulers partitioned", teams: 24, heavy: 1, factor: 30, failure: func(f *fleet) { f.partitioned = true }},
 	} {
 		t.Run(r.name, func(t *testing.T) {
-			without, with := r.play(1), r.play(r.times)
-			t.Logf("others are served %.3f without and %.3f with the rush", without, with)
-			if with < 0.95*without {
-				t.Errorf("others are served %.3f, want 0.95 of %.3f", with, without)
+			baseline, got := r.run(1), r.run(r.factor)
+			t.Logf("served %.3f without and %.3f with the surge", baseline, got)
+			if got < 0.95*baseline {
+				t.Errorf("served %.3f, want 0.95 of %.3f", got, baseline)
 			}
 		})
 	}
 }
 
-// What a service has left goes to the team that wants it: the others ask for half of it,
-// one for twice of it.
-func TestRoomIsUsed(t *testing.T) {
+// A team may use the capacity that others leave: the others ask for half of it, this team for
+// twice.
+func TestSpareCapacityIsUsed(t *testing.T) {
 	f := &fleet{now: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(1, 2)), schedulers: []*fair.Shares{new(fair.Shares)}}
 	served := 0
 	for i := range 1000 {
@@ -168,19 +168,19 @@
 			if n >= 20 {
 				team = uint32(n)
 			}
-			if f.ask(0, team) && i >= 400 {
+			if f.send(0, team) && i >= 400 {
 				served++
 			}
 		}
-		f.pass()
+		f.advance()
 	}
-	if part := float64(served) / (6 * bears); part < 0.95 {
-		t.Errorf("%.2f of what the service bears is used", part)
+	if part := float64(served) / (6 * capacity); part < 0.95 {
+		t.Errorf("%.2f of the capacity is used, want at least 0.95", part)
 	}
 }
 
-// 23,000 teams cost no more memory, and no more to tell, than 24.
-func TestManyTeamsAreBounded(t *testing.T) {
+// Memory and reports are bounded, whatever the number of teams.
+func TestManyTeamsUseBoundedMemory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s fair.Shares
 	for i := range 100_000 {
@@ -188,11 +188,11 @@
 		now = now.Add(100 * time.Microsecond)
 	}
 	if n := len(s.Uses(now)); n > 16 {
-		t.Errorf("%d teams are told", n)
+		t.Errorf("%d teams in a report, want at most 16", n)
 	}
 	for _, l := range s.Status(now) {
 		if len(l.Teams) > 64 {
-			t.Errorf("%d teams are held", len(l.Teams))
+			t.Errorf("%d teams tracked, want at most 64", len(l.Teams))
 		}
 		if l.Limited > 0 {
 			t.Errorf("%d of 23,000 equal teams are limited", l.Limited)
@@ -221,8 +221,7 @@
 	}
 }
 
-// While there is no fair rate nobody is above it; then a team is that uses more, and one that uses
-// less is not.
+// Without a fair rate no team is above it; with one, only teams that use more are.
 func TestTeamsAboveTheFairRate(t *testing.T) {
 	var s fair.Shares
 	now := time.Unix(1000, 0)
@@ -237,13 +236,13 @@
 	}
 	offer(400, 0)
 	if s.Above(now, 1, 0) {
-		t.Error("a team is above its share of what is not scarce")
+		t.Error("a team is above the fair rate without congestion")
 	}
 	offer(50, 3)
 	if !s.Above(now, 1, 0) || s.Above(now, 2, 0) || s.Above(now, 3, 0) {
-		t.Errorf("above the fair rate: %v of ten, %v of one, %v of nothing", s.Above(now, 1, 0), s.Above(now, 2, 0), s.Above(now, 3, 0))
+		t.Errorf("above the fair rate: %v at use 10, %v at use 1, %v at use 0", s.Above(now, 1, 0), s.Above(now, 2, 0), s.Above(now, 3, 0))
 	}
 	if now = now.Add(time.Minute); s.Above(now, 1, 0) {
-		t.Error("a fair rate of a minute ago holds")
+		t.Error("a fair rate is valid after a minute without requests")
 	}
 }
--- a/fair/report.go
+++ b/fair/report.go
@@ -1,6 +1,6 @@
 package fair
 
-// This file tells operators who is limited and how equal shares are.
+// This file reports to operators which teams are limited and how evenly work is granted.
 
 import (
 	"cmp"
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// A Limited is a team of whose requests some are refused for its share.
+// A Limited is a team that has had requests refused.
 type Limited struct {
-	Team  uint32
-	Since time.Time
-	last  time.Time // refusal
+	Team        uint32
+	Since       time.Time
+	lastRefused time.Time
 }
 
-// limitedMost bounds the teams that are remembered as limited.
-const limitedMost = sketchTeams
+// maxLimited bounds the number of teams recorded as limited.
+const maxLimited = maxCounters
 
-// limit notes that a request of a team is refused.
-func (p *pool) limit(now time.Time, team uint32) {
+// markLimited records that a request of a team is refused.
+func (p *pool) markLimited(now time.Time, team uint32) {
 	for i := range p.limited {
 		if p.limited[i].Team == team {
-			p.limited[i].last = now
+			p.limited[i].lastRefused = now
 			return
 		}
 	}
-	if len(p.limited) < limitedMost {
-		p.limited = append(p.limited, Limited{Team: team, Since: now, last: now})
+	if len(p.limited) < maxLimited {
+		p.limited = append(p.limited, Limited{Team: team, Since: now, lastRefused: now})
 	}
 }
 
-// A Change says that a team begins or ends to be limited at a level.
+// A Change is the start or the end of a team's limitation at a level.
 type Change struct {
 	Team  uint32
 	Level int
 	Ended bool
-	After time.Duration // of an end: how long it was limited
+	After time.Duration // if Ended: how long the team was limited
 }
 
-// Changes returns what has changed since the time of the last call.
+// Changes returns the changes since last, the time of the previous call.
 func (s *Shares) Changes(now, last time.Time) []Change {
 	var out []Change
 	for level := range s.pools {
@@ -49,8 +49,8 @@
 			if l.Since.After(last) {
 				out = append(out, Change{Team: l.Team, Level: level})
 			}
-			if now.Sub(l.last) > limitedFor {
-				out = append(out, Change{Team: l.Team, Level: level, Ended: true, After: l.last.Sub(l.Since)})
+			if now.Sub(l.lastRefused) > limitedTimeout {
+				out = append(out, Change{Team: l.Team, Level: level, Ended: true, After: l.lastRefused.Sub(l.Since)})
 				continue
 			}
 			kept = append(kept, l)
@@ -60,28 +60,28 @@
 	return out
 }
 
-// A Standing is what one team asks for and is granted here, in work a second.
+// A Standing is the work per second that a team asks for and is granted at this instance.
 type Standing struct {
 	Team    uint32
 	Asked   float64
 	Granted float64
-	Others  float64 // what other instances say that it asks for
+	Others  float64 // asked for at other instances, as they report
 }
 
 // A Status is the state of one level.
 type Status struct {
 	Level      int
-	FairRate   float64    // zero: nobody is limited
-	Limited    int        // teams
-	Jain       float64    // index of the parts that teams are granted of what they ask for: 1 is equal
-	WorstTenth float64    // the mean of this part over the tenth of teams with the least
-	Teams      []Standing // the one that asks for most first
+	FairRate   float64    // zero if teams are not limited
+	Limited    int        // number of limited teams
+	Jain       float64    // Jain's index of the granted parts of the teams' requests; 1 is even
+	WorstTenth float64    // mean granted part of the tenth of teams with the lowest
+	Teams      []Standing // in descending order of use
 }
 
-// idleRate is the use below which a team counts as gone.
+// idleRate is the rate below which a team is left out.
 const idleRate = 1e-3
 
-// Status returns the state of each level that is used.
+// Status returns the state of the levels in use.
 func (s *Shares) Status(now time.Time) []Status {
 	var out []Status
 	for level := range s.pools {
@@ -94,20 +94,21 @@
 				continue
 			}
 			st.Teams = append(st.Teams, Standing{
-				Team: c.team, Asked: asked, Granted: c.granted / p.own.scale(now) / countOver.Seconds(), Others: s.told.rate(now, level, c.team),
+				Team: c.team, Asked: asked, Granted: c.granted / p.own.scale(now) / decayTime.Seconds(), Others: s.peers.rate(now, level, c.team),
 			})
 		}
 		slices.SortFunc(st.Teams, func(a, b Standing) int { return cmp.Compare(b.Asked+b.Others, a.Asked+a.Others) })
 		if len(st.Teams) > 0 {
-			st.Jain, st.WorstTenth = equality(st.Teams)
+			st.Jain, st.WorstTenth = fairness(st.Teams)
 			out = append(out, st)
 		}
 	}
 	return out
 }
 
-// equality returns Jain's index and the worst tenth of the parts that teams are granted.
-func equality(teams []Standing) (jain, worst float64) {
+// fairness returns Jain's index of the granted parts of all teams, and the mean of the lowest
+// tenth.
+func fairness(teams []Standing) (jain, worst float64) {
 	parts := make([]float64, 0, len(teams))
 	sum, squares := 0.0, 0.0
 	for _, t := range teams {
--- a/fair/sketch.go
+++ b/fair/sketch.go
@@ -1,11 +1,11 @@
 package fair
 
-// This file counts what teams use, the largest of them by name.
+// This file counts the use of the teams with the highest use.
 //
-// A sketch holds a bounded number of teams (space saving: Metwally, Agrawal, El Abbadi
-// 2005). A team that is not among them takes the place of the least one and inherits its
-// count, which it may have had itself; what is inherited is never held against it. A team
-// with more than 1/sketchTeams of all work is always there.
+// A sketch has a bounded number of counters (space saving: Metwally, Agrawal, El Abbadi 2005).
+// A team without one takes over the smallest and inherits its count. Inherited counts, an upper
+// bound of the team's own earlier use, are not held against it. A team with more than
+// 1/maxCounters of all work always has a counter.
 
 import (
 	"math"
@@ -13,63 +13,62 @@
 )
 
 const (
-	// countOver is the time over which work is counted: a rush is seen within half a second,
-	// and forgotten within a few.
-	countOver = time.Second
-	// sketchTeams is how many teams are counted at most: a fair rate that matters is above
-	// 1/64 of all work.
-	sketchTeams = 64
-	// scaleMost bounds the exponent of the scale of counts.
-	scaleMost = 30
+	// decayTime is the time constant of the exponential decay of counts.
+	decayTime = time.Second
+	// maxCounters is the maximum number of counters of a sketch.
+	maxCounters = 64
+	// maxExponent bounds the exponent of the unit, after which counts are rescaled.
+	maxExponent = 30
 )
 
-// A counter is what is known of one team. Its figures are in the scale of its sketch.
+// A counter is the state of one team. Its counts are in units of its sketch.
 type counter struct {
 	team      uint32
-	work      float64 // that was asked for, with what was inherited
+	work      float64 // asked for, including inherited
 	inherited float64
 	requests  float64
 	granted   float64 // work that was not refused
 }
 
-// A sketch counts work. Counts are not faded; what is added grows instead.
+// A sketch counts work with exponential decay. Rather than reduce all counts as time passes,
+// it adds in a unit that grows.
 type sketch struct {
-	origin   time.Time
-	counters []counter
-	all      float64
-	granted  float64
+	origin    time.Time
+	counters  []counter
+	totalWork float64
+	granted   float64
 
-	at  time.Time // of one
-	one float64   // what one counts
+	unitAt time.Time // time of unit
+	unit   float64   // what a count of one adds at unitAt
 }
 
-// scale returns what one counts at now. It is kept, since a request asks for it some times.
+// scale returns the unit at now. It is cached because a request needs it several times.
 func (s *sketch) scale(now time.Time) float64 {
-	if now.Equal(s.at) {
-		return s.one
+	if now.Equal(s.unitAt) {
+		return s.unit
 	}
 	if s.origin.IsZero() {
 		s.origin = now
 	}
-	x := float64(now.Sub(s.origin)) / float64(countOver)
-	if x > scaleMost {
+	x := float64(now.Sub(s.origin)) / float64(decayTime)
+	if x > maxExponent {
 		s.rescale(now, math.Exp(-x))
 		x = 0
 	}
-	s.at, s.one = now, math.Exp(x)
-	return s.one
+	s.unitAt, s.unit = now, math.Exp(x)
+	return s.unit
 }
 
-func (s *sketch) rescale(now time.Time, by float64) {
+func (s *sketch) rescale(now time.Time, factor float64) {
 	s.origin = now
-	s.all *= by
-	s.granted *= by
+	s.totalWork *= factor
+	s.granted *= factor
 	for i := range s.counters {
 		c := &s.counters[i]
-		c.work *= by
-		c.inherited *= by
-		c.requests *= by
-		c.granted *= by
+		c.work *= factor
+		c.inherited *= factor
+		c.requests *= factor
+		c.granted *= factor
 	}
 }
 
@@ -83,61 +82,61 @@
 	return nil
 }
 
-// add counts work of a team.
+// add counts work that a team asks for.
 func (s *sketch) add(now time.Time, team uint32, work float64) *counter {
-	one := s.scale(now)
-	s.all += work * one
+	unit := s.scale(now)
+	s.totalWork += work * unit
 	c := s.find(team)
 	switch {
 	case c != nil:
-	case len(s.counters) < sketchTeams:
+	case len(s.counters) < maxCounters:
 		if s.counters == nil {
-			s.counters = make([]counter, 0, sketchTeams)
+			s.counters = make([]counter, 0, maxCounters)
 		}
 		s.counters = append(s.counters, counter{team: team})
 		c = &s.counters[len(s.counters)-1]
 	default:
-		c = s.least()
+		c = s.smallest()
 		*c = counter{team: team, work: c.work, inherited: c.work}
 	}
-	c.work += work * one
-	c.requests += one
+	c.work += work * unit
+	c.requests += unit
 	return c
 }
 
 // grant counts work of a team that was not refused.
 func (s *sketch) grant(now time.Time, team uint32, work float64) {
-	one := s.scale(now)
-	s.granted += work * one
+	unit := s.scale(now)
+	s.granted += work * unit
 	if c := s.find(team); c != nil {
-		c.granted += work * one
+		c.granted += work * unit
 	}
 }
 
-func (s *sketch) least() *counter {
-	least := &s.counters[0]
+func (s *sketch) smallest() *counter {
+	smallest := &s.counters[0]
 	for i := range s.counters {
-		if s.counters[i].work < least.work {
-			least = &s.counters[i]
+		if s.counters[i].work < smallest.work {
+			smallest = &s.counters[i]
 		}
 	}
-	return least
+	return smallest
 }
 
-// rateOf returns the work a second of a counter's team, at least.
+// rateOf returns a lower bound of the work per second of a counter's team.
 func (s *sketch) rateOf(now time.Time, c *counter) float64 {
-	return (c.work - c.inherited) / s.scale(now) / countOver.Seconds()
+	return (c.work - c.inherited) / s.scale(now) / decayTime.Seconds()
 }
 
-// seen returns how many requests of a counter's team came of late.
-func (s *sketch) seen(now time.Time, c *counter) float64 { return c.requests / s.scale(now) }
+// recentRequests returns the decayed number of requests of a counter's team.
+func (s *sketch) recentRequests(now time.Time, c *counter) float64 { return c.requests / s.scale(now) }
 
-// total returns the work a second of all teams.
+// total returns the work per second of all teams.
 func (s *sketch) total(now time.Time) float64 {
-	return s.all / s.scale(now) / countOver.Seconds()
+	return s.totalWork / s.scale(now) / decayTime.Seconds()
 }
 
-// grantedRate returns the work a second that was not refused.
+// grantedRate returns the work per second that was not refused.
 func (s *sketch) grantedRate(now time.Time) float64 {
-	return s.granted / s.scale(now) / countOver.Seconds()
+	return s.granted / s.scale(now) / decayTime.Seconds()
 }
