--- a/poison/bench_test.go
+++ b/poison/bench_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkKnows is what each request costs: while there are no suspects, and beside a thousand.
+// BenchmarkKnows measures the cost per request without suspects and with a thousand.
 func BenchmarkKnows(b *testing.B) {
 	for _, suspects := range []int{0, 1000} {
 		b.Run(fmt.Sprint(suspects), func(b *testing.B) {
--- /dev/null
+++ b/poison/confirm.go
@@ -0,0 +1,193 @@
+package poison
+
+// This file decides which suspects are poison.
+//
+// An endpoint that crashes has dozens of requests in flight, of which at most one is the cause,
+// or none if a machine, a rack or a third of the endpoints is lost for another reason. A request
+// that callers repeat all the time is in flight at nearly every crash, so the number of strikes
+// alone doesn't tell. Hence:
+//
+//   - A strike counts only if the request was sent to that endpoint after the previous strike.
+//     Simultaneous crashes are one strike, however many copies of the request were in flight.
+//   - A request that is answered is cleared (Table.Answered).
+//   - Crashes that a confirmed request explains don't count against others.
+//   - The remaining strikes may be chance: other crashes happen during the same time, and the
+//     request is at some endpoint for a part of it. Chance is ruled out when fewer than
+//     maxChance of the requests in flight at the first crash are expected to have the other
+//     strikes by chance. In a large fleet that takes three crashes. If a third of a small fleet
+//     crashes all the time chance can't be ruled out, and sufficientStrikes applies.
+//
+// Dividing the blame for a crash by the number of requests in flight doesn't separate a poison
+// request from one that was in flight twice. Asking for one more strike per crash without the
+// suspect doesn't protect a harmless request that is in flight at the first crashes of several
+// poison requests.
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+const (
+	// minStrikes is how many consecutive strikes a suspect needs to be confirmed, however
+	// unlikely chance is.
+	minStrikes = 3
+	// sufficientStrikes confirm a suspect in any case. A route limits the attempts of one
+	// request, so a caller must have sent it repeatedly for that many consecutive crashes
+	// without an answer.
+	sufficientStrikes = 6
+	// sufficientSpan is the least time between the first and the last of sufficientStrikes.
+	// When a rack is lost, its endpoints go within milliseconds of each other, and a request
+	// that is repeated all the time is at six of them before a copy is answered.
+	sufficientSpan = time.Second
+	// maxChance is the expected number of requests with such strikes by chance below which a
+	// suspect is confirmed.
+	maxChance = 1e-4
+	// minSpan is the least time span for which a crash rate is computed.
+	minSpan = 100 * time.Millisecond
+	// minResidence is the least time that a request counts as in flight at an endpoint, as
+	// crashes are detected some milliseconds late.
+	minResidence = 10 * time.Millisecond
+)
+
+// A crash is the crash of one endpoint.
+type crash struct {
+	Strike
+	service   string
+	explained bool // a confirmed request was in flight
+}
+
+// confirm marks the suspects that are poison and returns their IDs. The caller holds t.mu.
+func (t *Table) confirm() (confirmed []ID) {
+	for {
+		found := t.confirmOnce()
+		if len(found) == 0 {
+			return confirmed
+		}
+		confirmed = append(confirmed, found...) // this explains further crashes
+	}
+}
+
+func (t *Table) confirmOnce() (confirmed []ID) {
+	var crashes []crash
+	for id, e := range t.suspects {
+		if e.Known || e.liveStrikes() < minStrikes {
+			continue
+		}
+		if crashes == nil {
+			crashes = t.crashes()
+		}
+		if !t.isPoison(e, crashes) {
+			continue
+		}
+		next := *e
+		next.Known = true
+		t.put(&next)
+		confirmed = append(confirmed, id)
+	}
+	return confirmed
+}
+
+// crashes returns the crashes in the strikes of all suspects, each once. The caller holds
+// t.mu.
+func (t *Table) crashes() (out []crash) {
+	byEndpoint := make(map[uint32][]int)
+	for _, e := range t.suspects {
+		for _, s := range e.Strikes {
+			i := t.indexOfCrash(out, byEndpoint[s.Endpoint], s)
+			if i < 0 {
+				i = len(out)
+				out = append(out, crash{Strike: s, service: e.Service})
+				byEndpoint[s.Endpoint] = append(byEndpoint[s.Endpoint], i)
+			}
+			out[i].explained = out[i].explained || e.Known
+		}
+	}
+	return out
+}
+
+// indexOfCrash returns the index, among candidates, of the crash of a strike, or -1.
+func (t *Table) indexOfCrash(crashes []crash, candidates []int, s Strike) int {
+	for _, i := range candidates {
+		if crashes[i].sameCrash(s) {
+			return i
+		}
+	}
+	return -1
+}
+
+// isPoison reports whether a suspect is to be confirmed.
+func (t *Table) isPoison(e *Entry, crashes []crash) bool {
+	all := e.consecutive(func(Strike) bool { return true })
+	if len(all) >= sufficientStrikes && all[len(all)-1].At.Sub(all[0].At) >= sufficientSpan {
+		return true
+	}
+	unexplained := e.consecutive(func(s Strike) bool {
+		for i := range crashes {
+			if crashes[i].explained && crashes[i].sameCrash(s) {
+				return false
+			}
+		}
+		return true
+	})
+	if len(unexplained) < minStrikes {
+		return false
+	}
+	return expectedByChance(unexplained, e.crashesDuring(crashes, unexplained)) < maxChance
+}
+
+// expectedByChance returns how many of the requests in flight at the first strike are expected
+// to have the other strikes by chance, given how many endpoints of the service crashed in that
+// time.
+func expectedByChance(strikes []Strike, crashed int) float64 {
+	span := max(minSpan, strikes[len(strikes)-1].At.Sub(strikes[0].At)).Seconds()
+	expected := float64(max(1, strikes[0].Among))
+	for _, s := range strikes[1:] {
+		residence := max(minResidence, s.At.Sub(s.Began)).Seconds()
+		expected *= min(1, float64(crashed)*residence/(float64(max(1, s.Of))*span))
+	}
+	return expected
+}
+
+// consecutive returns the strikes that count, by time: accepted, not void, and of a request
+// that was sent after the previous one.
+func (e *Entry) consecutive(accept func(Strike) bool) (out []Strike) {
+	sorted := slices.Clone(e.Strikes)
+	slices.SortFunc(sorted, func(a, b Strike) int { return a.At.Compare(b.At) })
+	var last time.Time
+	for _, s := range sorted {
+		if s.Void || !s.Began.After(last) || !accept(s) {
+			continue
+		}
+		out = append(out, s)
+		last = s.At
+	}
+	return out
+}
+
+// crashesDuring returns the number of unexplained crashes of the service in the time of the
+// strikes.
+func (e *Entry) crashesDuring(crashes []crash, strikes []Strike) (n int) {
+	first, last := strikes[0].At.Add(-sameCrashWindow), strikes[len(strikes)-1].At.Add(sameCrashWindow)
+	for i := range crashes {
+		other := &crashes[i]
+		if other.service != e.Service || other.explained || other.At.Before(first) || other.At.After(last) {
+			continue
+		}
+		n++
+	}
+	return n
+}
+
+// Counted returns the number of strikes that count, for display.
+func (e *Entry) Counted() int { return len(e.consecutive(func(Strike) bool { return true })) }
+
+// Endpoints returns the hashes of the endpoint IDs in the strikes, by time of the crash.
+func (e *Entry) Endpoints() (out []uint32) {
+	sorted := slices.Clone(e.Strikes)
+	slices.SortFunc(sorted, func(a, b Strike) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
+	for _, s := range sorted {
+		out = append(out, s.Endpoint)
+	}
+	return out
+}
--- a/poison/identity.go
+++ b/poison/identity.go
@@ -1,6 +1,6 @@
 package poison
 
-// This file says when two requests are the same.
+// This file decides when two requests are identical.
 
 import (
 	"crypto/sha256"
@@ -13,26 +13,25 @@
 	"github.com/pkg/errors"
 )
 
-// A Request is what makes a request the same when it comes again: who sends it, where it
-// goes, and its body. Its ID, its deadline, its other headers and how its body is framed are
-// new with each.
+// A Request holds what makes two requests identical: sender, destination and body. Request ID,
+// deadline, other headers and body framing differ each time and don't count.
 type Request struct {
-	Team   string // empty for a caller without a key
+	Team   string // empty for a caller without an API key
 	Method string
 	Host   string
 	Target string // path and query, as in the request line
 	Body   []byte
 }
 
-// An ID names all requests that are the same. It is a part of a cryptographic hash, with the
-// length of each field before it, so that no caller can make a request that is taken for
-// another's: the team is one of the fields, and it is told by the key.
+// An ID identifies all identical requests. It is a truncated cryptographic hash over the
+// fields with their lengths, so that no caller can construct a request that collides with
+// another team's.
 type ID [16]byte
 
-// String returns id in hexadecimal digits.
+// String returns the ID in hexadecimal digits.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// ParseID reads what String returns.
+// ParseID parses the result of ID.String.
 func ParseID(text string) (id ID, err error) {
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != len(id) {
@@ -41,7 +40,7 @@
 	return ID(data), nil
 }
 
-// ID returns that of r. It reads the whole body.
+// ID returns the ID of r. It hashes the whole body.
 func (r *Request) ID() ID {
 	h := sha256.New()
 	writeField(h, r.Team)
@@ -59,11 +58,11 @@
 	_, _ = h.Write([]byte(text))
 }
 
-// An Outline is a part of what makes requests the same, without their bodies: only one whose
-// outline is known needs an ID.
+// An Outline is a cheap hash of a request without the content of its body, used to skip
+// computing the ID of requests that can't be suspects.
 type Outline uint64
 
-// Outline returns that of r.
+// Outline returns the outline of r.
 func (r *Request) Outline() Outline {
 	var d xxhash.Digest
 	d.Reset()
@@ -77,7 +76,7 @@
 	return Outline(d.Sum64())
 }
 
-// host returns the host without its port and in small letters, as routes are found by it.
+// host returns the host in lower case and without its port, as routing matches it.
 func (r *Request) host() string {
 	host := r.Host
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
--- a/poison/identity_test.go
+++ b/poison/identity_test.go
@@ -8,9 +8,9 @@
 	"ivyridge/poison"
 )
 
-// Requests are the same if all that names them is; no other text, split or joined in any way,
-// gives the same name.
-func TestOnlyTheSameRequestHasTheSameName(t *testing.T) {
+// Two requests have the same ID if and only if all their fields are equal, however text is
+// divided among the fields.
+func TestIDIsUniqueToRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) poison.Request {
 			text := rapid.StringMatching(`[ab/]{0,3}`)
@@ -22,20 +22,19 @@
 		a, b := draw("a"), draw("b")
 		same := a.Team == b.Team && a.Method == b.Method && a.Host == b.Host && a.Target == b.Target && string(a.Body) == string(b.Body)
 		if got := a.ID() == b.ID(); got != same {
-			t.Fatalf("%+v and %+v: the same name: %v", a, b, got)
+			t.Fatalf("%+v and %+v: same ID: %v", a, b, got)
 		}
 		if same && a.Outline() != b.Outline() {
-			t.Fatalf("%+v has two outlines", a)
+			t.Fatalf("%+v: equal requests have different outlines", a)
 		}
 	})
 }
 
-// A host is the same in any letters, and with or without its port.
-func TestHostsAreTheSame(t *testing.T) {
+func TestIDIgnoresHostCaseAndPort(t *testing.T) {
 	a := poison.Request{Host: "Site.Example:8080"}
 	b := poison.Request{Host: "site.example"}
 	if a.ID() != b.ID() || a.Outline() != b.Outline() {
-		t.Error("two spellings of a host make two requests")
+		t.Error("the ID or the outline depends on the host's case or port")
 	}
 }
 
@@ -47,7 +46,7 @@
 	}
 	for _, text := range []string{"", "xy", r.ID().String() + "00"} {
 		if _, err := poison.ParseID(text); err == nil {
-			t.Errorf("%q was read", text)
+			t.Errorf("ParseID(%q) succeeded", text)
 		}
 	}
 }
--- a/poison/poison.go
+++ b/poison/poison.go
@@ -1,48 +1,48 @@
-// Package poison finds the requests that end the endpoints which run them, so that they are
-// not run any more.
+// Package poison finds requests that crash the endpoints which run them, so that they can be
+// blocked.
 //
-// A request may be one under which an endpoint's process ends: it meets a fault that no other
-// request does. Its caller sends it again, under a new ID and at any instance, and each time
-// an endpoint is lost with all that it runs. The field calls it a poison request, or a query
-// of death.
+// Such a request, known as a poison request or a query of death, triggers a fault that others
+// don't. Its caller retries it with a new request ID at any instance, and each attempt takes
+// down an endpoint with all that it runs. Here an endpoint crashes when its process ends, for
+// whatever reason.
 //
-// A Table holds the requests that endpoints had in hand when they ended, the suspects, with a
-// Strike for each end. One that an endpoint answers is cleared: what ends each endpoint that
-// runs it is never answered. One that has ended enough of them, one after the other, is known,
-// and is not run any more as long as it still comes; see judge.go for what is enough. Tables of
-// several instances are merged in any order, and as often as one likes, and then agree.
+// A Table holds the suspects: the requests that were in flight at endpoints when these crashed,
+// with a Strike for each crash. A suspect that an endpoint answers is cleared. One with enough
+// consecutive strikes is confirmed (Known) and blocked as long as it keeps coming; confirm.go has
+// the criteria. Tables of several instances can be merged in any order and repeatedly, and
+// converge.
 //
-// The package does no I/O, and has no clock: instants are passed in. A Table is safe for
-// concurrent use.
+// The package does no I/O and has no clock: times are passed in. A Table is safe for concurrent
+// use.
 package poison
 
 import "time"
 
-// A Strike is the end of an endpoint that had a request in hand.
+// A Strike is a crash of an endpoint that had a request in flight.
 type Strike struct {
-	Endpoint uint32    // a hash of its ID
-	At       time.Time // it ended
-	Began    time.Time // it was sent the request
-	Of       int       // endpoints of the service that were listed then
-	Spread   float64   // part of the endpoints at which the team had requests in hand, in the whole fleet
-	Among    int       // requests that the instance which tells had in hand there, this one among them
-	Void     bool      // the request was answered, here or elsewhere, or operators let it go
+	Endpoint uint32    // hash of the endpoint's ID
+	At       time.Time // time of the crash
+	Began    time.Time // when the request was sent to the endpoint
+	Of       int       // number of endpoints of the service listed at that time
+	Spread   float64   // part of the service's endpoints at which the team had requests in flight, over all instances
+	Among    int       // requests that the reporting instance had in flight at the endpoint, including this one
+	Void     bool      // an endpoint answered the request later, or an operator cleared it
 }
 
-// An Entry is what is known of one suspect. What it holds is not changed once it is handed out.
+// An Entry is the state of one suspect. It is immutable once returned.
 type Entry struct {
 	ID      ID
 	Outline Outline
 	Service string
-	Route   string // its name, for operators
-	Team    string // its name, for operators; empty: none
+	Route   string // name, for display
+	Team    string // name, for display; empty for a caller without an API key
 	Strikes []Strike
-	Known   bool      // it ends endpoints, and is not run
-	Came    time.Time // it last came when it was known; zero: it has not
+	Known   bool      // confirmed as poison, and blocked
+	Came    time.Time // when the confirmed request was last received; zero if it was not
 }
 
-// live returns how many strikes are not void.
-func (e *Entry) live() (n int) {
+// liveStrikes returns the number of strikes that are not void.
+func (e *Entry) liveStrikes() (n int) {
 	for i := range e.Strikes {
 		if !e.Strikes[i].Void {
 			n++
@@ -51,10 +51,10 @@
 	return n
 }
 
-// Cleared reports whether nothing speaks against the suspect any more.
-func (e *Entry) Cleared() bool { return e.live() == 0 }
+// Cleared reports whether all strikes are void.
+func (e *Entry) Cleared() bool { return e.liveStrikes() == 0 }
 
-// Last returns when something was last heard of the suspect.
+// Last returns the time of the latest event recorded for the suspect.
 func (e *Entry) Last() time.Time {
 	at := e.Came
 	for i := range e.Strikes {
@@ -65,12 +65,11 @@
 	return at
 }
 
-// A Standing is what a request may expect.
+// A Standing is the state of a request.
 type Standing uint8
 
-// The standings.
 const (
-	Unknown   Standing = iota // nothing speaks against it
-	Suspected                 // an endpoint ended that had it in hand; it is run with care
-	Known                     // it ends endpoints, and is not run
+	Unknown   Standing = iota // not a suspect
+	Suspected                 // in flight at a crash; run with precautions
+	Known                     // confirmed as poison; blocked
 )
--- a/poison/table.go
+++ b/poison/table.go
@@ -1,7 +1,5 @@
 package poison
 
-// This file holds the suspects.
-
 import (
 	"encoding/binary"
 	"sort"
@@ -12,38 +10,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of a table.
+// Limits of a table.
 const (
-	// MostSuspects bounds the suspects: 17 endpoints of 120 requests that end at once. A suspect
-	// takes about 0.3 KB.
+	// MostSuspects is the maximum number of suspects, each of about 0.3 KB: 17 endpoints that
+	// crash at once with 120 requests each.
 	MostSuspects = 2048
-	// MostStrikes bounds those of one suspect: more than it takes to be known.
+	// MostStrikes is the maximum number of strikes of a suspect, more than it takes to be
+	// confirmed.
 	MostStrikes = 12
-	// sameEnd is how far apart two instances date the same end of an endpoint: an endpoint that
-	// has ended is back after some seconds.
-	sameEnd = time.Second
-	// fadesAfter is how long a suspect is kept of which nothing is heard: longer than callers
-	// pause who send the same again by hand, or by a job every five minutes. One that is known
-	// stays as long as it still comes.
-	fadesAfter = 10 * time.Minute
-	// clearedFor is the same for one that is cleared: longer than others may still tell of it.
-	clearedFor = time.Minute
-	// cameAgain is how much later than told before a known one must have come to be told
-	// again; well below fadesAfter.
-	cameAgain = time.Minute
+	// sameCrashWindow is the time difference below which two reports of a crash of the same
+	// endpoint mean the same one. An endpoint takes some seconds to restart.
+	sameCrashWindow = time.Second
+	// suspectTTL is how long a suspect is kept after its latest event. It is longer than the
+	// pause of callers that retry by hand or in a job every five minutes.
+	suspectTTL = 10 * time.Minute
+	// clearedTTL is the same for a cleared suspect. It is longer than other instances may
+	// still report it.
+	clearedTTL = time.Minute
+	// seenInterval is the least time between reports that a confirmed request was received
+	// again. It is well below suspectTTL.
+	seenInterval = time.Minute
 )
 
-// A Table holds the suspects of one instance.
+// A Table holds the suspects of one instance. Use NewTable to create one.
 type Table struct {
-	size atomic.Int64 // suspects; read without the lock by each request
+	size atomic.Int64 // number of suspects; read by each request without the lock
 
-	mu       sync.RWMutex
-	suspects map[ID]*Entry
-	outlines map[Outline]int      // suspects that have it
-	slowed   map[TeamAt]time.Time // until then
-	teamsAt  time.Time            // of the last look at teams
-	digest   uint64
-	digested bool // digest is up to date
+	mu             sync.RWMutex
+	suspects       map[ID]*Entry
+	outlines       map[Outline]int      // number of suspects by outline
+	slowed         map[TeamAt]time.Time // until when
+	teamsCheckedAt time.Time            // time of the latest checkTeams
+	digest         uint64
+	digestValid    bool // digest is up to date
 }
 
 // NewTable returns an empty Table.
@@ -51,8 +50,8 @@
 	return &Table{suspects: make(map[ID]*Entry), outlines: make(map[Outline]int), slowed: make(map[TeamAt]time.Time)}
 }
 
-// Knows reports whether a request of an outline may be a suspect. While there are none it costs
-// nothing worth naming.
+// Knows reports whether a request may be a suspect, by its outline. It costs next to nothing
+// while there are no suspects.
 func (t *Table) Knows(r *Request) bool {
 	if t.size.Load() == 0 {
 		return false
@@ -63,13 +62,13 @@
 	return t.outlines[o] > 0
 }
 
-// Standing returns that of a request.
+// Standing returns the state of a request.
 func (t *Table) Standing(id ID) Standing {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	e := t.suspects[id]
 	switch {
-	case e == nil || e.live() == 0:
+	case e == nil || e.liveStrikes() == 0:
 		return Unknown
 	case e.Known:
 		return Known
@@ -77,41 +76,41 @@
 	return Suspected
 }
 
-// Ended takes up that an endpoint ended with requests in hand, and returns what there is to
-// tell others. Each entry has one strike, that end. The suspects that are known by it are
-// marked.
-func (t *Table) Ended(now time.Time, in []Entry) (told []Entry) {
+// Ended records the crash of an endpoint, with one entry of one strike for each request in
+// flight, and returns the updates for other instances. Suspects that this confirms are marked.
+func (t *Table) Ended(now time.Time, in []Entry) (updates []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range in {
 		if t.merge(now, &in[i], true) {
-			told = append(told, in[i])
+			updates = append(updates, in[i])
 		}
 	}
-	t.tidy(now)
-	return t.current(t.judgeAll(now, told))
+	t.prune(now)
+	return t.current(t.evaluate(now, updates))
 }
 
-// Merge takes up what another instance tells, and returns what was new, to be told on.
-func (t *Table) Merge(now time.Time, in []Entry) (news []Entry) {
+// Merge records updates of another instance and returns those that changed the table, to be
+// forwarded.
+func (t *Table) Merge(now time.Time, in []Entry) (updates []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range in {
 		if t.merge(now, &in[i], false) {
-			news = append(news, in[i])
+			updates = append(updates, in[i])
 		}
 	}
-	t.tidy(now)
-	return t.current(t.judgeAll(now, news))
+	t.prune(now)
+	return t.current(t.evaluate(now, updates))
 }
 
-// Answered takes up that an endpoint answered a request whole, or that operators let it go, and
-// returns what there is to tell others.
-func (t *Table) Answered(id ID) (told []Entry) {
+// Answered clears a suspect, after an endpoint answered it in full or at an operator's
+// request, and returns the updates for other instances.
+func (t *Table) Answered(id ID) (updates []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.suspects[id]
-	if e == nil || e.live() == 0 {
+	if e == nil || e.liveStrikes() == 0 {
 		return nil
 	}
 	next := *e
@@ -124,12 +123,13 @@
 	return []Entry{next}
 }
 
-// Came takes up that a known request came again, and returns what there is to tell others.
-func (t *Table) Came(now time.Time, id ID) (told []Entry) {
+// Came records that a confirmed request was received again, and returns the updates for other
+// instances.
+func (t *Table) Came(now time.Time, id ID) (updates []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.suspects[id]
-	if e == nil || !e.Known || now.Sub(e.Came) < cameAgain {
+	if e == nil || !e.Known || now.Sub(e.Came) < seenInterval {
 		return nil
 	}
 	next := *e
@@ -138,7 +138,7 @@
 	return []Entry{next}
 }
 
-// Entry returns what is known of a suspect.
+// Entry returns the state of a suspect.
 func (t *Table) Entry(id ID) (e Entry, ok bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -148,7 +148,8 @@
 	return e, false
 }
 
-// Entries returns all suspects, the known ones first, then by the strikes that count.
+// Entries returns all suspects: confirmed ones first, then by number of live strikes, then the
+// latest first.
 func (t *Table) Entries() []Entry {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -156,35 +157,35 @@
 	for _, e := range t.suspects {
 		out = append(out, *e)
 	}
-	sort.Slice(out, func(i, j int) bool { return graver(&out[i], &out[j]) })
+	sort.Slice(out, func(i, j int) bool { return ranksBefore(&out[i], &out[j]) })
 	return out
 }
 
-// graver orders suspects: those first that are kept longest.
-func graver(a, b *Entry) bool {
+// ranksBefore is the order of Entries. The last suspects are dropped first.
+func ranksBefore(a, b *Entry) bool {
 	switch {
 	case a.Known != b.Known:
 		return a.Known
-	case a.live() != b.live():
-		return a.live() > b.live()
+	case a.liveStrikes() != b.liveStrikes():
+		return a.liveStrikes() > b.liveStrikes()
 	}
 	return a.Last().After(b.Last())
 }
 
-// Tidy drops the suspects that have faded.
+// Tidy removes expired suspects.
 func (t *Table) Tidy(now time.Time) {
 	if t.size.Load() == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.tidy(now)
+	t.prune(now)
 }
 
-func (t *Table) tidy(now time.Time) {
-	t.forgetTeams(now)
+func (t *Table) prune(now time.Time) {
+	t.pruneTeams(now)
 	for id, e := range t.suspects {
-		if e.faded(now) {
+		if e.expired(now) {
 			t.drop(id)
 		}
 	}
@@ -195,31 +196,31 @@
 	for _, e := range t.suspects {
 		all = append(all, e)
 	}
-	sort.Slice(all, func(i, j int) bool { return graver(all[i], all[j]) })
-	for _, e := range all[MostSuspects-MostSuspects/8:] { // so that not each further one costs this
+	sort.Slice(all, func(i, j int) bool { return ranksBefore(all[i], all[j]) })
+	for _, e := range all[MostSuspects-MostSuspects/8:] { // drop more than needed, to amortize sorting
 		t.drop(e.ID)
 	}
 }
 
-// faded reports whether nothing was heard of a suspect for so long that it is dropped.
-func (e *Entry) faded(now time.Time) bool { return now.After(e.Until()) }
+// expired reports whether a suspect is to be removed.
+func (e *Entry) expired(now time.Time) bool { return now.After(e.Until()) }
 
-// Until returns when the suspect is forgotten if nothing more is heard of it.
+// Until returns when the suspect expires unless there are further events.
 func (e *Entry) Until() time.Time {
-	if e.live() == 0 {
-		return e.Last().Add(clearedFor)
+	if e.liveStrikes() == 0 {
+		return e.Last().Add(clearedTTL)
 	}
-	return e.Last().Add(fadesAfter)
+	return e.Last().Add(suspectTTL)
 }
 
-// put replaces or adds a suspect. The caller holds t.mu.
+// put adds or replaces a suspect. The caller holds t.mu.
 func (t *Table) put(e *Entry) {
 	if t.suspects[e.ID] == nil {
 		t.outlines[e.Outline]++
 		t.size.Add(1)
 	}
 	t.suspects[e.ID] = e
-	t.digested = false
+	t.digestValid = false
 }
 
 // drop removes a suspect. The caller holds t.mu.
@@ -230,21 +231,21 @@
 		delete(t.outlines, e.Outline)
 	}
 	t.size.Add(-1)
-	t.digested = false
+	t.digestValid = false
 }
 
-// merge takes up an entry, and reports whether it says something new. One that this instance
-// saw itself says when its request was sent to the endpoint; what others say of that comes
-// with their clocks, and the first word counts. The caller holds t.mu.
-func (t *Table) merge(now time.Time, in *Entry, own bool) (news bool) {
+// merge records an entry and reports whether it changed the table. The send times in strikes
+// of this instance itself (own) replace reported ones if later, as those depend on another
+// instance's clock; among reported ones the first is kept. The caller holds t.mu.
+func (t *Table) merge(now time.Time, in *Entry, own bool) (changed bool) {
 	before := t.suspects[in.ID]
-	if before == nil && in.faded(now) {
-		return false // another instance drops it in a moment
+	if before == nil && in.expired(now) {
+		return false // the sender will remove it too
 	}
 	var next Entry
 	if before == nil {
-		// Its strikes are taken one by one: they may name one end twice.
-		next, news = *in, true
+		// Add the strikes one by one, as several may be of one crash.
+		next, changed = *in, true
 		next.Strikes = nil
 	} else {
 		next = *before
@@ -254,31 +255,31 @@
 		i := next.find(s)
 		switch {
 		case i < 0:
-			news = next.add(s) || news
+			changed = next.add(s) || changed
 		case s.Void && !next.Strikes[i].Void:
 			next.Strikes[i].Void = true
-			news = true
+			changed = true
 		case own && s.Began.After(next.Strikes[i].Began):
 			next.Strikes[i].Began = s.Began
 		}
 	}
-	if in.Known && !next.Known && next.live() >= strikesLeast {
+	if in.Known && !next.Known && next.liveStrikes() >= minStrikes {
 		next.Known = true
-		news = true
+		changed = true
 	}
-	if in.Came.Sub(next.Came) >= cameAgain {
+	if in.Came.Sub(next.Came) >= seenInterval {
 		next.Came = in.Came
-		news = true
+		changed = true
 	}
-	if next.live() < strikesLeast {
+	if next.liveStrikes() < minStrikes {
 		next.Known = false
 	}
 	t.put(&next)
-	return news
+	return changed
 }
 
-// add takes up a strike, unless as many are kept already: then it replaces the oldest void one,
-// if that is older.
+// add adds a strike and reports whether it did. At MostStrikes it replaces the oldest void
+// strike if that is older.
 func (e *Entry) add(s Strike) bool {
 	if len(e.Strikes) < MostStrikes {
 		e.Strikes = append(e.Strikes, s)
@@ -297,37 +298,37 @@
 	return true
 }
 
-// find returns the strike of e that is of the same end as s; negative: there is none.
+// find returns the index of the strike of e for the same crash as s, or -1.
 func (e *Entry) find(s Strike) int {
 	for i := range e.Strikes {
-		if e.Strikes[i].sameEnd(s) {
+		if e.Strikes[i].sameCrash(s) {
 			return i
 		}
 	}
 	return -1
 }
 
-// sameEnd reports whether two strikes are of the same end of an endpoint.
-func (s Strike) sameEnd(other Strike) bool {
+// sameCrash reports whether two strikes are of the same crash.
+func (s Strike) sameCrash(other Strike) bool {
 	apart := s.At.Sub(other.At)
-	return s.Endpoint == other.Endpoint && -sameEnd < apart && apart < sameEnd
+	return s.Endpoint == other.Endpoint && -sameCrashWindow < apart && apart < sameCrashWindow
 }
 
-// judgeAll judges the suspects of entries and those that share ends with them, and returns
-// the IDs of the former and of those that are known by it. The caller holds t.mu.
-func (t *Table) judgeAll(now time.Time, entries []Entry) (ids []ID) {
+// evaluate confirms suspects and checks teams if there are new entries. It returns the IDs of
+// these and of the suspects confirmed. The caller holds t.mu.
+func (t *Table) evaluate(now time.Time, entries []Entry) (ids []ID) {
 	for i := range entries {
 		ids = append(ids, entries[i].ID)
 	}
 	if len(entries) == 0 {
 		return nil
 	}
-	ids = append(ids, t.judge()...)
-	t.judgeTeams(now)
+	ids = append(ids, t.confirm()...)
+	t.checkTeams(now)
 	return ids
 }
 
-// current returns the entries of suspects as they are now, each once. The caller holds t.mu.
+// current returns the current entries of suspects, each once. The caller holds t.mu.
 func (t *Table) current(ids []ID) (out []Entry) {
 	seen := make(map[ID]bool, len(ids))
 	for _, id := range ids {
@@ -339,20 +340,20 @@
 	return out
 }
 
-// Digest returns a number that is the same for tables which hold the same; zero for an empty
-// one. Instants are not part of it.
+// Digest returns a hash of the table's content except for times. Tables with the same
+// suspects, strikes and confirmations have the same digest; it is zero for an empty table.
 func (t *Table) Digest() uint64 {
 	if t.size.Load() == 0 {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.digested {
+	if !t.digestValid {
 		t.digest = 0
 		for _, e := range t.suspects {
 			t.digest += e.digest()
 		}
-		t.digested = true
+		t.digestValid = true
 	}
 	return t.digest
 }
