--- a/limit/divider.go
+++ b/limit/divider.go
@@ -1,6 +1,6 @@
 package limit
 
-// This file has one instance divide the rates of endpoints among all that send to them.
+// This file divides the rate limit of an endpoint among the instances that send to it.
 
 import (
 	"math"
@@ -8,161 +8,165 @@
 )
 
 const (
-	// leastRate is the rate in requests a second that an endpoint gets however little it takes: only an
-	// answer says that its limit is over, and callers want it back within 3 s.
-	leastRate = 0.5
-	// burstLeast and burstFor are what a bucket holds at most: one request, and what the rate
-	// gives within a time. Askers return some milliseconds after there is a permit for them, and
-	// what a full bucket would have gained meanwhile is lost.
-	burstLeast = 1.0
-	burstFor   = 250 * time.Millisecond
-
-	// asksLeast and asksEach are how many asks a second, and for each permit, spread those who are
-	// denied over a second: askers come often enough that no permit lies idle, and
-	// 390 of them don't ask at once.
-	asksLeast = 100.0
-	asksEach  = 8.0
-	// spreadMost and waitMost bound how late an asker is told to come again: it may be the
-	// only one that still wants the endpoint.
-	spreadMost = 2 * time.Second
-	waitMost   = 2 * time.Second
-	// asksOver is the time over which asks are counted.
-	asksOver = time.Second
-	// urgentMore is how long beyond the time that it was told a more urgent request is expected to
-	// come again; less urgent ones get no permit until then.
-	urgentMore = 200 * time.Millisecond
-	// NoPart is how long an asker waits that has found no instance which divides the rate: a
-	// new one holds its part after some seconds, and another may have been asked before it knew.
+	// minRate is the lowest rate assigned to an endpoint, in requests per second, whatever its
+	// limit: only a response can tell that the limit has been lifted, and that is to be
+	// noticed within 3 s.
+	minRate = 0.5
+	// minBurst and burstTime set the capacity of a bucket: one request plus what the rate
+	// yields in burstTime. Clients return some milliseconds after a permit is available, and a
+	// full bucket gains nothing meanwhile.
+	minBurst  = 1.0
+	burstTime = 250 * time.Millisecond
+
+	// minAskRate and asksPerPermit limit the asks per second of clients that were denied,
+	// absolutely and per permit, by spreading their retries. The rate is high enough that
+	// permits don't stay unused, and low enough that hundreds of instances don't ask at once.
+	minAskRate    = 100.0
+	asksPerPermit = 8.0
+	// maxSpread and maxWait limit the delay of a denied client, which may be the only one that
+	// still needs the endpoint.
+	maxSpread = 2 * time.Second
+	maxWait   = 2 * time.Second
+	// askDecayTime is the time constant of the exponential decay of the count of asks.
+	askDecayTime = time.Second
+	// urgentGrace is how long after the time it was told a more urgent client is expected to
+	// return. Less urgent clients get no permit until then.
+	urgentGrace = 200 * time.Millisecond
+	// NoPart is the delay of a client that has found no instance with a share of the rate. A
+	// new instance gains its share after some seconds, and another may have been asked too
+	// early.
 	NoPart = 200 * time.Millisecond
-	// dividedFor is how long a bucket is kept that nobody asks.
-	dividedFor = time.Minute
+	// entryTTL is how long an endpoint is kept without asks.
+	entryTTL = time.Minute
 )
 
-// Levels is how many levels of urgency are told apart; 0 is the most urgent. Each priority has two:
-// the second is that of teams that use more than their share.
+// Levels is the number of levels of urgency; 0 is the most urgent. Each priority has two, the
+// second for teams above their fair share.
 const Levels = 6
 
-// A bucket holds the permits of one endpoint. It is empty at first: an instance that takes over
-// from another one doesn't know what that has given out.
+// A bucket is a token bucket of an endpoint's permits. It starts empty, since an instance that
+// takes over from another doesn't know what that has granted.
 type bucket struct {
-	left   float64
-	at     time.Time         // left is as of then; zero: never asked
-	urgent [Levels]time.Time // a request of that level was denied, and is expected until then
-	asks   float64           // within asksOver, fading, as of at
+	tokens       float64
+	updatedAt    time.Time         // time of tokens and asks; zero before the first ask
+	pendingUntil [Levels]time.Time // by level: a denied client is expected until then
+	asks         float64           // recent asks, decayed
 }
 
-// fill brings the bucket up to now, where it gains rate a second.
-func (b *bucket) fill(rate float64, now time.Time) {
-	if b.at.IsZero() {
-		b.at = now
+// refill updates the bucket to now. Its rate is in tokens per second.
+func (b *bucket) refill(rate float64, now time.Time) {
+	if b.updatedAt.IsZero() {
+		b.updatedAt = now
 	}
-	passed := max(0, now.Sub(b.at))
-	b.left = min(burstLeast+rate*burstFor.Seconds(), b.left+rate*passed.Seconds())
-	b.asks *= math.Exp(-passed.Seconds() / asksOver.Seconds())
-	b.at = now
+	elapsed := max(0, now.Sub(b.updatedAt))
+	b.tokens = min(minBurst+rate*burstTime.Seconds(), b.tokens+rate*elapsed.Seconds())
+	b.asks *= math.Exp(-elapsed.Seconds() / askDecayTime.Seconds())
+	b.updatedAt = now
 }
 
-// take returns zero if a request may be sent, and otherwise when to ask again. Chance is
-// from 0 to 1.
+// take spends a token and returns zero, or returns the delay until the client may ask again.
+// Chance is random, from 0 to 1.
 func (b *bucket) take(rate float64, level int, now time.Time, chance float64) (wait time.Duration) {
-	b.fill(rate, now)
+	b.refill(rate, now)
 	b.asks++
-	if b.left >= 1 && !b.expects(level, now) {
-		b.left--
-		b.urgent[level] = time.Time{}
+	if b.tokens >= 1 && !b.expectsMoreUrgent(level, now) {
+		b.tokens--
+		b.pendingUntil[level] = time.Time{}
 		return 0
 	}
-	short := max(0, 1-b.left)
-	if short == 0 {
-		short = 1 // the next permit is for a more urgent request
+	missing := max(0, 1-b.tokens)
+	if missing == 0 {
+		missing = 1 // the next permit is for a more urgent client
 	}
-	wait = seconds(short / rate)
-	spread := min(seconds(b.asks/max(asksLeast, asksEach*rate)), spreadMost)
-	wait = min(wait, waitMost) + time.Duration(chance*float64(spread))
-	b.urgent[level] = now.Add(wait + urgentMore)
+	wait = seconds(missing / rate)
+	spread := min(seconds(b.asks/max(minAskRate, asksPerPermit*rate)), maxSpread)
+	wait = min(wait, maxWait) + time.Duration(chance*float64(spread))
+	b.pendingUntil[level] = now.Add(wait + urgentGrace)
 	return max(wait, time.Millisecond)
 }
 
-// expects reports whether a more urgent request was denied and should soon come again.
-func (b *bucket) expects(level int, now time.Time) bool {
+// expectsMoreUrgent reports whether a denied, more urgent client is expected to return.
+func (b *bucket) expectsMoreUrgent(level int, now time.Time) bool {
 	for urgent := range level {
-		if now.Before(b.urgent[urgent]) {
+		if now.Before(b.pendingUntil[urgent]) {
 			return true
 		}
 	}
 	return false
 }
 
-// seconds returns a time of so many, bounded.
+// seconds converts s to a duration of at most one hour.
 func seconds(s float64) time.Duration {
 	return time.Duration(min(s, time.Hour.Seconds()) * float64(time.Second))
 }
 
-// divided is what a Divider holds of one endpoint.
-type divided struct {
+// An entry is the state of one endpoint.
+type entry struct {
 	bucket
-	word  Word
-	asked time.Time
-	used  uint64 // permits given out
+	word    Word
+	askedAt time.Time
+	permits uint64 // granted
 }
 
-// A Divider gives out permits for the endpoints whose rates this instance divides.
+// A Divider grants permits for the endpoints whose limits this instance divides. The zero
+// value is ready to use.
 type Divider struct {
-	endpoints map[uint32]*divided
-	swept     time.Time
+	endpoints map[uint32]*entry
+	sweptAt   time.Time
 }
 
-// An Answer is what an asker is told.
+// An Answer is the reply to an ask.
 type Answer struct {
 	Granted bool          // one request may be sent
-	Wait    time.Duration // otherwise: to ask again after that
-	Word    Word          // what the divider knows of the limit; one that names none permits all
+	Wait    time.Duration // if not Granted: the delay until the next ask
+	Word    Word          // the divider's knowledge of the limit; without a limit no permits are needed
 }
 
-// Ask answers an instance that wants to send one request of a level to an endpoint, of whose limit
-// word is known. Share is this instance's part of the rate; there is no permit where it is zero.
+// Ask handles a request of an instance to send one request of a level to an endpoint, given
+// the instance's knowledge of the limit. Share is the part of the rate that this divider may
+// grant, from 0 to 1; at 0 it grants nothing. Chance is random, from 0 to 1.
 func (d *Divider) Ask(endpoint uint32, word Word, share float64, level int, now time.Time, chance float64) Answer {
 	d.sweep(now)
 	if d.endpoints == nil {
-		d.endpoints = make(map[uint32]*divided)
+		d.endpoints = make(map[uint32]*entry)
 	}
 	e := d.endpoints[endpoint]
 	if e == nil {
-		e = new(divided)
+		e = new(entry)
 		d.endpoints[endpoint] = e
 	}
 	e.word.Merge(word)
-	e.asked = now
+	e.askedAt = now
 	if e.word.Known() && !e.word.Named {
 		return Answer{Granted: true, Word: e.word}
 	}
 	if share <= 0 {
 		return Answer{Wait: NoPart, Word: e.word}
 	}
-	rate := share * max(leastRate, e.word.Rate)
+	rate := share * max(minRate, e.word.Rate)
 	wait := e.take(rate, min(max(level, 0), Levels-1), now, chance)
 	if wait == 0 {
-		e.used++
+		e.permits++
 	}
 	return Answer{Granted: wait == 0, Wait: wait, Word: e.word}
 }
 
-// Permits returns how many permits were given out for an endpoint since it is asked for.
+// Permits returns the number of permits granted for an endpoint since it was added.
 func (d *Divider) Permits(endpoint uint32) uint64 {
 	if e := d.endpoints[endpoint]; e != nil {
-		return e.used
+		return e.permits
 	}
 	return 0
 }
 
-// sweep forgets the endpoints that nobody asks for any more.
+// sweep removes the endpoints without recent asks.
 func (d *Divider) sweep(now time.Time) {
-	if now.Sub(d.swept) < dividedFor {
+	if now.Sub(d.sweptAt) < entryTTL {
 		return
 	}
-	d.swept = now
+	d.sweptAt = now
 	for endpoint, e := range d.endpoints {
-		if now.Sub(e.asked) > dividedFor {
+		if now.Sub(e.askedAt) > entryTTL {
 			delete(d.endpoints, endpoint)
 		}
 	}
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -13,63 +13,63 @@
 
 var start = time.Unix(1000, 0)
 
-// Answers pass each other, and instances hear them in any order: the newest word holds, and one
-// that may be older than the limit ends none.
-func TestWords(t *testing.T) {
+// The newest Word wins, in whatever order responses and messages arrive, and a response that
+// may predate the limit doesn't lift it.
+func TestNewestWordWins(t *testing.T) {
 	var w limit.Word
 	if w.Known() || w.Lift(start) {
-		t.Error("an endpoint that said nothing is known to have a limit")
+		t.Error("a zero Word is known or has a limit")
 	}
 	if !w.Name(1.2, start) || w.Name(1.2, start.Add(time.Second)) {
-		t.Error("a limit is news once")
+		t.Error("Name reports a change other than for a new limit")
 	}
 	if w.Lift(start.Add(500 * time.Millisecond)) {
-		t.Error("an answer to a request from before the limit was last named ends it")
+		t.Error("a response to a request sent before the limit was stated lifts it")
 	}
 	if !w.Name(0.5, start.Add(2*time.Second)) || w.Rate != 0.5 {
-		t.Error("a limit that falls is not news")
+		t.Error("a lower limit is not reported as a change")
 	}
 	other := w
 	if !w.Lift(start.Add(3*time.Second)) || w.Named {
-		t.Error("an answer to a later request does not end a limit")
+		t.Error("a response to a later request does not lift the limit")
 	}
 	if w.Merge(other) {
-		t.Error("an older word is taken for a newer one")
+		t.Error("Merge adopts an older Word")
 	}
 	if !other.Merge(w) || other.Named {
-		t.Error("that a limit is over is not taken from another instance")
+		t.Error("Merge does not adopt a newer Word without a limit")
 	}
 }
 
-// Told in a circle, each time a little too young, a word never outlasts the one that ends it.
-func TestWordsDontGrowYoung(t *testing.T) {
+// A Word relayed in circles, with an age that is a little too low each time, is replaced by a
+// newer one.
+func TestRelayedWordsDoNotOutliveNewerOnes(t *testing.T) {
 	var a, b limit.Word
 	a.Name(2, start)
-	const way = 200 * time.Millisecond
+	const delay = 200 * time.Millisecond
 	now := start
 	for range 1000 {
 		age := now.Sub(a.At)
-		now = now.Add(way)
+		now = now.Add(delay)
 		b.Merge(limit.Told(a.Named, a.Rate, age, now))
 		age = now.Sub(b.At)
-		now = now.Add(way)
+		now = now.Add(delay)
 		a.Merge(limit.Told(b.Named, b.Rate, age, now))
 	}
 	if !a.Lift(start.Add(time.Second)) || !b.Merge(a) {
-		t.Errorf("words of %v and %v are not ended after a second", a.At, b.At)
+		t.Errorf("Words of %v and %v are not lifted by a newer one", a.At, b.At)
 	}
 }
 
-// Whatever is merged, in whatever order and how often, all instances that have heard the same end up
-// with the same.
-func TestWordsAgree(t *testing.T) {
+// Instances that merge the same Words, in any order and repeatedly, have the same state.
+func TestWordsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		words := make([]limit.Word, rapid.IntRange(1, 6).Draw(t, "words"))
 		for i := range words {
-			// No two at the same instant, which two different answers don't share.
+			// Two different responses don't have the same time.
 			words[i] = limit.Word{Named: rapid.Bool().Draw(t, "named"), At: start.Add(time.Duration(i+1) * time.Second)}
 			if words[i].Named {
-				words[i].Rate = float64(i) // no two name the same
+				words[i].Rate = float64(i) // each is different
 			}
 		}
 		newest := words[len(words)-1]
@@ -95,25 +95,26 @@
 	return out
 }
 
-// An asker is an instance that asks again when it was told to.
-type asker struct {
+// A client is an instance that asks again after the delay it was told.
+type client struct {
 	next  time.Time
 	level int
 }
 
-// played is what came of asking for a while.
-type played struct {
+// A result is the outcome of a simulation.
+type result struct {
 	granted []time.Time
 	byLevel [limit.Levels]int
 	asks    int
 }
 
-// play has askers ask for permits for a while. An asker has a request every pause; zero: always.
-func play(d *limit.Divider, rate, share float64, askers []asker, pause, d2 time.Duration, rng *rand.Rand) (out played) {
+// simulate has clients ask for permits for a duration. A client asks again pause after each ask,
+// or after the delay that it is told if that is longer.
+func simulate(d *limit.Divider, rate, share float64, clients []client, pause, duration time.Duration, rng *rand.Rand) (out result) {
 	word := limit.Word{Named: true, Rate: rate, At: start}
-	for now := start; now.Before(start.Add(d2)); now = now.Add(2 * time.Millisecond) {
-		for i := range askers {
-			a := &askers[i]
+	for now := start; now.Before(start.Add(duration)); now = now.Add(2 * time.Millisecond) {
+		for i := range clients {
+			a := &clients[i]
 			if now.Before(a.next) {
 				continue
 			}
@@ -131,8 +132,8 @@
 	return out
 }
 
-// most returns how many permits were given out within a span at most.
-func most(at []time.Time, span time.Duration) (n int) {
+// maxWithin returns the highest number of times within any span.
+func maxWithin(at []time.Time, span time.Duration) (n int) {
 	first := 0
 	for i := range at {
 		for at[i].Sub(at[first]) >= span {
@@ -143,41 +144,41 @@
 	return n
 }
 
-// What is given out is within the limit over any 4 s, and little of it is left, however many ask
-// and whether the limit is below a request a second or far above; and those who ask in vain are not many.
-func TestLimitIsUsedAndKept(t *testing.T) {
-	const span, lasts = 4 * time.Second, 60 * time.Second
+// Permits exceed the limit in no span of 4 s and use most of it, for any number of clients and
+// low and high limits, with a bounded rate of asks.
+func TestPermitsUseLimitWithoutExceedingIt(t *testing.T) {
+	const span, duration = 4 * time.Second, 60 * time.Second
 	for _, rate := range []float64{0, 0.5, 1.2, 6, 50, 200} {
 		for _, askers := range []int{1, 3, 18, 390} {
-			t.Run(fmt.Sprintf("%v a second, %d askers", rate, askers), func(t *testing.T) {
-				got := play(new(limit.Divider), rate, 1, make([]asker, askers), 0, lasts, rand.New(rand.NewPCG(1, 2)))
-				if n := most(got.granted, span); float64(n) > 1.2*rate*span.Seconds()+4 {
-					t.Errorf("%d in %v", n, span)
+			t.Run(fmt.Sprintf("%v per second, %d clients", rate, askers), func(t *testing.T) {
+				got := simulate(new(limit.Divider), rate, 1, make([]client, askers), 0, duration, rand.New(rand.NewPCG(1, 2)))
+				if n := maxWithin(got.granted, span); float64(n) > 1.2*rate*span.Seconds()+4 {
+					t.Errorf("%d permits in %v", n, span)
 				}
-				if used := float64(len(got.granted)) / lasts.Seconds(); used < 0.9*rate || rate == 0 && used < 0.4 {
-					t.Errorf("%.2f a second are used", used)
+				if used := float64(len(got.granted)) / duration.Seconds(); used < 0.9*rate || rate == 0 && used < 0.4 {
+					t.Errorf("%.2f permits per second", used)
 				}
-				if asks := float64(got.asks) / lasts.Seconds(); asks > max(1000, 8*rate) {
-					t.Errorf("%.0f asks a second", asks)
+				if asks := float64(got.asks) / duration.Seconds(); asks > max(1000, 8*rate) {
+					t.Errorf("%.0f asks per second", asks)
 				}
 			})
 		}
 	}
 }
 
-// Less urgent requests get what the more urgent ones leave.
+// Less urgent requests get only the permits that more urgent ones leave.
 func TestUrgentRequestsGetPermitsFirst(t *testing.T) {
-	askers := make([]asker, 6)
+	askers := make([]client, 6)
 	for i := range askers {
 		askers[i].level = i % 2
 	}
-	got := play(new(limit.Divider), 6, 1, askers, 0, 60*time.Second, rand.New(rand.NewPCG(1, 2)))
+	got := simulate(new(limit.Divider), 6, 1, askers, 0, 60*time.Second, rand.New(rand.NewPCG(1, 2)))
 	if n := len(got.granted); got.byLevel[0] < n*95/100 {
 		t.Errorf("the more urgent half got %d of %d permits", got.byLevel[0], n)
 	}
-	// With few urgent ones, one every two seconds, the others get the rest.
+	// With one urgent request every two seconds, less urgent ones get the other permits.
 	for i := range askers {
-		askers[i] = asker{level: 1}
+		askers[i] = client{level: 1}
 	}
 	askers[0].level = 0
 	d := new(limit.Divider)
@@ -198,12 +199,12 @@
 		}
 	}
 	if urgent < 13 || urgent+other < 160 {
-		t.Errorf("%d urgent requests in 30 s, and %d others, at 6 a second", urgent, other)
+		t.Errorf("%d urgent requests in 30 s, and %d others, at 6 per second", urgent, other)
 	}
 }
 
-// Without a part nothing is given out, and an endpoint that names no limit any more takes all.
-func TestDividerWithoutPart(t *testing.T) {
+// A divider without a share grants nothing, unless the endpoint has no limit.
+func TestDividerWithoutShare(t *testing.T) {
 	d := new(limit.Divider)
 	if a := d.Ask(7, limit.Word{Named: true, Rate: 50, At: start}, 0, 0, start.Add(time.Minute), 0); a.Granted || a.Wait != limit.NoPart {
 		t.Errorf("got %+v", a)
@@ -213,9 +214,9 @@
 	}
 }
 
-// Each endpoint has one divider, of its own data centre if there is any, the same whoever works it
-// out; and one that goes moves only what it had.
-func TestOneDividesEachLimit(t *testing.T) {
+// The divider of an endpoint is in the endpoint's data centre if possible, doesn't depend on
+// the order of the candidates, and changes only if it is removed itself.
+func TestDividesIsConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := make([]limit.Candidate, rapid.IntRange(1, 18).Draw(t, "candidates"))
 		for i := range all {
@@ -225,12 +226,12 @@
 		first := all[limit.Divides(endpoint, home, all)]
 		for _, c := range all {
 			if c.DataCentre == home && first.DataCentre != home {
-				t.Fatalf("%+v divides a limit of %s, with %+v there", first, home, c)
+				t.Fatalf("%+v divides a limit of %s although %+v is there", first, home, c)
 			}
 		}
 		shuffled := rapid.Permutation(all).Draw(t, "order")
 		if again := shuffled[limit.Divides(endpoint, home, shuffled)]; again != first {
-			t.Fatalf("%+v in one order, %+v in another", first, again)
+			t.Fatalf("got %+v in one order, %+v in another", first, again)
 		}
 		for i, c := range all {
 			if c == first {
@@ -238,16 +239,16 @@
 			}
 			left := append(append([]limit.Candidate(nil), all[:i]...), all[i+1:]...)
 			if again := left[limit.Divides(endpoint, home, left)]; again != first {
-				t.Fatalf("%+v has gone, and %+v in place of %+v divides", c, again, first)
+				t.Fatalf("without %+v the divider is %+v, want %+v", c, again, first)
 			}
 		}
 	})
 	if limit.Divides(1, "a", nil) >= 0 {
-		t.Error("a limit is divided though there is nobody")
+		t.Error("Divides returns an index without candidates")
 	}
 }
 
-// An ask at the instance that divides the limits of 690 endpoints.
+// BenchmarkAsk measures an ask at an instance that divides the limits of 690 endpoints.
 func BenchmarkAsk(b *testing.B) {
 	d := new(limit.Divider)
 	word := limit.Word{Named: true, Rate: 1.2, At: start}
