--- a/memory/memory.go
+++ b/memory/memory.go
@@ -1,18 +1,17 @@
-// Package memory keeps one account of what an instance holds for callers and endpoints.
+// Package memory accounts for the memory that an instance holds for callers and endpoints, and
+// keeps it within a limit.
 //
-// It answers callers that read or send slowly: each one alone holds little, a thousand
-// of them hold more than a small machine has, and a process over its limit is killed
-// with all that it serves. So whatever is held is taken from an Account before it is
-// allocated, and given back when it is let go. Requests are refused before the limit is
-// reached, the least urgent first.
+// A caller that reads or sends slowly occupies little memory, but thousands of them exceed that
+// of a small machine, and a process over its limit is killed with all requests in flight. So
+// memory is taken from an Account before it is allocated and given back when it is freed.
+// Requests are refused before the limit is reached, the least urgent first.
 //
-// A Holding is what one request or connection holds. Its Close gives back all of it, so
-// that one deferred call covers every way out. Memory that belongs to no request
-// (gossip, configuration, the program) is one fixed Base holding.
+// A Holding is the memory of one request or connection. Its Close gives back all of it, so that
+// one deferred call covers every return. Memory that belongs to no request (gossip,
+// configuration, the program) is one fixed Holding of kind Base.
 //
-// An Account without a limit counts and refuses nothing. Accounts are safe for
-// concurrent use, Holdings too. One mutex guards an account: a request takes and gives a
-// few times, and an exact sum needs no more than that.
+// An Account without a limit counts but refuses nothing. Accounts and Holdings are safe for
+// concurrent use.
 package memory
 
 import (
@@ -20,99 +19,98 @@
 	"sync"
 )
 
-// A Kind says what memory is held for.
+// A Kind is the purpose of memory.
 type Kind uint8
 
-// The kinds.
 const (
-	Bodies      Kind = iota // of requests, until their end
-	Answers                 // as they are read from endpoints
-	Waiting                 // answers that were read on while their callers do not take them
-	Requests                // headers, goroutines and connections of requests in hand
-	Connections             // of callers, whether or not there is a request on them
-	Base                    // beliefs, gossip and the program itself
+	Bodies      Kind = iota // of requests, until they end
+	Answers                 // of endpoints, while they are read
+	Waiting                 // responses read ahead of callers that read slowly
+	Requests                // headers, goroutines and connections of requests in flight
+	Connections             // of callers, with or without a request
+	Base                    // endpoint state, gossip and the program itself
 	kinds
 )
 
 var kindNames = [kinds]string{"bodies", "answers", "waiting", "requests", "connections", "base"}
 
-// String returns the name under which k is published.
+// String returns the name of k in published statistics.
 func (k Kind) String() string { return kindNames[k] }
 
-// Shares of the limit.
+// Thresholds, as parts of the limit.
 const (
-	// waitingMost is the part that answers may wait in. It is theirs alone, so that no
-	// request is refused for them; beyond it answers are read as fast as their callers take
-	// them. The other shares are of the rest.
-	waitingMost = 0.15
-	// letIn is how full the rest may be for a request of the most urgent priority to be
-	// let in. What is left is for what runs already, and for connections.
-	letIn = 0.9
-	// letInStep is how much earlier requests of each lower priority are refused.
-	letInStep = 0.05
-	// lowest is the priority from which requests are treated alike.
-	lowest = 3
-	// teamsFrom is how full the rest is when a team that holds much is refused, as long as
-	// others hold something.
-	teamsFrom = 0.5
-	// teamMost is the part of the rest that is much for one team, when it is that full.
-	teamMost = 0.25
+	// maxWaiting is the part of the limit reserved for Waiting, so that slow callers don't
+	// cause requests to be refused. When it is full, responses are read only as fast as their
+	// callers read them. The other thresholds are parts of the rest, the shared memory.
+	maxWaiting = 0.15
+	// admitThreshold is the use of shared memory up to which requests of the most urgent
+	// priority are admitted. The remainder is for running requests and for connections.
+	admitThreshold = 0.9
+	// admitStep lowers the threshold for each less urgent priority.
+	admitStep = 0.05
+	// lowestPriority is the priority from which the threshold is no longer lowered.
+	lowestPriority = 3
+	// teamThreshold is the use of shared memory above which a team with more than maxTeam is
+	// refused, if other teams hold memory.
+	teamThreshold = 0.5
+	// maxTeam is the part of shared memory that one team may hold above teamThreshold.
+	maxTeam = 0.25
 )
 
-// A Cause says why a request was not let in.
+// A Cause is the reason for which a request was refused.
 type Cause string
 
-// The causes.
 const (
-	Full     Cause = "full"      // for requests of its priority
-	TeamHigh Cause = "team-high" // its team holds much
+	Full     Cause = "full"      // the limit for the request's priority is reached
+	TeamHigh Cause = "team-high" // the request's team holds too much
 )
 
-// An Account counts what is held against a limit.
+// An Account counts the memory in use against a limit. Use New to create one.
 type Account struct {
 	mu      sync.Mutex
-	limit   int64 // bytes; zero: none
+	limit   int64 // bytes; zero if there is none
 	used    int64
 	peak    int64
 	held    [kinds]int64
-	teams   map[uint64]int64 // bytes by team, those that hold something
+	teams   map[uint64]int64 // bytes by team, without zeros
 	refused map[Cause]int64
 }
 
-// New returns an Account with a limit in bytes; zero is none.
+// New returns an Account with a limit in bytes, or without one if limit is zero.
 func New(limit int64) *Account {
 	return &Account{limit: limit, teams: make(map[uint64]int64), refused: make(map[Cause]int64)}
 }
 
-// SetLimit replaces the limit. What is held beyond a lower one is kept until it is given
-// back.
+// SetLimit replaces the limit. Memory in use above a lower limit stays in use until it is
+// given back.
 func (a *Account) SetLimit(limit int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.limit = limit
 }
 
-// rest returns the part of the limit that is not for answers that wait, and how much of it
-// is used. A.mu is held.
-func (a *Account) rest() (limit, used float64) {
-	return (1 - waitingMost) * float64(a.limit), float64(a.used - a.held[Waiting])
+// shared returns the part of the limit that is not reserved for Waiting, and how much of it is
+// used. The caller holds a.mu.
+func (a *Account) shared() (limit, used float64) {
+	return (1 - maxWaiting) * float64(a.limit), float64(a.used - a.held[Waiting])
 }
 
-// fits reports whether n bytes more of kind k fit into most of their part. A.mu is held.
-func (a *Account) fits(k Kind, n int64, most float64) bool {
+// fits reports whether n more bytes of kind k keep the memory for that kind within threshold.
+// The caller holds a.mu.
+func (a *Account) fits(k Kind, n int64, threshold float64) bool {
 	if a.limit <= 0 {
 		return true
 	}
 	if k == Waiting {
-		return float64(a.held[Waiting]+n) <= waitingMost*float64(a.limit)
+		return float64(a.held[Waiting]+n) <= maxWaiting*float64(a.limit)
 	}
-	limit, used := a.rest()
-	return used+float64(n) <= most*limit
+	limit, used := a.shared()
+	return used+float64(n) <= threshold*limit
 }
 
-// take counts n bytes if they fit. A.mu is held.
-func (a *Account) take(k Kind, team uint64, n int64, most float64) bool {
-	if !a.fits(k, n, most) {
+// acquire counts n bytes if they fit. The caller holds a.mu.
+func (a *Account) acquire(k Kind, team uint64, n int64, threshold float64) bool {
+	if !a.fits(k, n, threshold) {
 		return false
 	}
 	a.used += n
@@ -124,12 +122,12 @@
 	return true
 }
 
-// give counts n bytes as let go. A.mu is held.
-func (a *Account) give(k Kind, team uint64, n int64) {
+// release counts n bytes as freed. The caller holds a.mu.
+func (a *Account) release(k Kind, team uint64, n int64) {
 	a.used -= n
 	a.held[k] -= n
 	if a.held[k] < 0 {
-		panic("memory: more " + k.String() + " given back than taken")
+		panic("memory: more " + k.String() + " released than held")
 	}
 	if team == 0 {
 		return
@@ -139,7 +137,7 @@
 	}
 }
 
-// A Holding is what one request or connection holds.
+// A Holding is the memory of one request or connection.
 type Holding struct {
 	account *Account
 	team    uint64
@@ -147,7 +145,7 @@
 	closed  bool
 }
 
-// Open returns a Holding that holds n bytes of kind k, or nil if they do not fit.
+// Open returns a Holding of n bytes of kind k, or nil if they don't fit.
 func (a *Account) Open(k Kind, n int64) *Holding {
 	h := &Holding{account: a}
 	if !h.Take(k, n) {
@@ -156,17 +154,17 @@
 	return h
 }
 
-// Admit lets a request in that begins by holding n bytes, of a team (zero: none) and a
-// priority (0 is the most urgent). It returns the cause if it does not.
+// Admit returns a Holding of n bytes of kind Requests for a request of a team (zero for none)
+// and a priority (0 is the most urgent), or nil and the cause if the request is to be refused.
 func (a *Account) Admit(team uint64, priority int, n int64) (*Holding, Cause) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.high(team, n) {
+	if a.teamHigh(team, n) {
 		a.refused[TeamHigh]++
 		return nil, TeamHigh
 	}
 	h := &Holding{account: a, team: team}
-	if !a.take(Requests, team, n, letIn-letInStep*float64(min(max(priority, 0), lowest))) {
+	if !a.acquire(Requests, team, n, admitThreshold-admitStep*float64(min(max(priority, 0), lowestPriority))) {
 		a.refused[Full]++
 		return nil, Full
 	}
@@ -174,18 +172,19 @@
 	return h, ""
 }
 
-// high reports whether a team would hold much while little is left and others are there.
-// A.mu is held.
-func (a *Account) high(team uint64, n int64) bool {
+// teamHigh reports whether a team with n more bytes holds too much while memory is scarce and
+// other teams hold some. The caller holds a.mu.
+func (a *Account) teamHigh(team uint64, n int64) bool {
 	others := len(a.teams)
 	if a.teams[team] > 0 {
 		others--
 	}
-	limit, used := a.rest()
-	return team != 0 && limit > 0 && others > 0 && used > teamsFrom*limit && float64(a.teams[team]+n) > teamMost*limit
+	limit, used := a.shared()
+	return team != 0 && limit > 0 && others > 0 && used > teamThreshold*limit && float64(a.teams[team]+n) > maxTeam*limit
 }
 
-// Take holds n bytes more, if they fit.
+// Take adds n bytes of kind k, and reports false without adding them if they don't fit or h is
+// closed.
 func (h *Holding) Take(k Kind, n int64) bool {
 	a := h.account
 	a.mu.Lock()
@@ -193,15 +192,14 @@
 	if h.closed {
 		return false
 	}
-	if !a.take(k, h.team, n, 1) {
+	if !a.acquire(k, h.team, n, 1) {
 		return false
 	}
 	h.held[k] += n
 	return true
 }
 
-// Give lets n bytes go. It panics if the holding holds less, which is a fault of the
-// program.
+// Give gives back n bytes of kind k. It panics if h holds less. It has no effect after Close.
 func (h *Holding) Give(k Kind, n int64) {
 	a := h.account
 	a.mu.Lock()
@@ -210,13 +208,13 @@
 		return
 	}
 	if h.held[k] < n {
-		panic("memory: a holding gives back more " + k.String() + " than it took")
+		panic("memory: holding releases more " + k.String() + " than it holds")
 	}
 	h.held[k] -= n
-	a.give(k, h.team, n)
+	a.release(k, h.team, n)
 }
 
-// Close lets all go. What is given or taken later counts nothing.
+// Close gives back all memory of h. Later calls of Take, Give and Close have no effect.
 func (h *Holding) Close() {
 	a := h.account
 	a.mu.Lock()
@@ -226,21 +224,21 @@
 	}
 	h.closed = true
 	for k, n := range h.held {
-		a.give(Kind(k), h.team, n)
+		a.release(Kind(k), h.team, n)
 	}
 }
 
-// A Sum is what an account holds, in bytes.
+// A Sum is a snapshot of an Account, in bytes.
 type Sum struct {
 	Limit   int64            `json:"limit"`
 	Used    int64            `json:"used"`
-	Peak    int64            `json:"peak"` // since the start
+	Peak    int64            `json:"peak"` // since the account was created
 	Held    map[string]int64 `json:"held"` // by kind
 	Teams   int              `json:"teams"`
 	Refused map[Cause]int64  `json:"refused"`
 }
 
-// Sum returns what is held now.
+// Sum returns a snapshot of the account.
 func (a *Account) Sum() Sum {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -255,11 +253,11 @@
 	return s
 }
 
-// String implements expvar.Var.
+// String implements expvar.Var. It returns the Sum in JSON.
 func (a *Account) String() string {
 	data, err := json.Marshal(a.Sum())
 	if err != nil {
-		panic(err) // a Sum can be encoded
+		panic(err) // can't happen
 	}
 	return string(data)
 }
--- a/memory/memory_test.go
+++ b/memory/memory_test.go
@@ -11,41 +11,42 @@
 
 const mb = 1 << 20
 
-// Less urgent requests are refused first, then those of a team that holds much, last all.
-func TestWhatIsLetInFalls(t *testing.T) {
+// As memory fills up, requests are refused by priority, and before that those of a team with a
+// large part of it.
+func TestAdmission(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		filled   int64
+		used     int64
 		team     uint64
 		teamHeld int64
 		priority int
 		want     memory.Cause
 	}{
-		{"calm", 10, 1, 0, 9, ""},
-		{"a large team while calm", 10, 1, 30, 9, ""},
-		{"a large team, filling", 55, 1, 30, 0, memory.TeamHigh},
-		{"a large team alone", 55, 1, 55, 0, ""},
-		{"another team, filling", 55, 2, 0, 0, ""},
-		{"without a team, filling", 55, 0, 0, 0, ""},
-		{"least urgent", 76, 2, 0, 3, memory.Full},
-		{"more urgent", 76, 2, 0, 2, ""},
-		{"urgent", 86, 2, 0, 1, memory.Full},
-		{"most urgent", 86, 2, 0, 0, ""},
-		{"all", 91, 2, 0, 0, memory.Full},
+		{"low use", 10, 1, 0, 9, ""},
+		{"large team, low use", 10, 1, 30, 9, ""},
+		{"large team, medium use", 55, 1, 30, 0, memory.TeamHigh},
+		{"sole team", 55, 1, 55, 0, ""},
+		{"other team, medium use", 55, 2, 0, 0, ""},
+		{"no team, medium use", 55, 0, 0, 0, ""},
+		{"lowest priority", 76, 2, 0, 3, memory.Full},
+		{"second lowest priority", 76, 2, 0, 2, ""},
+		{"second highest priority", 86, 2, 0, 1, memory.Full},
+		{"highest priority", 86, 2, 0, 0, ""},
+		{"highest priority, full", 91, 2, 0, 0, memory.Full},
 	} {
-		a := memory.New(100 * mb * 100 / 85) // 0.15 are for answers that wait
+		a := memory.New(100 * mb * 100 / 85) // 0.15 of the limit is reserved for Waiting
 		if a.Open(memory.Waiting, 17*mb) == nil {
-			t.Fatalf("%s: answers may not wait", c.name)
+			t.Fatalf("%s: Waiting memory refused", c.name)
 		}
 		if c.teamHeld > 0 {
 			if h, cause := a.Admit(1, 0, c.teamHeld*mb); h == nil {
-				t.Fatalf("%s: the team is refused at the start: %s", c.name, cause)
+				t.Fatalf("%s: team refused at the start: %s", c.name, cause)
 			}
 		}
-		if c.filled > c.teamHeld { // by another team
+		if c.used > c.teamHeld { // held by another team
 			h, _ := a.Admit(7, 0, mb)
-			if h == nil || !h.Take(memory.Bodies, (c.filled-c.teamHeld-1)*mb) {
-				t.Fatalf("%s: could not be filled", c.name)
+			if h == nil || !h.Take(memory.Bodies, (c.used-c.teamHeld-1)*mb) {
+				t.Fatalf("%s: setup request refused", c.name)
 			}
 		}
 		if _, got := a.Admit(c.team, c.priority, mb/10); got != c.want {
@@ -54,9 +55,9 @@
 	}
 }
 
-// Whatever is taken and given in any order, the limit is never exceeded, kinds sum up to
-// what is used, and nothing is left when all holdings are closed.
-func TestAccountIsExact(t *testing.T) {
+// In any sequence of operations the limit is not exceeded, the kinds add up to the total, and
+// nothing is in use after all holdings are closed.
+func TestAccountSumsAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Int64Range(1, 1000).Draw(t, "limit")
 		a := memory.New(limit)
@@ -74,7 +75,7 @@
 			case step == 1:
 				at := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 				open[at].Close()
-				open[at].Close() // only the first counts
+				open[at].Close() // has no effect
 				delete(held, open[at])
 				open = append(open[:at], open[at+1:]...)
 			default:
@@ -96,7 +97,7 @@
 			h.Close()
 		}
 		if s := a.Sum(); s.Used != 0 || s.Teams != 0 {
-			t.Fatalf("after the end %+v is held", s)
+			t.Fatalf("memory in use after closing all holdings: %+v", s)
 		}
 	})
 }
@@ -117,8 +118,8 @@
 	}
 }
 
-// Many at once never exceed the limit either.
-func TestLimitHoldsAmongGoroutines(t *testing.T) {
+// Concurrent requests don't exceed the limit.
+func TestConcurrentUseStaysWithinLimit(t *testing.T) {
 	a := memory.New(1000)
 	var wg sync.WaitGroup
 	for n := range 8 {
@@ -137,6 +138,6 @@
 	}
 	wg.Wait()
 	if s := a.Sum(); s.Peak > s.Limit || s.Used != 0 || s.Teams != 0 {
-		t.Errorf("ended with %+v", s)
+		t.Errorf("limit exceeded or memory in use at the end: %+v", s)
 	}
 }
