--- a/length/length.go
+++ b/length/length.go
@@ -1,28 +1,27 @@
-// Package length learns how long answers are.
+// Package length estimates the lengths of responses.
 //
-// The length of an answer is unknown until it ends, so decisions use the
-// distribution of earlier ones. A Dist is a histogram with geometric buckets
-// whose older counts decay; Quantile is what decisions act on. A Book keeps
-// one Dist a class and one a class and team, and answers from the narrower
-// one as soon as it has seen enough.
+// The length of a response is unknown until it ends, so decisions use the distribution of
+// earlier ones. A Dist is a histogram with geometric buckets and decaying counts. A Book has a
+// Dist for each request class and for each team in a class, and uses the latter once it has
+// enough observations.
 package length
 
 import "math"
 
 const (
-	buckets    = 88
-	growth     = 1.12
-	decayEvery = 256 // observations after which all counts are halved
-	enough     = 24  // observations from which a team's own Dist is used
-	maxTeams   = 4096
+	numBuckets     = 88
+	growth         = 1.12
+	decayEvery     = 256 // number of observations after which all counts are halved
+	minTeamSamples = 24  // observations from which a team's own Dist is used
+	maxTeams       = 4096
 )
 
 var invLogGrowth = 1 / math.Log(growth)
 
-// A Dist is a decaying distribution of lengths in tokens. The zero value is
-// empty. A Dist is not safe for concurrent use.
+// A Dist is a decaying distribution of lengths in tokens. The zero value is empty. A Dist is
+// not safe for concurrent use.
 type Dist struct {
-	counts [buckets]float32
+	counts [numBuckets]float32
 	total  float32
 	sum    float64
 	seen   int
@@ -32,13 +31,13 @@
 	if n <= 1 {
 		return 0
 	}
-	return min(buckets-1, int(math.Log(n)*invLogGrowth)+1)
+	return min(numBuckets-1, int(math.Log(n)*invLogGrowth)+1)
 }
 
-// upper returns the largest length of bucket b.
+// upper returns the largest length in bucket b.
 func upper(b int) float64 { return math.Pow(growth, float64(b)) }
 
-// lower returns where bucket b begins.
+// lower returns the lower bound of bucket b.
 func lower(b int) float64 {
 	if b == 0 {
 		return 0
@@ -46,7 +45,7 @@
 	return upper(b - 1)
 }
 
-// Observe adds an answer of n tokens.
+// Observe records a response of n tokens.
 func (d *Dist) Observe(n int) {
 	d.counts[bucketOf(float64(n))]++
 	d.total++
@@ -65,10 +64,10 @@
 	d.sum /= 2
 }
 
-// Seen returns the number of observations.
+// Seen returns the number of observations, including decayed ones.
 func (d *Dist) Seen() int { return d.seen }
 
-// Mean returns the mean length, or zero if nothing was observed.
+// Mean returns the mean length in tokens, or zero without observations.
 func (d *Dist) Mean() float64 {
 	if d.total == 0 {
 		return 0
@@ -76,23 +75,23 @@
 	return d.sum / float64(d.total)
 }
 
-// Quantile returns a length that a part q of the answers does not exceed,
-// interpolated within its bucket. It is zero if nothing was observed.
+// Quantile returns the length in tokens that a fraction q, from 0 to 1, of the responses
+// doesn't exceed, interpolated within its bucket. It returns zero without observations.
 func (d *Dist) Quantile(q float64) float64 {
-	want := float32(q) * d.total
+	target := float32(q) * d.total
 	var acc float32
 	for b, c := range d.counts {
-		if c > 0 && acc+c >= want {
-			part := float64((want - acc) / c)
-			return lower(b) + part*(upper(b)-lower(b))
+		if c > 0 && acc+c >= target {
+			fraction := float64((target - acc) / c)
+			return lower(b) + fraction*(upper(b)-lower(b))
 		}
 		acc += c
 	}
 	return 0
 }
 
-// Within returns the part of the answers that are at most n tokens long. It
-// is one if nothing was observed.
+// Within returns the fraction of the responses with at most n tokens, or one without
+// observations.
 func (d *Dist) Within(n float64) float64 {
 	if d.total == 0 {
 		return 1
@@ -105,11 +104,11 @@
 	for _, c := range d.counts[:at] {
 		acc += c
 	}
-	part := (n - lower(at)) / (upper(at) - lower(at))
-	return (float64(acc) + min(1, part)*float64(d.counts[at])) / float64(d.total)
+	fraction := (n - lower(at)) / (upper(at) - lower(at))
+	return (float64(acc) + min(1, fraction)*float64(d.counts[at])) / float64(d.total)
 }
 
-// A Book holds the distributions of one cell.
+// A Book holds the distributions of one group of endpoints. It is not safe for concurrent use.
 type Book struct {
 	classes map[string]*Dist
 	teams   map[teamKey]*Dist
@@ -122,8 +121,8 @@
 	return &Book{classes: make(map[string]*Dist), teams: make(map[teamKey]*Dist)}
 }
 
-// Observe adds an answer of n tokens. Teams beyond a fixed number share
-// their class's distribution, so that memory is bounded.
+// Observe records a response of n tokens. The number of teams with a distribution of their own
+// is bounded; further teams only count for their class.
 func (b *Book) Observe(class, team string, n int) {
 	d := b.classes[class]
 	if d == nil {
@@ -142,13 +141,13 @@
 	}
 }
 
-// Class returns the distribution of a whole class, or nil.
+// Class returns the distribution of a whole class, or nil without observations.
 func (b *Book) Class(class string) *Dist { return b.classes[class] }
 
-// Of returns the distribution to use for a request, or nil if nothing like
-// it was observed.
+// Of returns the distribution to use for a request of a class and team, or nil if nothing was
+// observed for its class.
 func (b *Book) Of(class, team string) *Dist {
-	if t := b.teams[teamKey{class, team}]; t != nil && t.seen >= enough {
+	if t := b.teams[teamKey{class, team}]; t != nil && t.seen >= minTeamSamples {
 		return t
 	}
 	return b.classes[class]
--- a/length/length_test.go
+++ b/length/length_test.go
@@ -16,15 +16,15 @@
 	}
 	for q, want := range map[float64]float64{0.5: 100, 0.9: 190, 0.99: 320} {
 		if got := d.Quantile(q); math.Abs(got-want) > 0.15*want {
-			t.Errorf("quantile %g is %.0f; want about %.0f", q, got, want)
+			t.Errorf("Quantile(%g) = %.0f, want about %.0f", q, got, want)
 		}
-		if part := d.Within(d.Quantile(q)); math.Abs(part-q) > 0.01 {
-			t.Errorf("%.3f are within quantile %g", part, q)
+		if fraction := d.Within(d.Quantile(q)); math.Abs(fraction-q) > 0.01 {
+			t.Errorf("Within(quantile) = %.3f, want about %g", fraction, q)
 		}
 	}
 }
 
-func TestForgets(t *testing.T) {
+func TestOldObservationsDecay(t *testing.T) {
 	var d length.Dist
 	for range 1000 {
 		d.Observe(10)
@@ -33,20 +33,20 @@
 		d.Observe(1000)
 	}
 	if got := d.Quantile(0.5); got < 800 {
-		t.Errorf("the median is still %.0f after 2000 long answers", got)
+		t.Errorf("median %.0f after 2000 responses of 1000 tokens, want at least 800", got)
 	}
 }
 
-func TestTeamsOwn(t *testing.T) {
+func TestTeamDistribution(t *testing.T) {
 	b := length.NewBook()
 	for range 100 {
 		b.Observe("letter", "long", 1000)
 		b.Observe("letter", "short", 10)
 	}
 	if got := b.Of("letter", "short").Quantile(0.9); got > 20 {
-		t.Errorf("the short team's quantile is %.0f", got)
+		t.Errorf("quantile %.0f of the team with short responses, want at most 20", got)
 	}
 	if b.Of("letter", "unknown") != b.Class("letter") || b.Of("chat", "short") != nil {
-		t.Error("a team without answers does not get its class's lengths")
+		t.Error("Of does not return the distribution of the class, or nil without one")
 	}
 }
