--- a/speed/speed.go
+++ b/speed/speed.go
@@ -1,16 +1,13 @@
-// Package speed learns how fast engines work from the requests that they
-// served.
+// Package speed estimates how fast engines work from the requests that they served.
 //
-// What is learnt is a time per token: to read a prompt, or to make an answer.
-// Times are kept as logarithms, so that one that is twice too long and one
-// that is half as long weigh the same. A Sum collects the samples of one
-// endpoint; sums of several instances can be merged, and older samples fade. A
-// Figure is the time of a whole service: the median over its endpoints, so
-// that a few which are slow, silent or guessed wrong do not move it. The time
-// of one endpoint is that of its service, unless its own samples differ by more
-// than chance explains.
+// Estimates are times per token, for processing a prompt or generating a response. They are
+// averaged as logarithms, so that factors of two and one half weigh the same. A Sum holds the
+// samples of one endpoint; the sums of several instances can be merged, and old samples decay.
+// A Figure is the estimate for a service: the median over its endpoints, which a few slow,
+// unresponsive or misjudged endpoints don't shift. The estimate for one endpoint is that of its
+// service unless its own samples deviate significantly.
 //
-// The package does no I/O.
+// The package does no I/O. Its types are not safe for concurrent use.
 package speed
 
 import (
@@ -20,35 +17,35 @@
 )
 
 const (
-	// farthest bounds a sample's distance from the figure of its service, as a
-	// logarithm: an engine that is seven times slower is still told apart, and
-	// one lost packet does not count for more than that.
-	farthest = 2.0
-	// chance is how far the mean of one sample is off by chance, as a
-	// logarithm: twice the spread that was measured at engines under load. What
-	// it may explain is not taken for a difference between endpoints; prompts
-	// would leave the endpoints that hold their parts for nothing.
-	chance = 1.0
-	// newAfter is the weight of samples from which they count more than what
-	// was believed before. The first figure is a guess.
-	newAfter = 4.0
-	// settle is how long samples are seen before what they say is believed
-	// when they have faded: so that few, which come seldom, are enough.
-	settle = 10 * time.Second
-	// heard is the part of the way to what another instance says that is gone
-	// at once: it speaks of single endpoints, which differ.
-	heard = 0.2
-	// faded is the weight below which samples are forgotten.
-	faded = 0.05
+	// maxDeviation is the largest deviation of a sample from the figure of its service that
+	// counts, as a logarithm. It allows for an engine that is seven times slower and limits
+	// the effect of a lost packet.
+	maxDeviation = 2.0
+	// sampleError is the error attributed to one sample, as a logarithm: twice the standard
+	// deviation under load. A deviation that it explains is ignored, or prompts would be sent
+	// away from the endpoints that have their prefixes cached for no benefit.
+	sampleError = 1.0
+	// priorWeight is the weight of the earlier estimate, relative to samples. The first
+	// estimate is a guess.
+	priorWeight = 4.0
+	// settleTime is the time in which the estimate becomes the prior, so that it lasts when
+	// few samples arrive and these decay.
+	settleTime = 10 * time.Second
+	// peerWeight is the part of the difference to another instance's estimate that one call of
+	// Hear makes up. That estimate may be based on few endpoints, and endpoints differ.
+	peerWeight = 0.2
+	// minWeight is the weight below which samples are dropped.
+	minWeight = 0.05
 )
 
-// A Sum is a weighted sum of the logarithms of times. The zero value is empty.
+// A Sum is a weighted sum of the logarithms of times per token. The zero value is empty.
 type Sum struct {
 	Weight float64
 	Log    float64 // of milliseconds per token
 }
 
-// Add adds a time per token in milliseconds.
+// Add adds a time per token in milliseconds. It ignores times and weights that are not
+// positive.
 func (s *Sum) Add(ms, weight float64) {
 	if ms <= 0 || weight <= 0 {
 		return
@@ -63,72 +60,73 @@
 	s.Log += other.Log
 }
 
-// Faded returns s with the part keep of its weight.
+// Faded returns s with its weight multiplied by keep, from 0 to 1.
 func (s Sum) Faded(keep float64) Sum {
-	if keep*s.Weight < faded {
+	if keep*s.Weight < minWeight {
 		return Sum{}
 	}
 	return Sum{Weight: keep * s.Weight, Log: keep * s.Log}
 }
 
-// mean returns the mean logarithm of a sum that is not empty.
+// mean returns the mean logarithm. The sum must not be empty.
 func (s Sum) mean() float64 { return s.Log / s.Weight }
 
-// A Figure is a time per token that holds for a service.
+// A Figure is the estimated time per token of a service. Use NewFigure to create one.
 type Figure struct {
-	log    float64
-	value  float64 // whose logarithm log is
-	before float64 // what was believed before the samples that count now
+	log   float64
+	value float64 // the exponential of log
+	prior float64 // estimate, as a logarithm, without the current samples
 }
 
-// NewFigure returns a Figure that begins with a guess in milliseconds.
+// NewFigure returns a Figure with an initial guess in milliseconds per token.
 func NewFigure(ms float64) Figure {
-	return Figure{log: math.Log(ms), value: ms, before: math.Log(ms)}
+	return Figure{log: math.Log(ms), value: ms, prior: math.Log(ms)}
 }
 
-// set changes the time to that with a logarithm.
+// set sets the estimate to a logarithm.
 func (f *Figure) set(log float64) {
 	f.log = log
 	f.value = math.Exp(log)
 }
 
-// Value returns the time in milliseconds.
+// Value returns the estimate in milliseconds per token.
 func (f *Figure) Value() float64 { return f.value }
 
-// Of returns the time of an endpoint with the samples s: that of its service,
-// but for what chance does not explain.
+// Of returns the estimate in milliseconds per token for an endpoint with the samples s. It
+// deviates from that of the service as far as the deviation of the samples is significant.
 func (f *Figure) Of(s Sum) float64 {
 	if s.Weight <= 0 {
 		return f.Value()
 	}
-	apart := s.mean() - f.log
-	clear := math.Abs(apart) - chance/math.Sqrt(s.Weight)
-	if clear <= 0 {
+	deviation := s.mean() - f.log
+	significant := math.Abs(deviation) - sampleError/math.Sqrt(s.Weight)
+	if significant <= 0 {
 		return f.Value()
 	}
-	return f.Value() * math.Exp(math.Copysign(clear, apart))
+	return f.Value() * math.Exp(math.Copysign(significant, deviation))
 }
 
-// Hear takes up what another instance believes, which knows more.
+// Hear moves f towards the estimate, in milliseconds per token, of another instance that has
+// more samples. It ignores values that are not positive.
 func (f *Figure) Hear(ms float64) {
 	if ms <= 0 {
 		return
 	}
-	f.set(f.log + heard*(math.Log(ms)-f.log))
-	f.before = f.log
+	f.set(f.log + peerWeight*(math.Log(ms)-f.log))
+	f.prior = f.log
 }
 
-// Bounded returns a sample that is not farther from f than samples count.
+// Bounded returns a time in milliseconds per token limited to maxDeviation from f.
 func (f *Figure) Bounded(ms float64) float64 {
 	if ms <= 0 {
 		return ms
 	}
-	return math.Exp(min(max(math.Log(ms), f.log-farthest), f.log+farthest))
+	return math.Exp(min(max(math.Log(ms), f.log-maxDeviation), f.log+maxDeviation))
 }
 
-// Update takes up the samples of a service's endpoints, so long after the last
-// time. It reorders sums.
-func (f *Figure) Update(sums []Sum, passed time.Duration) {
+// Update computes the estimate from the samples of a service's endpoints. Elapsed is the time
+// since the previous call. It reorders sums.
+func (f *Figure) Update(sums []Sum, elapsed time.Duration) {
 	total := 0.0
 	for _, s := range sums {
 		total += s.Weight
@@ -136,13 +134,13 @@
 	if total <= 0 {
 		return
 	}
-	f.set((total*medianOf(sums, total) + newAfter*f.before) / (total + newAfter))
-	seen := min(1, float64(passed)/float64(settle))
-	f.before += seen * total / (total + newAfter) * (f.log - f.before)
+	f.set((total*medianOf(sums, total) + priorWeight*f.prior) / (total + priorWeight))
+	progress := min(1, float64(elapsed)/float64(settleTime))
+	f.prior += progress * total / (total + priorWeight) * (f.log - f.prior)
 }
 
-// medianOf returns the median of the endpoints' mean logarithms, each counting
-// as its samples weigh.
+// medianOf returns the median of the mean logarithms of sums, weighted by their samples. Total
+// is the sum of the weights.
 func medianOf(sums []Sum, total float64) float64 {
 	sort.Slice(sums, func(i, j int) bool {
 		if sums[i].Weight <= 0 || sums[j].Weight <= 0 {
--- a/speed/speed_test.go
+++ b/speed/speed_test.go
@@ -9,9 +9,9 @@
 	"ivyridge/speed"
 )
 
-// sums returns those of endpoints with so many samples each, of engines that
-// take ms per token give or take a third.
-func sums(r *rand.Rand, endpoints, samples int, ms float64) []speed.Sum {
+// randomSums returns the sums of endpoints with a number of samples each, log-normally
+// distributed around ms per token.
+func randomSums(r *rand.Rand, endpoints, samples int, ms float64) []speed.Sum {
 	out := make([]speed.Sum, endpoints)
 	for i := range out {
 		for range samples {
@@ -21,37 +21,36 @@
 	return out
 }
 
-func near(got, want, part float64) bool { return math.Abs(math.Log(got/want)) < part }
+func near(got, want, tolerance float64) bool { return math.Abs(math.Log(got/want)) < tolerance }
 
-func TestGuessIsLeftSoon(t *testing.T) {
+func TestInitialGuessIsReplaced(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	for _, tokensEach := range []float64{20, 43, 57, 110} {
+	for _, tokensPerMs := range []float64{20, 43, 57, 110} {
 		f := speed.NewFigure(1 / 50.0)
-		f.Update(sums(r, 10, 5, 1/tokensEach), 100*time.Millisecond)
-		if got := 1 / f.Value(); !near(got, tokensEach, 0.15) {
-			t.Errorf("after 50 samples of %.0f tokens a ms: %.1f", tokensEach, got)
+		f.Update(randomSums(r, 10, 5, 1/tokensPerMs), 100*time.Millisecond)
+		if got := 1 / f.Value(); !near(got, tokensPerMs, 0.15) {
+			t.Errorf("after 50 samples of %.0f tokens per ms: got %.1f", tokensPerMs, got)
 		}
 	}
 }
 
-// A few endpoints that are slow, or whose queue is guessed wrong, do not move
-// what holds for the others.
-func TestFewSlowEndpointsDoNotMoveTheService(t *testing.T) {
+// A few endpoints that are slow or misjudged don't shift the estimate for the service.
+func TestOutliersDoNotShiftServiceTime(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	f := speed.NewFigure(0.025)
-	all := append(sums(r, 8, 20, 0.025), sums(r, 2, 20, 0.125)...)
+	all := append(randomSums(r, 8, 20, 0.025), randomSums(r, 2, 20, 0.125)...)
 	slow := all[9]
 	f.Update(all, time.Second)
 	if !near(f.Value(), 0.025, 0.12) {
-		t.Errorf("the service's figure is %.4f ms, want 0.025", f.Value())
+		t.Errorf("estimate for the service %.4f ms, want 0.025", f.Value())
 	}
 	if got := f.Of(slow); got < 0.08 {
-		t.Errorf("an endpoint that takes 0.125 ms is thought to take %.4f", got)
+		t.Errorf("estimate %.4f ms for an endpoint that takes 0.125", got)
 	}
 }
 
-// What chance explains is no difference between endpoints.
-func TestChanceIsNoDifference(t *testing.T) {
+// A deviation that may be chance is ignored.
+func TestInsignificantDeviationIsIgnored(t *testing.T) {
 	f := speed.NewFigure(0.025)
 	var few, many speed.Sum
 	for range 3 {
@@ -61,44 +60,44 @@
 		many.Add(0.04, 1)
 	}
 	if got := f.Of(few); got != f.Value() {
-		t.Errorf("three samples make %.4f of %.4f", got, f.Value())
+		t.Errorf("got %.4f from three samples, want the estimate for the service, %.4f", got, f.Value())
 	}
 	if got := f.Of(many); got < 0.03 || got > 0.04 {
-		t.Errorf("thirty samples of 0.04 make %.4f", got)
+		t.Errorf("got %.4f from 30 samples of 0.04, want 0.03 to 0.04", got)
 	}
 }
 
-func TestFigureStaysWhenSamplesFade(t *testing.T) {
+func TestServiceTimeSurvivesSampleDecay(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
 	f := speed.NewFigure(0.02)
 	for range 30 {
-		f.Update(sums(r, 10, 10, 0.05), time.Second)
+		f.Update(randomSums(r, 10, 10, 0.05), time.Second)
 	}
 	f.Update([]speed.Sum{{}, {}}, time.Second)
 	var s speed.Sum
 	s.Add(0.02, 0.1)
 	f.Update([]speed.Sum{s.Faded(0.9)}, time.Second)
 	if !near(f.Value(), 0.05, 0.15) {
-		t.Errorf("after the samples have faded: %.4f ms, want 0.05", f.Value())
+		t.Errorf("estimate %.4f ms after the samples have decayed, want 0.05", f.Value())
 	}
 	if got := s.Faded(0.1); got != (speed.Sum{}) {
-		t.Errorf("hardly any weight is left, and %+v is kept", got)
+		t.Errorf("samples of hardly any weight are kept: %+v", got)
 	}
 }
 
 func TestSamplesAreBounded(t *testing.T) {
 	f := speed.NewFigure(0.02)
 	if got := f.Bounded(40); got > 0.2 {
-		t.Errorf("a lost packet counts as %.2f ms a token", got)
+		t.Errorf("a sample of 40 ms counts as %.2f ms, want at most 0.2", got)
 	}
 	if got := f.Bounded(0.03); !near(got, 0.03, 1e-9) {
-		t.Errorf("0.03 ms a token counts as %.3f", got)
+		t.Errorf("a sample of 0.03 ms counts as %.3f ms", got)
 	}
 	var s speed.Sum
 	s.Add(0, 1)
 	s.Add(-1, 1)
 	s.Add(1, 0)
 	if s != (speed.Sum{}) {
-		t.Errorf("times that are none count: %+v", s)
+		t.Errorf("samples without a positive time and weight count: %+v", s)
 	}
 }
