--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,16 +1,15 @@
-// Package engine models a model engine that batches continuously.
+// Package engine simulates an inference engine with continuous batching.
 //
-// An Engine runs in iterations. In each, it admits waiting sequences by
-// priority while memory allows, prefills a bounded number of prompt tokens,
-// and decodes one token of every sequence that is past its prompt. An
-// iteration takes longer the more sequences decode and the more prompt is
-// prefilled, which is what makes a full engine slow. Prompt prefixes are
-// cached in limited memory. When memory runs out, the sequence of the lowest
-// priority that was admitted last is sent back and computes its tokens anew.
+// An Engine runs in iterations. Each admits waiting sequences by priority while memory allows,
+// prefills a bounded number of prompt tokens, and decodes one token of every sequence whose
+// prompt is complete. An iteration takes longer with more decoding sequences and more prompt
+// tokens, so that a fully loaded engine is slow. Prompt prefixes are cached in limited memory.
+// When memory runs out, the most recently admitted sequence of the lowest priority is preempted
+// and later recomputes its tokens.
 //
-// The model is pure: Step runs one iteration and says how long it took. The
-// stand-in engines drive it in real time, the policy experiments in virtual
-// time. It is not a model of any one product.
+// The simulation has no clock: Step runs one iteration and returns how long it took. Simulated
+// endpoints drive it in real time, policy experiments in virtual time. It doesn't model any
+// particular product.
 package engine
 
 import (
@@ -18,19 +17,19 @@
 	"time"
 )
 
-// Params shape an Engine.
+// Params are the parameters of an Engine.
 type Params struct {
-	Base        time.Duration // of an iteration
+	Base        time.Duration // duration of an iteration without sequences
 	PerSequence time.Duration // added by each decoding sequence
-	PrefillRate float64       // prompt tokens a second
-	Chunk       int           // prompt tokens in one iteration
+	PrefillRate float64       // prompt tokens per second
+	Chunk       int           // maximum number of prompt tokens per iteration
 	MaxRunning  int
-	Memory      int // tokens that fit
-	CacheTokens int // of prompt prefixes
+	Memory      int // tokens of all running sequences
+	CacheTokens int // tokens of cached prompt prefixes
 }
 
-// Default returns the parameters of the stand-in engines: 30 ms between
-// tokens at 25 sequences, and about 880 tokens a second at 36 ms.
+// Default returns the parameters of the simulated endpoints: 30 ms between tokens at 25
+// sequences.
 func Default() Params {
 	return Params{
 		Base:        10 * time.Millisecond,
@@ -45,49 +44,49 @@
 
 // A Sequence is one request in an Engine.
 type Sequence struct {
-	Priority  int // lower first
-	Prompt    int // tokens
+	Priority  int // lowest number first
+	Prompt    int // length in tokens
 	Prefix    uint64
-	PrefixLen int // tokens of the prompt that the prefix covers
-	Length    int // tokens of the answer
-	Tag       any // the owner's
+	PrefixLen int // leading tokens of the prompt that Prefix identifies
+	Length    int // of the response, in tokens
+	Tag       any // for use by the caller
 
 	Produced  int
-	prefill   int // prompt tokens still to be computed
+	prefill   int // prompt tokens left to prefill
 	arrival   uint64
 	admission uint64
-	gone      bool
+	cancelled bool
 }
 
-// An Engine is not safe for concurrent use.
+// An Engine simulates one engine. Use New to create one. It is not safe for concurrent use.
 type Engine struct {
-	par      Params
-	Slowness float64 // factor on the time of an iteration, one if healthy
+	params   Params
+	Slowness float64 // factor of the duration of iterations; one if healthy
 	waiting  []*Sequence
 	running  []*Sequence
 	used     int
-	clock    uint64
+	lastID   uint64
 	cache    cache
-	// Computed counts decoded tokens, Prefilled prompt tokens; Preempted
-	// counts sequences sent back for want of memory.
+	// Computed is the number of decoded tokens, Prefilled of prefilled prompt tokens, and
+	// Preempted of sequences preempted for lack of memory.
 	Computed, Prefilled, Preempted int64
 }
 
 // New returns an idle Engine.
 func New(p Params) *Engine {
-	return &Engine{par: p, Slowness: 1, cache: newCache(p.CacheTokens)}
+	return &Engine{params: p, Slowness: 1, cache: newCache(p.CacheTokens)}
 }
 
-// Add gives the engine a sequence.
+// Add queues a sequence. The engine changes it until it has finished or is cancelled.
 func (e *Engine) Add(s *Sequence) {
-	e.clock++
-	s.arrival = e.clock
+	e.lastID++
+	s.arrival = e.lastID
 	e.waiting = append(e.waiting, s)
 }
 
-// Cancel takes a sequence out. It may be called between iterations only.
+// Cancel removes a sequence. It must not be called during Step.
 func (e *Engine) Cancel(s *Sequence) {
-	s.gone = true
+	s.cancelled = true
 	if i := index(e.running, s); i >= 0 {
 		e.running = append(e.running[:i], e.running[i+1:]...)
 		e.used -= s.size()
@@ -106,29 +105,29 @@
 	return -1
 }
 
-// Running and Waiting return how many sequences run and wait.
+// Running returns the number of running sequences.
 func (e *Engine) Running() int { return len(e.running) }
 
-// Waiting returns how many sequences wait.
+// Waiting returns the number of waiting sequences.
 func (e *Engine) Waiting() int { return len(e.waiting) }
 
-// Idle reports whether there is nothing to do.
+// Idle reports whether no sequences are running or waiting.
 func (e *Engine) Idle() bool { return len(e.running)+len(e.waiting) == 0 }
 
-// size is the memory that s takes.
+// size returns the memory of s, in tokens.
 func (s *Sequence) size() int { return s.Prompt + s.Produced }
 
-// Step runs one iteration. It returns how long the iteration takes and the
-// sequences that have a new token at its end; those with Produced equal to
-// Length are finished and have left the engine.
+// Step runs one iteration. It returns the duration of the iteration and the sequences for
+// which it generated a token. Those with Produced equal to Length have finished and been
+// removed.
 func (e *Engine) Step() (time.Duration, []*Sequence) {
 	e.admit()
-	e.makeRoom()
+	e.preempt()
 	prefilled := 0
 	var out []*Sequence
 	for _, s := range e.running {
 		if s.prefill > 0 {
-			n := min(s.prefill, e.par.Chunk-prefilled)
+			n := min(s.prefill, e.params.Chunk-prefilled)
 			s.prefill -= n
 			prefilled += n
 			if s.prefill > 0 {
@@ -142,13 +141,13 @@
 	}
 	e.Computed += int64(len(out))
 	e.Prefilled += int64(prefilled)
-	took := e.par.Base + time.Duration(len(out))*e.par.PerSequence
-	took += time.Duration(float64(prefilled) / e.par.PrefillRate * float64(time.Second))
-	e.retire()
+	took := e.params.Base + time.Duration(len(out))*e.params.PerSequence
+	took += time.Duration(float64(prefilled) / e.params.PrefillRate * float64(time.Second))
+	e.removeFinished()
 	return time.Duration(float64(took) * e.Slowness), out
 }
 
-// admit moves waiting sequences in, by priority and arrival.
+// admit starts waiting sequences in the order of priority and arrival.
 func (e *Engine) admit() {
 	if len(e.waiting) == 0 {
 		return
@@ -162,11 +161,11 @@
 	})
 	n := 0
 	for _, s := range e.waiting {
-		if len(e.running) >= e.par.MaxRunning || e.used+s.size() > e.par.Memory && len(e.running) > 0 {
+		if len(e.running) >= e.params.MaxRunning || e.used+s.size() > e.params.Memory && len(e.running) > 0 {
 			break
 		}
-		e.clock++
-		s.admission = e.clock
+		e.lastID++
+		s.admission = e.lastID
 		s.prefill = max(1, s.size()-e.cache.hit(s.Prefix, s.PrefixLen))
 		e.used += s.size()
 		e.running = append(e.running, s)
@@ -175,24 +174,24 @@
 	e.waiting = e.waiting[n:]
 }
 
-// makeRoom sends sequences back while memory is over-full.
-func (e *Engine) makeRoom() {
-	for e.used > e.par.Memory && len(e.running) > 1 {
-		worst := e.running[0]
+// preempt returns sequences to the queue while memory is exceeded.
+func (e *Engine) preempt() {
+	for e.used > e.params.Memory && len(e.running) > 1 {
+		victim := e.running[0]
 		for _, s := range e.running {
-			if s.Priority > worst.Priority || s.Priority == worst.Priority && s.admission > worst.admission {
-				worst = s
+			if s.Priority > victim.Priority || s.Priority == victim.Priority && s.admission > victim.admission {
+				victim = s
 			}
 		}
-		e.Cancel(worst)
-		worst.gone = false
+		e.Cancel(victim)
+		victim.cancelled = false
 		e.Preempted++
-		e.waiting = append(e.waiting, worst)
+		e.waiting = append(e.waiting, victim)
 	}
 }
 
-// retire takes finished sequences out.
-func (e *Engine) retire() {
+// removeFinished removes finished sequences.
+func (e *Engine) removeFinished() {
 	kept := e.running[:0]
 	for _, s := range e.running {
 		if s.Produced >= s.Length {
@@ -204,16 +203,17 @@
 	e.running = kept
 }
 
-// A cache holds prompt prefixes, least recently used out first.
+// A cache is an LRU cache of prompt prefixes, with sizes in tokens.
 type cache struct {
-	most, used int
-	sizes      map[uint64]int
-	order      []uint64 // oldest first
+	capacity, used int
+	sizes          map[uint64]int
+	order          []uint64 // least recently used first
 }
 
-func newCache(most int) cache { return cache{most: most, sizes: make(map[uint64]int)} }
+func newCache(capacity int) cache { return cache{capacity: capacity, sizes: make(map[uint64]int)} }
 
-// hit returns how many prompt tokens the cache saves.
+// hit returns the number of leading prompt tokens that are cached, and marks the prefix as
+// used.
 func (c *cache) hit(prefix uint64, n int) int {
 	if prefix == 0 || c.sizes[prefix] == 0 {
 		return 0
@@ -240,7 +240,7 @@
 	}
 	c.used += n - c.sizes[prefix]
 	c.sizes[prefix] = n
-	for c.used > c.most && len(c.order) > 0 {
+	for c.used > c.capacity && len(c.order) > 0 {
 		old := c.order[0]
 		c.order = c.order[1:]
 		c.used -= c.sizes[old]
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -7,7 +7,8 @@
 	"ivyridge/engine"
 )
 
-// run steps until idle, and returns the time it took and who ended when.
+// run steps the engine until it is idle, and returns the time it took and the finished
+// sequences in order.
 func run(e *engine.Engine) (time.Duration, []*engine.Sequence) {
 	var at time.Duration
 	var ended []*engine.Sequence
@@ -23,7 +24,7 @@
 	return at, ended
 }
 
-func TestFullerIsSlowerButMakesMore(t *testing.T) {
+func TestLargerBatchTradesLatencyForThroughput(t *testing.T) {
 	one, many := engine.New(engine.Default()), engine.New(engine.Default())
 	one.Add(&engine.Sequence{Prompt: 10, Length: 100})
 	for range 20 {
@@ -32,7 +33,7 @@
 	alone, _ := run(one)
 	together, _ := run(many)
 	if together <= alone || together >= 20*alone/2 {
-		t.Errorf("one takes %s, twenty together %s", alone, together)
+		t.Errorf("one sequence takes %s, twenty take %s; want more, but less than half of twenty times as much", alone, together)
 	}
 }
 
@@ -44,11 +45,11 @@
 	e.Add(low)
 	e.Add(high)
 	if _, ended := run(e); ended[0] != high {
-		t.Error("the lower priority ended first")
+		t.Error("the sequence of lower priority finished first")
 	}
 }
 
-func TestMemorySendsBack(t *testing.T) {
+func TestPreemptionWhenMemoryIsFull(t *testing.T) {
 	p := engine.Default()
 	p.Memory = 300
 	e := engine.New(p)
@@ -57,7 +58,7 @@
 	}
 	_, ended := run(e)
 	if len(ended) != 4 || e.Preempted == 0 {
-		t.Errorf("%d of 4 ended, %d were sent back", len(ended), e.Preempted)
+		t.Errorf("%d of 4 sequences finished with %d preemptions, want 4 and at least 1", len(ended), e.Preempted)
 	}
 }
 
@@ -68,6 +69,6 @@
 		run(e)
 	}
 	if e.Prefilled >= 2000 || e.Prefilled < 1000 {
-		t.Errorf("%d prompt tokens were computed for two prompts of 1000 that share 900", e.Prefilled)
+		t.Errorf("%d tokens prefilled for two prompts of 1000 that share 900, want 1000 to 1999", e.Prefilled)
 	}
 }
