--- a/fair/fair.go
+++ b/fair/fair.go
@@ -58,7 +58,7 @@
 	limitedTimeout = 2 * time.Second
 )
 
-// Shares divides one service. The zero value is ready to use.
+// Shares divides the capacity of one service among teams. The zero value is ready to use.
 type Shares struct {
 	pools [Levels]pool
 	peers peers
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -16,7 +16,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		teams := rapid.IntRange(1, 100).Draw(t, "teams")
-		spare := rapid.Bool().Draw(t, "room")
+		spare := rapid.Bool().Draw(t, "spare")
 		maxCongestion := 3.0
 		if spare {
 			maxCongestion = 1
--- a/fair/peers.go
+++ b/fair/peers.go
@@ -44,7 +44,7 @@
 	summedAt time.Time // when the sums below were computed
 	rates    [Levels]map[uint32]float64
 	totals   [Levels]float64
-	names    [Levels][]uint32
+	teamIDs  [Levels][]uint32
 }
 
 type report struct {
@@ -99,7 +99,7 @@
 		}
 		clear(t.rates[level])
 		t.totals[level] = 0
-		t.names[level] = t.names[level][:0]
+		t.teamIDs[level] = t.teamIDs[level][:0]
 	}
 	for instance, s := range t.reports {
 		if now.Sub(s.at) >= reportLifetime {
@@ -108,7 +108,7 @@
 		}
 		for _, u := range s.uses {
 			if _, known := t.rates[u.Level][u.Team]; !known {
-				t.names[u.Level] = append(t.names[u.Level], u.Team)
+				t.teamIDs[u.Level] = append(t.teamIDs[u.Level], u.Team)
 			}
 			t.rates[u.Level][u.Team] += u.Rate
 			t.totals[u.Level] += u.Rate
@@ -131,5 +131,5 @@
 // teams returns the teams that others reported at a level.
 func (t *peers) teams(now time.Time, level int) []uint32 {
 	t.refresh(now)
-	return t.names[level]
+	return t.teamIDs[level]
 }
--- a/fair/report.go
+++ b/fair/report.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// A Change is the start or the end of a team's limitation at a level.
+// A Change is that a team starts or stops being limited at a level.
 type Change struct {
 	Team  uint32
 	Level int
--- a/fair/sketch.go
+++ b/fair/sketch.go
@@ -59,6 +59,7 @@
 	return s.unit
 }
 
+// rescale multiplies all counts by factor and restarts the unit at one.
 func (s *sketch) rescale(now time.Time, factor float64) {
 	s.origin = now
 	s.totalWork *= factor
@@ -113,6 +114,7 @@
 	}
 }
 
+// smallest returns the counter with the least work.
 func (s *sketch) smallest() *counter {
 	smallest := &s.counters[0]
 	for i := range s.counters {
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -149,9 +149,9 @@
 func TestPermitsUseLimitWithoutExceedingIt(t *testing.T) {
 	const span, duration = 4 * time.Second, 60 * time.Second
 	for _, rate := range []float64{0, 0.5, 1.2, 6, 50, 200} {
-		for _, askers := range []int{1, 3, 18, 390} {
-			t.Run(fmt.Sprintf("%v per second, %d clients", rate, askers), func(t *testing.T) {
-				got := simulate(new(limit.Divider), rate, 1, make([]client, askers), 0, duration, rand.New(rand.NewPCG(1, 2)))
+		for _, clients := range []int{1, 3, 18, 390} {
+			t.Run(fmt.Sprintf("%v per second, %d clients", rate, clients), func(t *testing.T) {
+				got := simulate(new(limit.Divider), rate, 1, make([]client, clients), 0, duration, rand.New(rand.NewPCG(1, 2)))
 				if n := maxWithin(got.granted, span); float64(n) > 1.2*rate*span.Seconds()+4 {
 					t.Errorf("%d permits in %v", n, span)
 				}
@@ -168,19 +168,19 @@
 
 // Less urgent requests get only the permits that more urgent ones leave.
 func TestUrgentRequestsGetPermitsFirst(t *testing.T) {
-	askers := make([]client, 6)
-	for i := range askers {
-		askers[i].level = i % 2
+	clients := make([]client, 6)
+	for i := range clients {
+		clients[i].level = i % 2
 	}
-	got := simulate(new(limit.Divider), 6, 1, askers, 0, 60*time.Second, rand.New(rand.NewPCG(1, 2)))
+	got := simulate(new(limit.Divider), 6, 1, clients, 0, 60*time.Second, rand.New(rand.NewPCG(1, 2)))
 	if n := len(got.granted); got.byLevel[0] < n*95/100 {
 		t.Errorf("the more urgent half got %d of %d permits", got.byLevel[0], n)
 	}
 	// With one urgent request every two seconds, less urgent ones get the other permits.
-	for i := range askers {
-		askers[i] = client{level: 1}
+	for i := range clients {
+		clients[i] = client{level: 1}
 	}
-	askers[0].level = 0
+	clients[0].level = 0
 	d := new(limit.Divider)
 	word := limit.Word{Named: true, Rate: 6, At: start}
 	urgent, other := 0, 0
--- a/poison/fleet_test.go
+++ b/poison/fleet_test.go
@@ -109,7 +109,7 @@
 // crash crashes endpoints at the same time and resends their requests.
 func (p *simulation) crash(endpoints ...int) {
 	var lost []*testRequest
-	running, away := slices.Clone(p.running), p.table.Away(p.now, "s")
+	before, away := slices.Clone(p.running), p.table.Away(p.now, "s")
 	for _, e := range endpoints {
 		if p.restartAt[e].After(p.now) {
 			continue
@@ -123,7 +123,7 @@
 				continue // not yet arrived
 			}
 			entries = append(entries, poison.Entry{ID: r.id, Service: "s", Team: r.team, Strikes: []poison.Strike{{
-				Endpoint: uint32(e), At: p.now, Began: r.began, Of: len(p.running), Among: len(in), Spread: spread(running, r.team, e, away),
+				Endpoint: uint32(e), At: p.now, Began: r.began, Of: len(p.running), Among: len(in), Spread: spread(before, r.team, e, away),
 			}}})
 			if r.crashes && p.finishing(r) {
 				p.crashesByID[r.id]++
--- a/poison/table.go
+++ b/poison/table.go
@@ -182,6 +182,8 @@
 	t.prune(now)
 }
 
+// prune removes expired suspects and, above MostSuspects, those that rank last. The caller holds
+// t.mu.
 func (t *Table) prune(now time.Time) {
 	t.pruneTeams(now)
 	for id, e := range t.suspects {
--- a/quota/partition_test.go
+++ b/quota/partition_test.go
@@ -20,21 +20,21 @@
 func TestShareFollowsReachableInstances(t *testing.T) {
 	var c quota.SideClaim
 	all := quota.Side{Heard: 6, Told: 6, DataCentres: 3, Named: 3}
-	if part := c.Part(all, start); part != 0 {
-		t.Errorf("share %.2f at the start, want 0", part)
+	if share := c.Part(all, start); share != 0 {
+		t.Errorf("share %.2f at the start, want 0", share)
 	}
-	if part := c.Part(all, start.Add(2*time.Second)); part != 1 {
-		t.Errorf("share %.2f while all instances are heard, want 1", part)
+	if share := c.Part(all, start.Add(2*time.Second)); share != 1 {
+		t.Errorf("share %.2f while all instances are heard, want 1", share)
 	}
 	at := start.Add(3 * time.Second)
-	if part := c.Part(quota.Side{Heard: 2, Told: 2, DataCentres: 1, Named: 3}, at); part < 0.4 || part > 0.5 {
-		t.Errorf("share %.2f of one data centre of three, want 0.4 to 0.5", part)
+	if share := c.Part(quota.Side{Heard: 2, Told: 2, DataCentres: 1, Named: 3}, at); share < 0.4 || share > 0.5 {
+		t.Errorf("share %.2f of one data centre of three, want 0.4 to 0.5", share)
 	}
-	if part := c.Part(all, at.Add(time.Second)); part > 0.5 {
-		t.Errorf("share %.2f right after a partition, want at most 0.5", part)
+	if share := c.Part(all, at.Add(time.Second)); share > 0.5 {
+		t.Errorf("share %.2f right after a partition, want at most 0.5", share)
 	}
-	if part := stabilize(&c, all, at.Add(time.Second)); part != 1 {
-		t.Errorf("share %.2f some time after a partition, want 1", part)
+	if share := stabilize(&c, all, at.Add(time.Second)); share != 1 {
+		t.Errorf("share %.2f some time after a partition, want 1", share)
 	}
 }
 
@@ -47,18 +47,18 @@
 	} {
 		var c quota.SideClaim
 		stabilize(&c, quota.Side{Heard: 6 * s.Heard / 5, Told: 6 * s.Heard / 5, DataCentres: s.Named, Named: s.Named}, start)
-		if part := c.Part(s, start.Add(3*time.Second)); part != 1 {
-			t.Errorf("%+v: share %.2f, want 1", s, part)
+		if share := c.Part(s, start.Add(3*time.Second)); share != 1 {
+			t.Errorf("%+v: share %.2f, want 1", s, share)
 		}
 	}
 	var c quota.SideClaim
 	stabilize(&c, quota.Side{Heard: 6, Told: 6}, start)
 	last := quota.Side{Heard: 1, Told: 1}
-	if part := c.Part(last, start.Add(3*time.Second)); part < 0.2 {
-		t.Errorf("share %.2f of the last instance, want at least 0.2", part)
+	if share := c.Part(last, start.Add(3*time.Second)); share < 0.2 {
+		t.Errorf("share %.2f of the last instance, want at least 0.2", share)
 	}
-	if part := stabilize(&c, last, start.Add(40*time.Second)); part != 1 {
-		t.Errorf("share %.2f of the last instance after a while, want 1", part)
+	if share := stabilize(&c, last, start.Add(40*time.Second)); share != 1 {
+		t.Errorf("share %.2f of the last instance after a while, want 1", share)
 	}
 }
 
--- a/quota/retries.go
+++ b/quota/retries.go
@@ -69,10 +69,9 @@
 }
 
 // Pooled returns the base capacity of the bucket of a scheduler with the given share of the
-// limit, where the limit is divided by dataCentres and the scheduler hears that many
-// instances. If these are too many for buckets of their own, even if half of them started
-// without hearing the others, only one part of the fleet, if it hears few others, can have
-// such buckets, and the rest of their reserve is pooled too.
+// limit, where dataCentres divide the limit and the scheduler hears that many instances. It
+// leaves out what the instances' own buckets may hold. If there are too many instances for own
+// buckets, even if half of them started without hearing the others, that is less.
 func (r Retries) Pooled(share float64, dataCentres, instances int) float64 {
 	reserved := instanceExtra
 	if _, capacity := r.Own(instances / maxPartitions); capacity <= 0 && instances >= maxPartitions {
