--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -1,7 +1,7 @@
 package entry
 
-// This file sends a request to one endpoint, and decides whether another may
-// have it.
+// This file sends a request to one endpoint and decides whether it may be
+// retried on another.
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	"ivyridge/verdict"
 )
 
-// mayRetry reports whether another endpoint may be sent the request, if there is a retry
-// for it.
+// mayRetry reports whether the request may be retried after err, given that
+// the retry budget allows it.
 func (f *exchange) mayRetry(err *verdict.Error) bool {
 	switch err.Reason {
 	case verdict.NoEndpoint, verdict.NoHomeEndpoint, verdict.EndpointsRest, verdict.EndpointsLimited, verdict.DemandBeyond, verdict.TeamLimit, verdict.RetryBudget, verdict.AnswerNoMemory, verdict.CallerGone, verdict.CallerSlow:
@@ -28,29 +28,28 @@
 	if err.Verdict != verdict.NotRun && !f.route.MayRepeat() {
 		return false
 	}
-	if f.started && !f.route.Resumable {
+	if f.headSent && !f.route.Resumable {
 		return false
 	}
 	switch err.Reason {
 	case verdict.EndpointConnect, verdict.EndpointGone:
-		return f.attempts < maxConnects
+		return f.attempts < maxConnectAttempts
 	case verdict.EndpointRests:
-		return f.attempts < maxUnsent
+		return f.attempts < maxUnsentChoices
 	}
 	return len(f.tried) < f.route.MaxAttempts
 }
 
-// maxConnects bounds the endpoints that are tried in vain, since they can't be reached
-// or are gone, before one has the request.
-const maxConnects = 4
+// maxConnectAttempts bounds the attempts that end before the request is sent,
+// because the endpoint is unreachable or its address belongs to another.
+const maxConnectAttempts = 4
 
-// maxUnsent bounds the choices of a request whose endpoints asked for rest just before it left
-// for them, so that it ends. Each is given up only for an answer that came in between, which
-// takes that endpoint out of the next choice.
-const maxUnsent = 16
+// maxUnsentChoices bounds the choices of a request whose chosen endpoints ask for a
+// back-off just before it is sent. Such an endpoint is excluded from the next choice.
+const maxUnsentChoices = 16
 
-// attempt sends the request to one endpoint and passes its answer on. Nil
-// means that the caller has a final answer.
+// attempt sends the request to one endpoint and relays the response. It
+// returns nil if the caller has received a complete response.
 func (f *exchange) attempt(ctx context.Context) *verdict.Error {
 	f.attempts++
 	view := f.entry.Beliefs.View()
@@ -62,70 +61,70 @@
 	f.placement = placement
 	if refusal != nil {
 		f.scheduler = refusal.Chooser
-		return refused(f.service.Name, refusal)
+		return placementError(f.service.Name, refusal)
 	}
 	if f.placement == nil {
-		return nowhere(d)
+		return noEndpointError(d)
 	}
 	f.retryGranted()
 	f.scheduler = f.placement.Chooser
 	f.entry.Counters.placed(f.placement)
-	f.placed = f.entry.Now()
-	f.held.at.Store(f.whereabouts())
-	overdue := f.responseTimeout()
-	watch := time.AfterFunc(overdue, f.placement.Overdue)
-	defer watch.Stop()
-	call, cancel := f.silenceTimeout(ctx, overdue)
+	f.placedAt = f.entry.Now()
+	f.inFlight.location.Store(f.currentLocation())
+	timeout := f.responseTimeout()
+	overdueTimer := time.AfterFunc(timeout, f.placement.Overdue)
+	defer overdueTimer.Stop()
+	attemptCtx, cancel := f.withResponseTimeout(ctx, timeout)
 	defer cancel()
-	x, err := f.entry.Pool.Do(call, f.request(f.placement.Endpoint), f.unexpected)
-	watch.Stop()
+	x, err := f.entry.Pool.Do(attemptCtx, f.upstreamRequest(f.placement.Endpoint), f.mismatched)
+	overdueTimer.Stop()
 	if err != nil {
 		e := verdict.Of(err)
-		if errors.Is(context.Cause(call), errSilent) && ctx.Err() == nil {
-			e = verdict.Fail(e.Verdict, verdict.EndpointSilent, "%s: no answer in %s", f.placement.Endpoint.ID, overdue)
+		if errors.Is(context.Cause(attemptCtx), errResponseTimeout) && ctx.Err() == nil {
+			e = verdict.Fail(e.Verdict, verdict.EndpointSilent, "%s: no response within %s", f.placement.Endpoint.ID, timeout)
 		}
 		switch e.Reason {
 		case verdict.EndpointRests:
-			f.entry.Counters.said(unsent, f.service.Name)
+			f.entry.Counters.feedback(feedbackNotSent, f.service.Name)
 			f.placement.Done(balance.Unknown)
 			return e.After(retryAfterShort)
 		case verdict.EndpointConnect:
 			f.placement.Unreachable()
 		default:
-			f.sent()
+			f.markSent()
 		}
 		f.placement.Done(f.outcome(ctx))
 		return e
 	}
-	f.sent()
+	f.markSent()
 	f.placement.Started()
-	f.heard()
-	return f.answer(ctx, x)
+	f.responseStarted()
+	return f.handleResponse(ctx, x)
 }
 
-// whereabouts returns where the request is now.
-func (f *exchange) whereabouts() *place {
-	p := &place{service: f.service.Name, endpoint: f.placement.Endpoint.ID}
+// currentLocation returns the endpoint that the request is sent to.
+func (f *exchange) currentLocation() *location {
+	p := &location{service: f.service.Name, endpoint: f.placement.Endpoint.ID}
 	if f.team != nil {
 		p.team = f.team.Name
 	}
 	return p
 }
 
-// sent takes up that the chosen endpoint has the request.
-func (f *exchange) sent() {
+// markSent records that the request was sent to the chosen endpoint.
+func (f *exchange) markSent() {
 	f.tried = append(f.tried, f.placement.Endpoint.ID)
 	f.avoid = append(f.avoid, balance.EndpointHash(f.placement.Endpoint.Incarnation()))
 }
 
-// notSent takes that back: whom the request was meant for has not had it.
-func (f *exchange) notSent() {
+// unmarkSent reverts markSent: a different endpoint received the request and did not run it.
+func (f *exchange) unmarkSent() {
 	f.tried = f.tried[:len(f.tried)-1]
 	f.avoid = f.avoid[:len(f.avoid)-1]
 }
 
-// reasons gives what a refusal's cause is called towards callers.
-var reasons = map[balance.Cause]verdict.Reason{
+// refusalReasons maps the cause of a refused placement to the reason sent to callers.
+var refusalReasons = map[balance.Cause]verdict.Reason{
 	balance.BeyondFleet:  verdict.DemandBeyond,
 	balance.TeamShare:    verdict.TeamLimit,
 	balance.RetriesSpent: verdict.RetryBudget,
@@ -134,127 +133,130 @@
 	balance.EndpointsLimited: verdict.EndpointsLimited,
 }
 
-// refused returns the error of a request that was refused an endpoint. A cause that this
-// instance does not know, from a newer one, is told as demand beyond the fleet. One that
-// names no time, as that of a retry, is told with one.
-func refused(service string, r *balance.Refusal) *verdict.Error {
-	reason, ok := reasons[r.Cause]
+// placementError returns the error of a request that was refused an endpoint. Causes that
+// this build does not know, from a newer instance, map to DemandBeyond. A refusal without
+// RetryAfter gets a default.
+func placementError(service string, refusal *balance.Refusal) *verdict.Error {
+	reason, ok := refusalReasons[refusal.Cause]
 	if !ok {
 		reason = verdict.DemandBeyond
 	}
-	after := r.RetryAfter
-	if after <= 0 {
-		after = retryAfterLong
+	retryAfter := refusal.RetryAfter
+	if retryAfter <= 0 {
+		retryAfter = retryAfterLong
 	}
-	switch r.Cause {
+	switch refusal.Cause {
 	case balance.EndpointsRest:
-		return verdict.Refuse(reason, "service %s: all endpoints rest, the first for %s more", service, r.Wait.Round(time.Millisecond)).After(after)
+		return verdict.Refuse(reason, "service %s: all endpoints asked this instance to back off, the first for %s more", service, refusal.Wait.Round(time.Millisecond)).After(retryAfter)
 	case balance.EndpointsLimited:
-		return verdict.Refuse(reason, "service %s: no endpoint has a permit left within its limit, the first is asked in %s", service, r.Wait.Round(time.Millisecond)).After(after)
+		return verdict.Refuse(reason, "service %s: all endpoints have reached their rate limits, next permit in %s", service, refusal.Wait.Round(time.Millisecond)).After(retryAfter)
 	case balance.TeamShare:
-		return verdict.Refuse(reason, "service %s: the team uses %.1f times its share", service, r.Pressure).After(after)
+		return verdict.Refuse(reason, "service %s: the team's usage is %.1f times its share", service, refusal.Pressure).After(retryAfter)
 	}
-	return verdict.Refuse(reason, "service %s: %s to wait at best, pressure %.2f", service,
-		r.Wait.Round(time.Millisecond), r.Pressure).After(after)
+	return verdict.Refuse(reason, "service %s: over capacity: shortest wait %s, pressure %.2f", service,
+		refusal.Wait.Round(time.Millisecond), refusal.Pressure).After(retryAfter)
 }
 
-// nowhere returns the error of a request that no endpoint may take.
-func nowhere(d *balance.Demand) *verdict.Error {
-	if d.Homes.Bound() {
-		return verdict.Refuse(verdict.NoHomeEndpoint, "service %s has no endpoint in %v, where the request may be served",
-			d.Service.Name, d.Homes.Regions()).After(retryAfterLong)
+// noEndpointError returns the error of a request that no endpoint may serve.
+func noEndpointError(demand *balance.Demand) *verdict.Error {
+	if demand.Homes.Bound() {
+		return verdict.Refuse(verdict.NoHomeEndpoint, "service %s has no endpoint in the allowed regions %v",
+			demand.Service.Name, demand.Homes.Regions()).After(retryAfterLong)
 	}
-	return verdict.Refuse(verdict.NoEndpoint, "service %s has no endpoint", d.Service.Name).After(retryAfterLong)
+	return verdict.Refuse(verdict.NoEndpoint, "service %s has no endpoint", demand.Service.Name).After(retryAfterLong)
 }
 
-// The part of its objective after which a request that may be repeated, or
-// one that may not, is overdue at an endpoint.
+// Response timeouts, as factors of the route's objective.
 const (
-	timeoutRepeatable = 0.9
-	timeoutSingle     = 1.0
-	timeoutDefault    = 2 * time.Second // where there is no objective
+	timeoutRepeatable    = 0.9
+	timeoutNonRepeatable = 1.0
+	timeoutDefault       = 2 * time.Second // for routes without an objective
 )
 
-// responseTimeout returns how long an endpoint may keep silent before that counts
-// as a failure.
+// responseTimeout returns how long the endpoint may take to begin its response
+// before that counts as a failure.
 func (f *exchange) responseTimeout() time.Duration {
 	if f.route.Objective == 0 {
 		return timeoutDefault
 	}
-	if f.mayMove() && f.service.Engine == nil {
+	if f.canReroute() && f.service.Engine == nil {
 		return time.Duration(timeoutRepeatable * float64(f.route.Objective))
 	}
-	return time.Duration(timeoutSingle * float64(f.route.Objective))
+	return time.Duration(timeoutNonRepeatable * float64(f.route.Objective))
 }
 
-// mayMove reports whether the request may leave a silent endpoint for another.
-func (f *exchange) mayMove() bool {
-	return f.route.MayRepeat() && !f.started && len(f.tried)+1 < f.route.MaxAttempts
+// canReroute reports whether the request may be retried elsewhere if its
+// endpoint does not respond.
+func (f *exchange) canReroute() bool {
+	return f.route.MayRepeat() && !f.headSent && len(f.tried)+1 < f.route.MaxAttempts
 }
 
-// errSilent ends an exchange with an endpoint that kept silent for too long.
-var errSilent = errors.New("the endpoint keeps silent")
+// errResponseTimeout is the cancellation cause of an attempt that timed out.
+var errResponseTimeout = errors.New("endpoint response timeout")
 
-// silenceTimeout bounds the wait for the head of an answer where the request may
-// move, as long as the budget has a retry. What it returns is ended by ctx, and
-// by its own bound until heard is called.
+// withResponseTimeout returns a context for one attempt. If the request can
+// be rerouted and a retry is available, the context is cancelled once the
+// endpoint has not responded within timeout; f.responseStarted stops the timer.
 //
-// A request to a model leaves only an endpoint that fails others too: what was
-// read of its prompt is lost, and engines are silent most when all are full.
-func (f *exchange) silenceTimeout(ctx context.Context, overdue time.Duration) (context.Context, context.CancelFunc) {
-	call, cancel := context.WithCancelCause(ctx)
+// A model request is rerouted only away from an endpoint that fails other
+// requests too: rerouting discards the prompt processing done so far, and
+// engines are slowest to respond when the whole fleet is busy.
+func (f *exchange) withResponseTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
+	attemptCtx, cancel := context.WithCancelCause(ctx)
 	stop := func() { cancel(nil) }
-	f.heard = func() {}
-	if !f.mayMove() || !f.placement.Spare && !f.entry.budgets.has(f.service.Name) {
-		return call, stop
+	f.responseStarted = func() {}
+	if !f.canReroute() || !f.placement.Spare && !f.entry.retryBudgets.available(f.service.Name) {
+		return attemptCtx, stop
 	}
-	placement, model := f.placement, f.service.Engine != nil
-	heard := make(chan struct{})
-	f.heard = sync.OnceFunc(func() { close(heard) })
+	placement, isModel := f.placement, f.service.Engine != nil
+	started := make(chan struct{})
+	f.responseStarted = sync.OnceFunc(func() { close(started) })
 	go func() {
-		timer := time.NewTimer(overdue)
+		timer := time.NewTimer(timeout)
 		defer timer.Stop()
 		for {
 			select {
-			case <-call.Done():
+			case <-attemptCtx.Done():
 				return
-			case <-heard:
+			case <-started:
 				return
 			case <-timer.C:
 			}
-			if !model || placement.Suspect() {
-				cancel(errSilent)
+			if !isModel || placement.Suspect() {
+				cancel(errResponseTimeout)
 				return
 			}
-			timer.Reset(suspectAgain)
+			timer.Reset(suspectCheckInterval)
 		}
 	}()
-	return call, stop
+	return attemptCtx, stop
 }
 
-// suspectAgain is how often an endpoint that keeps silent is judged anew.
-const suspectAgain = 100 * time.Millisecond
+// suspectCheckInterval is how often an endpoint that timed out on a model
+// request is checked for other failures.
+const suspectCheckInterval = 100 * time.Millisecond
 
-// outcome judges an endpoint that failed the request. Where the caller left
-// early, nothing can be said; where time ran out, it has kept silent.
+// outcome returns the outcome to record for an endpoint whose attempt failed:
+// unknown if the caller disconnected before the endpoint was late, failed
+// otherwise.
 func (f *exchange) outcome(ctx context.Context) balance.Outcome {
-	waited := f.entry.Now().Sub(f.placed)
-	if errors.Is(ctx.Err(), context.Canceled) && (f.started || waited < f.route.Objective) {
+	waited := f.entry.Now().Sub(f.placedAt)
+	if errors.Is(ctx.Err(), context.Canceled) && (f.headSent || waited < f.route.Objective) {
 		return balance.Unknown
 	}
 	return balance.Failed
 }
 
-// unexpected reports whether an answer belongs to another request.
-func (f *exchange) unexpected(h http.Header) bool {
+// mismatched reports whether a response belongs to another request.
+func (f *exchange) mismatched(h http.Header) bool {
 	id := f.entry.Codec.Answer(http.StatusOK, h).RequestID
 	return id != "" && id != f.call.ID
 }
 
-func (f *exchange) request(to *belief.Endpoint) *upstream.Request {
+func (f *exchange) upstreamRequest(endpoint *belief.Endpoint) *upstream.Request {
 	forward := Forward{
-		Endpoint:  to.ID,
-		Remaining: f.ends.Sub(f.entry.Now()),
+		Endpoint:  endpoint.ID,
+		Remaining: f.deadline.Sub(f.entry.Now()),
 		Rank:      catalog.Rank(f.route, f.team),
 		LastEvent: f.call.LastEvent,
 	}
@@ -265,8 +267,8 @@
 		forward.FetchFrom = donor.Address
 	}
 	return &upstream.Request{
-		Endpoint: to.Incarnation(),
-		Address:  to.Address,
+		Endpoint: endpoint.Incarnation(),
+		Address:  endpoint.Address,
 		Method:   f.call.Method,
 		Host:     f.call.Host,
 		Target:   f.call.Target,
@@ -281,12 +283,12 @@
 		Service:   f.service,
 		Homes:     catalog.HomesOf(f.route, f.team),
 		Priority:  f.route.Priority,
-		Earns:     f.earns(),
-		Retry:     f.retry.asked,
-		Sent:      f.started || len(f.tried) > 0 || f.call.LastEvent != "",
+		Earns:     f.attemptEarning(),
+		Retry:     f.retry.kind,
+		Sent:      f.headSent || len(f.tried) > 0 || f.call.LastEvent != "",
 		Objective: f.route.Objective,
 		Pause:     f.route.PauseObjective,
-		Deadline:  f.ends.Sub(f.entry.Now()),
+		Deadline:  f.deadline.Sub(f.entry.Now()),
 		Bytes:     len(f.call.Body),
 		Suspect:   f.suspected,
 	}
--- a/entry/body.go
+++ b/entry/body.go
@@ -1,10 +1,9 @@
 package entry
 
-// This file reads the body of a request.
+// This file reads request bodies.
 //
-// It answers callers that send slowly or not at all: a body that makes no progress for
-// the operator's header time is given up, and so is one that has not come when the
-// request's time is over. Room for a body is taken before it is read.
+// A body that makes no progress for the operator's header timeout, or is not complete at the
+// request's deadline, is rejected. Memory is reserved before it is allocated.
 
 import (
 	"io"
@@ -20,71 +19,70 @@
 )
 
 const (
-	// bodyPause is how long a body may make no progress where the operator sets no time.
-	bodyPause = 5 * time.Second
-	// firstRoom is what is taken first for a body of unknown length; it doubles as the
-	// body grows.
-	firstRoom = 4 << 10
+	// defaultBodyStall applies if the operator sets no header timeout.
+	defaultBodyStall = 5 * time.Second
+	// initialBodyBytes is the initial buffer size for a body of unknown length. It doubles
+	// as the body grows.
+	initialBodyBytes = 4 << 10
 )
 
-// readBody reads the whole body, within the limits.
+// readBody reads the request body within the configured limits.
 func (f *exchange) readBody() *verdict.Error {
 	limits := f.entry.Beliefs.View().Catalog.Limits()
-	length, most := f.r.ContentLength, int64(limits.MaxBodyBytes)
-	if most > 0 && length > most {
-		return verdict.Refuse(verdict.TooLarge, "the body has %d bytes, %d are allowed", length, most)
+	length, limit := f.r.ContentLength, int64(limits.MaxBodyBytes)
+	if limit > 0 && length > limit {
+		return verdict.Refuse(verdict.TooLarge, "body of %d bytes exceeds the limit of %d", length, limit)
 	}
 	if length == 0 {
 		return nil
 	}
-	body := &callerBody{r: f.r.Body, control: http.NewResponseController(f.w), pause: limits.HeaderTimeout, ends: f.ends, now: f.entry.Now}
-	if body.pause <= 0 {
-		body.pause = bodyPause
+	body := &callerBody{r: f.r.Body, control: http.NewResponseController(f.w), stallTimeout: limits.HeaderTimeout, deadline: f.deadline, now: f.entry.Now}
+	if body.stallTimeout <= 0 {
+		body.stallTimeout = defaultBodyStall
 	}
-	data, err := f.readInto(body, length, most)
-	body.done()
+	data, err := f.readLimited(body, length, limit)
+	body.clearDeadline()
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		f.w.Header().Set("Connection", "close")
-		return verdict.Refuse(verdict.BodySlow, "%d bytes of the body came, the last %s ago", body.read, f.entry.Now().Sub(body.last).Round(time.Millisecond))
-	case err == errFull:
-		return f.noMemory("the body")
+		return verdict.Refuse(verdict.BodySlow, "body stalled: %d bytes received, the last %s ago", body.bytesRead, f.entry.Now().Sub(body.lastRead).Round(time.Millisecond))
+	case err == errBodyMemory:
+		return f.noMemory("request body")
 	case err != nil:
-		return verdict.Refuse(verdict.BodyCut, "the body broke off")
-	case most > 0 && int64(len(data)) > most:
-		return verdict.Refuse(verdict.TooLarge, "the body has more than %d bytes", most)
+		return verdict.Refuse(verdict.BodyCut, "body incomplete: connection closed")
+	case limit > 0 && int64(len(data)) > limit:
+		return verdict.Refuse(verdict.TooLarge, "body exceeds the limit of %d bytes", limit)
 	}
 	f.call.Body = data
 	return nil
 }
 
-// errFull ends the reading of a body for which there is no room.
-var errFull = errors.New("no room for the body")
+var errBodyMemory = errors.New("no memory for the request body")
 
-// readInto reads a body of a length (negative: unknown), at most one byte more than most
-// (zero: no bound).
-func (f *exchange) readInto(body io.Reader, length, most int64) ([]byte, error) {
+// readLimited reads a body of the given length (negative: unknown), at most limit+1 bytes
+// (zero: no limit).
+func (f *exchange) readLimited(body io.Reader, length, limit int64) ([]byte, error) {
 	if length > 0 {
-		if !f.hold.Take(memory.Bodies, length) {
-			return nil, errFull
+		if !f.mem.Take(memory.Bodies, length) {
+			return nil, errBodyMemory
 		}
 		data := make([]byte, length)
 		_, err := io.ReadFull(body, data)
 		return data, err
 	}
-	if most > 0 {
-		body = io.LimitReader(body, most+1)
+	if limit > 0 {
+		body = io.LimitReader(body, limit+1)
 	}
 	var data []byte
 	for {
 		if len(data) == cap(data) {
-			size := max(firstRoom, 2*cap(data))
-			if !f.hold.Take(memory.Bodies, int64(size)) {
-				return nil, errFull
+			size := max(initialBodyBytes, 2*cap(data))
+			if !f.mem.Take(memory.Bodies, int64(size)) {
+				return nil, errBodyMemory
 			}
-			before := cap(data)
+			oldCap := cap(data)
 			data = append(make([]byte, 0, size), data...)
-			f.hold.Give(memory.Bodies, int64(before))
+			f.mem.Give(memory.Bodies, int64(oldCap))
 		}
 		n, err := body.Read(data[len(data):cap(data)])
 		data = data[:len(data)+n]
@@ -97,35 +95,35 @@
 	}
 }
 
-// A callerBody reads from a caller, who has a time for each piece.
+// A callerBody reads a request body with a deadline for each read.
 type callerBody struct {
-	r       io.Reader
-	control *http.ResponseController
-	pause   time.Duration
-	ends    time.Time
-	now     func() time.Time
+	r            io.Reader
+	control      *http.ResponseController
+	stallTimeout time.Duration
+	deadline     time.Time
+	now          func() time.Time
 
-	read int       // bytes
-	last time.Time // some came
+	bytesRead int       // so far
+	lastRead  time.Time // time of the last read that returned data
 }
 
 func (b *callerBody) Read(p []byte) (int, error) {
-	if b.last.IsZero() {
-		b.last = b.now()
+	if b.lastRead.IsZero() {
+		b.lastRead = b.now()
 	}
-	by := b.last.Add(b.pause)
-	if b.ends.Before(by) {
-		by = b.ends
+	deadline := b.lastRead.Add(b.stallTimeout)
+	if b.deadline.Before(deadline) {
+		deadline = b.deadline
 	}
-	_ = b.control.SetReadDeadline(clock.Deadline(b.now, by))
+	_ = b.control.SetReadDeadline(clock.Deadline(b.now, deadline))
 	n, err := b.r.Read(p)
 	if n > 0 {
-		b.read += n
-		b.last = b.now()
+		b.bytesRead += n
+		b.lastRead = b.now()
 	}
 	return n, err
 }
 
-// done leaves no deadline to those who read after the body: the server reads on to notice
-// that the caller leaves.
-func (b *callerBody) done() { _ = b.control.SetReadDeadline(time.Time{}) }
+// clearDeadline removes the read deadline: after the body, the server reads on in the
+// background to notice a disconnect.
+func (b *callerBody) clearDeadline() { _ = b.control.SetReadDeadline(time.Time{}) }
--- a/entry/counters.go
+++ b/entry/counters.go
@@ -1,6 +1,6 @@
 package entry
 
-// This file counts what an entry does.
+// This file holds the metrics of an Entry.
 
 import (
 	"expvar"
@@ -14,88 +14,88 @@
 	"ivyridge/verdict"
 )
 
-// Bounds of the latency histograms, in milliseconds.
+// Limits of the latency histograms.
 const (
-	latencyMost   = 60_000
-	latencyDigits = 2
+	maxLatencyMillis         = 60_000
+	latencySignificantDigits = 2
 )
 
-// Counters are the figures of an entry. Each refusal and retry reason has a
-// counter; latencies are histograms in milliseconds.
+// Counters are the metrics of an Entry. Refusals and retries are counted by reason;
+// latencies are histograms in milliseconds.
 type Counters struct {
-	requests *expvar.Map
-	refusals *expvar.Map
-	retries  *expvar.Map
-	budget   *expvar.Map // retries by who paid for them, or denied, and service
-	choices  *expvar.Map // cold: at endpoints that were cold; fetched: with parts from another one
-	poison   *expvar.Map // ended: endpoints that ended under requests; suspected: requests in hand then; known, cleared: those of them
-	words    *expvar.Map // what endpoints said of themselves, and requests not sent for it, by service; see said.go
-	slow     *expvar.Map // read-beside: answers that were read on beside a write that took long
-	first    *histogram
-	whole    *histogram
+	requests         *expvar.Map
+	refusals         *expvar.Map
+	retries          *expvar.Map
+	retryBudget      *expvar.Map // retries by payer (see retry.go) and service
+	placements       *expvar.Map // cold: at cold endpoints; fetched: with parts of the prompt fetched from another endpoint
+	poison           *expvar.Map // ended: crashes of endpoints; suspected: requests in progress there; known, cleared: suspects confirmed or cleared
+	endpointFeedback *expvar.Map // feedback by kind (see feedback.go) and service
+	slowCallers      *expvar.Map // read-beside: responses read concurrently because of a slow write
+	firstByte        *histogram
+	total            *histogram
 }
 
 // NewCounters returns Counters that are published in m.
 func NewCounters(m *expvar.Map) *Counters {
 	c := &Counters{
-		requests: new(expvar.Map).Init(),
-		refusals: new(expvar.Map).Init(),
-		retries:  new(expvar.Map).Init(),
-		budget:   new(expvar.Map).Init(),
-		choices:  new(expvar.Map).Init(),
-		poison:   new(expvar.Map).Init(),
-		words:    new(expvar.Map).Init(),
-		slow:     new(expvar.Map).Init(),
-		first:    newHistogram(),
-		whole:    newHistogram(),
+		requests:         new(expvar.Map).Init(),
+		refusals:         new(expvar.Map).Init(),
+		retries:          new(expvar.Map).Init(),
+		retryBudget:      new(expvar.Map).Init(),
+		placements:       new(expvar.Map).Init(),
+		poison:           new(expvar.Map).Init(),
+		endpointFeedback: new(expvar.Map).Init(),
+		slowCallers:      new(expvar.Map).Init(),
+		firstByte:        newHistogram(),
+		total:            newHistogram(),
 	}
 	m.Set("requests", c.requests)
 	m.Set("refusals", c.refusals)
 	m.Set("retries", c.retries)
-	m.Set("retry_budget", c.budget)
-	m.Set("choices", c.choices)
+	m.Set("retry_budget", c.retryBudget)
+	m.Set("choices", c.placements)
 	m.Set("poison", c.poison)
-	m.Set("endpoints_said", c.words)
-	m.Set("slow", c.slow)
-	m.Set("first_ms", c.first)
-	m.Set("whole_ms", c.whole)
+	m.Set("endpoints_said", c.endpointFeedback)
+	m.Set("slow", c.slowCallers)
+	m.Set("first_ms", c.firstByte)
+	m.Set("whole_ms", c.total)
 	return c
 }
 
-func (c *Counters) passed(status int)        { c.requests.Add(strconv.Itoa(status), 1) }
+func (c *Counters) responded(status int)     { c.requests.Add(strconv.Itoa(status), 1) }
 func (c *Counters) refused(r verdict.Reason) { c.refusals.Add(string(r), 1) }
 func (c *Counters) retried(r verdict.Reason) { c.retries.Add(string(r), 1) }
 
-// paid counts a retry that somebody paid for, or nobody.
-func (c *Counters) paid(payer, service string) { c.budget.Add(payer+"/"+service, 1) }
+// retryPaid counts a retry by the budget that paid for it, or as denied.
+func (c *Counters) retryPaid(payer, service string) { c.retryBudget.Add(payer+"/"+service, 1) }
 
-// said counts a word of an endpoint, or what follows from it.
-func (c *Counters) said(word, service string) { c.words.Add(word+"/"+service, 1) }
+// feedback counts feedback from an endpoint.
+func (c *Counters) feedback(kind, service string) { c.endpointFeedback.Add(kind+"/"+service, 1) }
 
-// placed counts the choice of an endpoint.
+// placed counts cold placements and fetches.
 func (c *Counters) placed(p *balance.Placement) {
 	if p.Cold {
-		c.choices.Add("cold", 1)
+		c.placements.Add("cold", 1)
 	}
 	if p.Donor != nil {
-		c.choices.Add("fetched", 1)
+		c.placements.Add("fetched", 1)
 	}
 }
 
-// A histogram is published with its quantiles.
+// A histogram is published as a JSON object with its count and quantiles.
 type histogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
 }
 
 func newHistogram() *histogram {
-	return &histogram{h: hdrhistogram.New(1, latencyMost, latencyDigits)}
+	return &histogram{h: hdrhistogram.New(1, maxLatencyMillis, latencySignificantDigits)}
 }
 
 func (h *histogram) record(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.h.RecordValue(min(max(1, d.Milliseconds()), latencyMost))
+	_ = h.h.RecordValue(min(max(1, d.Milliseconds()), maxLatencyMillis))
 }
 
 // String implements expvar.Var.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,11 +1,11 @@
-// Package entry serves callers: it takes a request in, decides whether it may
-// run, has an endpoint chosen, sends it, and passes the answer on.
+// Package entry is the HTTP front of the router. It admits callers' requests,
+// has an endpoint chosen for each, forwards it and relays the response.
 //
-// Each request is taken in by one instance and lives there. What may be said
-// of it at its end follows from its verdict: a refusal that says "not run" is
-// given only if no endpoint can have run it, and a request that may run once
-// is sent again only then. Beliefs are read anew, with their age, for every
-// endpoint that a request is sent to.
+// A request stays on the instance that accepted it. How a failed request may
+// be answered follows from its verdict: a response that says "not run" is given
+// only if no endpoint can have run the request, and a request that must run at
+// most once is retried only in that case. Configuration and endpoint state are
+// read again, and their age checked, before every attempt.
 package entry
 
 import (
@@ -25,65 +25,65 @@
 	"ivyridge/verdict"
 )
 
-// Bounds are the times and shares that an entry keeps to.
+// Bounds are the limits that an Entry enforces.
 type Bounds struct {
-	Propagation  time.Duration // within which a configuration must be in force
-	StrictRevoke bool          // a key that was taken away stops within Revoke
-	Revoke       time.Duration
-	RetryRatio   float64 // retries to requests, over all instances
-	RetryExtra   int     // retries beyond the ratio, over all instances
-	MaxOpen      int     // requests that are read whole and in hand, at once
-
-	CallerStall time.Duration // within which a caller takes something of its answer; zero: defaultStall
+	Propagation  time.Duration // a configuration change must be in force within this time
+	StrictRevoke bool          // a revoked key must be rejected within Revoke
+	Revoke       time.Duration // see StrictRevoke
+	RetryRatio   float64       // retries per request, over all instances
+	RetryExtra   int           // retries allowed on top of the ratio, over all instances
+	MaxOpen      int           // concurrent requests whose bodies have been read; zero: no limit
+
+	CallerStall time.Duration // a caller that reads nothing of its response for this long is disconnected; zero: a default
 }
 
-// revokeMargin is how long before its end a proof is no longer relied on.
+// revokeMargin is how much earlier than Bounds.Revoke a configuration counts as too old.
 const revokeMargin = 600 * time.Millisecond
 
 // A Placer chooses endpoints. It is safe for concurrent use.
 type Placer interface {
-	// Place counts the request as running at the endpoint it chooses, or
-	// says that it should be refused. It returns neither if no endpoint may
-	// take the request.
+	// Place chooses an endpoint and counts the request as running there, or
+	// returns a refusal. It returns neither if no endpoint may serve the
+	// request.
 	Place(ctx context.Context, endpoints []*belief.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal)
 }
 
-// Options assemble an Entry.
+// Options are the dependencies and settings of an Entry.
 type Options struct {
 	Beliefs  *belief.Table
 	Placer   Placer
 	Pool     *upstream.Pool
 	Codec    Codec
-	Bounds   Bounds // at the start
+	Bounds   Bounds // initial value; see SetBounds
 	Log      *zap.Logger
 	Counters *Counters
 	Now      func() time.Time
-	// Settings names the settings in force, for the log; nil: nothing does.
+	// Settings returns the name of the settings in force, for the log; may be nil.
 	Settings func() string
-	Memory   *memory.Account // nil: without a limit
-	Poison   *poison.Table
-	// TellPoison, if set, tells the other instances what is new of suspects.
+	Memory   *memory.Account // nil: no limit
+	Poison   *poison.Table   // nil: an empty table
+	// TellPoison, if set, sends new findings about poison requests to the other instances.
 	TellPoison func([]poison.Entry)
-	// Awaited, if set, is told of each request that waits for the first configuration.
+	// Awaited, if set, is called for each request that waits for the first configuration.
 	Awaited func()
 }
 
-// An Entry is the handler of callers' requests.
+// An Entry is the http.Handler for callers' requests. It is safe for concurrent use.
 type Entry struct {
 	Options
-	bounds  atomic.Pointer[Bounds]
-	budgets *budgets
-	watch   *watch
-	ends    *ends
-	timed   timed
-	slowed  slowed
-	open    atomic.Int64
-	running atomic.Int64 // of open, those whose bodies were read
-	leaving atomic.Int64 // nanoseconds after origin; zero: not leaving
-	origin  time.Time
-	inHand  sync.WaitGroup
-
-	oddLoadLogged sync.Once
+	bounds       atomic.Pointer[Bounds]
+	retryBudgets *retryBudgets
+	monitor      *relayMonitor
+	crashes      *crashTracker
+	inFlight     inFlightRequests
+	throttles    teamThrottles
+	open         atomic.Int64 // requests being handled
+	running      atomic.Int64 // those of open whose bodies have been read
+	leaving      atomic.Int64 // when Leave was called, in nanoseconds since origin; zero: not leaving
+	origin       time.Time
+	handlers     sync.WaitGroup
+
+	invalidLoadLogged sync.Once
 }
 
 // New returns an Entry.
@@ -94,40 +94,39 @@
 	if o.Poison == nil {
 		o.Poison = poison.NewTable()
 	}
-	e := &Entry{Options: o, ends: newEnds(), watch: newWatch(o.Now), origin: o.Now().Add(-time.Nanosecond), budgets: newBudgets(o.Bounds.RetryRatio, o.Bounds.RetryExtra, o.Now)}
+	e := &Entry{Options: o, crashes: newCrashTracker(), monitor: newRelayMonitor(o.Now), origin: o.Now().Add(-time.Nanosecond), retryBudgets: newRetryBudgets(o.Bounds.RetryRatio, o.Bounds.RetryExtra, o.Now)}
 	e.SetBounds(o.Bounds)
 	return e
 }
 
-// SetBounds replaces the bounds that the entry keeps to.
+// SetBounds replaces the bounds. Requests in progress use the new ones too.
 func (e *Entry) SetBounds(b Bounds) {
 	e.bounds.Store(&b)
-	e.budgets.setBounds(b.RetryRatio, b.RetryExtra)
+	e.retryBudgets.setBounds(b.RetryRatio, b.RetryExtra)
 }
 
-// SetInstances tells how many instances share the retry budget, as far as this one hears;
-// zero: it may be one of many.
-func (e *Entry) SetInstances(n int) { e.budgets.setInstances(n) }
+// SetInstances sets how many instances, this one included, share the retry
+// budget. Zero means unknown.
+func (e *Entry) SetInstances(n int) { e.retryBudgets.setInstances(n) }
 
-// takesFor is how long a leaving instance still takes requests: until the
-// balancer before it has seen that it is not ready.
-const takesFor = 2600 * time.Millisecond
+// drainDelay is how long a leaving instance still accepts requests: the load
+// balancer in front needs that long to notice that it is not ready.
+const drainDelay = 2600 * time.Millisecond
 
-// Leave makes the entry not ready. It goes on taking requests until the
-// balancer has noticed.
+// Leave makes Ready return false. Requests are accepted for drainDelay more.
 func (e *Entry) Leave() { e.leaving.CompareAndSwap(0, int64(e.Now().Sub(e.origin))) }
 
-// Leaving reports whether the entry leaves, and whether it has stopped taking
-// requests.
+// Leaving reports whether Leave was called, and whether new requests are
+// rejected by now.
 func (e *Entry) Leaving() (leaving, stopped bool) {
 	at := e.leaving.Load()
 	if at == 0 {
 		return false, false
 	}
-	return true, e.Now().Sub(e.origin)-time.Duration(at) > takesFor
+	return true, e.Now().Sub(e.origin)-time.Duration(at) > drainDelay
 }
 
-// Ready reports whether the instance should be given new callers.
+// Ready reports whether a load balancer should send requests to this instance.
 func (e *Entry) Ready() bool {
 	if leaving, _ := e.Leaving(); leaving {
 		return false
@@ -135,21 +134,21 @@
 	return e.Beliefs.View().Catalog != nil && e.fresh()
 }
 
-// fresh reports whether beliefs are young enough to serve callers with keys.
+// fresh reports whether the configuration is recent enough to authenticate callers.
 func (e *Entry) fresh() bool {
 	age, ok := e.Beliefs.Age()
 	b := e.bounds.Load()
 	return ok && (!b.StrictRevoke || age < b.Revoke-revokeMargin)
 }
 
-// Open returns how many requests are in hand.
+// Open returns the number of requests being handled.
 func (e *Entry) Open() int { return int(e.open.Load()) }
 
-// Wait returns when no request is in hand, or ctx ends.
+// Wait returns when no request is being handled or ctx is done.
 func (e *Entry) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		e.inHand.Wait()
+		e.handlers.Wait()
 		close(done)
 	}()
 	select {
@@ -158,43 +157,45 @@
 	}
 }
 
-// tooMany reports whether as many requests run as there are descriptors for. Those that
-// are still being read count as connections only.
-func (e *Entry) tooMany() bool {
-	most := e.bounds.Load().MaxOpen
-	return most > 0 && int(e.running.Load()) >= most
+// atLimit reports whether MaxOpen requests are running. Requests whose bodies
+// are still being read are limited by the number of connections instead.
+func (e *Entry) atLimit() bool {
+	limit := e.bounds.Load().MaxOpen
+	return limit > 0 && int(e.running.Load()) >= limit
 }
 
-// begin counts a request whose body was read as running, or returns false if it is one too
-// many: bodies that were let in one by one may end together. Done ends what began.
-func (e *Entry) begin() bool {
-	n, most := int(e.running.Add(1)), e.bounds.Load().MaxOpen
-	if most > 0 && n > most {
-		e.done()
+// acquireRunning counts a request whose body has been read as running. It
+// returns false if MaxOpen is exceeded, which atLimit cannot rule out: several
+// bodies may be complete at once. Pair with releaseRunning.
+func (e *Entry) acquireRunning() bool {
+	n, limit := int(e.running.Add(1)), e.bounds.Load().MaxOpen
+	if limit > 0 && n > limit {
+		e.releaseRunning()
 		return false
 	}
 	return true
 }
 
-func (e *Entry) done() { e.running.Add(-1) }
+func (e *Entry) releaseRunning() { e.running.Add(-1) }
 
-// overloaded returns the refusal of a request that is one too many.
+// overloaded returns the error of a request rejected because of MaxOpen.
 func (e *Entry) overloaded() *verdict.Error {
-	return verdict.Refuse(verdict.Overloaded, "%d requests in hand", e.Open()).After(retryAfterLong)
+	return verdict.Refuse(verdict.Overloaded, "%d requests in progress", e.Open()).After(retryAfterLong)
 }
 
-// callerStall returns how long a caller may take nothing of its answer.
-func (e *Entry) callerStall() time.Duration {
+// stallTimeout returns how long a caller may read nothing of its response.
+func (e *Entry) stallTimeout() time.Duration {
 	if d := e.bounds.Load().CallerStall; d > 0 {
 		return d
 	}
-	return defaultStall
+	return defaultStallTimeout
 }
 
-// ServeHTTP takes in a caller's request.
+// ServeHTTP handles a caller's request. It panics with http.ErrAbortHandler
+// to break the connection if a response was truncated.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e.inHand.Add(1)
-	defer e.inHand.Done()
+	e.handlers.Add(1)
+	defer e.handlers.Done()
 	defer e.open.Add(-1)
 	e.open.Add(1)
 	leaving, stopped := e.Leaving()
@@ -208,15 +209,15 @@
 	case err != nil:
 		f.refuse(verdict.Of(err))
 	case stopped:
-		f.refuse(verdict.Refuse(verdict.Leaving, "this instance stops").After(retryAfterShort))
-	case e.tooMany():
+		f.refuse(verdict.Refuse(verdict.Leaving, "this instance is shutting down").After(retryAfterShort))
+	case e.atLimit():
 		f.refuse(e.overloaded())
 	default:
 		f.serve()
 	}
-	f.report()
-	if f.cut {
-		// The caller must not take what it got for a whole answer.
+	f.logRequest()
+	if f.truncated {
+		// Makes the truncation visible to the caller.
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/entry/events.go
+++ b/entry/events.go
@@ -1,6 +1,6 @@
 package entry
 
-// This file splits a stream into its events.
+// This file splits an event stream into events.
 
 import (
 	"bufio"
@@ -12,43 +12,43 @@
 	"ivyridge/memory"
 )
 
-// Bounds on events.
+// Sizes in bytes.
 const (
-	eventBuffer = 2 << 10
-	eventFirst  = 256 // room for an event, at first
-	maxEvent    = 1 << 20
+	eventBuffer    = 2 << 10 // read buffer
+	minEventBuffer = 256     // smallest allocation for an event
+	maxEvent       = 1 << 20
 )
 
-// An event is one event of a stream with its closing empty line.
+// An event is one event of a stream, including the empty line that ends it.
 type event struct {
 	id   string
-	data []byte // valid until the next call
+	data []byte // valid until the next call of next
 }
 
-// An eventReader splits a stream. A stream that ends within an event is cut.
+// An eventReader splits a stream into events. An incomplete last event is an error.
 type eventReader struct {
 	r    *bufio.Reader
 	data []byte
-	hold *memory.Holding // from which room for long events is taken; nil: without a bound
+	mem  *memory.Holding // reservation for long events; nil: no limit
 }
 
 func newEventReader(r io.Reader) *eventReader {
 	return &eventReader{r: bufio.NewReaderSize(r, eventBuffer)}
 }
 
-var errNoRoom = errors.New("no memory for an event of this length")
+var errEventMemory = errors.New("no memory for a long event")
 
-// room makes room for an event of n bytes. That of ordinary events belongs to what every
-// request takes.
-func (e *eventReader) room(n int) bool {
+// grow makes room for an event of n bytes. It returns false if there is no memory. Only long
+// events are charged; the reservation of every request covers the others.
+func (e *eventReader) grow(n int) bool {
 	if n <= cap(e.data) {
 		return true
 	}
-	size := max(n, min(2*cap(e.data), eventBuffer), eventFirst)
+	size := max(n, min(2*cap(e.data), eventBuffer), minEventBuffer)
 	if n > eventBuffer {
 		size = max(n, 2*cap(e.data))
 	}
-	if size > eventBuffer && e.hold != nil && !e.hold.Take(memory.Answers, int64(size)) {
+	if size > eventBuffer && e.mem != nil && !e.mem.Take(memory.Answers, int64(size)) {
 		return false
 	}
 	e.data = append(make([]byte, 0, size), e.data...)
@@ -57,19 +57,19 @@
 
 var idField = []byte("id:")
 
-// next returns the next whole event, or io.EOF after the last.
+// next returns the next complete event, or io.EOF after the last.
 func (e *eventReader) next() (event, error) {
 	e.data = e.data[:0]
 	var id string
 	lineStart := 0
 	for {
-		piece, err := e.r.ReadSlice('\n')
-		if !e.room(len(e.data) + len(piece)) {
-			return event{}, errNoRoom
+		fragment, err := e.r.ReadSlice('\n')
+		if !e.grow(len(e.data) + len(fragment)) {
+			return event{}, errEventMemory
 		}
-		e.data = append(e.data, piece...)
+		e.data = append(e.data, fragment...)
 		if len(e.data) > maxEvent {
-			return event{}, errors.New("an event without end")
+			return event{}, errors.New("event exceeds the size limit")
 		}
 		switch {
 		case err == bufio.ErrBufferFull:
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -1,6 +1,6 @@
 package entry
 
-// This file carries one request from its arrival to its answer.
+// This file handles one request from its arrival to its response.
 
 import (
 	"context"
@@ -20,101 +20,101 @@
 	"ivyridge/verdict"
 )
 
-// When refused callers are told to come back.
+// Values for verdict.Error.RetryAfter.
 const (
 	retryAfterShort = 50 * time.Millisecond
 	retryAfterLong  = 400 * time.Millisecond
 )
 
-// defaultTime bounds a request for which neither caller nor operator names a
-// time.
-const defaultTime = time.Minute
+// defaultTimeout applies if neither the caller nor the route sets a timeout.
+const defaultTimeout = time.Minute
 
-// An exchange is one request in hand and its answer.
+// An exchange is one request and its response.
 type exchange struct {
-	entry   *Entry
-	w       http.ResponseWriter
-	r       *http.Request
-	call    *Call
-	arrived time.Time
-	ends    time.Time // when the caller or the operator gives it up
-
-	route   *catalog.Route
-	team    *catalog.Team
-	service *catalog.Service
-	version int64
-	age     time.Duration // of the beliefs it was admitted by
+	entry    *Entry
+	w        http.ResponseWriter
+	r        *http.Request
+	call     *Call
+	arrived  time.Time
+	deadline time.Time // the earlier of the caller's and the route's
+
+	route     *catalog.Route
+	team      *catalog.Team
+	service   *catalog.Service
+	version   int64
+	configAge time.Duration // age of the configuration that the request was last admitted by
 
 	attempts  int
-	tried     []string // IDs of endpoints that it was sent to
+	tried     []string // IDs of the endpoints that the request was sent to
 	avoid     []uint32 // hashes of their incarnations
 	placement *balance.Placement
-	scheduler string // the instance that chose or refused last; empty if this one did
-	placed    time.Time
+	scheduler string // instance that last chose an endpoint or refused; empty: this one
+	placedAt  time.Time
 
-	hold  *memory.Holding // of the instance's memory
-	ahead int             // bytes of the answer that waited for the caller, at most
+	mem          *memory.Holding // memory reserved for this request
+	peakBuffered int             // peak size of the relay buffer, in bytes
 
-	heardAfter   time.Duration // the first event came so long after the endpoint was chosen
-	longestPause time.Duration // between two events
+	firstEventAfter time.Duration // time from the choice of the endpoint to the first event
+	longestPause    time.Duration // between two events
 
-	heard func()        // the endpoint has begun to answer
-	rest  time.Duration // that the last endpoint asked for; zero: none
-	limit *Rate         // that the last endpoint named; nil: none
+	responseStarted func()        // cancels the response timeout of the current attempt
+	backoff         time.Duration // requested by the last endpoint; zero: none
+	rateLimit       *Rate         // stated by the last endpoint; nil: none
 
-	earning quota.Earning // for those who choose endpoints, by its first placement
-	retry   retryState
-	paidBy  string // the last retry; empty: there was none
+	earning    quota.Earning // what the first attempt adds to the shared retry budget
+	retry      retryState
+	retryPayer string // budget that paid for the last retry; empty: no retry
 
-	mayHaveRun bool // at an endpoint that it was sent to before
+	mayHaveRun bool // on an endpoint of an earlier attempt
 
-	held      *held     // among the requests in hand
-	same      poison.ID // see identity; zero: not worked out
-	suspected bool      // an endpoint ended that had the same request in hand
+	inFlight  *inFlightRequest // entry in Entry.inFlight
+	poisonID  poison.ID        // see requestPoisonID; zero: not computed yet
+	suspected bool             // an endpoint crashed while it was running the same request
 
-	started bool // the head of an answer has been passed on
-	cut     bool // an answer that was begun could not be finished
-	status  int
-	first   time.Duration
-	err     *verdict.Error
+	headSent       bool // the response head has been sent to the caller
+	truncated      bool // the response was begun and could not be completed
+	status         int
+	firstByteAfter time.Duration
+	err            *verdict.Error
 }
 
-// serve runs the request to its end.
+// serve handles the request and sends the response.
 func (f *exchange) serve() {
 	f.awaitConfiguration()
 	if err := f.admit(); err != nil {
 		f.refuse(err)
 		return
 	}
-	f.earning = f.entry.budgets.request(f.service.Name)
-	f.setEnd()
-	ctx, cancel := f.untilEnd()
+	f.earning = f.entry.retryBudgets.earn(f.service.Name)
+	f.setDeadline()
+	ctx, cancel := f.register()
 	defer cancel()
-	if err := f.letIn(); err != nil {
+	if err := f.reserveMemory(); err != nil {
 		f.refuse(err)
 		return
 	}
-	defer f.letGo()
+	defer f.releaseMemory()
 	if err := f.readBody(); err != nil {
 		f.refuse(err)
 		return
 	}
-	if !f.entry.begin() {
+	if !f.entry.acquireRunning() {
 		f.refuse(f.entry.overloaded())
 		return
 	}
-	defer f.entry.done()
-	if err := f.startRun(); err != nil {
+	defer f.entry.releaseRunning()
+	if err := f.reserveExchangeMemory(); err != nil {
 		f.refuse(err)
 		return
 	}
 	f.run(ctx)
 }
 
-// startWithin is how long a request waits for the first configuration.
-const startWithin = 150 * time.Millisecond
+// configurationWait is how long a request waits for the first configuration.
+const configurationWait = 150 * time.Millisecond
 
-// awaitConfiguration waits a moment if the instance has just started.
+// awaitConfiguration waits for the first configuration of a starting
+// instance, for configurationWait at most.
 func (f *exchange) awaitConfiguration() {
 	if f.entry.Beliefs.View().Catalog != nil {
 		return
@@ -122,7 +122,7 @@
 	if f.entry.Awaited != nil {
 		f.entry.Awaited()
 	}
-	timer := time.NewTimer(startWithin)
+	timer := time.NewTimer(configurationWait)
 	defer timer.Stop()
 	for f.entry.Beliefs.View().Catalog == nil {
 		changed := f.entry.Beliefs.Changed()
@@ -139,75 +139,79 @@
 	}
 }
 
-// admit finds the request's route and team in what is believed now, and
-// says why it may not be sent if so. It is asked again before every sending.
+// admit resolves the route, team and service of the request in the current
+// configuration, or returns why the request is rejected. It is called again
+// before every retry, as the configuration may have changed.
 func (f *exchange) admit() *verdict.Error {
 	e := f.entry
 	view := e.Beliefs.View()
 	age, proved := e.Beliefs.Age()
 	if view.Catalog == nil || !proved {
-		return verdict.Refuse(verdict.NoConfiguration, "no configuration is known yet").After(retryAfterLong)
+		return verdict.Refuse(verdict.NoConfiguration, "no configuration received yet").After(retryAfterLong)
 	}
-	f.version, f.age = view.Catalog.Version(), age
+	f.version, f.configAge = view.Catalog.Version(), age
 	f.route = view.Catalog.Route(f.call.Host, f.call.Path)
 	if f.route == nil {
-		return f.uncertain(verdict.Refuse(verdict.UnknownRoute, "no route"))
+		return f.weakenIfStale(verdict.Refuse(verdict.UnknownRoute, "no route matches host and path"))
 	}
 	f.team = view.Catalog.Team(f.call.Key)
 	if f.team == nil && view.Catalog.NeedsKey(f.route) {
-		return f.uncertain(verdict.Refuse(verdict.Unauthenticated, "the key is not known"))
+		return f.weakenIfStale(verdict.Refuse(verdict.Unauthenticated, "unknown API key"))
 	}
 	if f.team != nil && !e.fresh() {
-		return verdict.Refuse(verdict.StaleBelief, "keys were proved %s ago", age).After(retryAfterLong)
+		return verdict.Refuse(verdict.StaleBelief, "API keys were last confirmed %s ago", age).After(retryAfterLong)
 	}
 	f.service = view.Catalog.Service(f.route.Target(xxhash.Sum64String(f.call.ID)))
 	return nil
 }
 
-// uncertain returns refusal, or one that claims less where a newer
-// configuration may say otherwise.
-func (f *exchange) uncertain(refusal *verdict.Error) *verdict.Error {
-	if f.age <= f.entry.bounds.Load().Propagation {
+// weakenIfStale returns refusal, or a retryable error in its place if the
+// configuration is so old that a newer one may decide otherwise.
+func (f *exchange) weakenIfStale(refusal *verdict.Error) *verdict.Error {
+	if f.configAge <= f.entry.bounds.Load().Propagation {
 		return refusal
 	}
-	return verdict.Refuse(verdict.StaleBelief, "%s, as of %s ago", refusal.Detail, f.age).After(retryAfterLong)
+	return verdict.Refuse(verdict.StaleBelief, "%s in a configuration that is %s old", refusal.Detail, f.configAge).After(retryAfterLong)
 }
 
-func (f *exchange) setEnd() {
+func (f *exchange) setDeadline() {
 	limit := f.call.Deadline
 	if t := f.route.Timeout; t > 0 && (limit == 0 || t < limit) {
 		limit = t
 	}
 	if limit == 0 {
-		limit = defaultTime
+		limit = defaultTimeout
 	}
-	f.ends = f.arrived.Add(limit)
-	f.setWriteEnd(f.arrived)
+	f.deadline = f.arrived.Add(limit)
+	f.setWriteDeadline(f.arrived)
 }
 
-// setWriteEnd bounds writing to the caller, at time now. A caller that does not read must
-// not hold the handler. An answer that is ready is delivered late.
-func (f *exchange) setWriteEnd(now time.Time) {
-	by := f.ends
-	if now.After(by) {
-		by = now
+// setWriteDeadline sets the deadline for writing to the caller, so that a
+// caller which does not read cannot block the handler. It allows stallTimeout
+// after the request's deadline, or after now if that is later, so that a
+// response which is complete is still delivered.
+func (f *exchange) setWriteDeadline(now time.Time) {
+	deadline := f.deadline
+	if now.After(deadline) {
+		deadline = now
 	}
-	_ = http.NewResponseController(f.w).SetWriteDeadline(clock.Deadline(f.entry.Now, by.Add(f.entry.callerStall())))
+	_ = http.NewResponseController(f.w).SetWriteDeadline(clock.Deadline(f.entry.Now, deadline.Add(f.entry.stallTimeout())))
 }
 
-// run sends the request to endpoints until one answers it for good.
+// run sends the request to endpoints until one has answered it or no retry is
+// allowed.
 func (f *exchange) run(ctx context.Context) {
-	if refusal := f.judge(); refusal != nil {
-		f.end(refusal)
+	if refusal := f.checkPoison(); refusal != nil {
+		f.fail(refusal)
 		return
 	}
 	for {
 		err := f.attempt(ctx)
 		if err == nil {
-			f.answered()
+			f.clearSuspect()
 			return
 		}
-		seen := f.brokenOff(ctx, err)
+		crash := f.trackCrash(ctx, err)
 		if err.Reason == verdict.RetryBudget && f.retry.cause != nil {
 			f.finish(ctx, f.retry.cause)
 			return
@@ -217,34 +221,35 @@
 			return
 		}
 		f.mayHaveRun = f.mayHaveRun || err.Verdict != verdict.NotRun
-		seen.await(ctx)
-		if refusal := f.judge(); refusal != nil {
-			f.end(refusal)
+		crash.wait(ctx)
+		if refusal := f.checkPoison(); refusal != nil {
+			f.fail(refusal)
 			return
 		}
 		if err.Reason == verdict.EndpointConnect || err.Reason == verdict.EndpointRests {
-			f.retry = retryState{cause: err} // nothing was sent, and so nothing counts
+			f.retry = retryState{cause: err} // nothing was sent: no budget is charged
 		} else {
-			f.askRetry(err)
+			f.reserveRetry(err)
 		}
-		if again := f.admit(); again != nil {
-			f.end(again)
+		if rejected := f.admit(); rejected != nil {
+			f.fail(rejected)
 			return
 		}
 	}
 }
 
-// finish gives the caller the answer that follows from the last attempt's error.
+// finish fails the request with the last attempt's error, or with that of its
+// context if that is done.
 func (f *exchange) finish(ctx context.Context, err *verdict.Error) {
 	if ctx.Err() != nil {
-		err = f.ended(err)
+		err = f.contextError(err)
 	}
-	f.end(err)
+	f.fail(err)
 }
 
-// ended returns the error of a request whose time is over or whose caller has
-// left.
-func (f *exchange) ended(err *verdict.Error) *verdict.Error {
+// contextError returns the error of a request whose deadline has passed or
+// whose caller has disconnected. It keeps the verdict of err.
+func (f *exchange) contextError(err *verdict.Error) *verdict.Error {
 	if err.Reason == verdict.CallerSlow {
 		return err
 	}
@@ -257,38 +262,38 @@
 	return verdict.Fail(err.Verdict, reason, "%s", err.Detail)
 }
 
-// end gives the caller the final answer of a failed request, or cuts off the
-// answer that was begun.
-func (f *exchange) end(err *verdict.Error) {
+// fail sends the error response of a request, or truncates the response if
+// it was begun.
+func (f *exchange) fail(err *verdict.Error) {
 	if f.mayHaveRun && err.Verdict == verdict.NotRun {
-		// The last endpoint did not run it; an earlier one may have.
+		// The last endpoint did not run the request; an earlier one may have.
 		reason := verdict.EndpointCut
 		if err.Reason == verdict.EndsEndpoints {
 			reason = verdict.EndedEndpoints
 		}
 		err = verdict.Fail(verdict.MayHaveRun, reason, "%s", err.Detail)
 	}
-	if f.started {
+	if f.headSent {
 		f.err = err
-		f.cut = true
+		f.truncated = true
 		f.entry.Counters.refused(err.Reason)
 		return
 	}
 	if err.Reason == verdict.CallerGone {
 		f.err = err
-		f.cut = true // nobody reads an answer
+		f.truncated = true // nobody reads a response
 		f.entry.Counters.refused(err.Reason)
 		return
 	}
 	if err.Verdict == verdict.NotRun && err.Reason == verdict.EndpointConnect {
-		// No endpoint was sent anything: that is a promise, which the
-		// status of a failed endpoint would not give.
+		// Nothing was sent to any endpoint. A 502 would not tell the caller
+		// that a retry is safe.
 		err = verdict.Refuse(verdict.NoEndpoint, "%s", err.Detail).After(retryAfterShort)
 	}
 	f.refuse(err)
 }
 
-// refuse answers a request that gets no answer from an endpoint.
+// refuse sends an error response and counts it.
 func (f *exchange) refuse(err *verdict.Error) {
 	f.err = err
 	f.status = err.Reason.Status()
@@ -301,36 +306,37 @@
 	f.entry.Codec.Refuse(f.w, id, err)
 }
 
-// drainMost is how much of a body that was not read is read before a refusal,
-// as net/http does on connections that it keeps.
-const drainMost = 256 << 10
+// maxDrainBytes is how much of an unread body is read before an error
+// response, as much as net/http reads on connections that it keeps alive.
+const maxDrainBytes = 256 << 10
 
-// drain reads what is left of a short body. Where the connection is closed after
-// the answer, net/http does not, and a caller that is still writing meets a
-// reset in place of the answer.
+// drain reads the rest of a short body if the connection closes after the
+// response. net/http does not, and a caller that is still writing would see a
+// connection reset instead of the response.
 func (f *exchange) drain() {
-	if f.r.Close || f.leaves() {
-		_, _ = io.CopyN(io.Discard, f.r.Body, drainMost)
+	if f.r.Close || f.leaving() {
+		_, _ = io.CopyN(io.Discard, f.r.Body, maxDrainBytes)
 	}
 }
 
-// leaves reports whether the instance leaves, and so closes connections.
-func (f *exchange) leaves() bool {
+// leaving reports whether the instance is shutting down, in which case
+// connections close after the response.
+func (f *exchange) leaving() bool {
 	leaving, _ := f.entry.Leaving()
 	return leaving
 }
 
-// report logs the request with what decided on it.
-func (f *exchange) report() {
+// logRequest logs the request and counts it if it was answered.
+func (f *exchange) logRequest() {
 	took := f.entry.Now().Sub(f.arrived)
 	if f.err == nil {
-		f.entry.Counters.passed(f.status)
-		f.entry.Counters.first.record(f.first)
-		f.entry.Counters.whole.record(took)
+		f.entry.Counters.responded(f.status)
+		f.entry.Counters.firstByte.record(f.firstByteAfter)
+		f.entry.Counters.total.record(took)
 	}
 	fields := make([]zap.Field, 0, 28)
 	fields = append(fields, zap.String("id", f.call.ID), zap.Int("status", f.status),
-		zap.Duration("took", took), zap.Int64("version", f.version), zap.Duration("belief_age", f.age))
+		zap.Duration("took", took), zap.Int64("version", f.version), zap.Duration("belief_age", f.configAge))
 	if f.entry.Settings != nil {
 		fields = append(fields, zap.String("settings", f.entry.Settings()))
 	}
@@ -348,10 +354,10 @@
 	}
 	if p := f.placement; p != nil {
 		fields = append(fields, zap.String("endpoint", p.Endpoint.ID), zap.Bool("granted", p.Granted), zap.Float64("cost", p.Cost), zap.Int("cached", p.Cached), zap.Int("fetched", p.Fetched),
-			zap.Duration("backlog", p.Backlog), zap.Duration("first", f.first), zap.Duration("expected", p.Expected()), zap.Duration("heard_after", f.heardAfter), zap.Duration("pause", f.longestPause), zap.Float64("read_us", 1e3*p.Pace.ReadTime))
+			zap.Duration("backlog", p.Backlog), zap.Duration("first", f.firstByteAfter), zap.Duration("expected", p.Expected()), zap.Duration("heard_after", f.firstEventAfter), zap.Duration("pause", f.longestPause), zap.Float64("read_us", 1e3*p.Pace.ReadTime))
 	}
-	if f.paidBy != "" {
-		fields = append(fields, zap.String("retry", f.paidBy))
+	if f.retryPayer != "" {
+		fields = append(fields, zap.String("retry", f.retryPayer))
 	}
 	if p := f.placement; p != nil && p.Distance == balance.Beyond {
 		fields = append(fields, zap.Stringer("distance", p.Distance), zap.Float64("crossing", p.Crossing), zap.Int("body", len(f.call.Body)))
@@ -362,26 +368,26 @@
 	if p := f.placement; p != nil && p.Donor != nil {
 		fields = append(fields, zap.String("donor", p.Donor.ID))
 	}
-	if f.rest > 0 {
-		fields = append(fields, zap.Duration("asked_rest", f.rest))
+	if f.backoff > 0 {
+		fields = append(fields, zap.Duration("asked_rest", f.backoff))
 	}
-	if f.limit != nil {
-		fields = append(fields, zap.Float64("named_limit", float64(*f.limit)))
+	if f.rateLimit != nil {
+		fields = append(fields, zap.Float64("named_limit", float64(*f.rateLimit)))
 	}
 	if p := f.placement; p != nil {
 		if rate, age, divider, ok := p.Limit(); ok {
 			fields = append(fields, zap.Float64("limit", rate), zap.Duration("limit_age", age), zap.String("limit_divider", divider))
 		}
 	}
-	if f.ahead > 0 {
-		fields = append(fields, zap.Int("waited_bytes", f.ahead))
+	if f.peakBuffered > 0 {
+		fields = append(fields, zap.Int("waited_bytes", f.peakBuffered))
 	}
-	if f.same != (poison.ID{}) {
-		fields = append(fields, zap.Stringer("same_as", f.same), zap.Bool("suspected", f.suspected))
+	if f.poisonID != (poison.ID{}) {
+		fields = append(fields, zap.Stringer("same_as", f.poisonID), zap.Bool("suspected", f.suspected))
 	}
 	if f.err != nil {
 		fields = append(fields, zap.String("reason", string(f.err.Reason)), zap.Stringer("verdict", f.err.Verdict),
-			zap.String("detail", f.err.Detail), zap.Bool("cut", f.cut))
+			zap.String("detail", f.err.Detail), zap.Bool("cut", f.truncated))
 	}
 	f.entry.Log.Info("request", fields...)
 }
--- /dev/null
+++ b/entry/inflight.go
@@ -0,0 +1,78 @@
+package entry
+
+// This file keeps the set of requests in progress. It is used to cancel requests whose
+// deadlines passed while the machine was suspended, which the runtime's timers do not count,
+// and to find the endpoints at which a team has requests.
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// inFlightRequests is the set of requests that have a deadline.
+type inFlightRequests struct {
+	mu       sync.Mutex
+	requests map[*inFlightRequest]struct{}
+}
+
+type inFlightRequest struct {
+	deadline time.Time
+	cancel   context.CancelFunc
+	location atomic.Pointer[location] // nil: not placed yet
+}
+
+// A location is the endpoint that a request was sent to.
+type location struct {
+	service, team, endpoint string
+}
+
+// register adds the request to the set. The returned context is done when the caller
+// disconnects or the deadline passes; the returned function removes the request.
+func (f *exchange) register() (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(f.r.Context(), f.deadline.Sub(f.entry.Now()))
+	t := &f.entry.inFlight
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.requests == nil {
+		t.requests = make(map[*inFlightRequest]struct{})
+	}
+	f.inFlight = &inFlightRequest{deadline: f.deadline, cancel: cancel}
+	t.requests[f.inFlight] = struct{}{}
+	return ctx, func() {
+		t.mu.Lock()
+		delete(t.requests, f.inFlight)
+		t.mu.Unlock()
+		cancel()
+	}
+}
+
+// Woke must be called after the machine was suspended. It cancels requests whose deadlines
+// have passed, and the others at their deadlines.
+func (e *Entry) Woke() {
+	now := e.Now()
+	e.inFlight.mu.Lock()
+	defer e.inFlight.mu.Unlock()
+	for h := range e.inFlight.requests {
+		time.AfterFunc(max(0, h.deadline.Sub(now)), h.cancel)
+	}
+}
+
+// endpointsByTeam returns at how many endpoints of a service, except one, each team has
+// requests in progress.
+func (t *inFlightRequests) endpointsByTeam(service, except string) map[string]int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	seen := make(map[location]bool)
+	teams := make(map[string]int)
+	for h := range t.requests {
+		p := h.location.Load()
+		if p == nil || p.service != service || p.endpoint == except || seen[*p] {
+			continue
+		}
+		seen[*p] = true
+		teams[p.team]++
+	}
+	return teams
+}
--- /dev/null
+++ b/entry/poison.go
@@ -0,0 +1,134 @@
+package entry
+
+// This file rejects requests that are known to crash endpoints, and throttles teams that
+// send many of them; see package poison.
+
+import (
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"ivyridge/poison"
+	"ivyridge/verdict"
+)
+
+// poisonRequest returns the parts of the request by which its repetitions are recognised.
+// The body must have been read and the team resolved.
+func (f *exchange) poisonRequest() poison.Request {
+	r := poison.Request{Method: f.call.Method, Host: f.call.Host, Target: f.call.Target, Body: f.call.Body}
+	if f.team != nil {
+		r.Team = f.team.Name
+	}
+	return r
+}
+
+// requestPoisonID returns the ID that all repetitions of the request share.
+func (f *exchange) requestPoisonID() poison.ID {
+	if f.poisonID == (poison.ID{}) {
+		r := f.poisonRequest()
+		f.poisonID = r.ID()
+	}
+	return f.poisonID
+}
+
+// checkPoison returns an error if the request is known to crash endpoints, or if its team is
+// throttled. The former is final and has no RetryAfter.
+func (f *exchange) checkPoison() *verdict.Error {
+	if refusal := f.checkTeamThrottle(); refusal != nil {
+		return refusal
+	}
+	r := f.poisonRequest()
+	if !f.entry.Poison.Knows(&r) {
+		f.suspected = false
+		return nil
+	}
+	id := f.requestPoisonID()
+	standing := f.entry.Poison.Standing(id)
+	f.suspected = standing == poison.Suspected
+	if standing != poison.Known {
+		return nil
+	}
+	f.entry.publishPoison(f.entry.Poison.Came(f.entry.Now(), id))
+	known, _ := f.entry.Poison.Entry(id)
+	return verdict.Refuse(verdict.EndsEndpoints, "the request has crashed %d endpoints (%s)", known.Counted(), id)
+}
+
+// The rate at which all instances together admit a throttled team's requests: if each crashes
+// an endpoint that takes endpointRecoveryTime to return, at most throttleLossShare of the
+// service's endpoints are down at a time.
+const (
+	throttleLossShare    = 0.1
+	endpointRecoveryTime = 3 * time.Second
+)
+
+// throttleInterval returns the time between two requests of a throttled team at one of so
+// many instances, for a service with so many endpoints.
+func throttleInterval(instances, endpoints int) time.Duration {
+	return time.Duration(float64(instances) * float64(endpointRecoveryTime) / max(1, throttleLossShare*float64(endpoints)))
+}
+
+// checkTeamThrottle returns an error if the request's team is throttled and has used up its rate.
+func (f *exchange) checkTeamThrottle() *verdict.Error {
+	e := f.entry
+	if f.team == nil || f.mayHaveRun || !e.Poison.Slowed(e.Now(), f.service.Name, f.team.Name) {
+		return nil
+	}
+	interval := throttleInterval(e.retryBudgets.instanceCount(), len(e.Beliefs.View().Endpoints(f.service.Name)))
+	wait := e.throttles.acquire(f.service.Name+"/"+f.team.Name, e.Now(), interval)
+	if wait <= 0 {
+		return nil
+	}
+	return verdict.Refuse(verdict.TeamLimit, "service %s: the team is throttled because its requests crash endpoints", f.service.Name).After(wait)
+}
+
+// teamThrottles holds when each throttled team may send its next request, by service and team.
+type teamThrottles struct {
+	mu   sync.Mutex
+	next map[string]time.Time
+}
+
+// acquire admits a request, or returns how long to wait until the next one is admitted.
+func (s *teamThrottles) acquire(key string, now time.Time, interval time.Duration) (wait time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if next, ok := s.next[key]; ok && now.Before(next) {
+		return next.Sub(now)
+	}
+	if s.next == nil {
+		s.next = make(map[string]time.Time)
+	}
+	s.next[key] = now.Add(interval)
+	return 0
+}
+
+// clearSuspect records that an endpoint answered the request, which proves that it is not
+// a poison request.
+func (f *exchange) clearSuspect() {
+	r := f.poisonRequest()
+	if !f.entry.Poison.Knows(&r) {
+		return
+	}
+	if changed := f.entry.Poison.Answered(f.requestPoisonID()); len(changed) > 0 {
+		f.entry.logPoison(changed)
+		f.entry.publishPoison(changed)
+	}
+}
+
+func (e *Entry) publishPoison(entries []poison.Entry) {
+	if e.TellPoison != nil && len(entries) > 0 {
+		e.TellPoison(entries)
+	}
+}
+
+// Release clears a suspect at an operator's request and tells the other instances. It
+// returns false if id is not a suspect.
+func (e *Entry) Release(id poison.ID) bool {
+	changed := e.Poison.Answered(id)
+	if len(changed) == 0 {
+		return false
+	}
+	e.Log.Warn("poison request suspect released by an operator", zap.Stringer("same_as", id))
+	e.publishPoison(changed)
+	return true
+}
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -1,24 +1,16 @@
 package entry
 
-// This file passes an answer on so that its endpoint does not wait for the caller.
+// This file relays a response so that a slow caller does not keep the endpoint busy.
 //
-// It answers callers that read slowly or not at all. Where one goroutine reads an event
-// and writes it, a caller that stops reading stops the reading as well: the endpoint
-// cuts the answer off after some seconds, and the request keeps its slot until its time
-// is over. Here an answer is read on into memory, within bounds.
+// At first one goroutine reads a chunk and writes it to the caller, in turn. If a write
+// takes longer than a check of the monitor (relay_monitor.go), a second goroutine takes
+// over the reading and queues chunks in a bounded buffer, while the first one goes on
+// writing. The endpoint's slot is freed when its response ends. When the buffer is full,
+// reading stops until the caller reads more; a caller that reads nothing for CallerStall is
+// disconnected.
 //
-// As long as the caller reads, the goroutine that reads an event also writes it, as
-// before. A write that goes on for longer than a round of the watch (watch.go) shows that
-// the caller does not: then a second goroutine takes the reading over, and the first one
-// goes on writing what waits. The end of the endpoint's answer frees its slot at once.
-// Past the bounds reading stops until the caller takes more, and past CallerStall without
-// progress the caller is cut off.
-//
-// Two goroutines from the start were weighed: an event then costs a switch between them.
-// A timer for each write was tried: 2.8 us an event became 3.5 on two processors, since
-// setting it wakes a thread that waits for the network. Asking the socket before each
-// write whether it would block was refused: it costs a system call an event, and its
-// answer does not hold for an event longer than what is free.
+// Reading and writing in turn avoids a goroutine switch for each event, and checking from
+// the monitor avoids a timer or a system call for each write.
 
 import (
 	"context"
@@ -33,326 +25,329 @@
 	"ivyridge/verdict"
 )
 
-// Times that callers have.
+// How long a caller may read nothing of the data that waits for it.
 const (
-	// defaultStall is how long a caller may take nothing of what waits for it before it is
-	// cut off, where the operator sets no time: longer than a link that is down for a
-	// moment takes to come back.
-	defaultStall = 8 * time.Second
-	// lateStall is the same where the request's time is over, and all that can come of
-	// waiting is an answer too late.
-	lateStall = time.Second
+	// defaultStallTimeout applies if the operator sets no CallerStall. It should exceed
+	// short outages of the caller's link.
+	defaultStallTimeout = 8 * time.Second
+	// lateStallTimeout applies instead once the request's deadline has passed.
+	lateStallTimeout = time.Second
 )
 
-// A relay passes one endpoint's answer on, or a part of one.
+// A relay forwards the response of one endpoint to the caller. Of a resumed stream it
+// forwards the part that this endpoint sends.
 type relay struct {
-	f     *exchange
-	ctx   context.Context
-	x     *upstream.Exchange
-	head  Answer
-	in    pieces
-	good  balance.Outcome // of an answer that comes to its end
-	flush *http.ResponseController
-	freed sync.Once // the endpoint's slot
+	f              *exchange
+	ctx            context.Context
+	x              *upstream.Exchange
+	head           Answer
+	src            chunkSource
+	successOutcome balance.Outcome // recorded if the response is complete
+	flush          *http.ResponseController
+	releaseOnce    sync.Once // see releaseEndpoint
 
-	// write is the number of the write under way while one goroutine reads and writes;
-	// zero between two, takenOver once another one reads. A write ends by being swapped
-	// for zero, so that it either ends alone or sees that the reading was taken over.
-	write  atomic.Int64
-	writes int64 // the last number
-	seen   int64 // write, at the watch's last round; the watch's own
-	rounds int   // that the watch has looked since the reading was taken over
+	// currentWrite is the number of the write in progress while one goroutine reads and
+	// writes; zero between writes; readerSplit once a second goroutine reads. The writer
+	// ends a write by swapping its number for zero, which fails if the reading was taken
+	// over during the write.
+	currentWrite atomic.Int64
+	lastWrite    int64 // number of the latest write
+	checkedWrite int64 // currentWrite at the last check; used by the monitor only
+	checks       int   // by the monitor since the reader was split
 
-	mu      sync.Mutex // guards what follows
-	changed sync.Cond
-	writing bool // a write is under way while another goroutine reads
-	beside  bool // another goroutine reads
-	ahead   ahead
-	lent    []byte // a piece that did not fit; the reader waits until it is written
-	ended   bool   // the reader is done
-	result  *verdict.Error
-	lost    bool // the caller gets no more
-	slow    bool // because it took nothing for too long
-	over    bool // the writer is done
-	stall   stall
-	stop    func() bool // the watch on the request's end
+	mu           sync.Mutex // guards the fields below
+	changed      sync.Cond
+	writing      bool // a write is in progress while another goroutine reads
+	concurrent   bool // another goroutine reads
+	buffer       relayBuffer
+	direct       []byte // a chunk that the buffer has no room for; the reader waits until it is written
+	readerDone   bool   // the reader has returned, with readerResult
+	readerResult *verdict.Error
+	aborted      bool // nothing more is written to the caller
+	stalled      bool // aborted because of a stall
+	closed       bool // the handler no longer uses the relay
+	stall        stall
+	stopDeadline func() bool // unregisters handleDeadline
 }
 
-// relay passes in on, from x.
-func (f *exchange) relay(ctx context.Context, x *upstream.Exchange, head Answer, in pieces, good balance.Outcome) *verdict.Error {
-	r := &relay{f: f, ctx: ctx, x: x, head: head, in: in, good: good, flush: http.NewResponseController(f.w), ahead: ahead{hold: f.hold}}
+// relay forwards src, the body of x. On success it records successOutcome for the endpoint.
+func (f *exchange) relay(ctx context.Context, x *upstream.Exchange, head Answer, src chunkSource, successOutcome balance.Outcome) *verdict.Error {
+	r := &relay{f: f, ctx: ctx, x: x, head: head, src: src, successOutcome: successOutcome, flush: http.NewResponseController(f.w), buffer: relayBuffer{mem: f.mem}}
 	r.changed.L = &r.mu
-	f.entry.watch.add(r)
+	f.entry.monitor.add(r)
 	err := r.run()
-	f.entry.watch.remove(r)
-	r.leave()
+	f.entry.monitor.remove(r)
+	r.close()
 	return err
 }
 
-// run reads and writes in turn until the answer ends or a write takes long.
+// run reads and writes in turn until the response ends or a write takes long.
 func (r *relay) run() *verdict.Error {
 	for {
-		piece, err := r.in.next()
+		chunk, err := r.src.next()
 		if err != nil {
-			return r.end(err)
+			return r.endRead(err)
 		}
-		r.f.start(r.x)
-		r.writes++
-		r.write.Store(r.writes)
-		err = r.pass(piece, true)
-		if !r.write.CompareAndSwap(r.writes, 0) {
-			r.wrote()
-			return r.drain(err)
+		r.f.sendHead(r.x)
+		r.lastWrite++
+		r.currentWrite.Store(r.lastWrite)
+		err = r.writeChunk(chunk, true)
+		if !r.currentWrite.CompareAndSwap(r.lastWrite, 0) {
+			r.splitWriteDone()
+			return r.writeQueued(err)
 		}
 		if err != nil {
-			return r.callerLost()
+			return r.abandon()
 		}
 	}
 }
 
-// pass writes a piece, and sends all that is written where flush is set.
-func (r *relay) pass(piece []byte, flush bool) error {
-	_, err := r.f.w.Write(piece)
+// writeChunk writes a chunk to the caller, and flushes if flush is set.
+func (r *relay) writeChunk(chunk []byte, flush bool) error {
+	_, err := r.f.w.Write(chunk)
 	if err == nil && flush {
 		err = r.flush.Flush()
 	}
 	return err
 }
 
-// readBeside reads while the writes go on in another goroutine.
-func (r *relay) readBeside() {
+// readConcurrently reads and queues chunks while another goroutine writes them.
+func (r *relay) readConcurrently() {
 	for {
-		piece, err := r.in.next()
+		chunk, err := r.src.next()
 		if err != nil {
-			r.readerEnds(r.end(err))
+			r.finishReader(r.endRead(err))
 			return
 		}
-		if !r.queue(piece) {
-			r.readerEnds(nil)
+		if !r.enqueue(chunk) {
+			r.finishReader(nil)
 			return
 		}
 	}
 }
 
-// takenOver stands in place of a write's number once another goroutine reads.
-const takenOver = -1
+// readerSplit is the value of currentWrite once a second goroutine reads.
+const readerSplit = -1
 
-// look takes the reading over if the write of the last round is still under way. It is
-// called by the watch, at time now.
-func (r *relay) look(now time.Time) {
-	n := r.write.Load()
-	if n > 0 && n == r.seen && r.write.CompareAndSwap(n, takenOver) {
-		r.takeOver(now)
+// check splits off the reader if the write seen by the last check is still in progress.
+// The monitor calls it at time now.
+func (r *relay) check(now time.Time) {
+	n := r.currentWrite.Load()
+	if n > 0 && n == r.checkedWrite && r.currentWrite.CompareAndSwap(n, readerSplit) {
+		r.splitReader(now)
 	}
-	r.seen = n
-	if n != takenOver {
+	r.checkedWrite = n
+	if n != readerSplit {
 		return
 	}
-	if r.rounds++; r.rounds%stallRounds == 0 {
+	if r.checks++; r.checks%stallCheckEvery == 0 {
 		r.checkStall(now)
 	}
 }
 
-// takeOver starts the reading beside a write that goes on, so that the writer has not
-// returned to the server.
-func (r *relay) takeOver(now time.Time) {
+// splitReader starts the concurrent reader. The write in progress is still blocked, so the
+// handler cannot return meanwhile.
+func (r *relay) splitReader(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.f.entry.Counters.slow.Add("read-beside", 1)
-	r.beside, r.writing = true, true
-	r.in.renew()
-	// From here on progress decides, not the end of the request's time.
+	r.f.entry.Counters.slowCallers.Add("read-beside", 1)
+	r.concurrent, r.writing = true, true
+	r.src.detach()
+	// From here on checkStall decides when the caller is disconnected, not the deadline.
 	_ = r.flush.SetWriteDeadline(time.Time{})
-	r.stall.begin(now, r.taken())
-	r.stop = context.AfterFunc(r.ctx, r.timeUp)
-	go r.readBeside()
+	r.stall.reset(now, r.progress())
+	r.stopDeadline = context.AfterFunc(r.ctx, r.handleDeadline)
+	go r.readConcurrently()
 }
 
-// queue has a piece wait for the writer. It returns false if the caller is lost.
-func (r *relay) queue(piece []byte) bool {
+// enqueue queues a chunk for the writer, and waits while there is no room. It returns false
+// if the relay is aborted.
+func (r *relay) enqueue(chunk []byte) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for !r.lost {
-		if r.ahead.add(piece) {
+	for !r.aborted {
+		if r.buffer.add(chunk) {
 			r.changed.Broadcast()
 			return true
 		}
-		if r.ahead.empty() && r.lent == nil {
-			return r.lend(piece)
+		if r.buffer.empty() && r.direct == nil {
+			return r.enqueueDirect(chunk)
 		}
 		r.changed.Wait()
 	}
 	return false
 }
 
-// lend has the writer pass on the reader's own piece, for which nothing could be taken.
-// R.mu is held.
-func (r *relay) lend(piece []byte) bool {
-	r.lent = piece
+// enqueueDirect has the writer send the reader's own chunk, without a copy, and waits
+// until that is done. It is for chunks that do not fit into an empty buffer. The caller
+// holds r.mu.
+func (r *relay) enqueueDirect(chunk []byte) bool {
+	r.direct = chunk
 	r.changed.Broadcast()
-	for r.lent != nil && !r.lost {
+	for r.direct != nil && !r.aborted {
 		r.changed.Wait()
 	}
-	return !r.lost
+	return !r.aborted
 }
 
-// drain writes what the reader leaves, until it has ended. Err is that of the write
-// during which the reader began.
-func (r *relay) drain(err error) *verdict.Error {
+// writeQueued writes queued chunks until the reader has returned. Err is the result of the
+// write during which the reader was split off.
+func (r *relay) writeQueued(err error) *verdict.Error {
 	for err == nil {
-		piece, last := r.next()
-		if piece == nil {
-			return r.drained()
+		chunk, last := r.next()
+		if chunk == nil {
+			return r.finalResult()
 		}
-		err = r.pass(piece, last)
-		r.passed(piece)
+		err = r.writeChunk(chunk, last)
+		r.chunkWritten(chunk)
 	}
-	lost := r.callerLost()
+	reason := r.abandon()
 	r.awaitReader()
-	return lost // whatever the reader met: nobody is there for whom the answer could go on
+	return reason // takes precedence over the reader's error, as a retry would have no caller
 }
 
-// drained returns how an answer ends of which nothing waits any more. The reader drops the
-// piece it has just read if the caller is lost by then, so that the answer is not whole.
-func (r *relay) drained() *verdict.Error {
+// finalResult returns the result once the queue is empty. If the relay was aborted, the
+// reader may have dropped a chunk, so that the response is incomplete.
+func (r *relay) finalResult() *verdict.Error {
 	r.mu.Lock()
-	lost, result := r.lost, r.result
+	aborted, result := r.aborted, r.readerResult
 	r.mu.Unlock()
-	if lost {
-		return r.callerLost()
+	if aborted {
+		return r.abandon()
 	}
 	return result
 }
 
-// next waits for a piece, and reports whether it is the last that waits now. It returns
-// nil when all has been read and written.
-func (r *relay) next() (piece []byte, last bool) {
+// next waits for a chunk, and reports whether no further one is queued. It returns nil
+// once the reader has returned and all chunks are written.
+func (r *relay) next() (chunk []byte, last bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for {
 		switch {
-		case !r.ahead.empty():
-			piece = r.ahead.first()
-		case r.lent != nil:
-			piece = r.lent
-		case r.ended:
+		case !r.buffer.empty():
+			chunk = r.buffer.first()
+		case r.direct != nil:
+			chunk = r.direct
+		case r.readerDone:
 			return nil, true
 		}
-		if piece != nil {
+		if chunk != nil {
 			r.writing = true
-			return piece, r.ahead.waiting <= len(piece)
+			return chunk, r.buffer.size <= len(chunk)
 		}
 		r.changed.Wait()
 	}
 }
 
-// passed lets go of a piece that was written, or that never will be.
-func (r *relay) passed(piece []byte) {
+// chunkWritten releases a chunk after its write, also after a failed one.
+func (r *relay) chunkWritten(chunk []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.writing = false
-	r.stall.pieces++
-	if r.lent != nil && &r.lent[0] == &piece[0] {
-		r.lent = nil
+	r.stall.chunks++
+	if r.direct != nil && &r.direct[0] == &chunk[0] {
+		r.direct = nil
 	} else {
-		r.ahead.remove()
+		r.buffer.removeFirst()
 	}
 	r.changed.Broadcast()
 }
 
-// wrote ends the write during which the reading was taken over.
-func (r *relay) wrote() {
+// splitWriteDone records the end of the write during which the reader was split off.
+func (r *relay) splitWriteDone() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.writing = false
-	r.stall.pieces++
+	r.stall.chunks++
 }
 
-// readerEnds tells the writer that there is no more.
-func (r *relay) readerEnds(result *verdict.Error) {
+// finishReader passes the reader's result to the writer.
+func (r *relay) finishReader(result *verdict.Error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended, r.result = true, result
+	r.readerDone, r.readerResult = true, result
 	r.changed.Broadcast()
 }
 
 func (r *relay) awaitReader() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for !r.ended {
+	for !r.readerDone {
 		r.changed.Wait()
 	}
 }
 
-// free ends the exchange with the endpoint. The first call decides how.
-func (r *relay) free(whole bool, o balance.Outcome) {
-	r.freed.Do(func() {
-		r.x.Close(whole, r.head.KeepAlive)
+// releaseEndpoint closes the exchange with the endpoint and records the outcome. Only the
+// first call has an effect.
+func (r *relay) releaseEndpoint(complete bool, o balance.Outcome) {
+	r.releaseOnce.Do(func() {
+		r.x.Close(complete, r.head.KeepAlive)
 		r.f.placement.Done(o)
 	})
 }
 
-// end frees the endpoint after the last piece, or after err in place of one.
-func (r *relay) end(err error) *verdict.Error {
+// endRead releases the endpoint at the end of its response, err being what the read returned.
+func (r *relay) endRead(err error) *verdict.Error {
 	switch err {
 	case io.EOF:
-		r.free(true, r.good)
+		r.releaseEndpoint(true, r.successOutcome)
 		return nil
-	case errNoRoom:
-		r.free(false, balance.Unknown)
+	case errEventMemory:
+		r.releaseEndpoint(false, balance.Unknown)
 		return verdict.Fail(verdict.MayHaveRun, verdict.AnswerNoMemory, "%s: %s", r.f.placement.Endpoint.ID, err)
 	default:
-		r.free(false, r.f.outcome(r.ctx))
+		r.releaseEndpoint(false, r.f.outcome(r.ctx))
 	}
 	return verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "%s: %s", r.f.placement.Endpoint.ID, err)
 }
 
-// callerLost frees the endpoint of a caller to whom nothing can be written any more, and
-// returns why.
-func (r *relay) callerLost() *verdict.Error {
-	r.free(false, balance.Unknown)
+// abandon releases the endpoint when nothing more can be written to the caller, and
+// returns the reason.
+func (r *relay) abandon() *verdict.Error {
+	r.releaseEndpoint(false, balance.Unknown)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lost = true
+	r.aborted = true
 	r.changed.Broadcast()
-	if r.slow {
+	if r.stalled {
 		return verdict.Fail(verdict.Ran, verdict.CallerSlow, "%s", r.stall.detail)
 	}
-	return verdict.Fail(verdict.Ran, verdict.CallerGone, "while the answer was passed on")
+	return verdict.Fail(verdict.Ran, verdict.CallerGone, "caller disconnected during the response")
 }
 
-// timeUp ends a relay whose caller has left or whose request's time is over. What an
-// endpoint has answered whole is delivered late, as long as the caller takes it.
-func (r *relay) timeUp() {
+// handleDeadline aborts the relay when the caller has disconnected or the deadline has
+// passed. A response that was read completely before the deadline is still delivered.
+func (r *relay) handleDeadline() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	whole := r.ended && r.result == nil
-	gone := r.f.r.Context().Err() != nil
-	if r.over || whole && !gone {
+	complete := r.readerDone && r.readerResult == nil
+	disconnected := r.f.r.Context().Err() != nil
+	if r.closed || complete && !disconnected {
 		return
 	}
-	r.free(false, r.f.outcome(r.ctx))
-	r.cut()
+	r.releaseEndpoint(false, r.f.outcome(r.ctx))
+	r.abortWrite()
 }
 
-// cut has the write under way fail. R.mu is held.
-func (r *relay) cut() {
-	r.lost = true
+// abortWrite aborts the relay and makes the write in progress fail. The caller holds r.mu.
+func (r *relay) abortWrite() {
+	r.aborted = true
 	r.changed.Broadcast()
 	_ = r.flush.SetWriteDeadline(time.Now())
 }
 
-// leave ends the relay: nothing of it touches the caller's writer afterwards.
-func (r *relay) leave() {
+// close ends the relay. Afterwards it does not use the caller's ResponseWriter.
+func (r *relay) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.over = true
-	r.f.ahead = max(r.f.ahead, r.ahead.most)
-	r.ahead.clear()
-	if r.beside {
-		r.stop()
-		if !r.lost {
-			r.f.setWriteEnd(r.f.entry.Now())
+	r.closed = true
+	r.f.peakBuffered = max(r.f.peakBuffered, r.buffer.peak)
+	r.buffer.clear()
+	if r.concurrent {
+		r.stopDeadline()
+		if !r.aborted {
+			r.f.setWriteDeadline(r.f.entry.Now())
 		}
 	}
 }
--- a/entry/relay_bench_test.go
+++ b/entry/relay_bench_test.go
@@ -22,9 +22,8 @@
 	"ivyridge/verdict"
 )
 
-// BenchmarkPassEvent measures the passing on of one event of 200 bytes to a caller that
-// reads, over real sockets.
-func BenchmarkPassEvent(b *testing.B) {
+// BenchmarkRelayEvent measures relaying a 200-byte event over TCP to a caller that reads.
+func BenchmarkRelayEvent(b *testing.B) {
 	event := "event: a\ndata: " + strings.Repeat("x", 183) + "\n\n"
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Seal", "1")
@@ -45,8 +44,8 @@
 		b.Fatal(err)
 	}
 	e := New(Options{
-		Beliefs: table, Placer: onePlacer{balance.New("a", time.Now), &belief.Endpoint{Endpoint: catalog.Endpoint{ID: "e", Address: server.Listener.Addr().String()}}},
-		Pool: upstream.NewPool(func(string) {}, time.Now), Codec: plainCodec{}, Log: zap.NewNop(),
+		Beliefs: table, Placer: fixedPlacer{balance.New("a", time.Now), &belief.Endpoint{Endpoint: catalog.Endpoint{ID: "e", Address: server.Listener.Addr().String()}}},
+		Pool: upstream.NewPool(func(string) {}, time.Now), Codec: stubCodec{}, Log: zap.NewNop(),
 		Counters: NewCounters(new(expvar.Map).Init()), Now: time.Now, Bounds: Bounds{Propagation: time.Minute},
 	})
 	front := httptest.NewServer(e)
@@ -71,23 +70,23 @@
 	}
 }
 
-type onePlacer struct {
+type fixedPlacer struct {
 	b *balance.Balancer
 	e *belief.Endpoint
 }
 
-func (p onePlacer) Place(_ context.Context, _ []*belief.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
+func (p fixedPlacer) Place(_ context.Context, _ []*belief.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
 	return p.b.Place([]*belief.Endpoint{p.e}, d), nil
 }
 
-type plainCodec struct{}
+type stubCodec struct{}
 
-func (plainCodec) Decode(r *http.Request) (*Call, error) {
+func (stubCodec) Decode(r *http.Request) (*Call, error) {
 	return &Call{ID: "1", Method: r.Method, Host: r.Host, Path: "/", Target: "/", Header: http.Header{}}, nil
 }
-func (plainCodec) Encode(*Call, Forward) http.Header { return http.Header{} }
-func (plainCodec) Answer(int, http.Header) Answer    { return Answer{Sealed: true} }
-func (plainCodec) PassOn(to, from http.Header)       {}
-func (plainCodec) Refuse(w http.ResponseWriter, _ string, e *verdict.Error) {
+func (stubCodec) Encode(*Call, Forward) http.Header { return http.Header{} }
+func (stubCodec) Answer(int, http.Header) Answer    { return Answer{Sealed: true} }
+func (stubCodec) PassOn(to, from http.Header)       {}
+func (stubCodec) Refuse(w http.ResponseWriter, _ string, e *verdict.Error) {
 	w.WriteHeader(e.Reason.Status())
 }
--- /dev/null
+++ b/entry/relay_test.go
@@ -0,0 +1,34 @@
+package entry
+
+import (
+	"io"
+	"testing"
+
+	"ivyridge/memory"
+)
+
+// A singleChunk is a response body of one chunk.
+type singleChunk struct{ read bool }
+
+func (o *singleChunk) next() ([]byte, error) {
+	if o.read {
+		return nil, io.EOF
+	}
+	o.read = true
+	return []byte("data: 1\n\n"), nil
+}
+
+func (o *singleChunk) detach() {}
+
+// Guards against reporting a complete response when the relay was aborted after the reader
+// had read one more chunk, which it drops.
+func TestRelayReportsDroppedChunk(t *testing.T) {
+	r := &relay{f: &exchange{}, src: &singleChunk{}, concurrent: true, buffer: relayBuffer{mem: new(memory.Holding)}}
+	r.changed.L = &r.mu
+	r.releaseOnce.Do(func() {}) // as handleDeadline does
+	r.aborted = true            // as abortWrite does
+	r.readConcurrently()
+	if err := r.writeQueued(nil); err == nil {
+		t.Error("a response without its last chunk is reported as complete")
+	}
+}
--- /dev/null
+++ b/entry/response.go
@@ -0,0 +1,173 @@
+package entry
+
+// This file handles an endpoint's response.
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+
+	"ivyridge/balance"
+	"ivyridge/catalog"
+	"ivyridge/memory"
+	"ivyridge/upstream"
+	"ivyridge/verdict"
+)
+
+// maxBuffered is the size in bytes below which a non-streamed response is read
+// completely before it is forwarded. One that fails until then can be retried.
+const maxBuffered = 64 << 10
+
+// handleResponse forwards a response, or returns an error if it is not final.
+func (f *exchange) handleResponse(ctx context.Context, x *upstream.Exchange) *verdict.Error {
+	head := f.entry.Codec.Answer(x.Status, x.Header)
+	f.applyFeedback(&head)
+	switch {
+	case head.Misdirected:
+		x.Close(false, 0)
+		f.placement.Gone()
+		f.placement.Done(balance.Unknown)
+		f.unmarkSent()
+		return verdict.Refuse(verdict.EndpointGone, "%s answered %d", f.placement.Endpoint.ID, x.Status).After(retryAfterShort)
+	case head.NotRun:
+		_, err := io.Copy(io.Discard, io.LimitReader(x.Body, maxBuffered))
+		x.Close(err == nil, head.KeepAlive)
+		f.placement.Done(balance.Refused)
+		return verdict.Refuse(verdict.EndpointRefused, "%s answered %d", f.placement.Endpoint.ID, x.Status).After(retryAfterShort)
+	case !head.Sealed || x.Header.Get("Content-Encoding") != "":
+		x.Close(false, 0)
+		f.placement.Done(balance.Failed)
+		return verdict.Fail(verdict.MayHaveRun, verdict.EndpointError, "%s: response without the endpoint's seal or with a content encoding (status %d)", f.placement.Endpoint.ID, x.Status)
+	case f.route.Kind == catalog.Stream && x.Status == http.StatusOK:
+		return f.forwardStream(ctx, x, head)
+	case f.headSent:
+		// The stream begun by an earlier endpoint cannot continue with this response.
+		x.Close(false, 0)
+		f.placement.Done(balance.Failed)
+		return verdict.Fail(verdict.Ran, verdict.EndpointError, "%s answered %d to a request to resume a stream", f.placement.Endpoint.ID, x.Status)
+	}
+	return f.forwardPlain(ctx, x, head)
+}
+
+// forwardPlain forwards a response that is not a stream. A response of up to
+// maxBuffered bytes is read completely first, which frees the endpoint before
+// the caller has read it.
+func (f *exchange) forwardPlain(ctx context.Context, x *upstream.Exchange, head Answer) *verdict.Error {
+	data, complete, err := f.readPrefix(x)
+	if err != nil {
+		return f.responseBroken(ctx, x, err)
+	}
+	failed := x.Status >= http.StatusInternalServerError
+	if complete && failed && f.route.MayRepeat() && len(f.tried) < f.route.MaxAttempts {
+		x.Close(true, head.KeepAlive)
+		f.placement.Done(balance.Failed)
+		f.reserveRetry(verdict.Fail(verdict.Ran, verdict.EndpointError, "%s answered %d", f.placement.Endpoint.ID, x.Status))
+		if sent, err := f.retryFailedResponse(ctx); sent {
+			return err
+		}
+		return f.writeResponse(x, data)
+	}
+	outcome := balance.Served
+	if failed {
+		outcome = balance.Failed
+	}
+	if !complete {
+		return f.relay(ctx, x, head, newBodySource(io.MultiReader(bytes.NewReader(data), x.Body)), outcome)
+	}
+	x.Close(true, head.KeepAlive)
+	f.placement.Done(outcome)
+	return f.writeResponse(x, data)
+}
+
+// retryFailedResponse retries a request that an endpoint answered with a server error. If it
+// returns false, the request was not sent again, and the caller should get the
+// response at hand.
+func (f *exchange) retryFailedResponse(ctx context.Context) (sent bool, err *verdict.Error) {
+	f.mayHaveRun = true
+	if err := f.admit(); err != nil {
+		return false, err
+	}
+	sentBefore := len(f.tried)
+	err = f.attempt(ctx)
+	return err == nil || len(f.tried) > sentBefore, err
+}
+
+// writeResponse sends the head of the response and data to the caller.
+func (f *exchange) writeResponse(x *upstream.Exchange, data []byte) *verdict.Error {
+	f.sendHead(x)
+	if _, err := f.w.Write(data); err != nil {
+		return verdict.Fail(verdict.Ran, verdict.CallerGone, "caller disconnected during the response")
+	}
+	return nil
+}
+
+// readPrefix reads up to maxBuffered bytes of the body, and reports whether that is all
+// of it. It reads nothing if there is no memory for a buffer.
+func (f *exchange) readPrefix(x *upstream.Exchange) (data []byte, complete bool, err error) {
+	size := maxBuffered
+	if length, err := strconv.Atoi(x.Header.Get("Content-Length")); err == nil && 0 <= length && length < maxBuffered {
+		size = length + 1 // one more byte, to read up to EOF
+	}
+	if !f.mem.Take(memory.Waiting, int64(size)) {
+		return nil, false, nil
+	}
+	data = make([]byte, 0, size)
+	for len(data) < cap(data) {
+		n, err := x.Body.Read(data[len(data):cap(data)])
+		data = data[:len(data)+n]
+		if err == io.EOF {
+			return data, true, nil
+		}
+		if err != nil {
+			return nil, false, err
+		}
+	}
+	return data, false, nil
+}
+
+// responseBroken ends an exchange whose body could not be read.
+func (f *exchange) responseBroken(ctx context.Context, x *upstream.Exchange, err error) *verdict.Error {
+	x.Close(false, 0)
+	f.placement.Done(f.outcome(ctx))
+	return verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "%s: %s", f.placement.Endpoint.ID, err)
+}
+
+// sendHead sends the head of the response to the caller, once.
+func (f *exchange) sendHead(x *upstream.Exchange) {
+	if f.headSent {
+		return
+	}
+	f.headSent = true
+	f.status = x.Status
+	f.firstByteAfter = f.entry.Now().Sub(f.arrived)
+	f.entry.Codec.PassOn(f.w.Header(), x.Header)
+	if f.leaving() {
+		f.w.Header().Set("Connection", "close")
+	}
+	f.w.WriteHeader(x.Status)
+}
+
+// alreadySent reports whether the event with this ID is not after the last one that the
+// caller has, as when an endpoint restarts a stream instead of resuming it. IDs
+// that are not numbers are never considered sent.
+func alreadySent(id, last string) bool {
+	n, err := strconv.ParseUint(id, 10, 64)
+	if err != nil {
+		return false
+	}
+	m, err := strconv.ParseUint(last, 10, 64)
+	return err == nil && n <= m
+}
+
+// forwardStream forwards a stream, event by event.
+func (f *exchange) forwardStream(ctx context.Context, x *upstream.Exchange, head Answer) *verdict.Error {
+	// The stream may be made of complete events from several endpoints.
+	delete(x.Header, "Content-Length")
+	err := f.relay(ctx, x, head, f.newEventSource(x.Body), balance.Served)
+	if err == nil {
+		f.sendHead(x) // a stream without events
+	}
+	return err
+}
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -1,11 +1,11 @@
 package entry
 
-// This file has a request's retries paid for.
+// This file charges retries to budgets.
 //
-// A request that may be sent again spends from its instance's own bucket. Where that is
-// empty, it asks for one of the fleet's with its next placement, and is placed only if one
-// is granted. A request that is denied ends as its last attempt did: what is said of it
-// never claims less than what endpoints may have done.
+// A retry is charged to the instance's own budget. If that is exhausted, the next placement
+// asks for one from the fleet's budget, and succeeds only if that grants it. A request whose
+// retry is denied fails with the error of its last attempt, so that its verdict does not
+// claim less than what endpoints may have done.
 
 import (
 	"go.uber.org/zap"
@@ -15,41 +15,41 @@
 	"ivyridge/verdict"
 )
 
-// Who pays for a retry, as counters and log lines say it.
+// Budgets that pay for retries, as counted and logged.
 const (
-	paidByOwn   = "own"
-	paidByFleet = "fleet"
-	notPaid     = "denied"
+	payerInstance = "own"
+	payerFleet    = "fleet"
+	payerNone     = "denied"
 )
 
-// A retryState is what is known of a request's next attempt, if it is a retry.
+// A retryState describes the next attempt if it is a retry.
 type retryState struct {
-	cause *verdict.Error // how the attempt before ended; nil: there was none
-	payer string         // empty: nobody, since no endpoint had the request
-	asked balance.Retry  // of the fleet
+	cause *verdict.Error // error of the attempt before; nil: not a retry
+	payer string         // empty: no charge, since the request did not reach an endpoint
+	kind  balance.Retry  // requested from the fleet's budget
 }
 
-// askRetry has the retry that err makes necessary paid for: by the instance's own bucket, or
-// by the fleet, which is asked with the placement.
-func (f *exchange) askRetry(err *verdict.Error) {
-	f.retry = retryState{cause: err, payer: paidByOwn}
-	if !f.entry.budgets.retry(f.service.Name) {
-		f.retry.payer, f.retry.asked = paidByFleet, f.retryKind()
+// reserveRetry charges the retry after err to the instance's own budget, or has the next
+// placement request it from the fleet's.
+func (f *exchange) reserveRetry(err *verdict.Error) {
+	f.retry = retryState{cause: err, payer: payerInstance}
+	if !f.entry.retryBudgets.spend(f.service.Name) {
+		f.retry.payer, f.retry.kind = payerFleet, f.retryKind()
 	}
 }
 
-// earns returns what this attempt earns those who choose endpoints.
-func (f *exchange) earns() quota.Earning {
+// attemptEarning returns what the current attempt adds to the fleet's retry budget.
+func (f *exchange) attemptEarning() quota.Earning {
 	if f.attempts > 1 {
 		return quota.EarnsNothing
 	}
 	return f.earning
 }
 
-// retryKind says what a retry of the request is worth beside others.
+// retryKind returns the kind of the retry, by which the fleet's budget ranks retries.
 func (f *exchange) retryKind() balance.Retry {
 	switch {
-	case f.started:
+	case f.headSent:
 		return balance.RetryStream
 	case f.route.Objective == 0 || f.entry.Now().Sub(f.arrived) < f.route.Objective:
 		return balance.RetryInTime
@@ -57,7 +57,7 @@
 	return balance.RetryLate
 }
 
-// retryGranted takes up that the request is placed; if that is a retry, it is granted.
+// retryGranted records that the request was placed, and counts the retry if it is one.
 func (f *exchange) retryGranted() {
 	r := f.retry
 	f.retry = retryState{}
@@ -68,21 +68,22 @@
 	if r.payer == "" {
 		return
 	}
-	f.paidBy = r.payer
-	f.entry.Counters.paid(r.payer, f.service.Name)
-	if f.entry.budgets.noteGranted(f.service.Name) {
-		f.entry.Log.Info("retries available again", zap.String("service", f.service.Name))
+	f.retryPayer = r.payer
+	f.entry.Counters.retryPaid(r.payer, f.service.Name)
+	if f.entry.retryBudgets.noteGranted(f.service.Name) {
+		f.entry.Log.Info("retry budget available again", zap.String("service", f.service.Name))
 	}
 }
 
-// retryDenied takes up that the fleet has no retry left for the request.
-func (f *exchange) retryDenied(r *balance.Refusal) *verdict.Error {
+// retryDenied records that the fleet's budget denied the retry, and returns the error of the
+// refused placement.
+func (f *exchange) retryDenied(refusal *balance.Refusal) *verdict.Error {
 	f.attempts--
-	f.paidBy = notPaid
-	f.scheduler = r.Chooser
-	f.entry.Counters.paid(notPaid, f.service.Name)
-	if f.entry.budgets.noteDenied(f.service.Name) {
-		f.entry.Log.Warn("retries spent", zap.String("service", f.service.Name), zap.String("scheduler", r.Chooser))
+	f.retryPayer = payerNone
+	f.scheduler = refusal.Chooser
+	f.entry.Counters.retryPaid(payerNone, f.service.Name)
+	if f.entry.retryBudgets.noteDenied(f.service.Name) {
+		f.entry.Log.Warn("retry budget exhausted", zap.String("service", f.service.Name), zap.String("scheduler", refusal.Chooser))
 	}
-	return refused(f.service.Name, r)
+	return placementError(f.service.Name, refusal)
 }
--- /dev/null
+++ b/entry/retry_budget.go
@@ -0,0 +1,125 @@
+package entry
+
+import (
+	"sync"
+	"time"
+
+	"ivyridge/quota"
+)
+
+// retryBudgets holds an instance's own retry budgets, one per service: the retries that it
+// may send without asking a scheduler. Package quota divides the bound on all instances;
+// most of it is held by schedulers, see balance/retry.go.
+type retryBudgets struct {
+	now func() time.Time
+
+	mu        sync.Mutex
+	bound     quota.Retries
+	instances int // the most ever reported; zero: unknown
+	byService map[string]*serviceBudget
+}
+
+// A serviceBudget is the retry budget of one service.
+type serviceBudget struct {
+	quota.Earned
+	exhausted  bool      // retries were denied lately; for logging
+	lastDenied time.Time // time of the last denial
+}
+
+func newRetryBudgets(ratio float64, extra int, now func() time.Time) *retryBudgets {
+	b := &retryBudgets{now: now, byService: make(map[string]*serviceBudget)}
+	b.setBounds(ratio, extra)
+	return b
+}
+
+func (b *retryBudgets) setBounds(ratio float64, extra int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.bound = quota.Retries{Ratio: ratio, Extra: float64(extra)}
+}
+
+// setInstances sets how many instances share the bound, this one included. The number
+// never decreases, as an instance that is cut off from others must not spend their part.
+func (b *retryBudgets) setInstances(n int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.instances = max(b.instances, n)
+}
+
+// instanceCount returns the number of instances, at least one.
+func (b *retryBudgets) instanceCount() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return max(1, b.instances)
+}
+
+// service returns the budget of a service. The caller holds b.mu.
+func (b *retryBudgets) service(service string) *serviceBudget {
+	budget := b.byService[service]
+	if budget == nil {
+		budget = new(serviceBudget)
+		b.byService[service] = budget
+	}
+	return budget
+}
+
+// earn adds one request's share to the budget of its service, and returns which part of what
+// the request earns goes to the fleet's budget.
+func (b *retryBudgets) earn(service string) quota.Earning {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	earns, limit := b.bound.Own(b.instances)
+	if limit <= 0 {
+		return quota.EarnsWhole
+	}
+	b.service(service).Earn(earns, limit, b.now())
+	return quota.EarnsRest
+}
+
+// spend takes one retry from the budget, and reports whether there was one.
+func (b *retryBudgets) spend(service string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	_, limit := b.bound.Own(b.instances)
+	budget, now := b.service(service), b.now()
+	if !budget.Has(limit, 0, now) {
+		return false
+	}
+	budget.Spend(limit, now)
+	return true
+}
+
+// available reports whether the budget has a retry.
+func (b *retryBudgets) available(service string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	_, limit := b.bound.Own(b.instances)
+	return b.service(service).Has(limit, 0, b.now())
+}
+
+// recoveryTime is how long after the last denial retries count as available again.
+const recoveryTime = time.Second
+
+// noteDenied records that a retry was denied, and reports whether retries were available
+// before.
+func (b *retryBudgets) noteDenied(service string) (first bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	budget := b.service(service)
+	first = !budget.exhausted
+	budget.exhausted, budget.lastDenied = true, b.now()
+	return first
+}
+
+// noteGranted records that a retry was granted, and reports whether retries were exhausted
+// before and have recovered.
+func (b *retryBudgets) noteGranted(service string) (recovered bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	budget := b.service(service)
+	recovered = budget.exhausted && b.now().Sub(budget.lastDenied) > recoveryTime
+	if recovered {
+		budget.exhausted = false
+	}
+	return recovered
+}
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -1,11 +1,11 @@
 package entry
 
-// This file decides when a caller that takes nothing of its answer is cut off.
+// This file decides when a caller that does not read its response is disconnected.
 //
-// Bytes that a write has handed over are no measure alone: the buffer of a connection
-// takes more only when a third of it is free, which a caller that reads steadily but
-// slowly reaches after many seconds. So what the caller has acknowledged counts too,
-// where the connection tells it.
+// Completed writes alone do not measure progress: the kernel reports a socket as
+// writable again only when a third of its send buffer is free, which can take many
+// seconds with a caller that reads slowly but steadily. So bytes acknowledged by the peer
+// (TCP_INFO) count as well, where available.
 
 import (
 	"context"
@@ -17,61 +17,60 @@
 	"golang.org/x/sys/unix"
 )
 
-// stallRounds is in how many rounds of the watch progress is looked at once: a caller is
-// cut off half a second late at most, and a thousand cost 2,000 system calls a second.
-const stallRounds = 2
+// stallCheckEvery is the number of monitor checks per stall check, which costs a system call.
+const stallCheckEvery = 2
 
-// A stall watches the progress of a caller. Its owner serialises access.
+// A stall tracks a caller's progress. Access must be serialised.
 type stall struct {
-	pieces uint64 // written
-	seen   progress
-	since  time.Time // there was none
-	detail string    // of a caller that was cut off
+	chunks uint64 // written
+	last   progress
+	since  time.Time // start of the time without progress
+	detail string    // error detail, once the caller is disconnected
 }
 
-// A progress is what a caller has taken.
-type progress struct{ pieces, acked uint64 }
+// progress measures how much a caller has received.
+type progress struct{ chunks, acked uint64 }
 
-func (s *stall) begin(since time.Time, p progress) { s.since, s.seen = since, p }
+func (s *stall) reset(since time.Time, p progress) { s.since, s.last = since, p }
 
-// over reports whether nothing was taken for too long, at time now, by a caller for whom
-// a write goes on.
-func (s *stall) over(now time.Time, p progress, writing bool, allowed time.Duration) bool {
-	if p != s.seen || !writing {
-		s.begin(now, p)
+// exceeded reports whether there was no progress for longer than allowed, up to now, while a
+// write was in progress.
+func (s *stall) exceeded(now time.Time, p progress, writing bool, allowed time.Duration) bool {
+	if p != s.last || !writing {
+		s.reset(now, p)
 		return false
 	}
 	return now.Sub(s.since) > allowed
 }
 
-// checkStall cuts the caller off if it takes nothing, at time now.
+// checkStall aborts the relay if the caller has stalled, at time now.
 func (r *relay) checkStall(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over || r.lost {
+	if r.closed || r.aborted {
 		return
 	}
-	allowed := r.f.entry.callerStall()
-	if now.After(r.f.ends) {
-		allowed = min(allowed, lateStall)
+	allowed := r.f.entry.stallTimeout()
+	if now.After(r.f.deadline) {
+		allowed = min(allowed, lateStallTimeout)
 	}
-	if r.stall.over(now, r.taken(), r.writing, allowed) {
-		r.slow = true
-		r.stall.detail = fmt.Sprintf("%d bytes waited, nothing was taken for %s", r.ahead.waiting+len(r.lent),
+	if r.stall.exceeded(now, r.progress(), r.writing, allowed) {
+		r.stalled = true
+		r.stall.detail = fmt.Sprintf("%d bytes buffered, no progress for %s", r.buffer.size+len(r.direct),
 			now.Sub(r.stall.since).Round(time.Millisecond))
-		r.cut()
+		r.abortWrite()
 	}
 }
 
-// taken returns the progress so far. R.mu is held.
-func (r *relay) taken() progress {
-	return progress{pieces: r.stall.pieces, acked: acked(r.f.r.Context())}
+// progress returns the progress so far. The caller holds r.mu.
+func (r *relay) progress() progress {
+	return progress{chunks: r.stall.chunks, acked: acked(r.f.r.Context())}
 }
 
 type connKey struct{}
 
-// ConnContext returns a context of c's requests from which the entry learns what the
-// caller has acknowledged. It is for http.Server.
+// ConnContext is for http.Server.ConnContext. It gives the entry access to the
+// connection's count of acknowledged bytes.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -84,7 +83,7 @@
 	return context.WithValue(ctx, connKey{}, raw)
 }
 
-// acked returns how many bytes the caller has acknowledged; zero where that is not known.
+// acked returns how many bytes the caller's TCP has acknowledged on its connection; zero if unknown.
 func acked(ctx context.Context) (n uint64) {
 	raw, ok := ctx.Value(connKey{}).(syscall.RawConn)
 	if !ok {
