--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -1,6 +1,6 @@
 package upstream
 
-// This file carries one request and its answer.
+// This file sends one request and reads the head of its response.
 
 import (
 	"bytes"
@@ -17,49 +17,51 @@
 )
 
 const (
-	// writeAside is the size of a body from which it is written beside the
-	// reading, since an endpoint may answer before it has read it.
-	writeAside = 8 << 10
-	// maxStrays is how many answers to earlier requests are passed over.
-	maxStrays = 2
-	// maxStrayBody is how long such an answer may be.
-	maxStrayBody = 64 << 10
-	// maxInformational is how many interim answers are passed over.
+	// concurrentWriteBytes is the body size from which the request is written
+	// concurrently, since an endpoint may respond before it has read the body.
+	concurrentWriteBytes = 8 << 10
+	// maxMismatched is how many responses to other requests are skipped.
+	maxMismatched = 2
+	// maxMismatchedBody is the size in bytes from which such a response fails the exchange.
+	maxMismatchedBody = 64 << 10
+	// maxInformational is how many 1xx responses are skipped.
 	maxInformational = 5
 )
 
-// A Request is sent to an endpoint.
+// A Request is a request to an endpoint.
 type Request struct {
-	Endpoint string // its incarnation: connections are kept by it
+	Endpoint string // incarnation, the key for connection reuse
 	Address  string
 	Method   string
 	Host     string
-	Target   string // for the request line
+	Target   string // as in the request line
 	Header   http.Header
 	Body     []byte
-	MaySend  func() bool // asked right before the first byte leaves; nil: it may
+	MaySend  func() bool // called before the first byte is written; nil: always true
 }
 
-// An Exchange is a request that was sent, and the head of its answer. Its
-// owner reads the body and calls Close.
+// An Exchange is a request that was sent, and the head of its response. The
+// caller of Do must read Body as far as needed and call Close once. Calling
+// Close with complete unset while Body is being read makes that read fail.
 type Exchange struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
 
-	pool     *Pool
-	conn     *conn
-	endpoint string
-	written  *atomic.Bool
-	reusable bool
-	stop     func() bool
+	pool       *Pool
+	conn       *conn
+	endpoint   string
+	written    *atomic.Bool
+	reusable   bool
+	stopCancel func() bool
 }
 
-// Do sends r and returns when the head of its answer has come. The request is
-// broken off when ctx ends. Stray tells whether an answer belongs to an
-// earlier request on the connection.
-func (p *Pool) Do(ctx context.Context, r *Request, stray func(http.Header) bool) (*Exchange, error) {
-	c := p.take(r.Endpoint)
+// Do sends r and returns once the head of the response has been read. When ctx
+// is done, also later, the connection is closed. The function mismatched
+// reports whether a response with the given headers belongs to another request;
+// such responses are skipped. Errors are of type *verdict.Error.
+func (p *Pool) Do(ctx context.Context, r *Request, mismatched func(http.Header) bool) (*Exchange, error) {
+	c := p.getIdle(r.Endpoint)
 	if c == nil {
 		var err error
 		if c, err = p.dial(ctx, r.Address); err != nil {
@@ -67,29 +69,29 @@
 		}
 	}
 	x := &Exchange{pool: p, conn: c, endpoint: r.Endpoint, written: new(atomic.Bool)}
-	x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
+	x.stopCancel = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if ctx.Err() != nil {
 		x.Close(false, 0)
-		return nil, verdict.Fail(verdict.NotRun, verdict.CallerGone, "%s: nothing was sent", r.Endpoint)
+		return nil, verdict.Fail(verdict.NotRun, verdict.CallerGone, "%s: request not sent", r.Endpoint)
 	}
 	if r.MaySend != nil && !r.MaySend() {
-		x.written.Store(true) // nothing is: the connection may be kept
+		x.written.Store(true) // nothing to write, so that the connection is reusable
 		x.reusable = true
 		x.Close(true, 0)
-		return nil, verdict.Refuse(verdict.EndpointRests, "%s: nothing was sent", r.Endpoint)
+		return nil, verdict.Refuse(verdict.EndpointRests, "%s: request not sent", r.Endpoint)
 	}
 	if err := x.send(r); err != nil {
 		x.Close(false, 0)
-		return nil, failed(r, err)
+		return nil, cutError(r, err)
 	}
-	if err := x.head(r, stray); err != nil {
+	if err := x.readHead(r, mismatched); err != nil {
 		x.Close(false, 0)
-		return nil, failed(r, err)
+		return nil, cutError(r, err)
 	}
 	return x, nil
 }
 
-func failed(r *Request, err error) error {
+func cutError(r *Request, err error) error {
 	return verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "%s: %s", r.Endpoint, err)
 }
 
@@ -104,7 +106,7 @@
 		ProtoMinor:    1,
 	}
 	if _, ok := out.Header["User-Agent"]; !ok {
-		out.Header["User-Agent"] = nil // none is made up
+		out.Header["User-Agent"] = nil // suppresses net/http's default
 	}
 	if len(r.Body) > 0 {
 		out.Body = io.NopCloser(bytes.NewReader(r.Body))
@@ -119,69 +121,70 @@
 		x.written.Store(true)
 		return nil
 	}
-	if len(r.Body) < writeAside {
+	if len(r.Body) < concurrentWriteBytes {
 		return write()
 	}
-	// The reader sees the failure of a connection too.
+	// A write error needs no handling: the reader sees the failed connection too.
 	go func() { _ = write() }()
 	return nil
 }
 
-// head reads the head of the answer that belongs to r.
-func (x *Exchange) head(r *Request, stray func(http.Header) bool) error {
-	strays, interim := 0, 0
+// readHead reads the head of the response to r.
+func (x *Exchange) readHead(r *Request, mismatched func(http.Header) bool) error {
+	skipped, interim := 0, 0
 	for {
 		res, err := http.ReadResponse(x.conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
-			return errors.Wrap(err, "no answer")
+			return errors.Wrap(err, "no response")
 		}
 		switch {
 		case res.StatusCode < http.StatusOK:
 			if interim++; interim > maxInformational || res.StatusCode == http.StatusSwitchingProtocols {
-				return errors.Errorf("answered %s", res.Status)
+				return errors.Errorf("unexpected response %s", res.Status)
 			}
-		case stray(res.Header):
-			if strays++; strays > maxStrays {
-				return errors.New("answers to other requests")
+		case mismatched(res.Header):
+			if skipped++; skipped > maxMismatched {
+				return errors.New("too many responses to other requests")
 			}
-			if err := skip(res); err != nil {
+			if err := discardMismatched(res); err != nil {
 				return err
 			}
 		default:
-			x.accept(res)
+			x.setResponse(res)
 			return nil
 		}
 	}
 }
 
-// skip reads over an answer that belongs to another request.
-func skip(res *http.Response) error {
+// discardMismatched reads the body of a response to another request.
+func discardMismatched(res *http.Response) error {
 	if res.Close {
-		return errors.New("a last answer to another request")
+		return errors.New("connection closed after a response to another request")
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxStrayBody))
+	n, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxMismatchedBody))
 	if err != nil {
-		return errors.Wrap(err, "an answer to another request")
+		return errors.Wrap(err, "response to another request")
 	}
-	if n == maxStrayBody {
-		return errors.New("a long answer to another request")
+	if n == maxMismatchedBody {
+		return errors.New("oversized response to another request")
 	}
 	return nil
 }
 
-func (x *Exchange) accept(res *http.Response) {
+func (x *Exchange) setResponse(res *http.Response) {
 	x.Status = res.StatusCode
 	x.Header = res.Header
 	x.Body = res.Body
 	x.reusable = !res.Close
 }
 
-// Close ends the exchange. If its answer was read whole, the connection may
-// be kept for rest; otherwise it is closed, which tells the endpoint to stop.
-func (x *Exchange) Close(whole bool, rest time.Duration) {
-	alive := x.stop()
-	if whole && alive && x.reusable && x.written.Load() && x.conn.reader.Buffered() == 0 {
-		x.pool.keep(x.endpoint, x.conn, rest)
+// Close ends the exchange. If the response was read completely, the connection
+// is kept for reuse where possible, for idleTimeout (zero: a default).
+// Otherwise it is closed, which tells the endpoint to abort the request.
+func (x *Exchange) Close(complete bool, idleTimeout time.Duration) {
+	alive := x.stopCancel()
+	if complete && alive && x.reusable && x.written.Load() && x.conn.reader.Buffered() == 0 {
+		x.pool.putIdle(x.endpoint, x.conn, idleTimeout)
 		return
 	}
 	_ = x.conn.Close()
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -1,11 +1,11 @@
-// Package upstream sends requests to endpoints over kept connections.
+// Package upstream sends requests to endpoints over persistent HTTP/1.1 connections.
 //
-// An Exchange is one request and its answer on one connection. Nothing is
-// repeated, redirected or decompressed here, and nothing that an endpoint
-// sends beyond an answer is taken for another one: net/http's own client
-// repeats some requests by itself on a kept connection, so that only its
-// parser and writer are used. A failure before the first byte was written
-// carries the verdict NotRun; any later one MayHaveRun.
+// An Exchange is one request and its response on one connection. The package
+// never retries a request, follows redirects or decompresses, and never takes
+// surplus bytes after a response for the next response. It uses the parser and
+// the writer of net/http, but not its client, which retries some requests on
+// persistent connections by itself. A failure before the first byte is written
+// has the verdict NotRun; any later one MayHaveRun.
 package upstream
 
 import (
@@ -20,17 +20,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds on connections.
+// Connection settings.
 const (
-	dialWithin   = 300 * time.Millisecond
-	unackedFor   = 800 * time.Millisecond // sent bytes that are not acknowledged end a connection
-	probeAfter   = time.Second            // a silent connection is probed so often
-	probeMissed  = 2
-	restFor      = 4 * time.Second        // where the endpoint names no time
-	restMargin   = 500 * time.Millisecond // a connection is not reused so near its end
-	readBuffer   = 4 << 10
-	writeBuffer  = 2 << 10
-	idleEndpoint = 12 // kept connections an endpoint
+	dialTimeout        = 300 * time.Millisecond
+	unackedTimeout     = 800 * time.Millisecond // TCP_USER_TIMEOUT: closes a connection whose data stays unacknowledged
+	keepAliveInterval  = time.Second            // also the idle time before the first probe
+	keepAliveProbes    = 2
+	defaultIdleTimeout = 4 * time.Second        // if the endpoint states none
+	idleMargin         = 500 * time.Millisecond // connections are not reused so close to their idle timeout
+	readBufferBytes    = 4 << 10
+	writeBufferBytes   = 2 << 10
+	maxIdlePerEndpoint = 12
 )
 
 // A conn is a connection to an endpoint.
@@ -42,44 +42,44 @@
 	expires time.Time
 }
 
-// sound reports whether a resting connection is open and silent. Bytes that
-// wait there belong to no request.
-func (c *conn) sound() bool {
+// usable reports whether an idle connection is still open and has no unread
+// data. Such data belongs to no request.
+func (c *conn) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
 	if c.raw == nil {
 		return true
 	}
-	silent := false
-	var one [1]byte
+	idle := false
+	var buf [1]byte
 	err := c.raw.Read(func(fd uintptr) bool {
-		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent = err == unix.EAGAIN
+		_, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		idle = err == unix.EAGAIN
 		return true
 	})
-	return err == nil && silent
+	return err == nil && idle
 }
 
-// A Pool keeps connections, by endpoint. It is safe for concurrent use.
+// A Pool keeps idle connections for reuse, by endpoint. It is safe for concurrent use.
 type Pool struct {
 	dialer net.Dialer
 	count  func(event string)
 	now    func() time.Time
 
 	mu     sync.Mutex
-	idle   map[string][]*conn // by the endpoint's incarnation, the last used at the end
+	idle   map[string][]*conn // by the endpoint's incarnation; most recently used last
 	closed bool
 }
 
-// NewPool returns an empty Pool whose connections rest by the clock now. Count is called for each connection that is
-// opened, reused or found dead.
+// NewPool returns an empty Pool that uses now for idle timeouts. Count is called with
+// "dialled", "dial-failed" or "reused" for each event; it must be safe for concurrent use.
 func NewPool(count func(event string), now func() time.Time) *Pool {
 	return &Pool{
 		dialer: net.Dialer{
-			Timeout:         dialWithin,
-			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeAfter, Count: probeMissed},
-			Control:         boundUnacked,
+			Timeout:         dialTimeout,
+			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
+			Control:         setUserTimeout,
 		},
 		count: count,
 		now:   now,
@@ -87,20 +87,20 @@
 	}
 }
 
-func boundUnacked(_, _ string, raw syscall.RawConn) error {
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedFor.Milliseconds()))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 }
 
-// take returns a kept connection that is sound, or nil.
-func (p *Pool) take(endpoint string) *conn {
+// getIdle returns a usable idle connection, or nil.
+func (p *Pool) getIdle(endpoint string) *conn {
 	for {
-		c := p.pop(endpoint)
+		c := p.popIdle(endpoint)
 		if c == nil {
 			return nil
 		}
-		if p.now().Before(c.expires) && c.sound() {
+		if p.now().Before(c.expires) && c.usable() {
 			p.count("reused")
 			return c
 		}
@@ -108,19 +108,18 @@
 	}
 }
 
-func (p *Pool) pop(endpoint string) *conn {
+func (p *Pool) popIdle(endpoint string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[endpoint]
-	if len(kept) == 0 {
+	conns := p.idle[endpoint]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := kept[len(kept)-1]
-	p.idle[endpoint] = kept[:len(kept)-1]
+	c := conns[len(conns)-1]
+	p.idle[endpoint] = conns[:len(conns)-1]
 	return c
 }
 
-// dial opens a connection.
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	nc, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -128,25 +127,25 @@
 		return nil, err
 	}
 	p.count("dialled")
-	c := &conn{Conn: nc, reader: bufio.NewReaderSize(nc, readBuffer), writer: bufio.NewWriterSize(nc, writeBuffer)}
+	c := &conn{Conn: nc, reader: bufio.NewReaderSize(nc, readBufferBytes), writer: bufio.NewWriterSize(nc, writeBufferBytes)}
 	if sc, ok := nc.(syscall.Conn); ok {
 		c.raw, _ = sc.SyscallConn()
 	}
 	return c, nil
 }
 
-// A Presence says what answers at an endpoint's address.
+// A Presence is the result of a Probe.
 type Presence uint8
 
-// What answers.
+// Results of a Probe.
 const (
-	Unclear Presence = iota // nothing, in time
-	Listens                 // a process
-	Refused                 // a machine on which no process listens there
+	Unclear Presence = iota // no response in time, or another error
+	Listens                 // a process accepts connections
+	Refused                 // the machine refuses connections: no process listens
 )
 
-// Probe opens a connection to an endpoint, to see whether its process is there; it is kept for
-// the next request.
+// Probe opens a connection to an endpoint to check whether its process is running. The
+// connection is kept for the next request.
 func (p *Pool) Probe(ctx context.Context, endpoint, address string) Presence {
 	c, err := p.dial(ctx, address)
 	switch {
@@ -155,35 +154,36 @@
 	case err != nil:
 		return Unclear
 	}
-	p.keep(endpoint, c, restFor)
+	p.putIdle(endpoint, c, defaultIdleTimeout)
 	return Listens
 }
 
-// keep takes a connection back that may carry another request.
-func (p *Pool) keep(endpoint string, c *conn, rest time.Duration) {
-	if rest <= 0 {
-		rest = restFor
+// putIdle keeps a connection for another request, for idleTimeout less idleMargin; zero
+// means defaultIdleTimeout. It closes the connection if there are too many.
+func (p *Pool) putIdle(endpoint string, c *conn, idleTimeout time.Duration) {
+	if idleTimeout <= 0 {
+		idleTimeout = defaultIdleTimeout
 	}
-	c.expires = p.now().Add(rest - restMargin)
+	c.expires = p.now().Add(idleTimeout - idleMargin)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.idle[endpoint]) >= idleEndpoint || rest <= restMargin {
+	if p.closed || len(p.idle[endpoint]) >= maxIdlePerEndpoint || idleTimeout <= idleMargin {
 		_ = c.Close()
 		return
 	}
 	p.idle[endpoint] = append(p.idle[endpoint], c)
 }
 
-// Sweep closes the connections that have rested too long, and all those of
-// endpoints that known says are not there any more.
+// Sweep closes connections that have reached their idle timeout at now, and those of
+// endpoints for which known returns false.
 func (p *Pool) Sweep(now time.Time, known func(endpoint string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for endpoint, kept := range p.idle {
-		there := known(endpoint)
-		alive := kept[:0]
-		for _, c := range kept {
-			if there && now.Before(c.expires) {
+	for endpoint, conns := range p.idle {
+		exists := known(endpoint)
+		alive := conns[:0]
+		for _, c := range conns {
+			if exists && now.Before(c.expires) {
 				alive = append(alive, c)
 				continue
 			}
@@ -197,7 +197,8 @@
 	}
 }
 
-// Close closes the kept connections; those in use are closed by their users.
+// Close closes all idle connections. Connections in use are closed when their
+// exchanges end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -15,8 +15,9 @@
 	"ivyridge/verdict"
 )
 
-// endpoint accepts connections and hands each to serve with its number.
-func endpoint(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
+// startEndpoint runs a server that calls serve with the number of each connection, from 1,
+// and returns its address.
+func startEndpoint(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +38,7 @@
 	return l.Addr().String()
 }
 
-func read(r *bufio.Reader) (*http.Request, error) {
+func readRequest(r *bufio.Reader) (*http.Request, error) {
 	req, err := http.ReadRequest(r)
 	if err == nil {
 		_, err = io.Copy(io.Discard, req.Body)
@@ -45,25 +46,25 @@
 	return req, err
 }
 
-func say(c net.Conn, id, body string) {
+func writeResponse(c net.Conn, id, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-type caller struct {
+type client struct {
 	t      *testing.T
 	pool   *upstream.Pool
 	addr   string
 	events map[string]int
 }
 
-func newCaller(t *testing.T, addr string) *caller {
-	c := &caller{t: t, addr: addr, events: make(map[string]int)}
+func newClient(t *testing.T, addr string) *client {
+	c := &client{t: t, addr: addr, events: make(map[string]int)}
 	c.pool = upstream.NewPool(func(event string) { c.events[event]++ }, time.Now)
 	t.Cleanup(c.pool.Close)
 	return c
 }
 
-func (c *caller) do(id, method string, body string) (string, error) {
+func (c *client) do(id, method string, body string) (string, error) {
 	r := &upstream.Request{Endpoint: "e", Address: c.addr, Method: method, Host: "h", Target: "/x", Header: http.Header{"Id": {id}}, Body: []byte(body)}
 	x, err := c.pool.Do(context.Background(), r, func(h http.Header) bool { return h.Get("Id") != "" && h.Get("Id") != id })
 	if err != nil {
@@ -74,34 +75,34 @@
 	return string(data), err
 }
 
-func TestConnectionsAreReused(t *testing.T) {
-	addr := endpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
+func TestPoolReusesConnections(t *testing.T) {
+	addr := startEndpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
-			req, err := read(r)
+			req, err := readRequest(r)
 			if err != nil {
 				return
 			}
-			say(c, req.Header.Get("Id"), "ok")
+			writeResponse(c, req.Header.Get("Id"), "ok")
 		}
 	})
-	c := newCaller(t, addr)
+	c := newClient(t, addr)
 	for n := range 3 {
 		if got, err := c.do(fmt.Sprint(n), "GET", ""); err != nil || got != "ok" {
 			t.Fatalf("got %q, %v", got, err)
 		}
 	}
 	if c.events["dialled"] != 1 || c.events["reused"] != 2 {
-		t.Fatalf("connections: %v", c.events)
+		t.Fatalf("connection events: %v, want 1 dialled and 2 reused", c.events)
 	}
 }
 
-// net/http's client sends a GET again if a kept connection closes before its
-// answer. That would be a second run that no budget counts.
-func TestNothingIsRepeated(t *testing.T) {
+// Guards against a transparent retry, as net/http's client does for a GET if a persistent
+// connection closes before the response. No retry budget would count it.
+func TestRequestsAreNotRetried(t *testing.T) {
 	requests := make(chan string, 10)
-	addr := endpoint(t, func(n int, c net.Conn, r *bufio.Reader) {
+	addr := startEndpoint(t, func(n int, c net.Conn, r *bufio.Reader) {
 		for k := 0; ; k++ {
-			req, err := read(r)
+			req, err := readRequest(r)
 			if err != nil {
 				return
 			}
@@ -109,65 +110,65 @@
 			if k == 1 {
 				return // the second request on a connection gets no answer
 			}
-			say(c, req.Header.Get("Id"), "ok")
+			writeResponse(c, req.Header.Get("Id"), "ok")
 		}
 	})
-	c := newCaller(t, addr)
+	c := newClient(t, addr)
 	if _, err := c.do("1", "GET", ""); err != nil {
 		t.Fatal(err)
 	}
 	_, err := c.do("2", "GET", "")
 	if v := verdict.Of(err); v == nil || v.Verdict != verdict.MayHaveRun {
-		t.Fatalf("got %v, want a failure that may have run", err)
+		t.Fatalf("got %v, want a failure with verdict MayHaveRun", err)
 	}
 	if n := len(requests); n != 2 {
 		t.Fatalf("%d requests arrived, want 2", n)
 	}
 }
 
-func TestClosedWhileResting(t *testing.T) {
-	addr := endpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		if req, err := read(r); err == nil {
-			say(c, req.Header.Get("Id"), "ok")
+func TestIdleConnectionClosedByEndpoint(t *testing.T) {
+	addr := startEndpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		if req, err := readRequest(r); err == nil {
+			writeResponse(c, req.Header.Get("Id"), "ok")
 		}
 	})
-	c := newCaller(t, addr)
+	c := newClient(t, addr)
 	for n := range 3 {
 		if _, err := c.do(fmt.Sprint(n), "POST", "body"); err != nil {
-			t.Fatalf("request %d met the end of a connection that had rested: %v", n, err)
+			t.Fatalf("request %d failed on a closed idle connection: %v", n, err)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func TestSurplusAnswers(t *testing.T) {
+func TestUnsolicitedResponsesAreNotDelivered(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		surplus string
 		pause   time.Duration
 	}{
-		{"at once", "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 4\r\n\r\nmore", 0},
-		{"while the connection rests", "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 4\r\n\r\nmore", 30 * time.Millisecond},
-		{"what is no answer", "rubbish\r\n", 0},
+		{"right away", "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 4\r\n\r\nmore", 0},
+		{"while the connection is idle", "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 4\r\n\r\nmore", 30 * time.Millisecond},
+		{"not HTTP", "rubbish\r\n", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			addr := endpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+			addr := startEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				for {
-					req, err := read(r)
+					req, err := readRequest(r)
 					if err != nil {
 						return
 					}
-					say(conn, req.Header.Get("Id"), "own")
+					writeResponse(conn, req.Header.Get("Id"), "own")
 					time.Sleep(c.pause)
-					// A surplus answer names the request that it answers again.
+					// The surplus response has the ID of the request answered before.
 					io.WriteString(conn, strings.ReplaceAll(c.surplus, "%s", req.Header.Get("Id")))
 				}
 			})
-			caller := newCaller(t, addr)
+			caller := newClient(t, addr)
 			for n := range 3 {
 				got, err := caller.do(fmt.Sprint(n), "POST", "")
 				if err == nil && got != "own" {
-					t.Fatalf("request %d got another's answer: %q", n, got)
+					t.Fatalf("request %d got another request's response: %q", n, got)
 				}
 				time.Sleep(2 * c.pause)
 			}
@@ -175,64 +176,64 @@
 	}
 }
 
-// A surplus answer that comes in the place of the next one is told by its id.
-func TestStrayAnswerIsPassedOver(t *testing.T) {
-	addr := endpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
+// Guards against delivering a surplus response to the next request; the ID tells them apart.
+func TestMismatchedResponseIsSkipped(t *testing.T) {
+	addr := startEndpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
-			req, err := read(r)
+			req, err := readRequest(r)
 			if err != nil {
 				return
 			}
-			say(c, "earlier", "not yours")
-			say(c, req.Header.Get("Id"), "yours")
+			writeResponse(c, "earlier", "not yours")
+			writeResponse(c, req.Header.Get("Id"), "yours")
 		}
 	})
-	if got, err := newCaller(t, addr).do("1", "POST", ""); err != nil || got != "yours" {
+	if got, err := newClient(t, addr).do("1", "POST", ""); err != nil || got != "yours" {
 		t.Fatalf("got %q, %v", got, err)
 	}
 }
 
-func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
-	addr := endpoint(t, func(n int, c net.Conn, r *bufio.Reader) {
+func TestResponseBeforeBodyIsRead(t *testing.T) {
+	addr := startEndpoint(t, func(n int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		say(c, req.Header.Get("Id"), fmt.Sprint("connection ", n))
+		writeResponse(c, req.Header.Get("Id"), fmt.Sprint("connection ", n))
 		time.Sleep(time.Second)
 	})
-	c := newCaller(t, addr)
+	c := newClient(t, addr)
 	for n := 1; n <= 2; n++ {
 		got, err := c.do(fmt.Sprint(n), "POST", strings.Repeat("x", 8<<20))
 		if want := fmt.Sprint("connection ", n); err != nil || got != want {
-			t.Fatalf("got %q, %v, want %q: a connection with a body in it is not for another request", got, err, want)
+			t.Fatalf("got %q, %v, want %q: a connection with an unfinished request body was reused", got, err, want)
 		}
 	}
 }
 
-func TestVerdicts(t *testing.T) {
+func TestFailureVerdicts(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	refused := l.Addr().String()
 	l.Close()
-	cut := endpoint(t, func(_ int, c net.Conn, r *bufio.Reader) { _, _ = read(r) })
+	cut := startEndpoint(t, func(_ int, c net.Conn, r *bufio.Reader) { _, _ = readRequest(r) })
 	for _, c := range []struct {
 		addr string
 		want verdict.Verdict
 	}{{refused, verdict.NotRun}, {cut, verdict.MayHaveRun}} {
-		_, err := newCaller(t, c.addr).do("1", "POST", "")
+		_, err := newClient(t, c.addr).do("1", "POST", "")
 		if v := verdict.Of(err); v == nil || v.Verdict != c.want {
 			t.Errorf("got %v, want %v", err, c.want)
 		}
 	}
 }
 
-func TestCancelClosesTheConnection(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
-	addr := endpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		if _, err := read(r); err != nil {
+	addr := startEndpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		if _, err := readRequest(r); err != nil {
 			return
 		}
 		_, _ = r.ReadByte() // until the connection closes
@@ -240,14 +241,14 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	c := newCaller(t, addr)
+	c := newClient(t, addr)
 	r := &upstream.Request{Endpoint: "e", Address: addr, Method: "POST", Host: "h", Target: "/", Header: http.Header{}}
 	if _, err := c.pool.Do(ctx, r, func(http.Header) bool { return false }); err == nil {
-		t.Fatal("a cancelled request was answered")
+		t.Fatal("a cancelled request succeeded")
 	}
 	select {
 	case <-closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the endpoint was not told")
+		t.Fatal("the endpoint's connection was not closed")
 	}
 }
