--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,14 +1,13 @@
-// Package verdict says whether a request may have run.
+// Package verdict classifies failed requests by whether they may have run.
 //
-// Every answer of the router that is not a plain success carries a Verdict
-// and a Reason. The Verdict is the part a caller may act on: NotRun means
-// that no endpoint was given the request, so it may be sent again whatever
-// the request does. The Reason is a stable code, counted one by one, that
-// tells operators and callers why.
+// Every response of the router other than a success carries a Verdict and a
+// Reason. The Verdict tells the caller whether a retry is safe: NotRun means
+// that no endpoint has run the request, so that it can be sent again even if it
+// is not idempotent. The Reason is a stable code for metrics, operators and
+// callers.
 //
-// An Error moves both through the code. Wrapping with pkg/errors keeps them:
-// Of finds the Error anywhere in a chain, and a chain without one is
-// MayHaveRun, the verdict that claims least.
+// An Error carries both through the code, also when it is wrapped. An error
+// chain without an Error counts as MayHaveRun.
 package verdict
 
 import (
@@ -23,20 +22,20 @@
 type Verdict uint8
 
 const (
-	// MayHaveRun is the zero value: nothing is known, so nothing is claimed.
+	// MayHaveRun is the zero value: an endpoint may have run the request.
 	MayHaveRun Verdict = iota
-	// NotRun means that no endpoint was given the request.
+	// NotRun means that no endpoint has run the request.
 	NotRun
-	// Ran means that an endpoint ran the request, at least in part.
+	// Ran means that an endpoint has run the request, at least in part.
 	Ran
 )
 
 var verdictNames = [...]string{MayHaveRun: "may-have-run", NotRun: "not-run", Ran: "ran"}
 
-// String returns the name used in answers and reports.
+// String returns the name used in responses, logs and reports.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Parse returns the verdict named s.
+// Parse returns the verdict named s. The result is false if there is none.
 func Parse(s string) (Verdict, bool) {
 	for v, name := range verdictNames {
 		if name == s {
@@ -46,10 +45,10 @@
 	return MayHaveRun, false
 }
 
-// A Reason is a stable code for a refusal, a failure or a retry.
+// A Reason is a stable code for why a request was rejected, failed or retried.
 type Reason string
 
-// Reasons for refusing before anything ran.
+// Reasons for rejecting a request that has not run.
 const (
 	BadRequest       Reason = "bad-request"
 	Unauthenticated  Reason = "unauthenticated"
@@ -58,7 +57,7 @@
 	UnknownClass     Reason = "unknown-class"
 	TooLarge         Reason = "too-large"
 	Overloaded       Reason = "overloaded"
-	DemandBeyond     Reason = "demand-beyond-fleet" // it could not begin in time, or gives way to more urgent requests
+	DemandBeyond     Reason = "demand-beyond-fleet" // the fleet is over capacity for the request's priority and deadline
 	DeadlineMissed   Reason = "deadline-missed"
 	TeamLimit        Reason = "team-limit"
 	NoEndpoint       Reason = "no-endpoint"
@@ -73,36 +72,36 @@
 	StaleBelief      Reason = "stale-belief"
 	BodyCut          Reason = "body-cut"
 	EndpointRefused  Reason = "endpoint-refused"
-	EndpointGone     Reason = "endpoint-gone"     // another endpoint has its address
-	BodySlow         Reason = "body-slow"         // the caller stopped sending it
-	MemoryFull       Reason = "memory-full"       // what is held for callers fills the instance's memory
-	NoHomeEndpoint   Reason = "no-home-endpoint"  // none in the regions where the request may be served
-	EndsEndpoints    Reason = "ends-endpoints"    // endpoints ended that ran the same request before
-	EndpointRests    Reason = "endpoint-rests"    // the chosen endpoint has asked for rest, or said that it leaves, since it was chosen
-	EndpointsRest    Reason = "endpoints-rest"    // all endpoints that may serve it have asked the instance for rest
-	EndpointsLimited Reason = "endpoints-limited" // none that may serve it takes more within the limit that it names
+	EndpointGone     Reason = "endpoint-gone"     // the endpoint's address now belongs to another endpoint
+	BodySlow         Reason = "body-slow"         // the caller stopped sending the body
+	MemoryFull       Reason = "memory-full"       // the instance has reached its memory limit
+	NoHomeEndpoint   Reason = "no-home-endpoint"  // no endpoint in the regions where the request may be served
+	EndsEndpoints    Reason = "ends-endpoints"    // the request is known to crash endpoints
+	EndpointRests    Reason = "endpoint-rests"    // the chosen endpoint asked for a back-off, or announced its shutdown, before the request was sent
+	EndpointsRest    Reason = "endpoints-rest"    // all endpoints that may serve the request asked this instance to back off
+	EndpointsLimited Reason = "endpoints-limited" // all endpoints that may serve the request have reached their rate limits
 )
 
-// Reasons met when a request may have run.
+// Reasons for failing a request that may have run.
 const (
 	EndpointConnect Reason = "endpoint-connect"
 	EndpointError   Reason = "endpoint-error"
 	EndpointCut     Reason = "endpoint-cut"
 	EndpointBusy    Reason = "endpoint-busy"
 	EndpointSilent  Reason = "endpoint-silent"
-	AnswerNoMemory  Reason = "answer-no-memory" // the instance had no memory for an event of the answer
+	AnswerNoMemory  Reason = "answer-no-memory" // the instance had no memory for an event of the response
 	EntryLost       Reason = "entry-lost"
 	CallerGone      Reason = "caller-gone"
-	CallerSlow      Reason = "caller-slow" // it took nothing of its answer for too long
+	CallerSlow      Reason = "caller-slow" // the caller stopped reading the response
 	TimeLimit       Reason = "time-limit"
 	RetryBudget     Reason = "retry-budget"
 	HomeLost        Reason = "home-lost"
 	Duplicate       Reason = "duplicate"
-	EndedEndpoints  Reason = "ended-endpoints" // as ends-endpoints, where this one has been sent to an endpoint
+	EndedEndpoints  Reason = "ended-endpoints" // as EndsEndpoints, for a request that has already been sent to an endpoint
 	Internal        Reason = "internal"
 )
 
-// statusOf gives the HTTP status that each reason is answered with.
+// statusOf maps each reason to the HTTP status of the response.
 var statusOf = map[Reason]int{
 	BadRequest:       http.StatusBadRequest,
 	Unauthenticated:  http.StatusUnauthorized,
@@ -151,7 +150,7 @@
 	Internal:         http.StatusInternalServerError,
 }
 
-// Status returns the HTTP status that r is answered with.
+// Status returns the HTTP status of a response with reason r; 500 if r is unknown.
 func (r Reason) Status() int {
 	if status, ok := statusOf[r]; ok {
 		return status
@@ -165,13 +164,13 @@
 	return ok
 }
 
-// An Error is a failed request: what may have happened, why, and when to
-// come back. RetryAfter is zero where a repeat makes no sense.
+// An Error describes a failed request. It must not be modified once it is
+// returned; see After.
 type Error struct {
 	Verdict    Verdict
 	Reason     Reason
 	Detail     string
-	RetryAfter time.Duration
+	RetryAfter time.Duration // when the caller may retry; zero: a retry is pointless
 }
 
 // Error returns the reason, the detail and the verdict.
@@ -182,25 +181,27 @@
 	return fmt.Sprintf("%s: %s (%s)", e.Reason, e.Detail, e.Verdict)
 }
 
-// Refuse returns the Error of a request that was not run.
+// Refuse returns an Error with verdict NotRun. The remaining arguments format
+// the detail, as in fmt.Sprintf.
 func Refuse(r Reason, format string, args ...any) *Error {
 	return &Error{Verdict: NotRun, Reason: r, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Fail returns the Error of a request for which v is known.
+// Fail returns an Error with verdict v. The remaining arguments format the
+// detail, as in fmt.Sprintf.
 func Fail(v Verdict, r Reason, format string, args ...any) *Error {
 	return &Error{Verdict: v, Reason: r, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After returns a copy of e that tells the caller to come back after d.
+// After returns a copy of e with RetryAfter set to d.
 func (e *Error) After(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// Of returns the Error in err's chain. An err without one becomes
-// MayHaveRun with reason Internal; a nil err gives nil.
+// Of returns the first Error in err's chain. If there is none, it returns one
+// with verdict MayHaveRun and reason Internal; for a nil err it returns nil.
 func Of(err error) *Error {
 	if err == nil {
 		return nil
