--- a/entry/retry_budget.go
+++ b/entry/retry_budget.go
@@ -9,7 +9,7 @@
 
 // retryBudgets holds an instance's own retry budgets, one per service: the retries that it
 // may send without asking a scheduler. Package quota divides the bound on all instances;
-// most of it is held by schedulers, see balance/retry.go.
+// most of it is held by schedulers, see package balance.
 type retryBudgets struct {
 	now func() time.Time
 
