--- a/belief/belief.go
+++ b/belief/belief.go
@@ -1,12 +1,15 @@
-// Package belief keeps what an instance believes about declarations and
-// endpoints, each with the instant at which it was last proved true.
+// Package belief maintains an instance's local copy of the published
+// configuration and endpoint list, together with the time at which that copy
+// was last validated, that is, known to contain every published change.
 //
-// A proof is dated by the sending of the call whose answer gave it, on the
-// steady clock, never by the answer's arrival and never by the time of day.
-// So an instance that was paused, or whose calls hang, knows how old its
-// beliefs are. A Table takes Updates from any Source, the platform's store or
-// another instance that passes its own beliefs on with their age, and never
-// goes back to an older version.
+// A validation is dated by when the request was sent, on a clock that also
+// advances while the machine is suspended. Dating it by the arrival of the
+// response or by the wall clock would make the state of an instance that was
+// paused, or whose requests hang, look fresher than it is.
+//
+// A Table accepts Updates from any Source, either the platform's store or
+// another instance that forwards its own state with its age, and never reverts
+// to an older version.
 //
 // A Table is safe for concurrent use. Views are immutable.
 package belief
@@ -24,95 +27,95 @@
 	"ivyridge/catalog"
 )
 
-// ErrHistoryGone is returned by Watch when changes since the revision asked
-// for are no longer kept; the caller loads everything again.
-var ErrHistoryGone = errors.New("history is gone")
+// ErrHistoryGone is returned by Watch when the changes since the requested
+// revision are no longer retained. The caller must load the full state.
+var ErrHistoryGone = errors.New("changes since the requested revision are no longer retained")
 
-// ErrBusy is returned by a source that turns calls away.
-var ErrBusy = errors.New("the source turns calls away")
+// ErrBusy is returned by a Source that rejects the call because of load.
+var ErrBusy = errors.New("source rejected the call because of load")
 
-// A Record is an endpoint and the revision of its entry.
+// A Record is an endpoint and the store revision of its entry.
 type Record struct {
 	catalog.Endpoint
 	Revision int64
 }
 
-// A Departure says that the entry of an endpoint went at a revision.
+// A Departure records that the entry of an endpoint was deleted at a revision.
 type Departure struct {
 	ID       string
 	Revision int64
-	// Replaced is set where something that names no endpoint stands in its place: it has not
-	// lapsed, whatever trouble the store is in.
+	// Replaced is set if the entry was overwritten by a value that describes no endpoint.
+	// Such a deletion is final and gets no grace period during a store outage.
 	Replaced bool
 }
 
-// An Evacuation says that operators want nothing sent to the endpoints of a data centre
-// any more, or that this is over.
+// An Evacuation records that operators ordered the endpoints of a data centre to receive no
+// new requests, or that this order was lifted.
 type Evacuation struct {
 	DataCentre string
 	Revision   int64
 	Over       bool
 }
 
-// An Update is an answer of a Source.
+// An Update is a response of a Source.
 type Update struct {
-	Revision int64 // all changes up to here are known after the update
-	Whole    bool  // Present and Evacuations are all there are
+	Revision int64 // the update covers all changes up to this revision
+	Whole    bool  // Present and Evacuations are complete, not a delta
 	Config   *catalog.Document
 	Present  []Record
 	Gone     []Departure
 
 	Evacuations []Evacuation
 
-	Digest uint64 // of all endpoints at that revision; zero: not told
+	Digest uint64 // of all endpoints at Revision; zero if not sent
 
-	Proved time.Time // on the receiver's steady clock
+	Proved time.Time // when the request was sent, on the receiver's clock
 
-	Bytes   int           // of the answer's body
-	Arrival time.Duration // from the answer's head to its end
+	Bytes   int           // size of the response body
+	Arrival time.Duration // from the response header to the end of the body
 }
 
 // A Query asks a Source for changes.
 type Query struct {
-	After int64         // the revision after which they came
-	Wait  time.Duration // for a change, where there is none yet
-	// Overtaken, once closed, ends the wait with an error of
-	// fetch.ErrAbandoned; nil: nothing does. An answer that has begun is read
-	// to its end all the same: cut short, it would be asked for again, and a
-	// large one never arrive while news is frequent.
+	After int64         // return changes after this revision
+	Wait  time.Duration // how long to wait for a change if there is none yet
+	// Overtaken, once closed, ends the wait with an error that matches
+	// fetch.ErrAbandoned; nil never does. A response that has begun to arrive
+	// is still read to its end: if it were aborted, it would be requested again,
+	// and a large response would never complete while changes are frequent.
 	Overtaken <-chan struct{}
-	// Begun, if set, is called once an answer has begun to arrive.
+	// Begun, if set, is called once a response has begun to arrive.
 	Begun func()
 }
 
-// A Source tells what operators and endpoints have published. It is safe for
-// concurrent use.
+// A Source provides the published configuration, endpoints and evacuations.
+// It is safe for concurrent use.
 type Source interface {
-	// Load returns everything.
+	// Load returns the full state.
 	Load(ctx context.Context) (*Update, error)
 	// Watch returns the changes that q asks for as soon as there are any, or
-	// an Update without changes when its wait has passed.
+	// an Update without changes when q.Wait has elapsed.
 	Watch(ctx context.Context, q Query) (*Update, error)
 }
 
-// An Endpoint is a believed endpoint.
+// An Endpoint is an endpoint as listed in a View.
 type Endpoint struct {
 	catalog.Endpoint
-	// GraceUntil is set if its entry went while the store was in trouble, when
-	// entries go though their endpoints live: until then the endpoint may
-	// still be tried if there is no other.
+	// GraceUntil is set if the entry disappeared during a store outage, when entries
+	// may expire although their endpoints are alive. Until then the endpoint may
+	// still be tried if no other is available.
 	GraceUntil time.Time
-	// ColdUntil is when it has been in service for long enough to bear any rate that
-	// its slots do; before, it bears its service's ColdRate. Zero: it is not cold.
+	// ColdUntil is the end of the endpoint's warm-up, during which it accepts at most the
+	// ColdRate of its service. Zero means that it is warm.
 	ColdUntil time.Time
-	// Evacuated is set while operators want its data centre emptied.
+	// Evacuated is set while operators want the endpoint's data centre evacuated.
 	Evacuated bool
 
-	incarnation string // worked out once a view; empty: not yet
-	rank        uint32 // the same, with incarnation
+	incarnation string // computed when the view is built; empty: not yet
+	rank        uint32 // valid if incarnation is set
 }
 
-// Incarnation names the process of the endpoint; see catalog.Endpoint.
+// Incarnation identifies the process of the endpoint; see catalog.Endpoint.
 func (e *Endpoint) Incarnation() string {
 	if e.incarnation != "" {
 		return e.incarnation
@@ -120,126 +123,127 @@
 	return e.Endpoint.Incarnation()
 }
 
-// Rank returns a number that is drawn for the endpoint's ID, the same at all instances.
+// Rank returns a hash of the endpoint's ID, the same on all instances.
 func (e *Endpoint) Rank() uint32 {
 	if e.incarnation != "" {
 		return e.rank
 	}
-	return rank(e.ID)
+	return hashRank(e.ID)
 }
 
-// rank draws a number for an ID. The upper half of the hash: the lower one names endpoints between
-// instances.
-func rank(id string) uint32 { return uint32(xxhash.Sum64String(id) >> 32) }
+// hashRank returns the upper half of the hash of an ID. The lower half identifies endpoints
+// in messages between instances.
+func hashRank(id string) uint32 { return uint32(xxhash.Sum64String(id) >> 32) }
 
-// Cold reports whether e is cold at now.
+// Cold reports whether e is still warming up at now.
 func (e *Endpoint) Cold(now time.Time) bool { return now.Before(e.ColdUntil) }
 
-// Closed reports whether nothing new may be sent to e: it leaves, or its data centre is
-// being emptied.
+// Closed reports whether e must not receive new requests because it is draining or its data
+// centre is being evacuated.
 func (e *Endpoint) Closed() bool { return e.Draining || e.Evacuated }
 
-// A View is what is believed at one instant.
+// A View is an immutable snapshot of a Table.
 type View struct {
-	Catalog   *catalog.Catalog // nil until one is known
+	Catalog   *catalog.Catalog // nil until a configuration was received
 	Revision  int64
 	endpoints map[string][]*Endpoint
 	evacuated []string
 }
 
-// Evacuated returns the data centres that operators want emptied, in their order.
+// Evacuated returns the data centres that operators want evacuated, sorted by name.
 func (v *View) Evacuated() []string { return v.evacuated }
 
-// endpointsIn returns how many endpoints a data centre has; zero also where nobody knows it.
-func (v *View) endpointsIn(dataCentre string) (n int) {
+// endpointCount returns the number of endpoints in a data centre, zero if it is unknown.
+func (v *View) endpointCount(dataCentre string) (count int) {
 	for _, endpoints := range v.endpoints {
 		for _, e := range endpoints {
 			if e.DataCentre == dataCentre {
-				n++
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
-// Endpoints returns a service's endpoints, ordered by ID.
+// Endpoints returns a service's endpoints, ordered by ID. The caller must not modify them.
 func (v *View) Endpoints(service string) []*Endpoint { return v.endpoints[service] }
 
-// Services calls visit for each service that has endpoints.
+// Services calls visit for each service that has endpoints, in no particular order.
 func (v *View) Services(visit func(service string, endpoints []*Endpoint)) {
 	for service, endpoints := range v.endpoints {
 		visit(service, endpoints)
 	}
 }
 
-// A Table holds the beliefs of one instance.
+// A Table holds the current state of one instance.
 type Table struct {
-	now     func() time.Time
-	origin  time.Time
-	view    atomic.Pointer[View]
-	proved  atomic.Int64 // nanoseconds after origin; zero: never
-	trouble atomic.Int64 // since when the store could not be read, as proved; zero: it could
-
-	// applying is held while an update is taken up, mu only while what it changes is
-	// replaced: to compile a large configuration takes tens of milliseconds, and gossip
-	// reads and renews the proof meanwhile.
-	applying sync.Mutex
-	compiler func(catalog.Document) (*catalog.Catalog, error)
-	invalid  int64 // the newest version that could not be compiled
-
-	mu       sync.Mutex
-	entries  map[string]*entry
-	departed map[string]departure // by ID, of late
-	tidied   time.Time            // when departed was last
-	lapsed   map[string]*entry    // of entries, those in their grace period
-	shown    map[string]*Endpoint // by ID, in the present view
-	touched  map[string]bool      // IDs of endpoints that the next view shows anew
-	taking   int64                // the revision of the next view
-	changes  changes
-	digest   uint64 // of entries
-	// evacuations holds the last that is known of each data centre, also those that are
-	// over: told again by whoever knows less, they must not begin anew.
+	now         func() time.Time
+	epoch       time.Time
+	view        atomic.Pointer[View]
+	validatedAt atomic.Int64 // nanoseconds after epoch; zero: never
+	outageSince atomic.Int64 // nanoseconds after epoch since which the store is unavailable; zero: it is available
+
+	// applyMu serializes updates. mu is held only while the state is replaced: compiling a
+	// large configuration takes tens of milliseconds, and gossip must be able to read and
+	// renew the validation time meanwhile.
+	applyMu         sync.Mutex
+	compileFunc     func(catalog.Document) (*catalog.Catalog, error)
+	rejectedVersion int64 // the newest version that failed to compile
+
+	mu            sync.Mutex
+	entries       map[string]*entry
+	tombstones    map[string]tombstone // recent deletions, by ID
+	lastSweep     time.Time            // when expired tombstones were last removed
+	inGrace       map[string]*entry    // the entries that are in their grace period
+	viewEndpoints map[string]*Endpoint // endpoints of the current view, by ID
+	dirty         map[string]bool      // IDs of endpoints to rebuild in the next view
+	nextRevision  int64                // the revision of the next view
+	changeLog     changeLog
+	digest        uint64 // of entries
+	// evacuations holds the latest evacuation of each data centre, including those that have
+	// ended, so that a delayed message can't restart them.
 	evacuations map[string]Evacuation
 	changed     chan struct{} // closed and replaced at every change
 }
 
-// NewTable returns an empty Table over the steady clock now.
+// NewTable returns an empty Table that uses now as its clock, which must never go back.
 func NewTable(now func() time.Time) *Table {
 	t := &Table{
-		now: now, origin: now().Add(-time.Nanosecond), compiler: catalog.Compile,
-		entries: make(map[string]*entry), departed: make(map[string]departure), lapsed: make(map[string]*entry),
-		shown: make(map[string]*Endpoint), touched: make(map[string]bool),
+		now: now, epoch: now().Add(-time.Nanosecond), compileFunc: catalog.Compile,
+		entries: make(map[string]*entry), tombstones: make(map[string]tombstone), inGrace: make(map[string]*entry),
+		viewEndpoints: make(map[string]*Endpoint), dirty: make(map[string]bool),
 		evacuations: make(map[string]Evacuation), changed: make(chan struct{}),
 	}
 	t.view.Store(&View{})
 	return t
 }
 
-// View returns the present beliefs.
+// View returns the current view.
 func (t *Table) View() *View { return t.view.Load() }
 
-// Age returns how long ago the beliefs were proved; ok is false if never.
+// Age returns the time since the last validation; ok is false if there was none.
 func (t *Table) Age() (age time.Duration, ok bool) {
-	proved := t.proved.Load()
-	if proved == 0 {
+	validatedAt := t.validatedAt.Load()
+	if validatedAt == 0 {
 		return 0, false
 	}
-	return t.now().Sub(t.origin) - time.Duration(proved), true
+	return t.now().Sub(t.epoch) - time.Duration(validatedAt), true
 }
 
-// A Proof says that at an instant no change after a revision had been made.
+// A Proof states that no change after Revision had been made at the instant At.
 type Proof struct {
 	Revision int64
 	At       time.Time
 }
 
-// Proof returns that of the beliefs; ok is false if they were never proved. Read
-// one after the other, a revision and its age may not belong together.
+// Proof returns the last validation and the current revision; ok is false if there was no
+// validation. Both are read under one lock, since a revision and an age that are read
+// separately may not belong together.
 func (t *Table) Proof() (p Proof, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	proved := t.proved.Load()
-	return Proof{Revision: t.view.Load().Revision, At: t.origin.Add(time.Duration(proved))}, proved != 0
+	validatedAt := t.validatedAt.Load()
+	return Proof{Revision: t.view.Load().Revision, At: t.epoch.Add(time.Duration(validatedAt))}, validatedAt != 0
 }
 
 // Changed returns a channel that is closed at the next change of the view.
@@ -249,109 +253,108 @@
 	return t.changed
 }
 
-// Confirm dates the beliefs by another instance's proof that no change after a
-// revision had been made at an instant. Beliefs of that revision or of a later
-// one hold all that was published until then.
-func (t *Table) Confirm(revision int64, proved time.Time) {
+// Confirm renews the validation time from another instance's statement that no
+// change after a revision had been made at an instant. It has an effect only if
+// the table is at that revision or a later one.
+func (t *Table) Confirm(revision int64, validatedAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.view.Load().Catalog == nil {
 		return
 	}
-	t.prove(revision, proved)
+	t.markValidated(revision, validatedAt)
 }
 
-// Trouble records that the store could not be read. The entries that are
-// missing when it is read again are taken for lapsed ones; those that go later
-// have gone.
-func (t *Table) Trouble() { t.trouble.CompareAndSwap(0, int64(t.now().Sub(t.origin))) }
+// Trouble records that the store is unavailable. Entries that are missing when
+// it is next read get a grace period; entries that are deleted after that do not.
+func (t *Table) Trouble() { t.outageSince.CompareAndSwap(0, int64(t.now().Sub(t.epoch))) }
 
-// agedInTrouble records trouble since the last proof if that is older than troubleAge.
-func (t *Table) agedInTrouble() {
-	if age, proved := t.Age(); proved && age > troubleAge {
-		t.trouble.CompareAndSwap(0, t.proved.Load())
+// detectOutage records an outage since the last validation if that is older than outageAge.
+func (t *Table) detectOutage() {
+	if age, ok := t.Age(); ok && age > outageAge {
+		t.outageSince.CompareAndSwap(0, t.validatedAt.Load())
 	}
 }
 
-// Recovered records that the store was read again, after Apply.
-func (t *Table) Recovered() { t.trouble.Store(0) }
+// Recovered records that the store is available again. Call it after Apply.
+func (t *Table) Recovered() { t.outageSince.Store(0) }
 
-// troubled reports whether the store could not be read, and was not since.
-func (t *Table) troubled() bool { return t.trouble.Load() != 0 }
+// storeUnavailable reports whether the store has been unavailable since it was last read.
+func (t *Table) storeUnavailable() bool { return t.outageSince.Load() != 0 }
 
-// readSince reports whether beliefs proved at an instant are such as were read from the
-// store after its trouble began.
-func (t *Table) readSince(proved time.Time) bool {
-	return int64(proved.Sub(t.origin)) > t.trouble.Load()
+// validatedSinceOutage reports whether state that was validated at an instant was read from
+// the store after the outage began.
+func (t *Table) validatedSinceOutage(validatedAt time.Time) bool {
+	return int64(validatedAt.Sub(t.epoch)) > t.outageSince.Load()
 }
 
-// Apply takes up u. An error means that its configuration was kept out; the
-// one in force stays, and endpoints are taken up all the same.
+// Apply applies u. It returns an error if the configuration in u is invalid; the previous
+// configuration then stays in force, and the other changes are applied all the same.
 func (t *Table) Apply(u *Update) error {
-	t.applying.Lock()
-	defer t.applying.Unlock()
+	t.applyMu.Lock()
+	defer t.applyMu.Unlock()
 	old := t.view.Load()
-	config, err := t.compile(old.Catalog, u.Config)
+	config, err := t.compileConfig(old.Catalog, u.Config)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.taking = max(u.Revision, old.Revision)
-	moved := t.applyEndpoints(u)
-	moved = t.applyEvacuations(u, config) || moved
-	t.changes.trim(t.now())
-	if moved || config != old.Catalog || u.Revision > old.Revision {
-		t.view.Store(&View{Catalog: config, Revision: t.taking, endpoints: t.show(old.endpoints), evacuated: t.evacuated()})
+	t.nextRevision = max(u.Revision, old.Revision)
+	changed := t.applyEndpointChanges(u)
+	changed = t.applyEvacuations(u, config) || changed
+	t.changeLog.trim(t.now())
+	if changed || config != old.Catalog || u.Revision > old.Revision {
+		t.view.Store(&View{Catalog: config, Revision: t.nextRevision, endpoints: t.buildEndpoints(old.endpoints), evacuated: t.evacuatedDataCentres()})
 		close(t.changed)
 		t.changed = make(chan struct{})
 	}
-	t.prove(u.Revision, u.Proved)
+	t.markValidated(u.Revision, u.Proved)
 	return err
 }
 
-// prove dates the beliefs by a source that at the instant proved, or later, knew
-// of no change after a revision. Later beliefs hold everything up to there as
-// well: were they not dated, changes that follow each other faster than calls
-// are answered would make the beliefs of the whole fleet look old.
-func (t *Table) prove(revision int64, proved time.Time) {
+// markValidated records that a source knew of no change after a revision at the given
+// instant or later. This validates later revisions too, as they contain every earlier
+// change. Otherwise, while changes arrive faster than requests are answered, the state
+// of the whole fleet would appear stale.
+func (t *Table) markValidated(revision int64, validatedAt time.Time) {
 	if revision > t.view.Load().Revision {
 		return
 	}
-	if at := int64(proved.Sub(t.origin)); at > t.proved.Load() {
-		t.proved.Store(at)
+	if at := int64(validatedAt.Sub(t.epoch)); at > t.validatedAt.Load() {
+		t.validatedAt.Store(at)
 	}
 }
 
-func (t *Table) compile(old *catalog.Catalog, d *catalog.Document) (*catalog.Catalog, error) {
-	if d == nil || old != nil && d.Version <= old.Version() || d.Version == t.invalid && d.Version != 0 {
+func (t *Table) compileConfig(old *catalog.Catalog, d *catalog.Document) (*catalog.Catalog, error) {
+	if d == nil || old != nil && d.Version <= old.Version() || d.Version == t.rejectedVersion && d.Version != 0 {
 		return old, nil
 	}
-	c, err := t.compiler(*d)
+	c, err := t.compileFunc(*d)
 	if err != nil {
-		t.invalid = d.Version
+		t.rejectedVersion = d.Version
 		return old, err
 	}
 	return c, nil
 }
 
-// Snapshot returns the beliefs as an Update for another instance. Lapsed
-// endpoints are left out.
+// Snapshot returns the full state as an Update for another instance, without
+// endpoints in their grace period.
 func (t *Table) Snapshot() *Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.update()
+	u := t.newUpdate()
 	u.Whole = true
 	now := t.now()
 	for _, e := range t.entries {
 		if e.graceUntil.IsZero() {
-			u.Present = append(u.Present, e.told(now))
+			u.Present = append(u.Present, e.record(now))
 		}
 	}
 	return u
 }
 
-// update returns an Update for another instance without endpoints. The caller holds t.mu.
-func (t *Table) update() *Update {
+// newUpdate returns an Update for another instance, without endpoints. The caller holds t.mu.
+func (t *Table) newUpdate() *Update {
 	v := t.view.Load()
-	u := &Update{Revision: v.Revision, Digest: t.digest, Proved: t.origin.Add(time.Duration(t.proved.Load()))}
+	u := &Update{Revision: v.Revision, Digest: t.digest, Proved: t.epoch.Add(time.Duration(t.validatedAt.Load()))}
 	if v.Catalog != nil {
 		u.Config = v.Catalog.Document()
 	}
@@ -361,7 +364,7 @@
 	return u
 }
 
-// Lists reports whether an endpoint's incarnation is listed, or in its grace period.
+// Lists reports whether the endpoint process with an incarnation is listed, grace period included.
 func (t *Table) Lists(incarnation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/belief/belief_test.go
+++ b/belief/belief_test.go
@@ -11,14 +11,14 @@
 	"ivyridge/catalog"
 )
 
-// clock is a steady clock that a test moves.
-type clock struct{ at time.Time }
+// fakeClock is a clock that a test advances.
+type fakeClock struct{ current time.Time }
 
-func (c *clock) now() time.Time          { return c.at }
-func (c *clock) advance(d time.Duration) { c.at = c.at.Add(d) }
+func (c *fakeClock) now() time.Time          { return c.current }
+func (c *fakeClock) advance(d time.Duration) { c.current = c.current.Add(d) }
 
-func newTable() (*belief.Table, *clock) {
-	c := &clock{at: time.Unix(1000, 0)}
+func newTable() (*belief.Table, *fakeClock) {
+	c := &fakeClock{current: time.Unix(1000, 0)}
 	return belief.NewTable(c.now), c
 }
 
@@ -26,7 +26,7 @@
 	return belief.Record{Endpoint: catalog.Endpoint{ID: id, Service: "s", Address: "10.0.0.1:1"}, Revision: revision}
 }
 
-func document(version int64) *catalog.Document {
+func testDocument(version int64) *catalog.Document {
 	return &catalog.Document{
 		Version:  version,
 		Services: []catalog.Service{{Name: "s"}},
@@ -55,108 +55,100 @@
 	}
 }
 
-func TestProofIsDatedBySending(t *testing.T) {
+func TestAgeCountsFromRequestSend(t *testing.T) {
 	table, c := newTable()
 	if _, ok := table.Age(); ok {
-		t.Fatal("an empty table claims a proof")
+		t.Fatal("an empty table reports a validation")
 	}
 	sent := c.now()
-	c.advance(700 * time.Millisecond) // the answer was slow
-	_ = table.Apply(&belief.Update{Revision: 5, Whole: true, Config: document(1), Proved: sent})
+	c.advance(700 * time.Millisecond) // response time
+	_ = table.Apply(&belief.Update{Revision: 5, Whole: true, Config: testDocument(1), Proved: sent})
 	if age, ok := table.Age(); !ok || age != 700*time.Millisecond {
-		t.Fatalf("age is %v, %v; want 700ms from the sending", age, ok)
+		t.Fatalf("age is %v, %v; want 700ms since the request was sent", age, ok)
 	}
-	c.advance(time.Second) // a pause of the process counts
+	c.advance(time.Second) // time during which the process is paused counts
 	if age, _ := table.Age(); age != 1700*time.Millisecond {
 		t.Fatalf("age is %v, want 1.7s", age)
 	}
 }
 
-// Symptom: while configurations followed each other, an instance had the newest
-// one in force and yet thought its beliefs 6.3 s old, called itself not ready and
-// refused its callers, the most urgent ones among them.
-//
-// Sequence: it asked the store for changes after revision 24; the store answered
-// with 25; meanwhile another instance had told it of 26. The answer proved nothing
-// then, and the next one was overtaken in the same way.
-//
-// Cause: a proof was dropped unless its revision was the very one that is known.
-func TestOvertakenAnswerProvesLaterBeliefs(t *testing.T) {
+// Guards against a table that appears stale while changes arrive quickly: a response for revision
+// 25 must also validate a table that has meanwhile received revision 26 from another instance.
+func TestOutOfOrderResponseValidatesLaterRevision(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 24, Whole: true, Config: document(1), Proved: c.now()})
+	_ = table.Apply(&belief.Update{Revision: 24, Whole: true, Config: testDocument(1), Proved: c.now()})
 	c.advance(time.Second)
 	sent := c.now()
 	_ = table.Apply(&belief.Update{Revision: 26, Proved: c.now().Add(-5 * time.Second)})
 	c.advance(100 * time.Millisecond)
 	_ = table.Apply(&belief.Update{Revision: 25, Proved: sent})
 	if age, _ := table.Age(); age != 100*time.Millisecond {
-		t.Fatalf("age is %v, want 100ms from the sending of the overtaken call", age)
+		t.Fatalf("age is %v, want 100ms since the earlier request was sent", age)
 	}
 }
 
-// What a store or another instance tells proves only beliefs that hold all of it.
-func TestProofOfLaterRevisionProvesNothing(t *testing.T) {
+// A validation applies only to tables that are at its revision or a later one.
+func TestConfirmIgnoresLaterRevision(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 24, Whole: true, Config: document(1), Proved: c.now()})
+	_ = table.Apply(&belief.Update{Revision: 24, Whole: true, Config: testDocument(1), Proved: c.now()})
 	c.advance(time.Second)
 	table.Confirm(25, c.now())
 	if age, _ := table.Age(); age != time.Second {
-		t.Fatalf("age is %v, want 1s: a proof of revision 25 says nothing of 24", age)
+		t.Fatalf("age is %v, want 1s: a validation of revision 25 does not apply to 24", age)
 	}
 	table.Confirm(23, c.now().Add(-300*time.Millisecond))
 	if age, _ := table.Age(); age != 300*time.Millisecond {
-		t.Fatalf("age is %v, want 300ms: there was nothing after 23 then, and 24 is known", age)
+		t.Fatalf("age is %v, want 300ms: a validation of revision 23 applies to 24", age)
 	}
 }
 
-// In any order of answers, of calls that overlap and of what other instances
-// tell, beliefs never lack a change that was made before the instant as of which
-// they are taken for proved.
-func TestProofNeverCoversAMissingChange(t *testing.T) {
+// Whatever the order of overlapping calls, responses and validations by other instances, the table
+// never lacks a change that was made before the instant of its validation.
+func TestValidationNeverCoversMissingChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, c := newTable()
-		made := []time.Time{c.now()} // by revision, from one
+		changeTimes := []time.Time{c.now()} // by revision, from 1
 		revisionAt := func(at time.Time) int64 {
-			return int64(sort.Search(len(made), func(i int) bool { return made[i].After(at) }))
+			return int64(sort.Search(len(changeTimes), func(i int) bool { return changeTimes[i].After(at) }))
 		}
-		_ = table.Apply(&belief.Update{Revision: 1, Config: document(1), Proved: c.now()})
+		_ = table.Apply(&belief.Update{Revision: 1, Config: testDocument(1), Proved: c.now()})
 		var sent []time.Time
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			c.advance(time.Duration(rapid.IntRange(1, 900).Draw(t, "pause")) * time.Millisecond)
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				made = append(made, c.now())
+				changeTimes = append(changeTimes, c.now())
 			case 1:
 				sent = append(sent, c.now())
-			case 2: // an answer to any call, as the store was at any instant since
+			case 2: // a response to any earlier call, with the store's state at any time since
 				if len(sent) > 0 {
 					at := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "call")]
 					answered := at.Add(time.Duration(rapid.Int64Range(0, int64(c.now().Sub(at))).Draw(t, "answered")))
 					_ = table.Apply(&belief.Update{Revision: revisionAt(answered), Proved: at})
 				}
-			case 3: // another instance's proof, of any instant
+			case 3: // another instance's validation at any earlier instant
 				at := c.now().Add(-time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond)
 				table.Confirm(revisionAt(at), at)
 			}
 			age, _ := table.Age()
 			if want := revisionAt(c.now().Add(-age)); table.View().Revision < want {
-				t.Fatalf("proved as of %v ago with revision %d; revision %d was made before", age, table.View().Revision, want)
+				t.Fatalf("validated as of %v ago with revision %d, but revision %d was made before", age, table.View().Revision, want)
 			}
 		}
 	})
 }
 
-// A revision and the age told with it belong together, whatever comes between.
-func TestProofIsReadAtOnce(t *testing.T) {
+// Proof returns a revision and a validation time that belong together, during concurrent updates.
+func TestProofIsReadAtomically(t *testing.T) {
 	origin := time.Now()
 	table := belief.NewTable(time.Now)
-	_ = table.Apply(&belief.Update{Revision: 1, Config: document(1), Proved: origin})
+	_ = table.Apply(&belief.Update{Revision: 1, Config: testDocument(1), Proved: origin})
 	const changes = 20_000
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for n := int64(2); n < changes; n++ {
-			// Revision n was made n us after the origin, and is proved as of then.
+			// Revision n is made n us after the origin, and validated as of then.
 			_ = table.Apply(&belief.Update{Revision: n, Proved: origin.Add(time.Duration(n) * time.Microsecond)})
 		}
 	}()
@@ -168,41 +160,41 @@
 		}
 		p, ok := table.Proof()
 		if next := origin.Add(time.Duration(p.Revision+1) * time.Microsecond); ok && !p.At.Before(next) {
-			t.Fatalf("revision %d told with a proof as of %v after revision %d was made", p.Revision, p.At.Sub(next), p.Revision+1)
+			t.Fatalf("revision %d returned with a validation %v after revision %d was made", p.Revision, p.At.Sub(next), p.Revision+1)
 		}
 	}
 }
 
-func TestVersionNeverGoesBack(t *testing.T) {
+func TestConfigurationVersionIsMonotonic(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 3, Config: document(7), Proved: c.now()})
-	_ = table.Apply(&belief.Update{Revision: 4, Config: document(6), Proved: c.now()})
+	_ = table.Apply(&belief.Update{Revision: 3, Config: testDocument(7), Proved: c.now()})
+	_ = table.Apply(&belief.Update{Revision: 4, Config: testDocument(6), Proved: c.now()})
 	if got := table.View().Catalog.Version(); got != 7 {
 		t.Fatalf("version in force is %d, want 7", got)
 	}
 }
 
-func TestUnreadableConfigurationIsKeptOut(t *testing.T) {
+func TestInvalidConfigurationIsRejected(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 3, Config: document(1), Proved: c.now()})
-	bad := document(2)
+	_ = table.Apply(&belief.Update{Revision: 3, Config: testDocument(1), Proved: c.now()})
+	bad := testDocument(2)
 	bad.Routes[0].Targets[0].Service = "unknown"
 	if err := table.Apply(&belief.Update{Revision: 4, Config: bad, Proved: c.now()}); err == nil {
-		t.Fatal("a route to a service that is not declared was taken")
+		t.Fatal("a route to an undeclared service was accepted")
 	}
 	if got := table.View().Catalog.Version(); got != 1 {
 		t.Fatalf("version in force is %d, want 1", got)
 	}
 }
 
-func TestEntryThatGoesHasGone(t *testing.T) {
+func TestDeletedEntryIsRemoved(t *testing.T) {
 	table, c := newTable()
 	_ = table.Apply(&belief.Update{Revision: 3, Whole: true, Present: []belief.Record{record("a", 1), record("b", 2)}, Proved: c.now()})
 	_ = table.Apply(&belief.Update{Revision: 5, Gone: []belief.Departure{{ID: "a", Revision: 4}}, Proved: c.now()})
 	wantIDs(t, table, "b")
 }
 
-func TestChangesOutOfOrder(t *testing.T) {
+func TestOutOfOrderChanges(t *testing.T) {
 	table, c := newTable()
 	_ = table.Apply(&belief.Update{Revision: 6, Present: []belief.Record{record("a", 6)}, Gone: []belief.Departure{{ID: "a", Revision: 5}}, Proved: c.now()})
 	wantIDs(t, table, "a")
@@ -214,10 +206,9 @@
 	}
 }
 
-// An entry that went before the store was lost must not be taken for one that
-// lapsed, only because this instance could not read the store a while ago:
-// requests then reached a server 2.2 s after it had left.
-func TestEntryThatGoesAfterRecoveryHasGone(t *testing.T) {
+// An entry that is deleted after an outage is removed at once. Guards against keeping it in a
+// grace period, during which requests are sent to a server that has left.
+func TestDeletionAfterOutageGetsNoGracePeriod(t *testing.T) {
 	table, c := newTable()
 	_ = table.Apply(&belief.Update{Revision: 3, Whole: true, Present: []belief.Record{record("a", 1), record("b", 2)}, Proved: c.now()})
 	table.Trouble()
@@ -229,24 +220,24 @@
 	wantIDs(t, table, "b")
 }
 
-func TestEntriesThatWentWhileTheStoreWasDownLapse(t *testing.T) {
+func TestDeletionDuringOutageGetsGracePeriod(t *testing.T) {
 	table, c := newTable()
-	leaving := record("b", 2)
-	leaving.Draining = true
-	_ = table.Apply(&belief.Update{Revision: 3, Whole: true, Present: []belief.Record{record("a", 1), leaving}, Proved: c.now()})
+	draining := record("b", 2)
+	draining.Draining = true
+	_ = table.Apply(&belief.Update{Revision: 3, Whole: true, Present: []belief.Record{record("a", 1), draining}, Proved: c.now()})
 	table.Trouble()
 	_ = table.Apply(&belief.Update{Revision: 9, Whole: true, Proved: c.now()})
 	table.Recovered()
 	wantIDs(t, table, "a")
 	if at := table.View().Endpoints("s")[0].GraceUntil; !at.After(c.now()) {
-		t.Fatalf("the endpoint lapses at %v, want it kept for a while after %v", at, c.now())
+		t.Fatalf("the grace period ends at %v, want later than %v", at, c.now())
 	}
 	c.advance(3 * time.Second)
 	_ = table.Apply(&belief.Update{Revision: 9, Proved: c.now()})
 	wantIDs(t, table)
 }
 
-func TestLapsedEntryReturns(t *testing.T) {
+func TestEntryRestoredDuringGracePeriod(t *testing.T) {
 	table, c := newTable()
 	_ = table.Apply(&belief.Update{Revision: 3, Whole: true, Present: []belief.Record{record("a", 1)}, Proved: c.now()})
 	table.Trouble()
@@ -254,16 +245,15 @@
 	table.Recovered()
 	_ = table.Apply(&belief.Update{Revision: 10, Present: []belief.Record{record("a", 10)}, Proved: c.now()})
 	if at := table.View().Endpoints("s")[0].GraceUntil; !at.IsZero() {
-		t.Fatalf("an endpoint that published itself anew still lapses at %v", at)
+		t.Fatalf("an endpoint that was published again has a grace period until %v", at)
 	}
 }
 
-// Symptom: an endpoint that had gone was listed again until the next full answer. Cause: two
-// calls to the store overlap, the follower's and the prover's; the answer of the one that knows
-// less comes last, and tells of the entry's writing, not of its end.
-func TestLateAnswerBringsNothingBack(t *testing.T) {
+// The calls of the follower and the prover to the store overlap. Guards against a stale response,
+// which contains the creation of an entry but not its deletion, restoring that entry.
+func TestStaleResponseDoesNotRestoreEntry(t *testing.T) {
 	table, _ := newTable()
-	_ = table.Apply(&belief.Update{Revision: 10, Whole: true, Config: document(1), Present: []belief.Record{record("a", 3)}})
+	_ = table.Apply(&belief.Update{Revision: 10, Whole: true, Config: testDocument(1), Present: []belief.Record{record("a", 3)}})
 	_ = table.Apply(&belief.Update{Revision: 12, Present: []belief.Record{record("b", 11)}, Gone: []belief.Departure{{ID: "b", Revision: 12}}})
 	_ = table.Apply(&belief.Update{Revision: 11, Present: []belief.Record{record("b", 11)}})
 	wantIDs(t, table, "a")
--- /dev/null
+++ b/belief/changelog.go
@@ -0,0 +1,120 @@
+package belief
+
+// This file keeps a log of recent endpoint changes, so that an instance that already has most of
+// them is sent only the rest. Sending a list of thousands of endpoints at each change would
+// saturate a small machine during a rolling release.
+
+import (
+	"encoding/binary"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+const (
+	// maxChangeLogEntries and changeLogTTL bound the change log in size and age. Instances
+	// that are further behind receive the full state.
+	maxChangeLogEntries = 8192
+	changeLogTTL        = tombstoneTTL / 2
+)
+
+// A change records that an endpoint was added, changed or deleted.
+type change struct {
+	id       string
+	revision int64 // of the first view that contains it
+	at       time.Time
+}
+
+// A changeLog holds the most recent changes, oldest first.
+type changeLog struct {
+	entries      []change
+	baseRevision int64 // the log contains all changes after this revision
+}
+
+// add appends a change unless it equals the last one.
+func (c *changeLog) add(id string, revision int64, now time.Time) {
+	if n := len(c.entries); n > 0 && c.entries[n-1].id == id && c.entries[n-1].revision == revision {
+		return
+	}
+	c.entries = append(c.entries, change{id, revision, now})
+}
+
+// trim drops entries that exceed the age or size limit.
+func (c *changeLog) trim(now time.Time) {
+	n := max(0, len(c.entries)-maxChangeLogEntries)
+	for n < len(c.entries) && now.Sub(c.entries[n].at) > changeLogTTL {
+		n++
+	}
+	if n == 0 {
+		return
+	}
+	c.baseRevision = max(c.baseRevision, c.entries[n-1].revision)
+	c.entries = c.entries[n:] // append reclaims the space when it reallocates
+}
+
+// reset empties the log; changes up to the revision are unknown.
+func (c *changeLog) reset(revision int64) {
+	c.entries = nil
+	c.baseRevision = revision
+}
+
+// after returns the IDs of endpoints that changed after a revision, each once. ok is false if the
+// log does not reach back that far.
+func (c *changeLog) after(revision int64) (ids []string, ok bool) {
+	if revision < c.baseRevision {
+		return nil, false
+	}
+	seen := make(map[string]bool)
+	for i := len(c.entries) - 1; i >= 0 && c.entries[i].revision > revision; i-- {
+		if id := c.entries[i].id; !seen[id] {
+			seen[id] = true
+			ids = append(ids, id)
+		}
+	}
+	return ids, true
+}
+
+// Since returns the changes after a revision as an Update for another instance that has all
+// changes up to it. ok is false if revision is not positive or the change log does not reach
+// back that far.
+func (t *Table) Since(revision int64) (u *Update, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ids, ok := t.changeLog.after(revision)
+	if !ok || revision <= 0 {
+		return nil, false
+	}
+	u = t.newUpdate()
+	now := t.now()
+	for _, id := range ids {
+		if e := t.entries[id]; e != nil && e.graceUntil.IsZero() {
+			u.Present = append(u.Present, e.record(now))
+		} else if d, deleted := t.tombstones[id]; deleted {
+			u.Gone = append(u.Gone, Departure{ID: id, Revision: d.revision, Replaced: d.replaced})
+		}
+	}
+	return u, true
+}
+
+// Digest returns a digest of all listed endpoints and the revision of the view that it belongs
+// to. Two instances that list the same endpoint revisions have the same digest.
+func (t *Table) Digest() (revision int64, digest uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.view.Load().Revision, t.digest
+}
+
+// digest returns the digest of one entry, zero in its grace period. Digests are combined by xor,
+// so that a single entry can be added or removed incrementally.
+func (e *entry) digest() uint64 {
+	if !e.graceUntil.IsZero() {
+		return 0
+	}
+	var d xxhash.Digest
+	d.Reset()
+	_, _ = d.WriteString(e.ID)
+	var revision [8]byte
+	binary.LittleEndian.PutUint64(revision[:], uint64(e.Revision))
+	_, _ = d.Write(revision[:])
+	return d.Sum64()
+}
--- a/belief/compile_test.go
+++ b/belief/compile_test.go
@@ -1,12 +1,5 @@
 package belief
 
-// Symptom: an instance behind slow links was not ready while a large configuration
-// arrived on a busy machine.
-//
-// Sequence: the follower applied an update and held the table's lock while the
-// configuration was compiled; gossip, which reads the proof for each datagram it sends and
-// dates the beliefs for each that comes, waited for that lock.
-
 import (
 	"testing"
 	"time"
@@ -14,11 +7,12 @@
 	"ivyridge/catalog"
 )
 
-// Proofs are read and renewed while a configuration is being compiled.
-func TestProofsGoOnWhileAConfigurationIsCompiled(t *testing.T) {
+// Guards against holding the table's lock while a configuration is compiled, which would block
+// gossip, as it reads and renews the validation time for each datagram.
+func TestCompilingDoesNotBlockValidation(t *testing.T) {
 	table := NewTable(time.Now)
 	compiling, done := make(chan struct{}), make(chan struct{})
-	table.compiler = func(d catalog.Document) (*catalog.Catalog, error) {
+	table.compileFunc = func(d catalog.Document) (*catalog.Catalog, error) {
 		if d.Version > 1 {
 			close(compiling)
 			<-done
@@ -42,16 +36,16 @@
 	select {
 	case p := <-proved:
 		if p.Revision != 1 {
-			t.Errorf("the proof is of revision %d while version 2 is compiled, want 1", p.Revision)
+			t.Errorf("validated revision %d while version 2 is compiled, want 1", p.Revision)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("proofs wait for the configuration that is compiled")
+		t.Error("reading and renewing the validation time blocks while a configuration is compiled")
 	}
 	close(done)
 	if err := <-applied; err != nil {
 		t.Fatal(err)
 	}
 	if got := table.View().Catalog.Version(); got != 2 {
-		t.Errorf("version %d is in force, want 2", got)
+		t.Errorf("version in force is %d, want 2", got)
 	}
 }
--- a/belief/entries.go
+++ b/belief/entries.go
@@ -1,24 +1,24 @@
 package belief
 
-// This file keeps the entries of endpoints: which update changes which, and for how long one
-// that went while the store was in trouble is kept.
+// This file applies endpoint changes to the entries of a Table, and keeps entries that disappear
+// during a store outage for a grace period.
 
 import "time"
 
-// graceFor is how long an entry that went in trouble is remembered: an
-// endpoint that lives has published itself anew by then.
-const graceFor = 2 * time.Second
+// gracePeriod is how long an entry that disappeared during a store outage is kept. An endpoint
+// that is alive publishes itself again within that time.
+const gracePeriod = 2 * time.Second
 
 type entry struct {
 	Record
-	graceUntil time.Time // zero while the entry is there
-	coldUntil  time.Time // zero if it was not cold
+	graceUntil time.Time // zero while the entry is listed
+	coldUntil  time.Time // zero if the endpoint was warm
 }
 
-func (t *Table) applyEndpoints(u *Update) (moved bool) {
+func (t *Table) applyEndpointChanges(u *Update) (changed bool) {
 	if u.Whole && u.Revision >= t.view.Load().Revision {
-		moved = t.dropAbsent(u)
-		defer t.changes.startAt(t.taking)
+		changed = t.removeMissing(u)
+		defer t.changeLog.reset(t.nextRevision)
 	}
 	for i := range u.Present {
 		r := &u.Present[i]
@@ -26,59 +26,59 @@
 		if e != nil && e.Revision >= r.Revision && e.graceUntil.IsZero() {
 			continue
 		}
-		if e != nil && e.Revision > r.Revision || t.departed[r.ID].revision > r.Revision {
+		if e != nil && e.Revision > r.Revision || t.tombstones[r.ID].revision > r.Revision {
 			continue
 		}
-		next := t.enter(r)
+		next := t.newEntry(r)
 		switch {
 		case e == nil:
 		case r.Born == 0:
-			next.Born = e.Born // told by an instance that does not know births
+			next.Born = e.Born // forwarded by an instance whose build omits start times
 		case r.Born < e.Born:
-			continue // an earlier process wrote that, however late it was taken
+			continue // written by an earlier process, though stored later
 		}
-		delete(t.lapsed, r.ID)
-		t.set(next)
-		moved = true
+		delete(t.inGrace, r.ID)
+		t.putEntry(next)
+		changed = true
 	}
 	for _, d := range u.Gone {
-		t.depart(d)
+		t.recordTombstone(d)
 		e := t.entries[d.ID]
 		switch {
 		case e == nil || e.Revision >= d.Revision:
 		case d.Replaced:
-			t.drop(e)
-			moved = true
+			t.deleteEntry(e)
+			changed = true
 		case e.graceUntil.IsZero():
-			t.remove(e)
-			moved = true
+			t.removeEntry(e)
+			changed = true
 		}
 	}
-	return t.forget() || moved
+	return t.sweep() || changed
 }
 
-// departedFor is how long the departure of an endpoint is remembered: longer than a call to
-// the store or to another instance lasts.
-const departedFor = 40 * time.Second
+// tombstoneTTL is how long the deletion of an endpoint is remembered. It exceeds the duration of
+// a call to the store or to another instance.
+const tombstoneTTL = 40 * time.Second
 
-// A departure is when an endpoint went: an answer that was given before may come later, and
-// tell of its entry.
-type departure struct {
+// A tombstone records the deletion of an endpoint, so that a delayed response which predates it
+// does not restore the entry.
+type tombstone struct {
 	revision int64
 	at       time.Time
-	replaced bool // see Departure
+	replaced bool // see Departure.Replaced
 }
 
-// depart remembers a departure. The caller holds t.mu.
-func (t *Table) depart(d Departure) {
-	if d.Revision > t.departed[d.ID].revision {
-		t.departed[d.ID] = departure{revision: d.Revision, at: t.now(), replaced: d.Replaced}
+// recordTombstone stores a deletion unless a later one is known. The caller holds t.mu.
+func (t *Table) recordTombstone(d Departure) {
+	if d.Revision > t.tombstones[d.ID].revision {
+		t.tombstones[d.ID] = tombstone{revision: d.Revision, at: t.now(), replaced: d.Replaced}
 	}
 }
 
-// enter returns the entry of a record. How long its endpoint is still cold counts from
-// now, not from when that was told: rather too long than too short.
-func (t *Table) enter(r *Record) *entry {
+// newEntry returns the entry of a record. The remaining warm-up time counts from now rather than
+// from when it was sent, so that an endpoint is treated as cold rather too long than too short.
+func (t *Table) newEntry(r *Record) *entry {
 	e := &entry{Record: *r}
 	if r.ColdLeft > 0 {
 		e.coldUntil = t.now().Add(r.ColdLeft)
@@ -86,58 +86,58 @@
 	return e
 }
 
-func (t *Table) dropAbsent(u *Update) (moved bool) {
+func (t *Table) removeMissing(u *Update) (changed bool) {
 	present := make(map[string]bool, len(u.Present))
 	for i := range u.Present {
 		present[u.Present[i].ID] = true
 	}
 	for id, e := range t.entries {
 		if !present[id] && e.Revision <= u.Revision && e.graceUntil.IsZero() {
-			t.depart(Departure{ID: id, Revision: u.Revision})
-			t.remove(e)
-			moved = true
+			t.recordTombstone(Departure{ID: id, Revision: u.Revision})
+			t.removeEntry(e)
+			changed = true
 		}
 	}
-	return moved
+	return changed
 }
 
-// remove drops an entry that went, or keeps it as lapsed if the store is or
-// was just in trouble. One that said it leaves has left.
-func (t *Table) remove(e *entry) {
-	if t.troubled() && !e.Draining {
-		t.touch(e.ID)
+// removeEntry deletes an entry, or starts its grace period if the store is or was just
+// unavailable. A draining endpoint has left on purpose and gets no grace period.
+func (t *Table) removeEntry(e *entry) {
+	if t.storeUnavailable() && !e.Draining {
+		t.markChanged(e.ID)
 		t.digest ^= e.digest()
-		e.graceUntil = t.now().Add(graceFor)
-		t.lapsed[e.ID] = e
+		e.graceUntil = t.now().Add(gracePeriod)
+		t.inGrace[e.ID] = e
 		return
 	}
-	t.drop(e)
+	t.deleteEntry(e)
 }
 
-// tidyEvery is the least pause between two looks for departures that may be forgotten.
-const tidyEvery = time.Second
+// sweepInterval is the minimum time between two sweeps for expired tombstones.
+const sweepInterval = time.Second
 
-func (t *Table) forget() (moved bool) {
+func (t *Table) sweep() (changed bool) {
 	now := t.now()
-	if now.Sub(t.tidied) > tidyEvery {
-		t.tidied = now
-		for id, d := range t.departed {
-			if now.Sub(d.at) > departedFor {
-				delete(t.departed, id)
+	if now.Sub(t.lastSweep) > sweepInterval {
+		t.lastSweep = now
+		for id, d := range t.tombstones {
+			if now.Sub(d.at) > tombstoneTTL {
+				delete(t.tombstones, id)
 			}
 		}
 	}
-	for _, e := range t.lapsed {
+	for _, e := range t.inGrace {
 		if now.After(e.graceUntil) {
-			t.drop(e)
-			moved = true
+			t.deleteEntry(e)
+			changed = true
 		}
 	}
-	return moved
+	return changed
 }
 
-// told returns the entry's record as it is told to other instances.
-func (e *entry) told(now time.Time) Record {
+// record returns the entry's record as it is sent to other instances.
+func (e *entry) record(now time.Time) Record {
 	r := e.Record
 	r.ColdLeft = max(0, e.coldUntil.Sub(now))
 	return r
--- a/belief/evacuate.go
+++ b/belief/evacuate.go
@@ -1,6 +1,6 @@
 package belief
 
-// This file holds which data centres operators want emptied.
+// This file tracks which data centres operators want evacuated.
 
 import (
 	"slices"
@@ -8,53 +8,52 @@
 	"ivyridge/catalog"
 )
 
-// mostDataCentres bounds the data centres whose evacuations are kept: keys of the store
-// may name any.
-const mostDataCentres = 256
+// maxEvacuations bounds the number of data centres whose evacuations are kept, since keys in
+// the store may contain arbitrary names.
+const maxEvacuations = 256
 
-// applyEvacuations takes up the evacuations of u. The caller holds t.mu.
-func (t *Table) applyEvacuations(u *Update, c *catalog.Catalog) (moved bool) {
+// applyEvacuations applies the evacuations of u. The caller holds t.mu.
+func (t *Table) applyEvacuations(u *Update, c *catalog.Catalog) (changed bool) {
 	if u.Whole && u.Revision >= t.view.Load().Revision {
-		moved = t.endAbsent(u, c)
+		changed = t.endMissingEvacuations(u, c)
 	}
 	for _, e := range u.Evacuations {
-		moved = t.evacuate(e, c) || moved
+		changed = t.applyEvacuation(e, c) || changed
 	}
-	return moved
+	return changed
 }
 
-// endAbsent ends the evacuations that are not among all that there are.
-func (t *Table) endAbsent(u *Update, c *catalog.Catalog) (moved bool) {
+// endMissingEvacuations ends the evacuations that a full update does not contain.
+func (t *Table) endMissingEvacuations(u *Update, c *catalog.Catalog) (changed bool) {
 	for dataCentre, known := range t.evacuations {
-		there := slices.ContainsFunc(u.Evacuations, func(e Evacuation) bool { return e.DataCentre == dataCentre })
-		if !there && !known.Over && known.Revision <= u.Revision {
-			moved = t.evacuate(Evacuation{DataCentre: dataCentre, Revision: u.Revision, Over: true}, c) || moved
+		present := slices.ContainsFunc(u.Evacuations, func(e Evacuation) bool { return e.DataCentre == dataCentre })
+		if !present && !known.Over && known.Revision <= u.Revision {
+			changed = t.applyEvacuation(Evacuation{DataCentre: dataCentre, Revision: u.Revision, Over: true}, c) || changed
 		}
 	}
-	return moved
+	return changed
 }
 
-// evacuate takes up one evacuation, or the end of one, unless more is known already.
-func (t *Table) evacuate(e Evacuation, c *catalog.Catalog) (moved bool) {
+// applyEvacuation stores the start or end of an evacuation unless a newer one is known.
+func (t *Table) applyEvacuation(e Evacuation, c *catalog.Catalog) (changed bool) {
 	known, ok := t.evacuations[e.DataCentre]
-	if ok && known.Revision >= e.Revision || !ok && len(t.evacuations) >= mostDataCentres {
+	if ok && known.Revision >= e.Revision || !ok && len(t.evacuations) >= maxEvacuations {
 		return false
 	}
 	t.evacuations[e.DataCentre] = e
 	if e.Over != known.Over || !ok {
-		t.touchAll(e.DataCentre)
+		t.markDataCentreDirty(e.DataCentre)
 	}
 	if e.Over && !known.Over && ok {
-		t.cool(e.DataCentre, c)
+		t.markCold(e.DataCentre, c)
 	}
 	return e.Over != known.Over || !ok
 }
 
-// cool takes the endpoints of a data centre that was emptied for cold: they may have
-// turned cold while nothing was sent there, and say so only with their next heartbeat.
-// Sent all that looked free there, they fell over (30 requests a second where 24.5 are
-// allowed).
-func (t *Table) cool(dataCentre string, c *catalog.Catalog) {
+// markCold treats the endpoints of a data centre whose evacuation ended as cold. They may have
+// become cold while they received no requests, and report so only with their next heartbeat;
+// sending to all slots that look free until then would overload them.
+func (t *Table) markCold(dataCentre string, c *catalog.Catalog) {
 	if c == nil {
 		return
 	}
@@ -66,22 +65,23 @@
 		}
 		if until := now.Add(service.ColdFor); until.After(e.coldUntil) {
 			e.coldUntil = until
-			t.touched[e.ID] = true
+			t.dirty[e.ID] = true
 		}
 	}
 }
 
-// emptied reports whether operators want a data centre emptied. The caller holds t.mu.
-func (t *Table) emptied(dataCentre string) bool {
+// isEvacuated reports whether operators want a data centre evacuated. The caller holds t.mu.
+func (t *Table) isEvacuated(dataCentre string) bool {
 	e, ok := t.evacuations[dataCentre]
 	return ok && !e.Over
 }
 
-// evacuated returns the data centres that operators want emptied. The caller holds t.mu.
-func (t *Table) evacuated() []string {
+// evacuatedDataCentres returns the data centres that operators want evacuated, sorted. The caller
+// holds t.mu.
+func (t *Table) evacuatedDataCentres() []string {
 	var out []string
 	for dataCentre := range t.evacuations {
-		if t.emptied(dataCentre) {
+		if t.isEvacuated(dataCentre) {
 			out = append(out, dataCentre)
 		}
 	}
@@ -89,11 +89,12 @@
 	return out
 }
 
-// touchAll has the endpoints of a data centre shown anew. The caller holds t.mu.
-func (t *Table) touchAll(dataCentre string) {
+// markDataCentreDirty has the endpoints of a data centre rebuilt in the next view. The caller
+// holds t.mu.
+func (t *Table) markDataCentreDirty(dataCentre string) {
 	for id, e := range t.entries {
 		if e.DataCentre == dataCentre {
-			t.touched[id] = true
+			t.dirty[id] = true
 		}
 	}
 }
--- a/belief/prove.go
+++ b/belief/prove.go
@@ -1,6 +1,6 @@
 package belief
 
-// This file proves beliefs anew, with few calls to the store.
+// This file validates the state of a Table against the store, with few calls.
 
 import (
 	"context"
@@ -11,99 +11,100 @@
 	"go.uber.org/zap"
 )
 
-// Times of proving. One instance, the first by rank, asks the store once its
-// proof is as old as proveEvery; its proof reaches the others with its age. Others ask only when
-// their own proof grows old, the later the lower their rank, and the many that have
-// no rank at random, so that few do at once. All that is well inside the time within which a key that was taken
-// away must stop.
+// Validation schedule. The instance with the lowest rank calls the store once its last
+// validation is validationInterval old, and passes the result on to the other instances. Those
+// call the store only when their own last validation grows old, the later the higher their
+// rank. Instances without a rank call at random times, so that few do so at once. All of these
+// ages are well below the time within which a revoked key must stop working.
 const (
-	proveEvery = 800 * time.Millisecond
-	proveCheck = 100 * time.Millisecond
-	standbyAge = 2200 * time.Millisecond // of the proof, when the second by rank asks
-	standbyGap = 250 * time.Millisecond  // more for each rank after it
-	oldestAge  = 3 * time.Second         // when any instance asks
-	proveRetry = 1500 * time.Millisecond // after a failure
-	// crowdEvery is the mean pause between calls of all instances of a crowd
-	// together, once proofs are of oldestAge. While the store was down for all of 295
-	// instances, each asking by itself was 530 calls in 3 s, and told nothing more.
-	crowdEvery = 50 * time.Millisecond
+	validationInterval     = 800 * time.Millisecond
+	validationPollInterval = 100 * time.Millisecond
+	standbyValidationAge   = 2200 * time.Millisecond // at which the instance with the second rank calls
+	standbyStagger         = 250 * time.Millisecond  // added for each further rank
+	maxValidationAge       = 3 * time.Second         // at which any instance may call
+	validationRetryDelay   = 1500 * time.Millisecond // after a failure
+	// unrankedMeanInterval is the mean time between calls of all unranked instances together
+	// once the last validation is maxValidationAge old. If each of them called at its own
+	// interval while the store is down, a large fleet would make hundreds of calls that
+	// return no more information.
+	unrankedMeanInterval = 50 * time.Millisecond
 )
 
-// A Turn is an instance's place among those that prove beliefs.
+// A Turn is an instance's position in the order in which instances validate.
 type Turn struct {
-	Rank int // instances with young proofs that ask before it
-	// Crowd is how many instances ask as it does without an order among them; zero
-	// for one that has a rank. They ask seldom, the more of them there are: one that
-	// is answered tells all.
+	Rank int // number of recently validated instances that call before this one
+	// Crowd is the number of unranked instances, this one included; zero for an instance that
+	// has a rank. The larger it is, the less often each of them calls, since one response
+	// serves all of them.
 	Crowd int
 }
 
-// A Prover keeps a Table's proof young.
+// A Prover keeps the validation of a Table recent.
 type Prover struct {
 	Table *Table
 	Store NamedSource
-	// Turn returns this instance's place.
+	// Turn returns this instance's position.
 	Turn func() Turn
-	// Arriving, if set, reports whether an answer of the store is arriving. A proof brings all
-	// changes too: asked for meanwhile, a large configuration came twice over one link, each as
-	// slowly as both, and 4.5 s passed without a proof in place of 2.7.
+	// Arriving, if set, reports whether a response of the store is being received. A validating
+	// call also returns all changes, so one made meanwhile would transfer a large configuration
+	// a second time over the same link and delay both responses.
 	Arriving func() bool
 	Log      *zap.Logger
 	Count    func(event string)
 
-	next    time.Time
-	crowded time.Time // when this instance asks as one of a crowd; zero: not drawn
+	nextAttempt time.Time
+	randomDue   time.Time // when this instance calls while it is unranked; zero: not drawn
 }
 
-// due reports whether an instance whose proof has an age asks now.
+// due reports whether the instance should call the store now, given the age of its last validation.
 func (p *Prover) due(now time.Time, age time.Duration) bool {
-	if age < oldestAge && p.Arriving != nil && p.Arriving() {
+	if age < maxValidationAge && p.Arriving != nil && p.Arriving() {
 		return false
 	}
 	turn := p.Turn()
 	if turn.Crowd == 0 {
-		p.crowded = time.Time{}
-		return age >= due(turn.Rank)
+		p.randomDue = time.Time{}
+		return age >= validationAgeFor(turn.Rank)
 	}
-	if age < oldestAge {
-		p.crowded = time.Time{}
+	if age < maxValidationAge {
+		p.randomDue = time.Time{}
 		return false
 	}
-	if p.crowded.IsZero() {
-		p.crowded = now.Add(time.Duration(rand.ExpFloat64() * float64(turn.Crowd-1) * float64(crowdEvery)))
+	if p.randomDue.IsZero() {
+		p.randomDue = now.Add(time.Duration(rand.ExpFloat64() * float64(turn.Crowd-1) * float64(unrankedMeanInterval)))
 	}
-	return !now.Before(p.crowded)
+	return !now.Before(p.randomDue)
 }
 
-// due returns the age of the proof at which an instance of a rank asks.
-func due(rank int) time.Duration {
+// validationAgeFor returns the validation age at which an instance with a rank calls the store.
+func validationAgeFor(rank int) time.Duration {
 	if rank == 0 {
-		return proveEvery
+		return validationInterval
 	}
-	return min(standbyAge+time.Duration(rank-1)*standbyGap, oldestAge)
+	return min(standbyValidationAge+time.Duration(rank-1)*standbyStagger, maxValidationAge)
 }
 
-// Run proves until ctx ends.
+// Run validates the Table until ctx is done. Only one Run may be active at a time.
 func (p *Prover) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, proveCheck)
+		sleep(ctx, validationPollInterval)
 		now := p.Table.now()
 		age, ok := p.Table.Age()
-		if !ok || now.Before(p.next) || !p.due(now, age) {
+		if !ok || now.Before(p.nextAttempt) || !p.due(now, age) {
 			continue
 		}
-		p.next = now.Add(proveEvery)
-		p.crowded = time.Time{}
-		if err := p.prove(ctx); err != nil && ctx.Err() == nil {
+		p.nextAttempt = now.Add(validationInterval)
+		p.randomDue = time.Time{}
+		if err := p.validate(ctx); err != nil && ctx.Err() == nil {
 			p.Count("failed")
 			p.Table.Trouble()
-			p.next = now.Add(proveRetry)
+			p.nextAttempt = now.Add(validationRetryDelay)
 		}
 	}
 }
 
-func (p *Prover) prove(ctx context.Context) error {
-	call, cancel := context.WithTimeout(ctx, loadWithin)
+func (p *Prover) validate(ctx context.Context) error {
+	call, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	p.Count("prove")
 	u, err := p.Store.Source.Watch(call, Query{After: p.Table.View().Revision})
@@ -111,7 +112,7 @@
 		u, err = p.Store.Source.Load(call)
 	}
 	if err != nil {
-		logCut(p.Store, err, p.Log, p.Count)
+		logTruncatedAnswer(p.Store, err, p.Log, p.Count)
 		return err
 	}
 	Apply(p.Table, p.Store, u, p.Log, p.Count)
