--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,10 +1,10 @@
-// Package catalog models what operators declare for an entry instance: routes,
-// services, teams and limits on callers.
+// Package catalog models the configuration that operators declare: routes,
+// services, teams and request limits.
 //
 // A Document is the declared form, as plain data. Compile checks a Document
 // and returns a Catalog, which is immutable, safe for concurrent use, and
-// answers the two questions asked of every request: which route, and whose
-// key. The package does no I/O and knows no wire format.
+// maps a request to its route and an API key to its team. The package does no
+// I/O and knows no wire format.
 package catalog
 
 import (
@@ -16,37 +16,37 @@
 	"github.com/pkg/errors"
 )
 
-// A Kind says how a route's requests may be repeated and answered.
+// A Kind determines how often a route's requests may run and how they are answered.
 type Kind string
 
 // The kinds of requests.
 const (
 	Repeatable Kind = "repeatable" // may run more than once
 	Single     Kind = "single"     // runs at most once
-	Stream     Kind = "stream"     // answered by events; runs at most once unless it may be resumed
+	Stream     Kind = "stream"     // answered by an event stream; runs at most once unless it is resumable
 )
 
-// A Target is a service that takes a share of a route's requests.
+// A Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// A Route tells how requests for a host and path prefix are served.
+// A Route determines how requests for a host and path prefix are served.
 type Route struct {
 	Name           string
 	Host           string
 	Prefix         string // begins and ends with a slash
 	Kind           Kind
-	Timeout        time.Duration // the longest that a request is held; zero: no bound
-	Objective      time.Duration // until the answer, or a stream's first event
-	PauseObjective time.Duration // between a stream's events
+	Timeout        time.Duration // maximum duration of a request; zero: no limit
+	Objective      time.Duration // target time to the response, or to the first event of a stream
+	PauseObjective time.Duration // target time between the events of a stream
 	Priority       int           // 0 is the most urgent
 	Targets        []Target
-	MaxAttempts    int      // servers that one request may be sent to
-	Anonymous      bool     // no key is needed
+	MaxAttempts    int      // maximum number of endpoints that a request is sent to
+	Anonymous      bool     // no API key is required
 	Resumable      bool     // a stream may be continued after its last event
-	HomeRegions    []string // in which its requests may be served; nil: in all, empty: in none
+	HomeRegions    []string // regions in which its requests may be served; nil: all, empty: none
 }
 
 // MayRepeat reports whether a request of r may run more than once.
@@ -54,7 +54,7 @@
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
-// Target returns the service for a request whose uniform hash is given.
+// Target returns the service for a request, chosen by weight from a uniformly distributed hash.
 func (r *Route) Target(hash uint64) string {
 	total := 0
 	for _, t := range r.Targets {
@@ -75,43 +75,43 @@
 
 // An Engine describes the model servers of a service.
 type Engine struct {
-	Slots        int // requests in a batch
-	MemoryTokens int // shared by running requests and kept prompt parts
-	// What moving kept parts from one engine to another takes; zero: they can't be moved.
-	TokenBytes int     // of memory
-	LinkMbps   float64 // of an engine's link to the others
+	Slots        int // maximum batch size, in requests
+	MemoryTokens int // capacity of the key-value cache, shared by running requests and cached prompt prefixes
+	// Cost of transferring cached prefixes between engines; zero: transfer is not supported.
+	TokenBytes int     // cache memory per token
+	LinkMbps   float64 // bandwidth of an engine's link to the others
 }
 
-// Fetches reports whether an engine may take parts of a prompt from another one.
+// Fetches reports whether an engine can fetch cached prompt prefixes from another one.
 func (e *Engine) Fetches() bool { return e.TokenBytes > 0 && e.LinkMbps > 0 }
 
-// MoveTime returns how long, in ms, the memory of so many tokens takes from one engine to
-// another, where Fetches.
+// MoveTime returns how long, in ms, it takes to transfer the cache of so many tokens between
+// engines. It must be called only if Fetches reports true.
 func (e *Engine) MoveTime(tokens int) float64 {
-	const bitsPerMS = 1e3 // of one Mbit/s
+	const bitsPerMS = 1e3 // at 1 Mbit/s
 	return float64(tokens) * float64(e.TokenBytes) * 8 / (e.LinkMbps * bitsPerMS)
 }
 
-// A Service is a set of endpoints that serve the same.
+// A Service is a set of interchangeable endpoints.
 type Service struct {
 	Name     string
-	MaxConns int     // connections that an endpoint accepts from all callers
-	Engine   *Engine // nil for a plain service
+	MaxConns int     // connections that an endpoint accepts from all instances together
+	Engine   *Engine // nil if the endpoints are not model servers
 
-	ColdFor  time.Duration // how long an endpoint is cold after its start
-	ColdRate float64       // requests a second that a cold endpoint bears; zero: no bound
+	ColdFor  time.Duration // how long an endpoint warms up after its start
+	ColdRate float64       // maximum requests per second of an endpoint during warm-up; zero: no limit
 }
 
-// A Team is a group of callers with its keys.
+// A Team is a customer with its API keys.
 type Team struct {
 	Name     string
 	Keys     []string
-	Priority *int // in place of the route's, if set
+	Priority *int // overrides the route's priority, if set
 
-	HomeRegions []string // in which its requests may be served; nil: in all, empty: in none
+	HomeRegions []string // regions in which its requests may be served; nil: all, empty: none
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests that clients may send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -119,7 +119,7 @@
 	IdleTimeout    time.Duration
 }
 
-// A Document is one declared version of everything.
+// A Document is one version of the declared configuration.
 type Document struct {
 	Version  int64
 	Routes   []Route
@@ -128,8 +128,8 @@
 	Limits   Limits
 }
 
-// An Endpoint is one server of a service, as it publishes itself. Its ID is
-// new at every start; its address may be taken over by another.
+// An Endpoint is one server of a service, as it registers itself. Its address may later belong to
+// another endpoint.
 type Endpoint struct {
 	ID         string
 	Service    string
@@ -137,12 +137,12 @@
 	DataCentre string
 	Slots      int
 	Draining   bool
-	ColdLeft   time.Duration // how much longer it was to be cold when that was told
-	Born       int64         // its process started, in Unix milliseconds; zero: not told
+	ColdLeft   time.Duration // remaining warm-up time when this was sent
+	Born       int64         // start time of its process in Unix milliseconds; zero: not sent
 }
 
-// Incarnation names one process of an endpoint: it may start again under its ID, and holds and
-// knows nothing then of what it did before.
+// Incarnation identifies one process of an endpoint. An endpoint may restart under the same ID;
+// its new process has none of the requests and cached data of the earlier one.
 func (e *Endpoint) Incarnation() string {
 	if e.Born == 0 {
 		return e.ID
@@ -150,7 +150,7 @@
 	return e.ID + "/" + strconv.FormatInt(e.Born, 36)
 }
 
-// A Catalog is a checked Document that is ready for look-ups.
+// A Catalog is a validated Document, indexed for lookups.
 type Catalog struct {
 	doc      Document
 	hosts    map[string][]*Route
@@ -158,7 +158,7 @@
 	keys     map[string]*Team
 }
 
-// Compile checks d, which must not be changed afterwards.
+// Compile validates d and builds its indexes. The caller must not modify d afterwards.
 func Compile(d Document) (*Catalog, error) {
 	c := &Catalog{
 		doc:      d,
@@ -208,17 +208,16 @@
 	return nil
 }
 
-// Document returns what c was compiled from; it must not be changed.
+// Document returns the document that c was compiled from. The caller must not modify it.
 func (c *Catalog) Document() *Document { return &c.doc }
 
-// Version returns the declared version.
 func (c *Catalog) Version() int64 { return c.doc.Version }
 
-// Limits returns the limits on callers.
+// Limits returns the limits on client requests.
 func (c *Catalog) Limits() Limits { return c.doc.Limits }
 
-// Route returns the route of host with the longest prefix of path, or nil.
-// A port in host is not looked at.
+// Route returns the route of host whose prefix is the longest that matches path, or nil.
+// A port in host is ignored.
 func (c *Catalog) Route(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -231,35 +230,34 @@
 	return nil
 }
 
-// Service returns the service called name, or nil.
+// Service returns the service with a name, or nil.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
-// NeedsKey reports whether requests of r need a team's key.
+// NeedsKey reports whether requests on r must carry a team's API key.
 func (c *Catalog) NeedsKey(r *Route) bool { return len(c.doc.Teams) > 0 && !r.Anonymous }
 
-// Team returns the holder of key, or nil.
+// Team returns the team that owns key, or nil.
 func (c *Catalog) Team(key string) *Team { return c.keys[key] }
 
-// Teams returns all teams. They are not to be changed.
+// Teams returns all teams. The caller must not modify them.
 func (c *Catalog) Teams() []Team { return c.doc.Teams }
 
-// Ranks of requests at an engine.
 const (
-	teamRanks = 3 // priorities of teams that are told apart among requests of one route
-	lastRank  = 9
+	teamPriorities = 3 // team priorities that are distinguished among requests of one route
+	maxRank        = 9
 )
 
-// Rank returns the place of t's requests on r at an engine, from 0, the most
-// urgent, to 9. An engine that runs out of memory or slots puts back the last.
-// The priority of the route comes first: a request is never put back while one
-// of a less urgent route runs on, whatever teams they are of. Requests of one
-// route are ordered by their teams. T may be nil.
+// Rank returns the scheduling priority of t's requests on r at an engine, from 0, the most
+// urgent, to 9. An engine that runs out of memory or slots preempts the request with the
+// highest rank. The priority of the route comes first: a request is never preempted while one
+// of a less urgent route is running, whatever their teams. Requests of one route are ordered
+// by their teams' priorities. All routes of priority 3 or above share rank 9. t may be nil.
 func Rank(r *Route, t *Team) int {
-	rank := teamRanks*max(0, r.Priority) + min(max(0, Priority(r, t)), teamRanks-1)
-	return min(rank, lastRank)
+	rank := teamPriorities*max(0, r.Priority) + min(max(0, Priority(r, t)), teamPriorities-1)
+	return min(rank, maxRank)
 }
 
-// Priority returns the priority of t's requests on r. T may be nil.
+// Priority returns the priority of t's requests on r. t may be nil.
 func Priority(r *Route, t *Team) int {
 	if t != nil && t.Priority != nil {
 		return *t.Priority
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -28,11 +28,11 @@
 		}
 	}
 	if r := c.Route("unknown", "/a/"); r != nil {
-		t.Errorf("a host without routes goes to %s", r.Name)
+		t.Errorf("an undeclared host is routed to %s", r.Name)
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestCompileErrors(t *testing.T) {
 	noTarget := route("h", "/a/")
 	noTarget.Targets = nil
 	unknown := route("h", "/a/")
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestTargetsTakeTheirShares(t *testing.T) {
+func TestTargetWeights(t *testing.T) {
 	r := route("h", "/")
 	r.Targets = []catalog.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}
 	count := make(map[string]int)
@@ -57,47 +57,47 @@
 		count[r.Target(hash)]++
 	}
 	if count["a"] != 900 || count["b"] != 100 {
-		t.Errorf("shares of 90 and 10 came out as %v", count)
+		t.Errorf("weights of 90 and 10 give shares of %v", count)
 	}
 	r.Targets[0].Weight, r.Targets[1].Weight = 0, 0
 	if got := r.Target(7); got != "a" {
-		t.Errorf("without weights the first is meant, got %s", got)
+		t.Errorf("with zero weights the target is %s, want the first", got)
 	}
 }
 
-func TestWhoNeedsAKey(t *testing.T) {
+func TestNeedsKey(t *testing.T) {
 	d := document(route("h", "/a/"))
-	open := route("h", "/open/")
-	open.Anonymous = true
-	d.Routes = append(d.Routes, open)
-	without, err := catalog.Compile(d)
+	anonymous := route("h", "/open/")
+	anonymous.Anonymous = true
+	d.Routes = append(d.Routes, anonymous)
+	noTeams, err := catalog.Compile(d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if without.NeedsKey(without.Route("h", "/a/")) {
-		t.Error("a key is asked for though there are no teams")
+	if noTeams.NeedsKey(noTeams.Route("h", "/a/")) {
+		t.Error("a key is required though there are no teams")
 	}
 	d.Teams = []catalog.Team{{Name: "t", Keys: []string{"k"}}}
-	with, err := catalog.Compile(d)
+	withTeams, err := catalog.Compile(d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !with.NeedsKey(with.Route("h", "/a/")) || with.NeedsKey(with.Route("h", "/open/")) {
-		t.Error("keys are asked for on the wrong routes")
+	if !withTeams.NeedsKey(withTeams.Route("h", "/a/")) || withTeams.NeedsKey(withTeams.Route("h", "/open/")) {
+		t.Error("keys are required on the wrong routes")
 	}
 }
 
-// An engine puts the last rank back first: no request of a route may come
-// after one of a less urgent route, whatever the priorities of their teams.
-func TestRankFollowsTheRouteFirst(t *testing.T) {
+// An engine preempts the highest rank first. No request of a route may rank after one of a less
+// urgent route, whatever the priorities of their teams.
+func TestRankOrdersByRouteFirst(t *testing.T) {
 	first, second := 0, 1
-	favoured, other := &catalog.Team{Priority: &first}, &catalog.Team{Priority: &second}
-	urgent, later := &catalog.Route{Priority: 0}, &catalog.Route{Priority: 2}
-	if u, l := catalog.Rank(urgent, other), catalog.Rank(later, favoured); u >= l {
-		t.Errorf("the urgent route has rank %d, a less urgent one of a favoured team %d", u, l)
+	preferred, other := &catalog.Team{Priority: &first}, &catalog.Team{Priority: &second}
+	urgent, background := &catalog.Route{Priority: 0}, &catalog.Route{Priority: 2}
+	if u, l := catalog.Rank(urgent, other), catalog.Rank(background, preferred); u >= l {
+		t.Errorf("the urgent route has rank %d, a less urgent one of a preferred team %d", u, l)
 	}
-	if f, o := catalog.Rank(urgent, favoured), catalog.Rank(urgent, other); f >= o {
-		t.Errorf("a favoured team has rank %d, another %d on the same route", f, o)
+	if f, o := catalog.Rank(urgent, preferred), catalog.Rank(urgent, other); f >= o {
+		t.Errorf("a preferred team has rank %d, another %d on the same route", f, o)
 	}
 	if got := catalog.Rank(&catalog.Route{Priority: 40}, nil); got != 9 {
 		t.Errorf("a route of priority 40 has rank %d, want 9", got)
--- a/catalog/homes_test.go
+++ b/catalog/residency_test.go
@@ -6,13 +6,13 @@
 	"ivyridge/catalog"
 )
 
-func TestHomesAreWhatRouteAndTeamAllow(t *testing.T) {
+func TestRegionsAllowedByRouteAndTeam(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		route, team []string
-		bound       bool
+		restricted  bool
 		allowed     []string
-		refused     []string
+		denied      []string
 	}{
 		{"nothing declared", nil, nil, false, []string{"north", "south", ""}, nil},
 		{"a route's", []string{"north"}, nil, true, []string{"north"}, []string{"south", ""}},
@@ -24,21 +24,21 @@
 		{"a region without a name", []string{""}, nil, true, nil, []string{""}},
 	} {
 		h := catalog.HomesOf(&catalog.Route{HomeRegions: c.route}, &catalog.Team{HomeRegions: c.team})
-		if h.Bound() != c.bound {
-			t.Errorf("%s: bound %t, want %t", c.name, h.Bound(), c.bound)
+		if h.Bound() != c.restricted {
+			t.Errorf("%s: Bound() = %t, want %t", c.name, h.Bound(), c.restricted)
 		}
 		for _, region := range c.allowed {
 			if !h.Allows(region) {
 				t.Errorf("%s: %q is not allowed", c.name, region)
 			}
 		}
-		for _, region := range c.refused {
+		for _, region := range c.denied {
 			if h.Allows(region) {
 				t.Errorf("%s: %q is allowed", c.name, region)
 			}
 		}
 	}
 	if catalog.HomesOf(&catalog.Route{}, nil).Bound() {
-		t.Error("a request without a team is bound by none")
+		t.Error("an unrestricted route without a team is restricted")
 	}
 }
