--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,9 +1,9 @@
-// Package clock tells instants that also pass while a process or its machine
-// is stopped.
+// Package clock provides clocks that also advance while the process or its
+// machine is suspended.
 //
-// An instant is the time since the clock was made. Boot reads the system's
-// boot-time clock, which goes on while the machine is suspended; Monotonic
-// reads Go's, and follows virtual time in tests.
+// A Clock counts the time since it was created. Boot reads the system's
+// boot-time clock, which advances during suspension. Monotonic reads Go's
+// monotonic clock, and follows virtual time in tests.
 package clock
 
 import (
@@ -12,25 +12,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// A Clock tells the present instant. It is safe for concurrent use.
+// A Clock returns the time since it was created. It is safe for concurrent use.
 type Clock interface {
 	Now() time.Duration
 }
 
-type boot struct{ start time.Duration }
+type bootClock struct{ start time.Duration }
 
-// Boot returns a clock over the boot-time clock, or Monotonic where the
-// system has none.
+// Boot returns a Clock over the boot-time clock, or Monotonic if the system
+// has none.
 func Boot() Clock {
 	now, ok := readBoot()
 	if !ok {
 		return Monotonic()
 	}
-	return boot{now}
+	return bootClock{now}
 }
 
-// Now returns the time since Boot was called, suspension included.
-func (b boot) Now() time.Duration {
+// Now returns the time since Boot was called, including suspension.
+func (b bootClock) Now() time.Duration {
 	now, _ := readBoot()
 	return now - b.start
 }
@@ -43,10 +43,10 @@
 	return time.Duration(ts.Nano()), true
 }
 
-type monotonic struct{ start time.Time }
+type monotonicClock struct{ start time.Time }
 
-// Monotonic returns a clock over Go's monotonic time.
-func Monotonic() Clock { return monotonic{time.Now()} }
+// Monotonic returns a Clock over Go's monotonic clock.
+func Monotonic() Clock { return monotonicClock{time.Now()} }
 
 // Now returns the time since Monotonic was called.
-func (m monotonic) Now() time.Duration { return time.Since(m.start) }
+func (m monotonicClock) Now() time.Duration { return time.Since(m.start) }
--- a/clock/steady.go
+++ b/clock/steady.go
@@ -6,45 +6,46 @@
 	"time"
 )
 
-// A Steady tells instants as time.Time that also pass while the machine is suspended, at
-// hardly more than the cost of time.Now: Go's monotonic clock stands still then, and what is
-// reckoned by it looks as young as before.
+// A Steady returns instants as time.Time that also advance while the machine is suspended, at
+// little more than the cost of time.Now. Go's monotonic clock stops during suspension, so that
+// anything timed by it would look younger than it is.
 //
-// The boot-time clock costs a system call, which each request would pay many times. The time
-// of day goes on during a suspension as well, and is read with the monotonic clock at once. So
-// the boot-time clock is asked when the two have moved apart, and now and then by Refresh. A time of
-// day that was set brings one question more and no other change.
+// Reading the boot-time clock takes a system call, too expensive to make many times per request.
+// The wall clock also advances during suspension and is read together with the monotonic clock.
+// So the boot-time clock is read only when those two have drifted apart, and by Refresh. Setting
+// the wall clock causes one additional read and has no other effect.
 //
-// Instants of a Steady are to be compared with its own only. A deadline for the runtime's timers
-// is made by Deadline.
+// Instants of a Steady may be compared only with each other. Use Deadline to convert one for the
+// runtime's timers. A Steady is safe for concurrent use.
 type Steady struct {
-	now  func() (monotonic time.Time, day int64)
+	now  func() (monotonic time.Time, wall int64)
 	boot func() (time.Duration, bool)
 
-	start     time.Time
-	startDay  int64 // Unix nanoseconds
-	startBoot time.Duration
-	slept     atomic.Int64 // nanoseconds since start that the monotonic clock did not count
-	apart     atomic.Int64 // by how much the time of day went ahead of the monotonic clock, as last seen
-	mu        sync.Mutex   // held by whoever asks the boot-time clock
+	start      time.Time
+	startWall  int64 // Unix nanoseconds
+	startBoot  time.Duration
+	suspended  atomic.Int64 // nanoseconds since start that the monotonic clock did not count
+	wallOffset atomic.Int64 // nanoseconds by which the wall clock ran ahead of the monotonic clock, as last seen
+	mu         sync.Mutex   // held while the boot-time clock is read
 }
 
 const (
-	// apartMost is how far the time of day and the monotonic clock move apart before the
-	// boot-time clock is asked: a suspension lasts longer, and a clock that is slewed takes
-	// seconds for that.
-	apartMost = 10 * time.Millisecond
-	// readWithin is how long two readings of clocks may take to count as made at once.
-	readWithin = time.Millisecond
-	// readTries is how often that is tried; the last one counts in any case, and rather
-	// understates the time slept.
-	readTries = 3
+	// maxWallDrift is the drift between the wall clock and the monotonic clock beyond which the
+	// boot-time clock is read. Suspensions last longer, and slewing the wall clock takes
+	// seconds to reach it.
+	maxWallDrift = 10 * time.Millisecond
+	// maxReadTime is the time within which two clocks must be read to count as simultaneous.
+	maxReadTime = time.Millisecond
+	// maxReadAttempts bounds the retries if reading takes longer. The last reading is used in
+	// any case, and may underestimate the suspension.
+	maxReadAttempts = 3
 )
 
-// NewSteady returns a Steady that starts now.
+// NewSteady returns a Steady whose clock starts now.
 func NewSteady() *Steady { return newSteady(readBoth, readBoot) }
 
-// readBoth returns the present instant, and the time of day in Unix nanoseconds.
+// readBoth returns the current time with its monotonic reading, and the wall clock in Unix
+// nanoseconds.
 func readBoth() (time.Time, int64) {
 	t := time.Now()
 	return t, t.UnixNano()
@@ -52,56 +53,57 @@
 
 func newSteady(now func() (time.Time, int64), boot func() (time.Duration, bool)) *Steady {
 	s := &Steady{now: now, boot: boot}
-	s.start, s.startDay = now()
+	s.start, s.startWall = now()
 	s.startBoot, _ = boot()
 	return s
 }
 
-// Now returns the present instant.
+// Now returns the current instant. It never goes back.
 func (s *Steady) Now() time.Time {
-	t, day := s.now()
-	if moved := s.apartAt(t, day) - s.apart.Load(); moved > int64(apartMost) || moved < -int64(apartMost) {
+	t, wall := s.now()
+	if drift := s.wallOffsetAt(t, wall) - s.wallOffset.Load(); drift > int64(maxWallDrift) || drift < -int64(maxWallDrift) {
 		s.refresh()
 		t, _ = s.now()
 	}
-	return t.Add(time.Duration(s.slept.Load()))
+	return t.Add(time.Duration(s.suspended.Load()))
 }
 
-// apartAt returns by how much, in nanoseconds, the time of day went ahead of the monotonic
-// clock until t.
-func (s *Steady) apartAt(t time.Time, day int64) int64 {
-	return day - s.startDay - int64(t.Sub(s.start))
+// wallOffsetAt returns by how many nanoseconds the wall clock ran ahead of the monotonic clock
+// from the start until t.
+func (s *Steady) wallOffsetAt(t time.Time, wall int64) int64 {
+	return wall - s.startWall - int64(t.Sub(s.start))
 }
 
-// Refresh asks the boot-time clock.
+// Refresh reads the boot-time clock. Calling it periodically detects suspensions that a
+// simultaneous change of the wall clock hides.
 func (s *Steady) Refresh() { s.refresh() }
 
 func (s *Steady) refresh() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		before, _ := s.now()
 		boot, ok := s.boot()
-		after, day := s.now()
+		after, wall := s.now()
 		if !ok {
-			s.apart.Store(s.apartAt(after, day))
+			s.wallOffset.Store(s.wallOffsetAt(after, wall))
 			return
 		}
-		if after.Sub(before) > readWithin && try < readTries {
+		if after.Sub(before) > maxReadTime && attempt < maxReadAttempts {
 			continue
 		}
-		s.take(boot-s.startBoot-after.Sub(s.start), s.apartAt(after, day))
+		s.record(boot-s.startBoot-after.Sub(s.start), s.wallOffsetAt(after, wall))
 		return
 	}
 }
 
-// take takes up how long the machine has slept since the start. It never gets less.
-func (s *Steady) take(slept time.Duration, apart int64) {
-	s.apart.Store(apart)
-	if slept-time.Duration(s.slept.Load()) > readWithin {
-		s.slept.Store(int64(slept))
+// record stores the total suspension since the start, which never decreases.
+func (s *Steady) record(suspended time.Duration, wallOffset int64) {
+	s.wallOffset.Store(wallOffset)
+	if suspended-time.Duration(s.suspended.Load()) > maxReadTime {
+		s.suspended.Store(int64(suspended))
 	}
 }
 
-// Deadline returns an instant that was told by a clock now as the runtime's timers reckon it.
+// Deadline converts an instant of the clock now to one that the runtime's timers use.
 func Deadline(now func() time.Time, at time.Time) time.Time { return time.Now().Add(at.Sub(now())) }
--- a/clock/steady_test.go
+++ b/clock/steady_test.go
@@ -5,105 +5,106 @@
 	"time"
 )
 
-// A machine is one whose clocks a test moves.
-type machine struct {
-	at    time.Time // with a monotonic reading
-	wall  time.Duration
-	boot  time.Duration
-	asked int
+// A fakeMachine has clocks that a test advances.
+type fakeMachine struct {
+	mono       time.Time // with a monotonic reading
+	wallOffset time.Duration
+	boot       time.Duration
+	bootReads  int
 }
 
-func (m *machine) run(d time.Duration) {
-	m.at = m.at.Add(d)
+func (m *fakeMachine) run(d time.Duration) {
+	m.mono = m.mono.Add(d)
 	m.boot += d
 }
 
-func (m *machine) sleep(d time.Duration) {
-	m.wall += d
+func (m *fakeMachine) suspend(d time.Duration) {
+	m.wallOffset += d
 	m.boot += d
 }
 
-func (m *machine) now() (time.Time, int64) { return m.at, m.at.Add(m.wall).UnixNano() }
+func (m *fakeMachine) now() (time.Time, int64) { return m.mono, m.mono.Add(m.wallOffset).UnixNano() }
 
-func (m *machine) readBoot() (time.Duration, bool) {
-	m.asked++
+func (m *fakeMachine) readBoot() (time.Duration, bool) {
+	m.bootReads++
 	return m.boot, true
 }
 
-func TestInstantsPassDuringASuspension(t *testing.T) {
-	m := &machine{at: time.Now(), boot: time.Hour}
+func TestNowAdvancesDuringSuspension(t *testing.T) {
+	m := &fakeMachine{mono: time.Now(), boot: time.Hour}
 	s := newSteady(m.now, m.readBoot)
 	start := s.Now()
 	m.run(3 * time.Second)
 	if got := s.Now().Sub(start); got != 3*time.Second {
-		t.Errorf("%s have passed, want 3 s", got)
+		t.Errorf("%s elapsed, want 3 s", got)
 	}
-	if m.asked > 1 {
-		t.Errorf("the boot-time clock was asked %d times though nothing happened", m.asked)
+	if m.bootReads > 1 {
+		t.Errorf("the boot-time clock was read %d times, want once", m.bootReads)
 	}
-	m.sleep(8 * time.Second)
+	m.suspend(8 * time.Second)
 	m.run(time.Millisecond)
 	if got := s.Now().Sub(start); got != 11*time.Second+time.Millisecond {
-		t.Errorf("%s have passed, want 11.001 s", got)
+		t.Errorf("%s elapsed, want 11.001 s", got)
 	}
-	asked := m.asked
+	bootReads := m.bootReads
 	for range 100 {
 		m.run(10 * time.Millisecond)
 		s.Now()
 	}
-	if m.asked != asked {
-		t.Errorf("the boot-time clock was asked %d times more", m.asked-asked)
+	if m.bootReads != bootReads {
+		t.Errorf("the boot-time clock was read %d more times, want none", m.bootReads-bootReads)
 	}
 }
 
-// The time of day is set, forward and back, beside sleeps: instants neither jump nor go back.
-func TestTimeOfDayIsSet(t *testing.T) {
-	m := &machine{at: time.Now(), boot: time.Hour}
+// Setting the wall clock forward and back, with suspensions in between, neither makes Now jump nor
+// makes it go back.
+func TestWallClockStepsDoNotAffectNow(t *testing.T) {
+	m := &fakeMachine{mono: time.Now(), boot: time.Hour}
 	s := newSteady(m.now, m.readBoot)
-	start, want := s.Now(), time.Duration(0)
+	start, elapsed := s.Now(), time.Duration(0)
 	last := start
 	for i, step := range []time.Duration{5 * time.Second, -7 * time.Second, 2 * time.Millisecond, -time.Hour, time.Hour} {
-		m.wall += step
+		m.wallOffset += step
 		m.run(50 * time.Millisecond)
-		want += 50 * time.Millisecond
+		elapsed += 50 * time.Millisecond
 		if i%2 == 1 {
-			m.sleep(time.Second)
-			want += time.Second
+			m.suspend(time.Second)
+			elapsed += time.Second
 		}
 		now := s.Now()
-		if got := now.Sub(start); got != want {
-			t.Errorf("step %d: %s have passed, want %s", i, got, want)
+		if got := now.Sub(start); got != elapsed {
+			t.Errorf("step %d: %s elapsed, want %s", i, got, elapsed)
 		}
 		if now.Before(last) {
-			t.Errorf("step %d: the instant went back", i)
+			t.Errorf("step %d: the clock went back", i)
 		}
 		last = now
 	}
 }
 
-// A sleep that the time of day hides, set back by as much at once, is found by Refresh.
-func TestHiddenSleepIsFoundByRefresh(t *testing.T) {
-	m := &machine{at: time.Now(), boot: time.Hour}
+// Refresh detects a suspension during which the wall clock was set back by the same time.
+func TestRefreshDetectsHiddenSuspension(t *testing.T) {
+	m := &fakeMachine{mono: time.Now(), boot: time.Hour}
 	s := newSteady(m.now, m.readBoot)
 	start := s.Now()
-	m.sleep(4 * time.Second)
-	m.wall -= 4 * time.Second
+	m.suspend(4 * time.Second)
+	m.wallOffset -= 4 * time.Second
 	s.Refresh()
 	if got := s.Now().Sub(start); got != 4*time.Second {
-		t.Errorf("%s have passed, want 4 s", got)
+		t.Errorf("%s elapsed, want 4 s", got)
 	}
 }
 
-func TestRealClock(t *testing.T) {
+func TestSystemClock(t *testing.T) {
 	s := NewSteady()
-	start, real := s.Now(), time.Now()
+	start, realStart := s.Now(), time.Now()
 	time.Sleep(20 * time.Millisecond)
 	s.Refresh()
-	if got, want := s.Now().Sub(start), time.Since(real); got < 20*time.Millisecond || got > want+50*time.Millisecond {
-		t.Errorf("%s have passed, want %s", got, want)
+	if got, want := s.Now().Sub(start), time.Since(realStart); got < 20*time.Millisecond || got > want+50*time.Millisecond {
+		t.Errorf("%s elapsed, want %s", got, want)
 	}
 	if d := time.Until(Deadline(s.Now, s.Now().Add(time.Second))); d < 900*time.Millisecond || d > time.Second {
-		t.Errorf("a deadline in 1 s is in %s", d)
+		t.Errorf("a deadline in 1 s is %s away", d)
 	}
 }
 
