--- a/publish/publish.go
+++ b/publish/publish.go
@@ -1,10 +1,10 @@
-// Package publish reads what the platform publishes: the declarations and
-// the list of instances and endpoints.
+// Package publish reads the documents that the platform publishes: the
+// configuration, and the list of instances and endpoints.
 //
-// The platform's service can only be read and watched. A watch is one call:
-// it waits until there is a revision newer than the one held, or until the
-// wait ends. Every call is counted by the platform, so only a few instances
-// watch for all.
+// The platform's service can only be read and watched. A watch is one
+// long-polling call, which returns when there is a newer revision or the wait
+// ends. The platform meters every call, so only a few instances watch on
+// behalf of all.
 package publish
 
 import (
@@ -19,13 +19,13 @@
 	"ivyridge/internal/fetch"
 )
 
-// MaxValue is the largest value that the platform holds.
+// MaxValue is the maximum size of a published value, in bytes.
 const MaxValue = 1 << 20
 
-// A Kind names a published document.
+// A Kind identifies a published document.
 type Kind string
 
-// The documents.
+// The published documents.
 const (
 	Config Kind = "config"
 	List   Kind = "list"
@@ -40,24 +40,24 @@
 // A Reader reads published documents. It is safe for concurrent use.
 type Reader interface {
 	// Watch returns a revision newer than after, or nil if there is none
-	// when wait ends. With wait zero it returns the present one at once.
+	// when wait ends. If wait is zero, it returns at once.
 	Watch(ctx context.Context, k Kind, after int64, wait time.Duration) (*Published, error)
 }
 
-// A Client reads from the platform's HTTP service.
+// A Client reads from the platform's HTTP service. It is safe for concurrent use.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a Client of the service at addr, IP:port.
+// NewClient returns a Client of the service at addr, given as IP:port.
 func NewClient(addr string) *Client {
 	return &Client{base: "http://" + addr, http: &http.Client{}}
 }
 
-// graceOverWait is how much longer than its wait a watch may take to begin its
-// answer; how long that takes to arrive depends on the document.
-const graceOverWait = time.Second
+// responseDelay is the time beyond its wait within which a watch must begin its response. How
+// long the response takes to arrive depends on the size of the document.
+const responseDelay = time.Second
 
 // Watch implements Reader.
 func (c *Client) Watch(ctx context.Context, k Kind, after int64, wait time.Duration) (*Published, error) {
@@ -66,19 +66,19 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "publish")
 	}
-	a, err := fetch.Do(c.http, req, 2*MaxValue, fetch.Wait{Begin: wait + graceOverWait})
+	resp, err := fetch.Do(c.http, req, 2*MaxValue, fetch.Wait{Begin: wait + responseDelay})
 	if err != nil {
 		return nil, errors.Wrap(err, "publish")
 	}
-	switch a.Status {
+	switch resp.Status {
 	case http.StatusNotModified:
 		return nil, nil
 	case http.StatusOK:
 		p := new(Published)
-		if err := json.Unmarshal(a.Body, p); err != nil {
+		if err := json.Unmarshal(resp.Body, p); err != nil {
 			return nil, errors.Wrap(err, "publish")
 		}
 		return p, nil
 	}
-	return nil, errors.Errorf("publish: %s answered %d", k, a.Status)
+	return nil, errors.Errorf("publish: %s answered %d", k, resp.Status)
 }
--- a/publish/publish_test.go
+++ b/publish/publish_test.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// A document that takes longer to arrive than an answer may take to begin is
-// read to its end: cut short, it would be asked for again and never be had.
-func TestDocumentThatArrivesSlowly(t *testing.T) {
+// Guards against applying the limit on the start of a response to its whole body: a document that
+// arrives slowly would be aborted and requested again forever.
+func TestSlowResponseBodyIsReadToEnd(t *testing.T) {
 	value := strings.Repeat("a declaration\n", 1000)
 	data, err := json.Marshal(&Published{Revision: 2, Value: value})
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		for part := range 3 {
-			_, _ = w.Write(data[part*len(data)/3 : (part+1)*len(data)/3])
+		for i := range 3 {
+			_, _ = w.Write(data[i*len(data)/3 : (i+1)*len(data)/3])
 			w.(http.Flusher).Flush()
-			time.Sleep(graceOverWait / 2)
+			time.Sleep(responseDelay / 2)
 		}
 	}))
 	defer server.Close()
