--- a/inventory/blocked.go
+++ b/inventory/blocked.go
@@ -1,8 +1,8 @@
 package inventory
 
-// This file tells operators what an instance keeps from endpoints: requests that end them, teams
-// that send such, all requests where an endpoint wants none, and entries of the store that can't
-// be used.
+// This file reports to operators what an instance withholds from endpoints: requests that crash
+// them, teams that send such requests, all requests to endpoints that accept none, and entries of
+// the store that can't be used.
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"ivyridge/internal/fetch"
 )
 
-// BlockedPath is where an instance tells operators what it keeps from endpoints; a DELETE of a
-// request's name below it lets that go.
+// BlockedPath is the path at which an instance reports what it withholds from endpoints. A DELETE
+// of a request's ID below it unblocks that request.
 const BlockedPath = "/blocked.json"
 
-// A Blocked is what an instance keeps from endpoints.
+// A Blocked reports what an instance withholds from endpoints.
 type Blocked struct {
 	Requests []BlockedRequest  `json:"requests"`
 	Teams    []BlockedTeam     `json:"teams"`
@@ -27,39 +27,39 @@
 	Entries  []BlockedEntry    `json:"entries"`
 }
 
-// An AbsentEndpoint gets nothing from the instance, by its own word.
+// An AbsentEndpoint asked the instance not to send any requests.
 type AbsentEndpoint struct {
 	ID     string `json:"id"`
-	RestMS int64  `json:"rest_ms"` // how much longer it wants nothing from this instance
+	RestMS int64  `json:"rest_ms"` // remaining time for which it wants no requests from this instance
 	Leaves bool   `json:"leaves"`
 }
 
-// A LimitedEndpoint names how many requests it takes from all instances together.
+// A LimitedEndpoint limits the rate of requests from all instances together.
 type LimitedEndpoint struct {
 	ID        string  `json:"id"`
 	PerSecond float64 `json:"per_second"`
-	AgeMS     int64   `json:"age_ms"`     // since an answer said so
-	Divider   string  `json:"divider"`    // the gossip address of the instance that gives out permits, as last asked; empty: none was
-	Part      float64 `json:"part"`       // of the limit, that this instance gives out; zero: none
-	Permits   uint64  `json:"permits"`    // that this instance has given out
-	InHand    int     `json:"in_hand"`    // permits that this instance may use
-	AsksInMS  int64   `json:"asks_in_ms"` // until this instance asks for the next one
+	AgeMS     int64   `json:"age_ms"`     // since a response reported the limit
+	Divider   string  `json:"divider"`    // gossip address of the instance last asked for permits; empty: none
+	Part      float64 `json:"part"`       // share of the limit that this instance grants permits for; zero: none
+	Permits   uint64  `json:"permits"`    // number of permits granted by this instance
+	InHand    int     `json:"in_hand"`    // number of unused permits that this instance holds
+	AsksInMS  int64   `json:"asks_in_ms"` // until this instance requests its next permit
 }
 
-// A BlockedRequest is one that endpoints had in hand when they ended.
+// A BlockedRequest was running on endpoints when they crashed.
 type BlockedRequest struct {
-	ID        string   `json:"same_as"` // as in log lines
+	ID        string   `json:"same_as"` // as logged under this key
 	Team      string   `json:"team"`
 	Service   string   `json:"service"`
 	Route     string   `json:"route"`
-	Known     bool     `json:"known"`     // it is not run any more
-	Counted   int      `json:"counted"`   // ends that speak against it
-	Endpoints []string `json:"endpoints"` // that ended, by ID or, of those that are not there any more, by hash
-	LastMS    int64    `json:"last_ms"`   // since the last end, or since it last came
-	ForMS     int64    `json:"for_ms"`    // until it is forgotten if it does not come again
+	Known     bool     `json:"known"`     // it is blocked
+	Counted   int      `json:"counted"`   // number of crashes counted against it
+	Endpoints []string `json:"endpoints"` // that crashed, by ID, or by hash if no longer listed
+	LastMS    int64    `json:"last_ms"`   // since the last crash, or since it was last received
+	ForMS     int64    `json:"for_ms"`    // until it is forgotten unless it is received again
 }
 
-// A BlockedTeam is one that is slowed at a service.
+// A BlockedTeam is a team whose requests to a service are throttled.
 type BlockedTeam struct {
 	Service string `json:"service"`
 	Team    string `json:"team"`
@@ -73,28 +73,28 @@
 	Error    string `json:"error"`
 }
 
-// AskBlocked returns what the instance at a metrics address keeps from endpoints.
+// AskBlocked returns what the instance with the given metrics address withholds from endpoints.
 func (c *Client) AskBlocked(ctx context.Context, address string) (*Blocked, error) {
 	b := new(Blocked)
 	return b, c.get(ctx, address, BlockedPath, nil, b)
 }
 
-// Release has the instance at a metrics address let a request go, and tell the others.
+// Release has the instance with the given metrics address unblock a request and notify the others.
 func (c *Client) Release(ctx context.Context, address, id string) error {
 	target := url.URL{Scheme: "http", Host: address, Path: BlockedPath + "/" + id}
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, target.String(), nil)
 	if err != nil {
 		return errors.Wrap(err, "inventory")
 	}
-	a, err := fetch.Do(c.HTTP, req, answerMost, fetch.Wait{Begin: c.Wait})
+	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.Wait{Begin: c.Wait})
 	if err != nil {
 		return errors.Wrapf(err, "inventory: %s", address)
 	}
-	switch a.Status {
+	switch resp.Status {
 	case http.StatusNoContent:
 		return nil
 	case http.StatusNotFound:
-		return errors.Errorf("inventory: %s holds nothing against %s", address, id)
+		return errors.Errorf("inventory: %s does not block request %s", address, id)
 	}
-	return errors.Errorf("inventory: %s answered %d", address, a.Status)
+	return errors.Errorf("inventory: %s answered %d", address, resp.Status)
 }
--- a/inventory/detail.go
+++ b/inventory/detail.go
@@ -1,6 +1,6 @@
 package inventory
 
-// This file defines all that an instance says of what it runs, and compares two of them.
+// This file defines the full report of an instance, and compares the settings of two instances.
 
 import (
 	"runtime/debug"
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// A Build is the program that an instance runs.
+// A Build identifies the program that an instance runs.
 type Build struct {
-	Version  string `json:"version"`            // of the module
-	Commit   string `json:"commit,omitempty"`   // it was built from; empty: not known
-	Modified bool   `json:"modified,omitempty"` // the tree had changes that were not committed
-	Go       string `json:"go"`                 // version of the compiler
+	Version  string `json:"version"`            // module version
+	Commit   string `json:"commit,omitempty"`   // VCS revision; empty: unknown
+	Modified bool   `json:"modified,omitempty"` // built from a tree with uncommitted changes
+	Go       string `json:"go"`                 // compiler version
 }
 
 // ReadBuild returns the build of this process.
@@ -36,7 +36,7 @@
 	return b
 }
 
-// Hash names the build.
+// Hash returns a hash that identifies the build.
 func (b Build) Hash() uint32 {
 	modified := ""
 	if b.Modified {
@@ -45,36 +45,36 @@
 	return Hash(b.Version + " " + b.Commit + modified + " " + b.Go)
 }
 
-// A Detail is all that an instance says of what it runs. Times are in ms before it was told.
+// A Detail is the full report of an instance. Times are in ms before the report was made.
 type Detail struct {
 	Name       string `json:"name"`
 	DataCentre string `json:"data_centre"`
 	Role       string `json:"role"`
 	Build      Build  `json:"build"`
 
-	Settings   string            `json:"settings"`    // hash of those in force
-	Fields     map[string]string `json:"fields"`      // settings in force, by their paths
-	Own        []string          `json:"own"`         // paths that differ from instance to instance, not in the hash
-	SettingsBy string            `json:"settings_by"` // "start" or "reload"
-	SettingsMS int64             `json:"settings_ms"` // they came into force
-	Refused    string            `json:"refused,omitempty"`
-	RefusedMS  int64             `json:"refused_ms,omitempty"` // that the newest file was kept out
-	Waiting    []string          `json:"waiting,omitempty"`    // changed fields that wait for a restart
+	Settings   string            `json:"settings"`             // hash of the settings in force
+	Fields     map[string]string `json:"fields"`               // settings in force, by path
+	Own        []string          `json:"own"`                  // paths of instance-specific settings, which are not hashed
+	SettingsBy string            `json:"settings_by"`          // what applied the settings: "start" or "reload"
+	SettingsMS int64             `json:"settings_ms"`          // since the settings were applied
+	Refused    string            `json:"refused,omitempty"`    // why the newest settings file was rejected
+	RefusedMS  int64             `json:"refused_ms,omitempty"` // since it was rejected
+	Waiting    []string          `json:"waiting,omitempty"`    // changed settings that require a restart
 
 	Version   int64  `json:"version"`    // of the configuration in force
-	VersionMS int64  `json:"version_ms"` // it came into force
-	Revision  int64  `json:"revision"`   // of what is published, teams' keys among it
-	ProofMS   int64  `json:"proof_ms"`   // since that was known to be the newest; negative: never
+	VersionMS int64  `json:"version_ms"` // since that came into force
+	Revision  int64  `json:"revision"`   // of the published state, which includes the teams' keys
+	ProofMS   int64  `json:"proof_ms"`   // since that was last validated as current; negative: never
 	Ready     bool   `json:"ready"`
-	ReadyMS   int64  `json:"ready_ms"`        // since it is ready, or is not
-	NotReady  string `json:"not_ready"`       // why not; empty if it is
-	Uptime    int64  `json:"uptime_s"`        // seconds since its start
-	Address   string `json:"address"`         // of its peers' listener
-	Error     string `json:"error,omitempty"` // it could not be asked
+	ReadyMS   int64  `json:"ready_ms"`        // since Ready last changed
+	NotReady  string `json:"not_ready"`       // reason; empty if ready
+	Uptime    int64  `json:"uptime_s"`        // seconds since start
+	Address   string `json:"address"`         // of the listener for other instances
+	Error     string `json:"error,omitempty"` // why the instance could not be queried
 }
 
-// paths returns the paths of fields in order.
-func paths(fields map[string]string) []string {
+// sortedPaths returns the paths of fields in order.
+func sortedPaths(fields map[string]string) []string {
 	out := make([]string, 0, len(fields))
 	for path := range fields {
 		out = append(out, path)
@@ -83,23 +83,23 @@
 	return out
 }
 
-// A Difference is a field that two instances have unlike.
+// A Difference is a setting whose values differ between two instances.
 type Difference struct {
 	Path    string `json:"path"`
 	A       string `json:"a"`
 	B       string `json:"b"`
-	Answers bool   `json:"answers"` // the two may answer callers differently for it
+	Answers bool   `json:"answers"` // it may make the instances respond differently to clients
 }
 
-// answering are the beginnings of the paths of settings that decide how callers are answered.
-var answering = []string{"promises.", "store", "seeds", "data_centres"}
+// responsePrefixes are prefixes of the paths of settings that affect responses to clients.
+var responsePrefixes = []string{"promises.", "store", "seeds", "data_centres"}
 
-// decides reports whether a setting decides how callers are answered.
-func decides(path string) bool {
-	return slices.ContainsFunc(answering, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
+// affectsResponses reports whether a setting affects responses to clients.
+func affectsResponses(path string) bool {
+	return slices.ContainsFunc(responsePrefixes, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
 }
 
-// Diff returns the settings that a and b have unlike, those that are an instance's own left out.
+// Diff returns the settings that differ between a and b, without instance-specific ones.
 func Diff(a, b *Detail) []Difference {
 	all := make(map[string]string, len(a.Fields))
 	for _, fields := range []map[string]string{a.Fields, b.Fields} {
@@ -108,16 +108,16 @@
 		}
 	}
 	var out []Difference
-	for _, path := range paths(all) {
+	for _, path := range sortedPaths(all) {
 		if a.Fields[path] == b.Fields[path] || slices.Contains(a.Own, path) || slices.Contains(b.Own, path) {
 			continue
 		}
-		out = append(out, Difference{Path: path, A: a.Fields[path], B: b.Fields[path], Answers: decides(path)})
+		out = append(out, Difference{Path: path, A: a.Fields[path], B: b.Fields[path], Answers: affectsResponses(path)})
 	}
 	return out
 }
 
-// Since returns how long ago t was at now, in ms; -1 if t is not known.
+// Since returns the time from t to now in ms, or -1 if t is zero.
 func Since(now, t time.Time) int64 {
 	if t.IsZero() {
 		return -1
--- a/inventory/fleet.go
+++ b/inventory/fleet.go
@@ -1,6 +1,6 @@
 package inventory
 
-// This file sums up what a fleet runs.
+// This file summarizes what the instances of a fleet run.
 
 import (
 	"cmp"
@@ -9,16 +9,16 @@
 
 // Roles of instances.
 const (
-	Scheduler = "scheduler" // it chooses endpoints for others
+	Scheduler = "scheduler" // it chooses endpoints for other instances
 	Follower  = "follower"
 )
 
-// A Row is one instance as another one sees it.
+// A Row describes one instance as another one sees it.
 type Row struct {
-	Address    string `json:"address"` // of its peers' listener
+	Address    string `json:"address"` // of the listener for other instances
 	DataCentre string `json:"data_centre"`
 	Role       string `json:"role"`
-	Told       bool   `json:"told"` // it says what it runs; an older build does not
+	Told       bool   `json:"told"` // it reported a Mark, which older builds don't
 	Build      string `json:"build,omitempty"`
 	Settings   string `json:"settings,omitempty"`
 	Version    int64  `json:"version,omitempty"`
@@ -26,28 +26,28 @@
 	Refused    bool   `json:"refused,omitempty"`
 	Waiting    bool   `json:"waiting,omitempty"`
 	Leaving    bool   `json:"leaving,omitempty"`
-	Lost       bool   `json:"lost,omitempty"` // it was heard, and is not any more
-	HeardMS    int64  `json:"heard_ms"`       // since it was last heard
-	ProofMS    int64  `json:"proof_ms"`       // age of its proof of what is published; negative: not known
+	Lost       bool   `json:"lost,omitempty"` // heartbeats from it have stopped
+	HeardMS    int64  `json:"heard_ms"`       // since the last heartbeat
+	ProofMS    int64  `json:"proof_ms"`       // since its state was last validated as current; negative: unknown
 }
 
-// SetMark takes up what the instance says of itself.
+// SetMark sets the fields that the instance's own Mark reports.
 func (r *Row) SetMark(m Mark) {
 	r.Told = true
 	r.Build, r.Settings, r.Version = HashText(m.Build), HashText(m.Settings), m.Version
 	r.Ready, r.Refused, r.Waiting = m.Ready, m.Refused, m.Waiting
 }
 
-// A Fleet is what one instance knows of all, itself among them.
+// A Fleet is the list of instances known to one of them, itself included.
 type Fleet struct {
-	Asked string `json:"asked"` // the instance that lists them
-	// Partial says that a part of the fleet is missing: that of a region no scheduler of which
-	// answered, or all that an ordinary instance does not hear itself.
+	Asked string `json:"asked"` // the instance that made the list
+	// Partial is set if a part of the fleet is missing: a region of which no scheduler
+	// answered, or everything that a non-scheduler does not receive heartbeats from.
 	Partial bool  `json:"partial"`
 	Rows    []Row `json:"instances"`
 }
 
-// Merge adds what another instance knows. Of an instance that both know, what is newer counts.
+// Merge adds the rows of other. If both contain an instance, the more recent row is kept.
 func (f *Fleet) Merge(other *Fleet) {
 	at := make(map[string]int, len(f.Rows))
 	for i, r := range f.Rows {
@@ -58,14 +58,14 @@
 		switch {
 		case !known:
 			f.Rows = append(f.Rows, r)
-		case f.Rows[i].older(&r):
+		case f.Rows[i].olderThan(&r):
 			f.Rows[i] = r
 		}
 	}
 }
 
-// older reports whether less is known of the instance by r than by other.
-func (r *Row) older(other *Row) bool {
+// olderThan reports whether other holds better information about the instance than r.
+func (r *Row) olderThan(other *Row) bool {
 	if r.Lost != other.Lost {
 		return r.Lost
 	}
@@ -75,30 +75,31 @@
 	return other.HeardMS < r.HeardMS
 }
 
-// Sort brings the rows into the order of data centres and addresses.
+// Sort sorts the rows by data centre and address.
 func (f *Fleet) Sort() {
 	slices.SortFunc(f.Rows, func(a, b Row) int {
 		return cmp.Or(cmp.Compare(a.DataCentre, b.DataCentre), cmp.Compare(a.Address, b.Address))
 	})
 }
 
-// A Group is the instances that run the same.
+// A Group counts the instances that run the same build, settings and configuration.
 type Group struct {
 	Told        bool           `json:"told"`
 	Build       string         `json:"build,omitempty"`
 	Settings    string         `json:"settings,omitempty"`
 	Version     int64          `json:"version,omitempty"`
 	Count       int            `json:"count"`
-	DataCentres map[string]int `json:"data_centres"` // instances by data centre
+	DataCentres map[string]int `json:"data_centres"` // number of instances by data centre
 }
 
-// holds reports whether an instance belongs to the group.
-func (g *Group) holds(r *Row) bool {
+// contains reports whether an instance belongs to the group.
+func (g *Group) contains(r *Row) bool {
 	return g.Told == r.Told && g.Build == r.Build && g.Settings == r.Settings && g.Version == r.Version
 }
 
-// Groups returns the combinations that instances run, the most common one first; those that
-// don't tell what they run are a group, which comes last. Lost instances are in none.
+// Groups returns the combinations of build, settings and configuration that instances run, the
+// most common first. Instances that don't report theirs form the last group. Lost instances
+// belong to none.
 func (f *Fleet) Groups() []Group {
 	var out []Group
 	for i := range f.Rows {
@@ -106,7 +107,7 @@
 		if r.Lost {
 			continue
 		}
-		at := slices.IndexFunc(out, func(g Group) bool { return g.holds(r) })
+		at := slices.IndexFunc(out, func(g Group) bool { return g.contains(r) })
 		if at < 0 {
 			at = len(out)
 			out = append(out, Group{Told: r.Told, Build: r.Build, Settings: r.Settings, Version: r.Version, DataCentres: make(map[string]int)})
@@ -126,25 +127,25 @@
 	return out
 }
 
-// An Odd is an instance that does not run what most do, with what differs.
+// An Odd is an instance that differs from the most common group, with the differences.
 type Odd struct {
 	Row
 	Differs []string `json:"differs"`
 }
 
-// What may differ.
+// Values of Odd.Differs.
 const (
-	differsBuild    = "build"
-	differsSettings = "settings"
-	differsVersion  = "configuration"
-	differsRefused  = "new settings refused"
-	differsWaiting  = "settings wait for a restart"
-	differsSilent   = "does not tell"
-	differsLost     = "not heard"
+	differsBuild       = "build"
+	differsSettings    = "settings"
+	differsConfig      = "configuration"
+	differsRefused     = "new settings refused"
+	differsWaiting     = "settings wait for a restart"
+	differsNotReported = "does not tell"
+	differsLost        = "not heard"
 )
 
-// Odd returns the instances that run something else than the most common combination,
-// don't tell, or are not heard any more.
+// Odd returns the instances that differ from the most common group, report nothing, or are
+// lost.
 func (f *Fleet) Odd() []Odd {
 	groups := f.Groups()
 	var out []Odd
@@ -165,7 +166,7 @@
 	case r.Lost:
 		return []string{differsLost}
 	case !r.Told:
-		return []string{differsSilent}
+		return []string{differsNotReported}
 	}
 	var out []string
 	for _, c := range []struct {
@@ -174,7 +175,7 @@
 	}{
 		{differsBuild, r.Build != common.Build},
 		{differsSettings, r.Settings != common.Settings},
-		{differsVersion, r.Version != common.Version},
+		{differsConfig, r.Version != common.Version},
 		{differsRefused, r.Refused},
 		{differsWaiting, r.Waiting},
 	} {
@@ -185,8 +186,9 @@
 	return out
 }
 
-// Lacking returns the instances that are not known to run settings with this hash. Those that
-// left as planned are not missed; those that are lost, or don't tell, are.
+// Lacking returns the instances that are not known to run the settings with the given hash. Lost
+// instances that left as planned are omitted; other lost ones, and those that report nothing, are
+// included.
 func (f *Fleet) Lacking(settings string) []Row {
 	var out []Row
 	for _, r := range f.Rows {
@@ -200,7 +202,7 @@
 	return out
 }
 
-// Counts returns how many instances run each of what pick names: their settings, for instance.
+// Counts returns the number of instances for each value that pick returns, without lost ones.
 func (f *Fleet) Counts(pick func(r *Row) string) map[string]int {
 	out := make(map[string]int)
 	for i := range f.Rows {
--- a/inventory/http.go
+++ b/inventory/http.go
@@ -1,6 +1,6 @@
 package inventory
 
-// This file asks instances over HTTP, and answers such calls.
+// This file implements the HTTP client and handlers.
 
 import (
 	"context"
@@ -15,121 +15,122 @@
 	"ivyridge/internal/fetch"
 )
 
-// Where an instance answers. Between instances, on its peers' listener:
+// Paths on the listener for other instances.
 const (
-	DetailPath = "/v2/inventory/detail" // its Detail
-	FleetPath  = "/v2/inventory/fleet"  // the Fleet, as it hears it itself
+	DetailPath = "/v2/inventory/detail" // the instance's Detail
+	FleetPath  = "/v2/inventory/fleet"  // the Fleet that the instance receives heartbeats from
 )
 
-// For operators, on its metrics address:
+// Paths on the metrics listener, for operators.
 const (
-	PagePath        = "/fleet"        // a page
-	FleetJSONPath   = "/fleet.json"   // the Fleet, from whoever hears all of it
-	DetailsJSONPath = "/details.json" // the Detail of the instances that ?address= names
+	PagePath        = "/fleet"        // HTML page
+	FleetJSONPath   = "/fleet.json"   // the whole Fleet, as known to the schedulers
+	DetailsJSONPath = "/details.json" // the Details of the instances given by ?address=
 	addressQuery    = "address"
-	wholeQuery      = "whole" // set: the fleet with other regions, not as the instance hears it
+	allRegionsQuery = "whole" // if set, FleetPath includes other regions
 )
 
 const (
-	// answerMost bounds an answer: some 200 bytes an instance, for 4,000 of them.
-	answerMost = 1 << 20
-	// detailsMost bounds the instances whose details are asked in one call.
-	detailsMost = 32
-	// AskWithin is how long another instance is waited for.
+	// maxResponseSize bounds a response: some 200 bytes per instance, for 4,000 instances.
+	maxResponseSize = 1 << 20
+	// maxDetails bounds the instances whose details are returned by one request.
+	maxDetails = 32
+	// AskWithin is the timeout for a request to another instance.
 	AskWithin = 400 * time.Millisecond
 )
 
-// A Client asks instances.
+// A Client queries instances. It is safe for concurrent use.
 type Client struct {
 	HTTP *http.Client
-	Wait time.Duration // for an answer to begin
+	Wait time.Duration // maximum time until a response begins
 }
 
-// get decodes the answer of address to a call.
+// get requests a path from address and decodes the JSON response into out.
 func (c *Client) get(ctx context.Context, address, path string, query url.Values, out any) error {
 	target := url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
 		return errors.Wrap(err, "inventory")
 	}
-	a, err := fetch.Do(c.HTTP, req, answerMost, fetch.Wait{Begin: c.Wait})
+	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.Wait{Begin: c.Wait})
 	if err != nil {
 		return errors.Wrapf(err, "inventory: %s", address)
 	}
-	if a.Status != http.StatusOK {
-		return errors.Errorf("inventory: %s answered %d", address, a.Status)
+	if resp.Status != http.StatusOK {
+		return errors.Errorf("inventory: %s answered %d", address, resp.Status)
 	}
-	return errors.Wrapf(json.Unmarshal(a.Body, out), "inventory: %s", address)
+	return errors.Wrapf(json.Unmarshal(resp.Body, out), "inventory: %s", address)
 }
 
-// Fleet returns the fleet as the instance at a peers' address hears it.
+// Fleet returns the instances that the one with the given peer address receives heartbeats from.
 func (c *Client) Fleet(ctx context.Context, address string) (*Fleet, error) {
 	f := new(Fleet)
 	return f, c.get(ctx, address, FleetPath, nil, f)
 }
 
-// Whole returns the fleet with its other regions from the instance at a peers' address.
+// Whole returns the fleet including other regions from the instance with the given peer address.
 func (c *Client) Whole(ctx context.Context, address string) (*Fleet, error) {
 	f := new(Fleet)
-	return f, c.get(ctx, address, FleetPath, url.Values{wholeQuery: {"1"}}, f)
+	return f, c.get(ctx, address, FleetPath, url.Values{allRegionsQuery: {"1"}}, f)
 }
 
-// Detail returns what the instance at a peers' address runs.
+// Detail returns the report of the instance with the given peer address.
 func (c *Client) Detail(ctx context.Context, address string) (*Detail, error) {
 	d := new(Detail)
 	return d, c.get(ctx, address, DetailPath, nil, d)
 }
 
-// AskFleet returns the fleet as operators see it at an instance's metrics address.
+// AskFleet returns the whole fleet from the instance with the given metrics address.
 func (c *Client) AskFleet(ctx context.Context, address string) (*Fleet, error) {
 	f := new(Fleet)
 	return f, c.get(ctx, address, FleetJSONPath, nil, f)
 }
 
-// AskDetails returns the details of instances, named by their peers' addresses, by way of the
-// one at a metrics address. One that could not be asked has its Error set.
-func (c *Client) AskDetails(ctx context.Context, address string, of ...string) ([]Detail, error) {
+// AskDetails returns the details of instances, given by their peer addresses, through the one with
+// the given metrics address. An instance that could not be queried has its Error set.
+func (c *Client) AskDetails(ctx context.Context, address string, instances ...string) ([]Detail, error) {
 	var out []Detail
-	return out, c.get(ctx, address, DetailsJSONPath, url.Values{addressQuery: of}, &out)
+	return out, c.get(ctx, address, DetailsJSONPath, url.Values{addressQuery: instances}, &out)
 }
 
-// A Source is what handlers tell.
+// A Source provides the data that the handlers serve.
 type Source struct {
 	Detail func() *Detail                                             // of this instance
-	Heard  func() *Fleet                                              // as this instance hears it
-	Whole  func(ctx context.Context) *Fleet                           // from whoever hears all of it
-	Ask    func(ctx context.Context, address string) (*Detail, error) // of another instance, if it is in the fleet
+	Heard  func() *Fleet                                              // instances that this one receives heartbeats from
+	Whole  func(ctx context.Context) *Fleet                           // the whole fleet
+	Ask    func(ctx context.Context, address string) (*Detail, error) // of another instance, which must be in the fleet
 	Log    *zap.Logger
 }
 
-// tell answers with v.
-func (s *Source) tell(w http.ResponseWriter, v any) {
+func (s *Source) writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		s.Log.Info("inventory not told", zap.String("error", err.Error()))
+		s.Log.Info("writing inventory response failed", zap.String("error", err.Error()))
 	}
 }
 
-// ServeDetail answers DetailPath.
-func (s *Source) ServeDetail(w http.ResponseWriter, _ *http.Request) { s.tell(w, s.Detail()) }
+// ServeDetail serves DetailPath.
+func (s *Source) ServeDetail(w http.ResponseWriter, _ *http.Request) { s.writeJSON(w, s.Detail()) }
 
-// ServeHeard answers FleetPath.
+// ServeHeard serves FleetPath.
 func (s *Source) ServeHeard(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Query().Has(wholeQuery) {
-		s.tell(w, s.Whole(r.Context()))
+	if r.URL.Query().Has(allRegionsQuery) {
+		s.writeJSON(w, s.Whole(r.Context()))
 		return
 	}
-	s.tell(w, s.Heard())
+	s.writeJSON(w, s.Heard())
 }
 
-// ServeFleet answers FleetJSONPath.
-func (s *Source) ServeFleet(w http.ResponseWriter, r *http.Request) { s.tell(w, s.Whole(r.Context())) }
+// ServeFleet serves FleetJSONPath.
+func (s *Source) ServeFleet(w http.ResponseWriter, r *http.Request) {
+	s.writeJSON(w, s.Whole(r.Context()))
+}
 
-// ServeDetails answers DetailsJSONPath.
+// ServeDetails serves DetailsJSONPath.
 func (s *Source) ServeDetails(w http.ResponseWriter, r *http.Request) {
 	addresses := r.URL.Query()[addressQuery]
-	if len(addresses) > detailsMost {
-		addresses = addresses[:detailsMost]
+	if len(addresses) > maxDetails {
+		addresses = addresses[:maxDetails]
 	}
 	out := make([]Detail, len(addresses))
 	for i, address := range addresses {
@@ -139,5 +140,5 @@
 		}
 		out[i] = *d
 	}
-	s.tell(w, out)
+	s.writeJSON(w, out)
 }
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestMarksSurviveTheWay(t *testing.T) {
+func TestMarkRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMark(t)
 		data := m.Append(nil)
@@ -29,18 +29,18 @@
 		if !ok || got != m {
 			t.Fatalf("got %+v, %t, want %+v", got, ok, m)
 		}
-		// A newer build may say more.
+		// Newer builds may append data.
 		if more, ok := inventory.DecodeMark(append(data, 1, 2, 3)); !ok || more != m {
-			t.Fatalf("with more after it: %+v, %t", more, ok)
+			t.Fatalf("with trailing data: got %+v, %t", more, ok)
 		}
 		if _, ok := inventory.DecodeMark(data[:rapid.IntRange(0, 9).Draw(t, "cut")]); ok {
-			t.Fatal("a mark that is cut off was read")
+			t.Fatal("a truncated mark was decoded")
 		}
 	})
 }
 
-// The mark of a configuration of usual version, with its tag and length, fits 16 bytes.
-func TestMarkIsSmall(t *testing.T) {
+// A mark with a typical configuration version, including its frame tag and length, fits in 16 bytes.
+func TestMarkSize(t *testing.T) {
 	const head = 3
 	if n := head + len(inventory.Mark{Build: 1 << 31, Settings: 1 << 31, Version: 1<<28 - 1}.Append(nil)); n > 16 {
 		t.Errorf("%d bytes, want 16 at most", n)
@@ -60,10 +60,10 @@
 	})
 }
 
-func TestFieldsAreNamedWhateverTheirOrder(t *testing.T) {
+func TestHashFieldsIsOrderIndependent(t *testing.T) {
 	a := inventory.HashFields(map[string]string{"x": "1", "y": "2", "z": ""})
 	if b := inventory.HashFields(map[string]string{"z": "", "y": "2", "x": "1"}); a != b {
-		t.Errorf("%08x and %08x", a, b)
+		t.Errorf("hashes are %08x and %08x, want equal", a, b)
 	}
 	for _, other := range []map[string]string{{"x": "1", "y": "3", "z": ""}, {"x": "1", "y": "2"}, {"x": "1\"=\"y", "z": ""}} {
 		if inventory.HashFields(other) == a {
@@ -91,8 +91,9 @@
 	}}
 }
 
-// Whoever is lost, of an older build, or runs something else is never shown as agreeing.
-func TestOnlyThoseThatAgreeAreShownAsAgreeing(t *testing.T) {
+// Lost instances, those that report nothing, and those that run something else are always listed
+// as different.
+func TestOutliers(t *testing.T) {
 	f := testFleet()
 	want := map[string]string{
 		"a3": "configuration", "a4": "settings", "a5": "new settings refused,settings wait for a restart",
@@ -103,30 +104,30 @@
 		got[r.Address] = strings.Join(r.Differs, ",")
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("differing: %v, want %v", got, want)
+		t.Errorf("outliers are %v, want %v", got, want)
 	}
 	groups := f.Groups()
 	if g := groups[0]; g.Settings != "s" || g.Version != 7 || g.Count != 3 {
-		t.Errorf("the most common group is %+v, want three with s and 7", g)
+		t.Errorf("the most common group is %+v, want three instances with settings s and version 7", g)
 	}
 	if last := groups[len(groups)-1]; last.Told || last.Count != 1 {
-		t.Errorf("the last group is %+v, want the one that does not tell", last)
+		t.Errorf("the last group is %+v, want the instance that does not report", last)
 	}
 	var lacking []string
 	for _, r := range f.Lacking("s") {
 		lacking = append(lacking, r.Address)
 	}
 	if want := []string{"a4", "a6", "a7"}; !reflect.DeepEqual(lacking, want) {
-		t.Errorf("lacking: %v, want %v", lacking, want)
+		t.Errorf("lacking are %v, want %v", lacking, want)
 	}
 	empty := &inventory.Fleet{}
 	if len(empty.Groups()) != 0 || len(empty.Odd()) != 0 {
-		t.Error("an empty fleet has groups")
+		t.Error("an empty fleet has groups or outliers")
 	}
 }
 
-// Of what two regions tell, the newer counts; nobody is lost whom one of them hears.
-func TestRegionsAreMerged(t *testing.T) {
+// Merging keeps the more recent row, and an instance is lost only if every region lost it.
+func TestMerge(t *testing.T) {
 	f := &inventory.Fleet{Rows: []inventory.Row{
 		row("a1", "s", nil), row("a2", "s", func(r *inventory.Row) { r.Lost, r.HeardMS = true, 9000 }),
 		row("a3", "", func(r *inventory.Row) { r.Told = false }), row("a4", "s", func(r *inventory.Row) { r.HeardMS = 10 }),
@@ -146,7 +147,7 @@
 	}
 }
 
-func TestDiffNamesWhatDecidesAnswers(t *testing.T) {
+func TestDiff(t *testing.T) {
 	a := &inventory.Detail{Own: []string{"name"}, Fields: map[string]string{"name": "x", "promises.revoke_ms": "5000", "log.level": "info", "same": "1"}}
 	b := &inventory.Detail{Own: []string{"name"}, Fields: map[string]string{"name": "y", "promises.revoke_ms": "4000", "log.level": "", "same": "1", "store": "s"}}
 	want := []inventory.Difference{
@@ -157,8 +158,8 @@
 	}
 }
 
-// What other instances say stands on the page as text.
-func TestPageEscapesWhatItShows(t *testing.T) {
+// Data from other instances is escaped on the page.
+func TestPageEscapesContent(t *testing.T) {
 	s := &inventory.Source{Whole: func(context.Context) *inventory.Fleet { return testFleet() }, Log: zap.NewNop()}
 	w := httptest.NewRecorder()
 	s.ServePage(w, httptest.NewRequest("GET", inventory.PagePath, nil))
@@ -167,7 +168,7 @@
 		t.Error("a data centre's name is not escaped")
 	}
 	if strings.Contains(body, "<script") || strings.Contains(body, "http") {
-		t.Error("the page needs something from elsewhere")
+		t.Error("the page refers to external resources")
 	}
 	for _, want := range []string{"a4", "does not tell", "new settings refused"} {
 		if !strings.Contains(body, want) {
--- a/inventory/mark.go
+++ b/inventory/mark.go
@@ -1,13 +1,14 @@
-// Package inventory tells what each instance of a fleet runs: its build, its settings in
-// force, its configuration.
+// Package inventory reports what each instance of a fleet runs: its build, the
+// settings in force, and the configuration.
 //
-// Each instance says a Mark of itself with its heartbeats, 16 bytes at most. Whoever hears
-// all of them, a scheduler, can list the Fleet; a Detail, which is long, is asked of the one
-// instance that it is about. The package compares and shows these; it opens no connection
-// but those of its Client.
+// Each instance sends a Mark of at most 16 bytes with its heartbeats. An
+// instance that receives all heartbeats, a scheduler, can list the Fleet. A
+// Detail is large and is requested from the instance that it describes. The
+// package compares and displays these, and opens no connections other than
+// those of its Client.
 package inventory
 
-// This file defines what an instance says of itself with a heartbeat.
+// This file defines the summary that an instance sends with its heartbeats.
 
 import (
 	"encoding/binary"
@@ -18,25 +19,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A Mark says what one instance runs.
+// A Mark summarizes what one instance runs.
 type Mark struct {
 	Build    uint32 // Hash of the build
-	Settings uint32 // Hash of the settings in force, without what is an instance's own
+	Settings uint32 // Hash of the settings in force, without instance-specific ones
 	Version  int64  // of the configuration in force; zero: none
 	Ready    bool
-	Refused  bool // the newest settings file has faults and was kept out
-	Waiting  bool // changed settings wait for a restart
+	Refused  bool // the newest settings file was rejected as invalid
+	Waiting  bool // changed settings require a restart
 }
 
-// The flags of a Mark.
+// Flags in the encoding of a Mark.
 const (
 	flagReady = 1 << iota
 	flagRefused
 	flagWaiting
 )
 
-// markFixed is the size of a Mark without its version, in bytes.
-const markFixed = 9
+// markHeaderSize is the size of an encoded Mark without its version, in bytes.
+const markHeaderSize = 9
 
 // Append appends the encoding of m to b.
 func (m Mark) Append(b []byte) []byte {
@@ -52,33 +53,33 @@
 	return binary.AppendUvarint(b, uint64(max(0, m.Version)))
 }
 
-// DecodeMark reads a Mark. It reports false for what is none; more than it knows, of a
-// newer build, is passed over.
+// DecodeMark decodes a Mark. It returns false if b does not hold one. Trailing data, written by
+// newer builds, is ignored.
 func DecodeMark(b []byte) (Mark, bool) {
-	if len(b) <= markFixed {
+	if len(b) <= markHeaderSize {
 		return Mark{}, false
 	}
-	version, n := binary.Uvarint(b[markFixed:])
+	version, n := binary.Uvarint(b[markHeaderSize:])
 	if n <= 0 || version > math.MaxInt64 {
 		return Mark{}, false
 	}
-	flags := b[markFixed-1]
+	flags := b[markHeaderSize-1]
 	return Mark{
 		Build: binary.BigEndian.Uint32(b), Settings: binary.BigEndian.Uint32(b[4:]), Version: int64(version),
 		Ready: flags&flagReady != 0, Refused: flags&flagRefused != 0, Waiting: flags&flagWaiting != 0,
 	}, true
 }
 
-// Hash names a build or settings by their text.
+// Hash returns a hash that identifies a build or settings by their text.
 func Hash(text string) uint32 { return uint32(xxhash.Sum64String(text)) }
 
-// HashText returns a hash as operators see and give it.
+// HashText formats a hash as operators read and enter it.
 func HashText(hash uint32) string { return fmt.Sprintf("%08x", hash) }
 
-// HashFields names fields by their paths and values, in whatever order they are read.
+// HashFields returns a hash of the paths and values of fields, independent of map order.
 func HashFields(fields map[string]string) uint32 {
 	var all strings.Builder
-	for _, path := range paths(fields) {
+	for _, path := range sortedPaths(fields) {
 		fmt.Fprintf(&all, "%q=%q\n", path, fields[path])
 	}
 	return Hash(all.String())
--- a/inventory/page.go
+++ b/inventory/page.go
@@ -1,6 +1,6 @@
 package inventory
 
-// This file shows a fleet as one page, which needs nothing from elsewhere.
+// This file renders a fleet as a single HTML page without external resources.
 
 import (
 	"html/template"
@@ -10,14 +10,14 @@
 	"go.uber.org/zap"
 )
 
-// colours tell groups apart; the most common one is grey, so that others stand out. What is
-// beyond them shares the last.
-var colours = []string{"#b8c4bb", "#d9480f", "#1971c2", "#9c36b5", "#e8a200", "#2f9e44", "#862e9c"}
+// groupColours distinguish groups. The most common group is grey, so that others stand out. Groups
+// beyond the last colour share it.
+var groupColours = []string{"#b8c4bb", "#d9480f", "#1971c2", "#9c36b5", "#e8a200", "#2f9e44", "#862e9c"}
 
-// Colours of instances that are in no group.
+// Colours of instances that report nothing or are lost.
 const (
-	colourSilent = "#222222"
-	colourLost   = "#ffffff"
+	colourNotReported = "#222222"
+	colourLost        = "#ffffff"
 )
 
 type pageSquare struct {
@@ -41,16 +41,16 @@
 	Odd         []Odd
 }
 
-func colour(group int) string { return colours[min(group, len(colours)-1)] }
+func groupColour(group int) string { return groupColours[min(group, len(groupColours)-1)] }
 
 func newPage(f *Fleet) *page {
 	f.Sort()
 	p := &page{Fleet: f, Odd: f.Odd()}
 	groups := f.Groups()
 	for i, g := range groups {
-		c := colour(i)
+		c := groupColour(i)
 		if !g.Told {
-			c = colourSilent
+			c = colourNotReported
 		}
 		p.Groups = append(p.Groups, pageGroup{g, c})
 	}
@@ -67,7 +67,7 @@
 		n++
 	}
 	d := &p.DataCentres[n-1]
-	d.Squares = append(d.Squares, pageSquare{Colour: p.colour(r), Title: r.Address + " " + r.Role + ", heard " + age(r.HeardMS) + " ago"})
+	d.Squares = append(d.Squares, pageSquare{Colour: p.colour(r), Title: r.Address + " " + r.Role + ", heard " + formatAge(r.HeardMS) + " ago"})
 }
 
 func (p *page) colour(r *Row) string {
@@ -75,15 +75,15 @@
 		return colourLost
 	}
 	for _, g := range p.Groups {
-		if g.holds(r) {
+		if g.contains(r) {
 			return g.Colour
 		}
 	}
-	return colourSilent
+	return colourNotReported
 }
 
-// age returns a time in ms as a reader wants it.
-func age(ms int64) string {
+// formatAge formats a time in ms for display.
+func formatAge(ms int64) string {
 	if ms < 0 {
 		return "never"
 	}
@@ -94,7 +94,7 @@
 	return d.Round(100 * time.Millisecond).String()
 }
 
-var pageTemplate = template.Must(template.New("fleet").Funcs(template.FuncMap{"age": age}).Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("fleet").Funcs(template.FuncMap{"age": formatAge}).Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>ivyridge fleet</title>
 <style>
 body{font:14px sans-serif;margin:1.5em;color:#222}
@@ -104,7 +104,7 @@
 .row{margin:.25em 0}.dc{display:inline-block;width:11em}
 .warn{color:#b00}
 </style></head><body>
-<h1>What every instance runs</h1>
+<h1>Fleet inventory</h1>
 <p>Listed by {{.Fleet.Asked}}.{{if .Fleet.Partial}} <span class="warn">Partial: a region or all schedulers did not answer.</span>{{end}}</p>
 <table><tr><th></th><th>instances</th><th>build</th><th>settings</th><th>configuration</th><th>by data centre</th></tr>
 {{range .Groups}}<tr><td><span class="sq" style="background:{{.Colour}}"></span></td><td>{{.Count}}</td>
@@ -117,15 +117,15 @@
 {{if .Odd}}<table><tr><th>instance</th><th>data centre</th><th>differs in</th><th>build</th><th>settings</th><th>configuration</th><th>heard</th><th>proof</th></tr>
 {{range .Odd}}<tr><td>{{.Address}}</td><td>{{.DataCentre}}</td><td class="warn">{{range $i, $d := .Differs}}{{if $i}}, {{end}}{{$d}}{{end}}</td>
 <td>{{.Build}}</td><td>{{.Settings}}</td><td>{{.Version}}</td><td>{{age .HeardMS}} ago</td><td>{{age .ProofMS}}</td></tr>{{end}}
-</table>{{else}}<p>None: all {{len .Fleet.Rows}} run the same.</p>{{end}}
+</table>{{else}}<p>None: all {{len .Fleet.Rows}} instances run the same.</p>{{end}}
 </body></html>
 `))
 
-// ServePage answers PagePath.
+// ServePage serves PagePath.
 func (s *Source) ServePage(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
 	w.Header().Set("Content-Security-Policy", "default-src 'none'; style-src 'unsafe-inline'")
 	if err := pageTemplate.Execute(w, newPage(s.Whole(r.Context()))); err != nil {
-		s.Log.Info("inventory page not told", zap.String("error", err.Error()))
+		s.Log.Info("writing inventory page failed", zap.String("error", err.Error()))
 	}
 }
--- a/inventory/sets.go
+++ b/inventory/sets.go
@@ -1,36 +1,36 @@
 package inventory
 
-// This file tells operators which part of a service's endpoints an instance chooses among.
+// This file reports to operators which of a service's endpoints an instance chooses among.
 
 import "context"
 
-// SetsPath is where an instance tells operators its working sets.
+// SetsPath is the path at which an instance reports its working sets.
 const SetsPath = "/sets.json"
 
-// Sets are the working sets of an instance, and the loads that endpoints told it.
+// Sets are the working sets of an instance, and the slow endpoints that it knows of.
 type Sets struct {
 	Services []WorkingSet   `json:"services"`
 	Slow     []SlowEndpoint `json:"slow"`
 }
 
-// A WorkingSet is the part of a service's endpoints that choices look at.
+// A WorkingSet is the subset of a service's endpoints that an instance chooses among.
 type WorkingSet struct {
 	Service string `json:"service"`
 	Listed  int    `json:"listed"`
-	Open    int    `json:"open"`     // those of them that take something new
-	Used    int    `json:"used"`     // those that choices look at
-	Needed  int    `json:"needed"`   // how many demand needs, as far as the instance knows
-	GrownMS int64  `json:"grown_ms"` // since the set was last made larger; negative: it never was
+	Open    int    `json:"open"`     // number of listed endpoints that accept new requests
+	Used    int    `json:"used"`     // size of the working set
+	Needed  int    `json:"needed"`   // size that the known demand requires
+	GrownMS int64  `json:"grown_ms"` // since the working set last grew; negative: never
 }
 
-// A SlowEndpoint told in its last answer to the instance that work takes longer there than usual.
+// A SlowEndpoint reported in its last response that it is slower than usual.
 type SlowEndpoint struct {
 	ID       string  `json:"id"`
-	Slowness float64 `json:"slowness"` // 1: as usual
-	AgeMS    int64   `json:"age_ms"`   // since it said so
+	Slowness float64 `json:"slowness"` // relative to the usual duration, which is 1
+	AgeMS    int64   `json:"age_ms"`   // since it reported that
 }
 
-// AskSets returns the working sets of the instance at a metrics address.
+// AskSets returns the working sets of the instance with the given metrics address.
 func (c *Client) AskSets(ctx context.Context, address string) (*Sets, error) {
 	s := new(Sets)
 	return s, c.get(ctx, address, SetsPath, nil, s)
