--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -38,7 +38,7 @@
 	Host           string
 	Prefix         string // begins and ends with a slash
 	Kind           Kind
-	Timeout        time.Duration // maximum duration of a request; zero: no limit
+	Timeout        time.Duration // maximum duration of a request; zero: not set
 	Objective      time.Duration // target time to the response, or to the first event of a stream
 	PauseObjective time.Duration // target time between the events of a stream
 	Priority       int           // 0 is the most urgent
