--- a/belief/belief.go
+++ b/belief/belief.go
@@ -34,7 +34,7 @@
 // ErrBusy is returned by a Source that rejects the call because of load.
 var ErrBusy = errors.New("source rejected the call because of load")
 
-// A Record is an endpoint and the store revision of its entry.
+// A Record is an endpoint and the revision of its entry in the store.
 type Record struct {
 	catalog.Endpoint
 	Revision int64
@@ -69,7 +69,7 @@
 
 	Digest uint64 // of all endpoints at Revision; zero if not sent
 
-	Proved time.Time // when the request was sent, on the receiver's clock
+	Proved time.Time // when the state was last validated, on the receiver's clock
 
 	Bytes   int           // size of the response body
 	Arrival time.Duration // from the response header to the end of the body
--- a/belief/bootstrap.go
+++ b/belief/bootstrap.go
@@ -25,23 +25,23 @@
 	if f.StartWithin <= 0 {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, f.StartWithin)
+	callCtx, cancel := context.WithTimeout(ctx, f.StartWithin)
 	defer cancel()
-	for call.Err() == nil && f.Table.View().Revision == 0 {
+	for callCtx.Err() == nil && f.Table.View().Revision == 0 {
 		newer := f.Newer()
 		if f.loadFromPeer(ctx) {
 			f.waitForUpstream(ctx)
 			return
 		}
-		wait, done := context.WithTimeout(call, peerPollInterval)
+		waitCtx, cancelWait := context.WithTimeout(callCtx, peerPollInterval)
 		select {
-		case <-wait.Done():
+		case <-waitCtx.Done():
 		case <-newer:
 		case <-f.Hurry:
-			done()
+			cancelWait()
 			return
 		}
-		done()
+		cancelWait()
 	}
 }
 
@@ -58,14 +58,13 @@
 }
 
 // waitForUpstream returns once there is an instance to follow, or after upstreamWait.
-
 func (f *Follower) waitForUpstream(ctx context.Context) {
-	call, cancel := context.WithTimeout(ctx, upstreamWait)
+	callCtx, cancel := context.WithTimeout(ctx, upstreamWait)
 	defer cancel()
-	for call.Err() == nil {
+	for callCtx.Err() == nil {
 		if _, ok := f.Upstream(false); ok {
 			return
 		}
-		sleep(call, upstreamPollInterval)
+		sleep(callCtx, upstreamPollInterval)
 	}
 }
--- a/belief/compile_test.go
+++ b/belief/compile_test.go
@@ -27,14 +27,14 @@
 		applied <- table.Apply(&Update{Revision: 2, Proved: time.Now(), Config: &catalog.Document{Version: 2}})
 	}()
 	<-compiling
-	proved := make(chan Proof, 1)
+	validated := make(chan Proof, 1)
 	go func() {
 		table.Confirm(1, time.Now())
 		p, _ := table.Proof()
-		proved <- p
+		validated <- p
 	}()
 	select {
-	case p := <-proved:
+	case p := <-validated:
 		if p.Revision != 1 {
 			t.Errorf("validated revision %d while version 2 is compiled, want 1", p.Revision)
 		}
--- a/belief/follow.go
+++ b/belief/follow.go
@@ -170,7 +170,7 @@
 }
 
 func (f *Follower) watch(ctx context.Context, s NamedSource, after int64, wait time.Duration) error {
-	call, cancel := context.WithCancel(ctx)
+	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	q := Query{After: after, Wait: wait}
 	if s.Origin {
@@ -178,10 +178,10 @@
 		defer f.receiving.Store(false)
 	}
 	if wait > 0 {
-		q.Overtaken = f.newerRevisionSignal(call)
+		q.Overtaken = f.newerRevisionSignal(callCtx)
 	}
 	f.Count(s.eventName("watch"))
-	u, err := s.Source.Watch(call, q)
+	u, err := s.Source.Watch(callCtx, q)
 	if err != nil {
 		f.logTruncated(ctx, s, err)
 		return err
@@ -211,10 +211,10 @@
 }
 
 func (f *Follower) load(ctx context.Context, s NamedSource) error {
-	call, cancel := context.WithTimeout(ctx, loadTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	f.Count(s.eventName("load"))
-	u, err := s.Source.Load(call)
+	u, err := s.Source.Load(callCtx)
 	if err != nil {
 		f.logTruncated(ctx, s, err)
 		return err
--- a/belief/follow_test.go
+++ b/belief/follow_test.go
@@ -41,12 +41,12 @@
 // Guards against all instances of a fleet calling the store at the same time once none of them has a
 // recent validation. A rank counts only recently validated instances, so all of them would be first.
 func TestUnrankedInstancesLimitStoreCalls(t *testing.T) {
-	const crowd = 280
+	const unranked = 280
 	now := time.Unix(1000, 0)
 	calls := 0
-	provers := make([]*Prover, crowd)
+	provers := make([]*Prover, unranked)
 	for i := range provers {
-		provers[i] = &Prover{Turn: func() Turn { return Turn{Crowd: crowd} }}
+		provers[i] = &Prover{Turn: func() Turn { return Turn{Crowd: unranked} }}
 	}
 	const seconds = 3
 	for tick := range int(seconds * time.Second / validationPollInterval) {
@@ -68,7 +68,7 @@
 	}
 	mean := int(seconds * time.Second / unrankedMeanInterval)
 	if calls < mean/2 || calls > 2*mean {
-		t.Errorf("%d calls of %d instances in %d s, want about %d", calls, crowd, seconds, mean)
+		t.Errorf("%d calls of %d instances in %d s, want about %d", calls, unranked, seconds, mean)
 	}
 }
 
--- a/belief/prove.go
+++ b/belief/prove.go
@@ -14,8 +14,9 @@
 // Validation schedule. The instance with the lowest rank calls the store once its last
 // validation is validationInterval old, and passes the result on to the other instances. Those
 // call the store only when their own last validation grows old, the later the higher their
-// rank. Instances without a rank call at random times, so that few do so at once. All of these
-// ages are well below the time within which a revoked key must stop working.
+// rank. Instances without a rank call at random times after maxValidationAge, so that few do so
+// at once. All of these ages are well below the time within which a revoked key must stop
+// working.
 const (
 	validationInterval     = 800 * time.Millisecond
 	validationPollInterval = 100 * time.Millisecond
@@ -104,12 +105,12 @@
 }
 
 func (p *Prover) validate(ctx context.Context) error {
-	call, cancel := context.WithTimeout(ctx, loadTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	p.Count("prove")
-	u, err := p.Store.Source.Watch(call, Query{After: p.Table.View().Revision})
+	u, err := p.Store.Source.Watch(callCtx, Query{After: p.Table.View().Revision})
 	if errors.Is(err, ErrHistoryGone) {
-		u, err = p.Store.Source.Load(call)
+		u, err = p.Store.Source.Load(callCtx)
 	}
 	if err != nil {
 		logTruncatedAnswer(p.Store, err, p.Log, p.Count)
--- a/belief/restart_test.go
+++ b/belief/restart_test.go
@@ -43,7 +43,6 @@
 }
 
 // Whatever the order of updates, the start time of a listed endpoint never decreases.
-
 func TestStartTimeNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, c := newTable()
