--- a/belief/belief.go
+++ b/belief/belief.go
@@ -255,7 +255,7 @@
 
 // Confirm renews the validation time from another instance's statement that no
 // change after a revision had been made at an instant. It has an effect only if
-// the table is at that revision or a later one.
+// the table has a configuration and is at that revision or a later one.
 func (t *Table) Confirm(revision int64, validatedAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
