--- /dev/null
+++ b/balance/backoff.go
@@ -0,0 +1,352 @@
+package balance
+
+// This file tracks directives that endpoints give in responses: to back off for a while, and that
+// they are draining.
+//
+// A back-off must be kept even if the endpoint looks attractive. Counting refusals as failures is
+// not enough: an endpoint that has refused requests is idle and still caches prompt parts, so it
+// would be the cheapest choice again. An endpoint in back-off is therefore ineligible, also as a
+// last resort, and MaySend checks again right before a request is sent, whoever chose the endpoint
+// and whenever.
+//
+// Directives are kept by endpoint ID and apply to the process that gave them. A process restarted
+// under the same ID has given none, but its first responses may arrive before its start time is
+// known, so recent directives are applied to it too.
+
+import (
+	"cmp"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"ivyridge/belief"
+)
+
+const (
+	// backoffJitter extends a back-off by a random share of it, up to maxBackoffJitter, so that
+	// back-offs requested from many instances at once don't end at once.
+	backoffJitter    = 0.1
+	maxBackoffJitter = 300 * time.Millisecond
+	// trialTimeout is how long the first request after a back-off is sent alone, unless it is
+	// answered sooner. An endpoint that is still overloaded then refuses one request per instance
+	// rather than all that are waiting.
+	trialTimeout = 200 * time.Millisecond
+	// trialWindow is how long after a back-off the first request counts as a trial. After that,
+	// the endpoint is treated like any other.
+	trialWindow = time.Second
+	// probeAfter is when a single request is sent to an endpoint in a longer back-off. Without
+	// probes, an endpoint that asked for too long a back-off by mistake would never be seen to
+	// recover.
+	probeAfter = 30 * time.Second
+	// birthDelay is how long after its start a process's start time may still be unknown: two
+	// heartbeats plus delay.
+	birthDelay = 3 * time.Second
+	// drainRetention is how long a drain is remembered after the process was last listed. The
+	// process must not become eligible again if it disappears from the list for a while.
+	drainRetention = 10 * time.Minute
+	// drainReportTTL is how long another instance's report of a drain is valid. The report is
+	// repeated while that instance lives, and the endpoint list catches up.
+	drainReportTTL = 5 * time.Second
+)
+
+// A directive is what one endpoint process asked of this instance in responses.
+type directive struct {
+	incarnation  string
+	endpointID   string
+	backoffAt    time.Time // last time it asked for back-off; zero: never
+	backoffUntil time.Time // nothing is sent before
+	probed       bool      // the probe of a long back-off was sent
+	trialUntil   time.Time // a trial request is in flight until then at the latest
+	draining     bool
+	lastSeen     time.Time // last time it was listed or its response seen
+}
+
+// backingOff reports whether the endpoint must not be sent a request now.
+func (s *directive) backingOff(now time.Time) bool { return s.availableAt(now).After(now) }
+
+// availableAt returns when the back-off next permits a request.
+func (s *directive) availableAt(now time.Time) time.Time {
+	switch {
+	case s.backoffAt.IsZero():
+		return now
+	case !now.Before(s.backoffUntil):
+		return latest(now, s.trialUntil)
+	case s.probed:
+		return s.backoffUntil
+	}
+	return earliest(s.backoffUntil, latest(now, s.backoffAt.Add(probeAfter)))
+}
+
+func latest(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
+	}
+	return b
+}
+
+func earliest(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return a
+	}
+	return b
+}
+
+// recordSend records that a request is about to be sent, and reports whether it may be.
+func (s *directive) recordSend(now time.Time) bool {
+	switch {
+	case s.draining || s.backingOff(now):
+		return false
+	case s.backoffAt.IsZero():
+	case now.Before(s.backoffUntil):
+		s.probed = true
+	case now.Before(s.backoffUntil.Add(trialWindow)):
+		s.trialUntil = now.Add(trialTimeout)
+	}
+	return true
+}
+
+// extendBackoff records a request to back off for d. The back-off that ends last applies.
+func (s *directive) extendBackoff(d time.Duration, now time.Time) {
+	spread := min(time.Duration(backoffJitter*float64(d)), maxBackoffJitter)
+	until := now.Add(d + time.Duration(rand.Float64()*float64(spread)))
+	if !now.Before(s.backoffUntil) {
+		s.backoffAt, s.backoffUntil, s.probed = now, until, false
+		return
+	}
+	s.backoffUntil = latest(s.backoffUntil, until)
+}
+
+// expired reports whether the directive has no effect any more.
+func (s *directive) expired(now time.Time) bool {
+	if s.draining {
+		return now.Sub(s.lastSeen) > drainRetention
+	}
+	return !now.Before(s.backoffUntil.Add(trialWindow))
+}
+
+// forLoad returns the directive as it applies to l's process, or nil if it does not.
+func (s *directive) forLoad(l *load, id string) *directive {
+	switch {
+	case s.incarnation == l.id:
+		return s
+	case s.incarnation == id || l.id == id:
+		// One of the two was recorded without a start time: they may be the same process.
+		s.incarnation = l.id
+		return s
+	case s.backoffAt.After(l.firstSeen.Add(-birthDelay)):
+		next := *s
+		next.incarnation, next.draining = l.id, false
+		return &next
+	}
+	return nil
+}
+
+// attachDirective sets l's directive from those recorded under the endpoint's ID. The caller holds
+// b.mu.
+func (b *Balancer) attachDirective(l *load, e *belief.Endpoint) {
+	l.inheritLimit(b.loadsByID[e.ID], e.ID)
+	b.loadsByID[e.ID], l.endpointID, l.dataCentre = l, e.ID, e.DataCentre
+	if l.limitState != nil {
+		b.limited[l.hash] = l
+	}
+	l.directive = nil
+	s := b.directives[e.ID]
+	if s == nil {
+		return
+	}
+	if l.directive = s.forLoad(l, e.ID); l.directive != nil {
+		b.directives[e.ID] = l.directive
+	}
+}
+
+// ensureDirective returns the directive of the placement's endpoint, creating it if needed. The
+// caller holds b.mu.
+func (p *Placement) ensureDirective(now time.Time) *directive {
+	b, l, id := p.balancer, p.load, p.Endpoint.ID
+	if l.directive == nil || l.directive.expired(now) {
+		l.directive = &directive{incarnation: l.id, endpointID: id}
+	}
+	l.directive.lastSeen = now
+	if current := b.loadsByID[id]; current == nil || current == l {
+		b.directives[id] = l.directive
+	}
+	b.markChanged(l)
+	return l.directive
+}
+
+// Rests records that the endpoint asked this instance to back off for d. It reports whether the
+// endpoint was not in back-off before.
+func (p *Placement) Rests(d time.Duration) (news bool) {
+	b := p.balancer
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.now()
+	s := p.ensureDirective(now)
+	news = !now.Before(s.backoffUntil)
+	s.extendBackoff(d, now)
+	b.lastBackoffEnd = latest(b.lastBackoffEnd, s.backoffUntil)
+	if current := b.loadsByID[p.Endpoint.ID]; current != nil && current != p.load {
+		// The ID belongs to a process that became known after the request was placed.
+		if next := s.forLoad(current, p.Endpoint.ID); next != nil {
+			current.directive, b.directives[p.Endpoint.ID] = next, next
+			b.markChanged(current)
+		}
+	}
+	return news
+}
+
+// Leaves records that the endpoint said it is draining; it is sent nothing new. It reports whether
+// that was not known before.
+func (p *Placement) Leaves() (news bool) {
+	b := p.balancer
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if p.load.directive != nil && p.load.directive.draining {
+		p.load.directive.lastSeen = b.now()
+		return false
+	}
+	p.ensureDirective(b.now()).draining = true
+	return true
+}
+
+// MaySend reports whether the request may be sent to the endpoint now. Callers must ask right
+// before sending, since the endpoint may have asked for back-off or announced a rate limit after
+// it was chosen.
+func (p *Placement) MaySend() bool {
+	b := p.balancer
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.now()
+	return p.usePermit(now) && (p.load.directive == nil || p.load.directive.recordSend(now))
+}
+
+// endTrial records that the endpoint answered without asking for back-off, which ends a trial.
+func (s *directive) endTrial(now time.Time) {
+	if !now.Before(s.backoffUntil) {
+		s.backoffAt, s.trialUntil = time.Time{}, time.Time{}
+	}
+}
+
+// draining reports whether the endpoint said that it is draining, to this instance or recently to
+// another one.
+func (l *load) draining(now time.Time) bool {
+	return l.directive != nil && l.directive.draining || now.Before(l.drainReportedUntil)
+}
+
+// backoffRemaining returns the time left of the endpoint's back-off for this instance.
+func (l *load) backoffRemaining(now time.Time) time.Duration {
+	if l.directive == nil {
+		return 0
+	}
+	return max(0, l.directive.backoffUntil.Sub(now))
+}
+
+// retained reports whether the state must be kept while the endpoint is not listed, since it may
+// be listed again.
+func (l *load) retained(now time.Time) bool { return l.directive != nil && !l.directive.expired(now) }
+
+// forgetDirectives drops expired directives. The caller holds b.mu.
+func (b *Balancer) forgetDirectives(known func(incarnation string) bool, now time.Time) {
+	for id, s := range b.directives {
+		if known(s.incarnation) {
+			s.lastSeen = now
+		}
+		if !s.expired(now) {
+			continue
+		}
+		delete(b.directives, id)
+		if l := b.loadsByID[id]; l != nil && l.directive == s {
+			l.directive = nil
+		}
+	}
+}
+
+// unavailableRefusal returns the refusal of a request for which all otherwise eligible endpoints
+// are in back-off or lack permits, or nil if there are none. The caller holds b.mu.
+func (b *Balancer) unavailableRefusal(endpoints []*belief.Endpoint, d *Demand, now time.Time) *Refusal {
+	var first time.Time
+	var limited bool // the earliest endpoint lacks a permit
+	r := b.workingSet(d.Service.Name, endpoints)
+	loads := r.loads
+	urgency := b.urgency(d, now)
+	for i, l := range loads {
+		e := r.endpoints[i]
+		if l.directive == nil && !l.limitState.needsPermit(now) || b.excluded(e, l, d, now) || l.avoided(e, now, true) {
+			continue
+		}
+		rests, opens := now, l.limitState.availableAt(urgency, now)
+		if l.directive != nil {
+			rests = l.directive.availableAt(now)
+		}
+		if room := latest(rests, opens); first.IsZero() || room.Before(first) {
+			first, limited = room, l.limitState.needsPermit(now) && !opens.Before(rests)
+		}
+	}
+	if first.IsZero() {
+		return nil
+	}
+	wait := first.Sub(now)
+	if limited {
+		return b.limitedRefusal(d, loads, wait, now)
+	}
+	return &Refusal{Cause: EndpointsRest, Wait: wait, RetryAfter: wait + time.Duration(rand.Float64()*float64(retryAfterSpread))}
+}
+
+// excluded reports whether the endpoint is ineligible for the request at any cost.
+func (b *Balancer) excluded(e *belief.Endpoint, l *load, d *Demand, now time.Time) bool {
+	return e.Closed() || l.draining(now) || slices.Contains(d.Avoid, l.hash) || !b.inAllowedRegion(e, d)
+}
+
+// recentBackoff is how long a back-off may take to reach schedulers through this instance's
+// reports.
+const recentBackoff = maxReportInterval
+
+// Resting returns the hashes of endpoints that are closed to a request from this instance although
+// schedulers may not know it: those that asked it for back-off within recentBackoff, latest first,
+// and those for which no permit may be requested now. It returns at most maxUnreachable.
+func (b *Balancer) Resting(d *Demand) []uint32 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.now()
+	closed := b.closedLimits(b.urgency(d, now), now)
+	if !now.Before(b.lastBackoffEnd) {
+		return closed[:min(len(closed), maxUnreachable)]
+	}
+	var lately []*directive
+	for _, s := range b.directives {
+		if now.Before(s.backoffUntil) && now.Sub(s.backoffAt) < recentBackoff {
+			lately = append(lately, s)
+		}
+	}
+	slices.SortFunc(lately, func(x, y *directive) int { return cmp.Compare(y.backoffAt.UnixNano(), x.backoffAt.UnixNano()) })
+	var out []uint32
+	for _, s := range lately[:min(len(lately), maxUnreachable)] {
+		out = append(out, EndpointHash(s.incarnation))
+	}
+	out = append(out, closed...)
+	return out[:min(len(out), maxUnreachable)]
+}
+
+// An Absence is an endpoint that is in back-off for this instance or draining.
+type Absence struct {
+	Endpoint string        // ID
+	Rest     time.Duration // time left of the back-off
+	Leaves   bool
+}
+
+// Absences returns the endpoints in back-off or draining, longest back-off first.
+func (b *Balancer) Absences() []Absence {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.now()
+	out := make([]Absence, 0, len(b.directives))
+	for id, s := range b.directives {
+		if s.draining || now.Before(s.backoffUntil) {
+			out = append(out, Absence{Endpoint: id, Rest: max(0, s.backoffUntil.Sub(now)), Leaves: s.draining})
+		}
+	}
+	slices.SortFunc(out, func(x, y Absence) int {
+		return cmp.Or(cmp.Compare(y.Rest, x.Rest), cmp.Compare(x.Endpoint, y.Endpoint))
+	})
+	return out
+}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,14 +1,12 @@
-// Package balance chooses the endpoint of each request.
+// Package balance decides which endpoint runs a request, when, or whether to refuse it.
 //
-// Every instance decides alone, from what it sent itself, what other instances
-// say they sent, and how endpoints answered. The cost of an endpoint is the
-// credit that the choice is expected to lose: that the request is late
-// because prompts wait to be read there, that streams which run there pause
-// too long while this prompt is read, that the endpoint fails. Prompt parts
-// that an endpoint still holds cost nothing to read, so that requests stay
-// near their parts without being bound to them; and long prompts keep away
-// from streams that must not pause, as far as the traffic allows, without a
-// fixed border between them.
+// Every instance decides locally, from the requests it sent, the load that other instances report,
+// and the outcomes of requests. The cost of an endpoint is the credit expected to be lost by
+// choosing it: the request misses its objective because other prompts are queued for prefill
+// there, streams running there stall while this prompt is prefilled, or the endpoint fails. Prompt
+// parts cached at an endpoint need no prefill, so requests prefer endpoints that cache their
+// prefix without being pinned to them. Long prompts avoid endpoints with latency-sensitive streams
+// as far as load permits, without a static partition.
 //
 // A Balancer is safe for concurrent use. It does no I/O.
 package balance
@@ -26,37 +24,37 @@
 	"ivyridge/quota"
 )
 
-// A Part is a piece of a prompt.
+// A Part is a segment of a prompt that engines can cache.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// A Demand is what a request asks of an endpoint.
+// A Demand describes a request to be placed.
 type Demand struct {
-	Service   *catalog.Service
-	Team      uint32        // TeamHash of its name; zero: none
-	Homes     catalog.Homes // where it may be served
-	Priority  int           // 0 is the most urgent
-	Objective time.Duration
-	Pause     time.Duration // the longest pause of its stream; zero: it is none
-	Deadline  time.Duration // until the caller leaves; zero: unknown
-	Prompt    int           // tokens
-	Output    int           // tokens expected
-	Parts     []Part
-	Avoid     []uint32      // hashes of endpoints that have had the request, or that its instance can't reach
-	Sent      bool          // an endpoint may have had the request, or its answer has begun: it is not refused any more
-	Bytes     int           // of the body
-	Earns     quota.Earning // of its service's retries for those who choose endpoints, by being placed
-	Retry     Retry         // it is sent again, and its instance has no retry of its own left: one of the fleet's is asked for
-	Suspect   bool          // an endpoint ended that had the same request in hand
-	Offered   bool          // it has been counted among what its team asks for
-	Permit    uint32        // hash of the endpoint that a permit was given for, which is chosen if it may be; zero: none
-	Permitted bool          // only endpoints that need no permit, or for which one is in hand, are looked at
-	inTime    bool          // only endpoints that would begin it in time are looked at
+	Service       *catalog.Service
+	Team          uint32        // TeamHash of the team's name; zero: none
+	Homes         catalog.Homes // regions where it may be served
+	Priority      int           // 0 is the most urgent
+	Objective     time.Duration
+	Pause         time.Duration // longest acceptable gap in its stream; zero: not a stream
+	Deadline      time.Duration // time until the caller gives up; zero: unknown
+	Prompt        int           // tokens
+	Output        int           // expected tokens
+	Parts         []Part
+	Avoid         []uint32      // hashes of endpoints that already received the request or that its instance can't reach
+	Sent          bool          // an endpoint may have received the request, or its response has begun: it can't be refused any more
+	Bytes         int           // size of the body
+	Earns         quota.Earning // how much the placement earns towards the service's retry budget
+	Retry         Retry         // kind of retry to charge to the shared retry budget, once the instance's own is spent
+	Suspect       bool          // an endpoint terminated while it was running the same request
+	Offered       bool          // already counted in its team's demand
+	Permit        uint32        // hash of the endpoint that a permit was granted for, which is preferred if eligible; zero: none
+	Permitted     bool          // only consider endpoints that need no permit, or for which one is held
+	requireInTime bool          // only consider endpoints that would start it in time
 }
 
-// TeamHash names a team in demands and between instances; that of no team is zero.
+// TeamHash identifies a team in demands and in messages between instances. It is zero for no team.
 func TeamHash(name string) uint32 {
 	if name == "" {
 		return 0
@@ -64,96 +62,96 @@
 	return uint32(xxhash.Sum64String(name)) | 1 // never zero
 }
 
-// weight is what a request counts beside others: each step of priority
-// halves it.
+// weight is the request's weight in costs; each priority step halves it.
 func (d *Demand) weight() float64 { return math.Exp2(float64(2 - min(max(d.Priority, 0), 9))) }
 
-// A Balancer holds what one instance knows of the load of endpoints.
+// A Balancer tracks the load of endpoints as seen by one instance, and places requests.
 type Balancer struct {
 	dataCentre string
 	now        func() time.Time
 
-	mu          sync.Mutex
-	endpoints   map[string]*load // by incarnation
-	byHash      map[uint32]*load
-	services    map[string]*figures // of engines, by the name of the service
-	instances   int                 // that share the endpoints, this one among them
-	told        time.Duration       // within which others tell what they run
-	placed      []Notice
-	downUntil   time.Time           // the last of the endpoints that are thought to be down
-	said        map[string]*said    // what endpoints said of themselves, by their ID
-	byID        map[string]*load    // of the processes listed last
-	restsUntil  time.Time           // the last end of a rest
-	limits      map[uint32]*load    // whose endpoints named a limit, by hash
-	closedUntil time.Time           // the last instant before which no permit is asked for
-	changes     uint64              // of what this instance runs, counted up
-	listings    map[string]*listing // by the name of the service
-
-	cold          coldPart
+	mu                sync.Mutex
+	loads             map[string]*load // by incarnation
+	loadsByHash       map[uint32]*load
+	stats             map[string]*serviceStats // by service name
+	instances         int                      // number of instances that share the endpoints, this one included
+	reportInterval    time.Duration            // maximum interval between load reports of other instances
+	pendingNotices    []Notice
+	downUntil         time.Time             // latest downUntil of any endpoint
+	directives        map[string]*directive // back-off and drain requests of endpoints, by endpoint ID
+	loadsByID         map[string]*load      // state of the process listed last under each ID
+	lastBackoffEnd    time.Time             // latest backoffUntil of any endpoint
+	limited           map[uint32]*load      // endpoints that announced a rate limit, by hash
+	limitsClosedUntil time.Time             // no limit is closed to permit requests after this time
+	changes           uint64                // counts changes to what this instance runs
+	listings          map[string]*listing   // by service name
+
+	coldShare     coldShare
 	retries       retries
 	regions       Regions
-	several       bool // regions are named: leaving one costs
+	multiRegion   bool // some data centre is in another region
 	link          link
-	held          []int   // tokens of the prompt in hand, by the endpoints of its service
-	donated       []donor // reused by donors
+	cachedTokens  []int   // per endpoint of the service, tokens cached of the prompt being placed
+	donorBuf      []donor // reused by donors
 	uses          uses
-	remoteChanges uint64 // of what other instances run, counted up
+	remoteChanges uint64 // counts changes to what other instances run
 
-	shares       map[string]*fair.Shares // of teams, by the name of the service
-	sharesByHash map[uint32]string       // names of services
-	sharesAt     time.Time               // of the last TeamChanges
+	shares        map[string]*fair.Shares // fair shares of teams, by service name
+	sharesByHash  map[uint32]string       // service names by hash
+	teamChangesAt time.Time               // last call of TeamChanges
 }
 
-// New returns a Balancer of an instance in a data centre.
+// New returns a Balancer for an instance in dataCentre.
 func New(dataCentre string, now func() time.Time) *Balancer {
 	return &Balancer{
-		dataCentre: dataCentre, now: now, instances: 1, told: ReportEvery(1),
-		endpoints: make(map[string]*load), byHash: make(map[uint32]*load), said: make(map[string]*said), byID: make(map[string]*load), limits: make(map[uint32]*load), services: make(map[string]*figures), listings: make(map[string]*listing), uses: make(uses),
+		dataCentre: dataCentre, now: now, instances: 1, reportInterval: ReportEvery(1),
+		loads: make(map[string]*load), loadsByHash: make(map[uint32]*load), directives: make(map[string]*directive), loadsByID: make(map[string]*load), limited: make(map[uint32]*load), stats: make(map[string]*serviceStats), listings: make(map[string]*listing), uses: make(uses),
 		shares: make(map[string]*fair.Shares), sharesByHash: make(map[uint32]string),
-		retries: retries{buckets: make(map[string]*pool)},
+		retries: retries{buckets: make(map[string]*retryBucket)},
 	}
 }
 
-// SetInstances tells how many instances share the endpoints' connections, and within
-// which time what others run is told at the latest.
-func (b *Balancer) SetInstances(n int, told time.Duration) {
+// SetInstances sets the number of instances that share the endpoints' connections, and the maximum
+// interval between load reports of other instances.
+func (b *Balancer) SetInstances(n int, reportInterval time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.instances = max(1, n)
 	b.retries.instances = n
-	b.told = told
+	b.reportInterval = reportInterval
 }
 
-// EndpointHash names an endpoint, or an incarnation of one, between instances.
+// EndpointHash identifies an endpoint, or an incarnation of one, in messages between instances.
 func EndpointHash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// load returns the state of an endpoint. The caller holds b.mu.
+// load returns the state of an incarnation, creating it if needed. The caller holds b.mu.
 func (b *Balancer) load(id string) *load {
-	l := b.endpoints[id]
+	l := b.loads[id]
 	if l == nil {
 		l = newLoad(id)
-		l.known = b.now()
-		b.endpoints[id] = l
-		b.byHash[l.hash] = l
+		l.firstSeen = b.now()
+		b.loads[id] = l
+		b.loadsByHash[l.hash] = l
 	}
 	return l
 }
 
-// Forget drops the state of endpoints that are not there any more.
+// Forget drops the state of endpoints for which known is false, and of unused endpoints outside
+// all working sets. It keeps endpoints with running requests or an unexpired back-off or drain.
 func (b *Balancer) Forget(known func(id string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	b.forgetSaid(known, now)
-	used := b.inSets()
-	for id, l := range b.endpoints {
-		if l.running == 0 && !l.keeps(now) && (!known(id) || !used[l] && l.unused(now)) {
-			if b.byID[l.endpoint] == l {
-				delete(b.byID, l.endpoint)
+	b.forgetDirectives(known, now)
+	used := b.workingSetLoads()
+	for id, l := range b.loads {
+		if l.running == 0 && !l.retained(now) && (!known(id) || !used[l] && l.unused(now)) {
+			if b.loadsByID[l.endpointID] == l {
+				delete(b.loadsByID, l.endpointID)
 			}
-			delete(b.endpoints, id)
-			delete(b.byHash, l.hash)
-			b.refill()
+			delete(b.loads, id)
+			delete(b.loadsByHash, l.hash)
+			b.invalidateWorkingSets()
 			continue
 		}
 		l.prune(now)
@@ -163,44 +161,44 @@
 	b.forgetShares(now)
 }
 
-// refill has all working sets made anew. The caller holds b.mu.
-func (b *Balancer) refill() {
+// invalidateWorkingSets causes all working sets to be rebuilt on next use. The caller holds b.mu.
+func (b *Balancer) invalidateWorkingSets() {
 	for _, r := range b.listings {
 		r.stale = true
 	}
 }
 
-// Place chooses among the endpoints of a service, and counts the request as
-// running there. It returns nil if there is none that may take it.
+// Place chooses the cheapest of a service's endpoints and counts the request as running there. It
+// returns nil if no endpoint is eligible.
 func (b *Balancer) Place(endpoints []*belief.Endpoint, d *Demand) *Placement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	best := b.cheapest(endpoints, d, now, itself)
+	best := b.cheapest(endpoints, d, now, self)
 	if best == nil {
 		return nil
 	}
-	b.spend(best.Endpoint, best.load, d.Service, now)
+	b.spendCold(best.Endpoint, best.load, d.Service, now)
 	b.begin(best, d, now)
-	if d.announced() {
-		b.announce(best, d)
+	if d.needsNotice() {
+		b.queueNotice(best, d)
 	}
 	return best
 }
 
-// announced reports whether other instances are told where the request is placed.
-func (d *Demand) announced() bool { return d.Service.Engine != nil || d.Suspect }
+// needsNotice reports whether other instances are notified of the placement.
+func (d *Demand) needsNotice() bool { return d.Service.Engine != nil || d.Suspect }
 
-// announce notes a placement for the other instances.
-func (b *Balancer) announce(p *Placement, d *Demand) {
-	b.placed = append(b.placed, Notice{Endpoint: p.load.hash, Uncached: p.charge.uncached, Priority: d.Priority, Fetched: p.Fetched, Parts: d.Parts, Homes: d.Homes, Suspect: d.Suspect})
+// queueNotice queues a notice of the placement for the other instances.
+func (b *Balancer) queueNotice(p *Placement, d *Demand) {
+	b.pendingNotices = append(b.pendingNotices, Notice{Endpoint: p.load.hash, Uncached: p.charge.uncached, Priority: d.Priority, Fetched: p.Fetched, Parts: d.Parts, Homes: d.Homes, Suspect: d.Suspect})
 }
 
-// cheapest returns the best endpoint for an instance that asks, or nil if there is none that
-// may take the request.
-func (b *Balancer) cheapest(endpoints []*belief.Endpoint, d *Demand, now time.Time, by asker) *Placement {
+// cheapest returns the cheapest eligible endpoint for the requester, or nil. It enlarges the
+// working set while no endpoint in it has enough room. The caller holds b.mu.
+func (b *Balancer) cheapest(endpoints []*belief.Endpoint, d *Demand, now time.Time, by requester) *Placement {
 	r := b.workingSet(d.Service.Name, endpoints)
-	b.fit(r, d.Service, now)
+	b.resizeForDemand(r, d.Service, now)
 	best := b.choose(r, d, now, by, false)
 	for b.grow(r, best, d, now) {
 		best = b.choose(r, d, now, by, false)
@@ -211,34 +209,35 @@
 	return best
 }
 
-// An asker is the instance that an endpoint is chosen for.
-type asker uint64
+// A requester identifies the instance that an endpoint is chosen for.
+type requester uint64
 
-// itself is the instance that chooses.
-const itself asker = 0
+// self is the instance that owns the Balancer.
+const self requester = 0
 
-// at returns how many requests the instance runs at an endpoint, and whether that wants no
-// request of an urgency from it now, as far as this one knows: who asks names the endpoints that are closed to it.
-func (a asker) at(l *load, urgency int, now time.Time) (running int, rests bool) {
-	if a == itself {
-		return l.running, l.said != nil && l.said.rests(now) || l.limited.closed(urgency, now)
+// loadState returns how many requests the requester runs at l, and whether l is known to be closed
+// to it. Other instances name endpoints with closed limits in their request, so that only their
+// back-off is checked here.
+func (a requester) loadState(l *load, urgency int, now time.Time) (running int, rests bool) {
+	if a == self {
+		return l.running, l.directive != nil && l.directive.backingOff(now) || l.limitState.closed(urgency, now)
 	}
 	r := l.remotes[uint64(a)]
-	return r.Requests, now.Before(r.restUntil)
+	return r.Requests, now.Before(r.backoffUntil)
 }
 
-// choose returns the cheapest endpoint of a working set. The last resort includes those that
-// lapsed and those that are thought to be down.
-func (b *Balancer) choose(r *listing, d *Demand, now time.Time, by asker, lastResort bool) *Placement {
+// choose returns the cheapest eligible endpoint of a working set, or nil. With lastResort,
+// endpoints whose listing has just expired or that are presumed down are eligible too.
+func (b *Balancer) choose(r *listing, d *Demand, now time.Time, by requester, lastResort bool) *Placement {
 	best := Placement{Cost: math.Inf(1)}
 	endpoints, loads := r.endpoints, r.loads
-	view := outlook{failing: b.survey(loads, d.Service, now), firstShare: b.uses.shared(now, d.Parts, len(loads))}
-	if b.several {
-		view.crossing, view.calm = b.crossing(d, now)
-		view.paid = b.uses.paid(now, d.Parts)
+	view := choiceParams{failureRate: b.refreshLoads(loads, d.Service, now), firstPartShare: b.uses.costShare(now, d.Parts, len(loads))}
+	if b.multiRegion {
+		view.crossRegionCost, view.uncongestedCrossCost = b.crossingCosts(d, now)
+		view.paidCrossings = b.uses.paid(now, d.Parts)
 	}
-	if d.Service.Engine != nil && !r.whole() {
-		view.spare = b.figures(d.Service.Name).read.Value()
+	if d.Service.Engine != nil && !r.complete() {
+		view.typicalReadTime = b.statsFor(d.Service.Name).readTime.Value()
 	}
 	urgency := b.urgency(d, now)
 	var from donors
@@ -250,15 +249,15 @@
 		if b.excluded(e, l, d, now) || l.avoided(e, now, lastResort) {
 			continue
 		}
-		running, rests := by.at(l, urgency, now)
-		if d.Permitted && l.limited.short(now) {
+		running, rests := by.loadState(l, urgency, now)
+		if d.Permitted && l.limitState.needsPermit(now) {
 			continue
 		}
-		if rests || !b.hasConn(running, d.Service) || !b.bears(e, l, d.Service, now) {
+		if rests || !b.hasConn(running, d.Service) || !b.coldAllows(e, l, d.Service, now) {
 			continue
 		}
 		if d.Service.Engine != nil {
-			view.held = b.held[i]
+			view.cachedTokens = b.cachedTokens[i]
 		}
 		if l.hash == d.Permit {
 			best = b.estimate(e, l, d, &view, math.Inf(1), now)
@@ -276,96 +275,97 @@
 		return nil
 	}
 	if best.Distance == Beyond {
-		best.Crossing = view.crossing
+		best.Crossing = view.crossRegionCost
 	}
 	if d.Service.Engine != nil {
-		best.fetch(&from, d, b.regions)
+		best.planFetch(&from, d, b.regions)
 	}
 	return &best
 }
 
-// survey brings what is known of a service's endpoints up to now, and returns
-// the share of recent requests that failed there.
-func (b *Balancer) survey(loads []*load, service *catalog.Service, now time.Time) (failing float64) {
+// refreshLoads updates the load and speed estimates of a service's endpoints, and returns the
+// share of its recent requests that failed.
+func (b *Balancer) refreshLoads(loads []*load, service *catalog.Service, now time.Time) (failing float64) {
 	var sum Seen
 	for _, l := range loads {
 		l.refresh(now)
-		sum.Ended += l.lately.Ended
-		sum.Failed += l.lately.Failed
+		sum.Ended += l.observed.Ended
+		sum.Failed += l.observed.Failed
 	}
 	if service.Engine != nil {
-		f := b.figures(service.Name)
+		f := b.statsFor(service.Name)
 		f.refresh(loads, now)
 		for _, l := range loads {
-			if l.figures != f || l.refreshed.Equal(now) || f.at.Equal(now) {
-				l.measure(f)
+			if l.stats != f || l.refreshedAt.Equal(now) || f.updatedAt.Equal(now) {
+				l.updateSpeed(f)
 			}
 		}
 	}
-	return sum.failing()
+	return sum.failureRate()
 }
 
-// connMargin is the part of an endpoint's connections that is used at most,
-// since instances are counted late.
-const connMargin = 0.8
+// maxConnShare is the maximum share of an endpoint's connections in use. The margin covers
+// instances that are not counted yet.
+const maxConnShare = 0.8
 
-// leastConns is what each instance may use of an endpoint's connections however many
-// instances there are: with one, a stream would hold all of its instance's.
-const leastConns = 2
+// minConns is the minimum number of connections to an endpoint per instance. With one, a single
+// stream would block the endpoint for its instance.
+const minConns = 2
 
-// hasConn reports whether an instance that runs so many requests at an
-// endpoint has room in its share of the endpoint's connections.
+// hasConn reports whether an instance with this many running requests at an endpoint may open
+// another connection.
 func (b *Balancer) hasConn(running int, s *catalog.Service) bool {
 	if s.MaxConns <= 0 {
 		return true
 	}
-	return running < quota.Each(s.MaxConns, connMargin, b.instances, leastConns)
+	return running < quota.Each(s.MaxConns, maxConnShare, b.instances, minConns)
 }
 
 func (b *Balancer) begin(p *Placement, d *Demand, now time.Time) {
 	p.balancer = b
 	p.Cold = p.Endpoint.Cold(now)
 	l := p.load
-	l.used = now
+	l.lastUsed = now
 	l.running++
-	b.change(l)
-	p.began = now
-	p.permit = l.limited.take(now)
+	b.markChanged(l)
+	p.startedAt = now
+	p.permit = l.limitState.takePermit(now)
 	if d.Suspect {
 		p.suspect = true
 		l.suspects++
 	}
 	if d.Service.Engine == nil {
-		p.plain = b.figures(d.Service.Name)
+		p.plainStats = b.statsFor(d.Service.Name)
 		return
 	}
-	p.output = d.Output
+	p.outputTokens = d.Output
 	p.charge = newCharge(d, p.Cached)
 	l.own.add(p.charge)
-	b.read(l, now, b.parts(d), p.charge.uncached, p.Fetched)
-	b.crossed(p, d, now)
-	p.donates(now)
+	b.recordRead(l, now, b.storableParts(d), p.charge.uncached, p.Fetched)
+	b.recordCrossing(p, d, now)
+	p.markDonor(now)
 }
 
-// read notes that an endpoint reads so many tokens of a prompt, and fetches others.
-func (b *Balancer) read(l *load, now time.Time, parts []Part, uncached, fetched int) {
-	l.volume += fetched
-	l.read(now, parts, uncached)
+// recordRead accounts for a prompt placed at l: uncached tokens to prefill and fetched tokens to
+// copy from another endpoint.
+func (b *Balancer) recordRead(l *load, now time.Time, parts []Part, uncached, fetched int) {
+	l.tokensThrough += fetched
+	l.addPrompt(now, parts, uncached)
 	b.uses.add(now, parts)
 }
 
-// change notes that what this instance runs at an endpoint has changed.
-func (b *Balancer) change(l *load) {
+// markChanged records a change to what this instance runs at l, for incremental reports.
+func (b *Balancer) markChanged(l *load) {
 	b.changes++
 	l.changed = b.changes
 }
 
-// mostUnreachable bounds the endpoints that are named as unreachable, so that they fit
-// a datagram beside a request.
-const mostUnreachable = 32
+// maxUnreachable limits the endpoints listed as unreachable, so that they fit in one datagram with
+// a request.
+const maxUnreachable = 32
 
-// Unreachable returns the hashes of endpoints to which this instance could not connect
-// of late.
+// Unreachable returns the hashes of endpoints to which this instance recently failed to connect,
+// at most maxUnreachable.
 func (b *Balancer) Unreachable() []uint32 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -374,8 +374,8 @@
 		return nil
 	}
 	var out []uint32
-	for _, l := range b.endpoints {
-		if l.downUntil.After(now) && len(out) < mostUnreachable {
+	for _, l := range b.loads {
+		if l.downUntil.After(now) && len(out) < maxUnreachable {
 			out = append(out, l.hash)
 		}
 	}
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -1,15 +1,14 @@
 package balance
 
-// This file bounds what is sent to endpoints that are cold.
+// This file limits the rate of requests sent to cold endpoints.
 //
-// An endpoint that has just started, or whose data centre was emptied, bears a few
-// requests a second, counted over all instances, and falls over above that: it takes its
-// streams with it and comes back cold again. Instances can't count together what arrives
-// within a second, so the rate is divided beforehand: each data centre has the same part,
-// and its part belongs to the schedulers that choose for it. Whoever schedules nothing,
-// has just started or is cut off has none. One owner for each endpoint, by rendezvous,
-// bears as much and is wrong by the whole rate, not by a part, where two believe
-// themselves the owner.
+// An endpoint that has just started, or whose data centre was evacuated, sustains only a few
+// requests per second from all instances together. Above that it fails, losing its streams, and
+// restarts cold. Instances can't count arrivals together within a second, so the rate is divided
+// in advance: each data centre has an equal share, which belongs to its schedulers. Instances that
+// are not schedulers, have just started, or are partitioned have none. Assigning each endpoint to
+// one owner instead would exceed the limit by the whole rate, not by a share, when two instances
+// consider themselves the owner.
 
 import (
 	"time"
@@ -19,66 +18,66 @@
 	"ivyridge/quota"
 )
 
-// ColdBounds tell how much more than its rate a cold endpoint may be sent within a second.
+// ColdBounds limit the requests sent to a cold endpoint within any second.
 type ColdBounds struct {
-	Over  float64 // as a multiple of the rate
-	Slack float64 // requests beyond that
+	Over  float64 // multiple of the endpoint's cold rate
+	Slack float64 // additional requests
 }
 
 const (
-	// coldSafe is the part of what is allowed that is used at most: two schedulers of a
-	// data centre may both take themselves for the first for a moment.
-	coldSafe = 0.8
-	// coldBurst is how many requests may be sent at once after a pause.
+	// coldMargin is the share of the bounds in use. It covers the moment in which two schedulers
+	// of a data centre both consider themselves responsible.
+	coldMargin = 0.8
+	// coldBurst is the number of requests that may be sent at once after a pause.
 	coldBurst = 1.0
 )
 
-// A coldPart is this instance's part of the rate of cold endpoints.
-type coldPart struct {
+// A coldShare is this instance's share of the rate of cold endpoints.
+type coldShare struct {
 	quota.Part
 	bounds ColdBounds
 }
 
-// SetColdBounds replaces the bounds that hold for all instances together.
+// SetColdBounds sets the bounds that apply to all instances together.
 func (b *Balancer) SetColdBounds(bounds ColdBounds) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.cold.bounds = bounds
+	b.coldShare.bounds = bounds
 }
 
-// SetColdPart tells which part of what cold endpoints bear this instance may send, as of
+// SetColdPart sets the share of the cold endpoints' rate that this instance may use, valid from
 // now.
 func (b *Balancer) SetColdPart(part float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.cold.Hold(part, b.now())
+	b.coldShare.Hold(part, b.now())
 }
 
-// rate returns how many requests a second this instance may send to a cold endpoint of a
-// service, beside coldBurst. Zero or less: none at all.
-func (c *coldPart) rate(s *catalog.Service, now time.Time) float64 {
+// rate returns how many requests/s this instance may send to a cold endpoint of a service, beyond
+// coldBurst. If it is not positive, no request may be sent.
+func (c *coldShare) rate(s *catalog.Service, now time.Time) float64 {
 	share := c.Share(now)
 	if share <= 0 {
 		return 0
 	}
 	allowed := c.bounds.Over*s.ColdRate + c.bounds.Slack
-	return min(share*s.ColdRate, share*coldSafe*allowed-coldBurst)
+	return min(share*s.ColdRate, share*coldMargin*allowed-coldBurst)
 }
 
-// bears reports whether an endpoint may be sent a request: it is not cold, or this
-// instance has a part of its rate left. The caller holds b.mu.
-func (b *Balancer) bears(e *belief.Endpoint, l *load, s *catalog.Service, now time.Time) bool {
+// coldAllows reports whether the endpoint may be sent a request: it is not cold, or this instance
+// has not used up its share. The caller holds b.mu.
+func (b *Balancer) coldAllows(e *belief.Endpoint, l *load, s *catalog.Service, now time.Time) bool {
 	if s.ColdRate <= 0 || !e.Cold(now) {
 		return true
 	}
-	rate := b.cold.rate(s, now)
+	rate := b.coldShare.rate(s, now)
 	return rate > 0 && l.cold.Available(rate, coldBurst, now) >= 1
 }
 
-// spend counts a request that is sent to an endpoint. The caller holds b.mu.
-func (b *Balancer) spend(e *belief.Endpoint, l *load, s *catalog.Service, now time.Time) {
+// spendCold charges a request to the endpoint's cold rate, if it is cold. The caller holds b.mu.
+func (b *Balancer) spendCold(e *belief.Endpoint, l *load, s *catalog.Service, now time.Time) {
 	if s.ColdRate <= 0 || !e.Cold(now) {
 		return
 	}
-	l.cold.Spend(b.cold.rate(s, now), coldBurst, now)
+	l.cold.Spend(b.coldShare.rate(s, now), coldBurst, now)
 }
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file estimates what a choice loses.
+// This file estimates the cost of placing a request at an endpoint.
 
 import (
 	"encoding/binary"
@@ -12,57 +12,56 @@
 	"ivyridge/belief"
 )
 
-// Weights of the parts of a cost. One is the whole credit of a request of
-// weight one.
+// Weights of cost terms, in units of the full credit of a request with weight 1.
 const (
-	failureCost = 1.0
-	readCost    = 0.016 // a ms of reading, which others then lack; 0.008 measured the same on 9 and 12 engines, and less on 112
-	crossCost   = 0.004 // leaving the data centre
-	homeCost    = 0.01  // leaving the endpoint that a prompt's parts hash to
-	fullCost    = 2.0   // all slots taken
-	memoryCost  = 2.0   // all memory taken
-	memoryUsed  = 0.9   // the part of the memory that keeps parts
-	memoryFull  = 0.8
-	slotsFull   = 0.85
-	plainCost   = 0.5    // all slots of an endpoint without a model taken
-	plainCross  = 0.03   // leaving the data centre for such an endpoint: half of the slots of a near one are taken first
-	turnCost    = 0.0005 // a request that has ended there of late, so that idle endpoints take turns
+	failureCost         = 1.0
+	readCost            = 0.016 // per ms of prefill, which is unavailable to other requests
+	crossDataCentreCost = 0.004 // endpoint in another data centre
+	affinityCost        = 0.01  // endpoint other than the one that the prompt's parts hash to
+	slotsCost           = 2.0   // all slots in use
+	memoryCost          = 2.0   // all cache memory in use
+	cacheMemoryShare    = 0.9   // share of the memory that caches parts
+	memorySoftLimit     = 0.8
+	slotsSoftLimit      = 0.85
+	plainCost           = 0.5    // without an engine: all slots in use
+	plainCrossCost      = 0.03   // without an engine: other data centre; a local endpoint fills half of its slots first
+	rotationCost        = 0.0005 // per recently completed request, so that idle endpoints are used in rotation
 )
 
-// An outlook is what a choice among the endpoints of a service has in common.
-type outlook struct {
-	failing    float64 // the share of requests that fail at all of them together
-	firstShare float64 // of the cost of reading the prompt's first part, that it bears
-	held       int     // tokens of the prompt, by the endpoint that is looked at
-	crossing   float64 // what leaving the region costs; zero: there is one region
-	calm       float64 // the same if nothing waited for the link
-	paid       float64 // for crossings to the prompt's first part; read at home, it costs so much less
-	spare      float64 // ms that a token takes to read at most endpoints, where some rest that are not looked at; zero: none do
+// choiceParams are the inputs common to all endpoints of one choice.
+type choiceParams struct {
+	failureRate          float64 // share of requests failing across the service
+	firstPartShare       float64 // share of the prefill cost of the prompt's first part charged to the request
+	cachedTokens         int     // prompt tokens cached at the endpoint being estimated
+	crossRegionCost      float64 // cost of leaving the region; zero with a single region
+	uncongestedCrossCost float64 // crossRegionCost with an idle link
+	paidCrossings        float64 // spent so far on leaving the region for the prompt's first part; credited to local prefill
+	typicalReadTime      float64 // ms to prefill a token at a typical endpoint; zero unless idle endpoints exist outside the working set
 }
 
-// estimate returns the placement of d at e with its cost. An endpoint where reading
-// alone costs as much as most is not looked at any further; its cost is infinite then.
+// estimate returns the placement of d at e with its cost. The cost is infinite if prefill alone
+// costs at least most, the best cost found so far.
 //
-// Where endpoints rest outside the working set, reading is not what others lack: an endpoint that
-// looks faster than most gains nothing by that, and a wait costs as much as reading for so long.
-// Otherwise prompts gather at the few endpoints that look fastest or hold their first part, and wait
-// there while others rest.
-func (b *Balancer) estimate(e *belief.Endpoint, l *load, d *Demand, view *outlook, most float64, now time.Time) Placement {
-	p := Placement{Endpoint: e, load: l, Distance: l.distance, failing: view.failing}
+// While idle endpoints exist outside the working set, prefill capacity is not scarce: an endpoint
+// that is faster than typical gets no advantage, and queueing costs as much as prefill of the same
+// duration. Otherwise prompts pile up at the few endpoints that look fastest or cache their first
+// part while other endpoints are idle.
+func (b *Balancer) estimate(e *belief.Endpoint, l *load, d *Demand, view *choiceParams, most float64, now time.Time) Placement {
+	p := Placement{Endpoint: e, load: l, Distance: l.distance, failureRate: view.failureRate}
 	if d.Service.Engine == nil {
 		p.Cost = b.plainCost(e, l, view, now)
 		return p
 	}
 	engine := d.Service.Engine
-	p.Cached = view.held
+	p.Cached = view.cachedTokens
 	reading := float64(d.Prompt-p.Cached) * l.readTime
-	perToken := max(l.readTime, view.spare)
+	perToken := max(l.readTime, view.typicalReadTime)
 	reads := readCost * float64(d.Prompt-p.Cached) * perToken
 	if p.Cached == 0 && len(d.Parts) > 0 {
 		first := readCost * float64(min(d.Parts[0].Tokens, d.Prompt)) * perToken
-		reads -= (1 - view.firstShare) * first
+		reads -= (1 - view.firstPartShare) * first
 		if l.distance != Beyond {
-			reads -= min(view.paid, view.firstShare*first)
+			reads -= min(view.paidCrossings, view.firstPartShare*first)
 		}
 	}
 	l.observe(now)
@@ -71,74 +70,73 @@
 		return p
 	}
 	total := l.total()
-	l.readUpTo(now, total.Unread, b.told)
+	l.capBacklog(now, total.Unread, b.reportInterval)
 	p.Pace.ReadTime = l.readTime
 	backlog := l.backlog(now)
 	p.Backlog = time.Duration(backlog * float64(time.Millisecond))
 	p.Ahead = backlog / p.Pace.ReadTime
 	p.Pace.StepTime = l.stepTime
 	p.Pace.TokenTime = l.tokenTime(total.Requests)
-	p.reading = reading
-	p.Wait = max(backlog, l.figures.slotWait(&total, d.level(), engine.Slots))
-	if d.inTime && l.late(d, reading, b.told, now) {
+	p.readingMS = reading
+	p.Wait = max(backlog, l.stats.slotWait(&total, d.level(), engine.Slots))
+	if d.requireInTime && l.late(d, reading, b.reportInterval, now) {
 		p.Cost = math.Inf(1)
 		return p
 	}
 	w := d.weight()
 	late := (p.Wait + reading) / milliseconds(d.Objective)
 	p.Cost = w * lateness(late)
-	p.Cost += w * failureCost * l.lately.excess(view.failing)
+	p.Cost += w * failureCost * l.observed.excess(view.failureRate)
 	p.Cost += total.Exposure * (lateness(backlog+reading) - lateness(backlog))
 	if d.Pause > 0 {
-		p.Cost += w * l.intensity / lateness(milliseconds(d.Pause))
+		p.Cost += w * l.contention / lateness(milliseconds(d.Pause))
 	}
 	if d.Deadline > 0 && d.Output > 0 {
 		finish := p.Wait + reading + float64(d.Output)*p.Pace.TokenTime
 		p.Cost += w * lateness(finish/milliseconds(d.Deadline))
 	}
 	p.Cost += reads
-	if view.spare > 0 {
+	if view.typicalReadTime > 0 {
 		p.Cost += readCost * p.Wait
 	}
-	p.Cost += w * fullCost * over(float64(total.Requests+1), slotsFull*float64(engine.Slots), float64(engine.Slots))
-	p.Cost += w * memoryCost * over(float64(total.Memory+d.Prompt), memoryFull*float64(engine.MemoryTokens), float64(engine.MemoryTokens))
-	p.Cost += homeCost * affinity(l.hash, d.Parts)
-	p.Cost += view.leaving(l, crossCost, late/homeUntil)
+	p.Cost += w * slotsCost * overLimit(float64(total.Requests+1), slotsSoftLimit*float64(engine.Slots), float64(engine.Slots))
+	p.Cost += w * memoryCost * overLimit(float64(total.Memory+d.Prompt), memorySoftLimit*float64(engine.MemoryTokens), float64(engine.MemoryTokens))
+	p.Cost += affinityCost * affinity(l.hash, d.Parts)
+	p.Cost += view.locationCost(l, crossDataCentreCost, late/localAdvantageEnd)
 	return p
 }
 
-// plainCost is that of an endpoint with slots only.
-func (b *Balancer) plainCost(e *belief.Endpoint, l *load, view *outlook, now time.Time) float64 {
+// plainCost returns the cost of an endpoint without an engine.
+func (b *Balancer) plainCost(e *belief.Endpoint, l *load, view *choiceParams, now time.Time) float64 {
 	busy := float64(l.running + l.others.Requests)
-	ends := l.lately
+	ends := l.observed
 	slow := l.slowness.of(now)
 	taken := slow * (busy + 1) / float64(max(1, e.Slots))
-	cost := plainCost*lateness(taken) + failureCost*ends.excess(view.failing)
-	cost += turnCost * ends.Ended * slow
-	cost += view.leaving(l, plainCross, taken)
+	cost := plainCost*lateness(taken) + failureCost*ends.excess(view.failureRate)
+	cost += rotationCost * ends.Ended * slow
+	cost += view.locationCost(l, plainCrossCost, taken)
 	return cost
 }
 
-// lateness is the credit lost by a request that takes x times the time that it
-// may, and, for its scale, the unit of exposures. It is steep: reading is cut
-// into steps, so that a wait far below the bound does no harm.
+// lateness is the credit lost by a request that takes x times its allowed time; it also scales
+// exposure. It is steep because engines prefill in chunks: waits well below the limit cost almost
+// nothing.
 func lateness(x float64) float64 { return x * x * x * x }
 
 func milliseconds(d time.Duration) float64 {
 	return max(1, float64(d)/float64(time.Millisecond))
 }
 
-// over returns how far used is from soft to hard, or beyond.
-func over(used, soft, hard float64) float64 {
+// overLimit returns 0 up to soft, 1 at hard, and interpolates linearly, also beyond hard.
+func overLimit(used, soft, hard float64) float64 {
 	if used <= soft || hard <= soft {
 		return 0
 	}
 	return (used - soft) / (hard - soft)
 }
 
-// affinity returns a number from 0 to 1 that all instances agree on without
-// speaking: by rendezvous hashing, least at the endpoint where a prompt's
-// shared parts are to be kept.
+// affinity returns a rendezvous hash from 0 to 1. It is lowest at the endpoint that should cache
+// the prompt's shared parts, on which instances agree without communication.
 func affinity(endpoint uint32, parts []Part) float64 {
 	if len(parts) < 2 {
 		return 0
--- a/balance/distance.go
+++ b/balance/distance.go
@@ -1,37 +1,34 @@
 package balance
 
-// This file says how far two data centres are apart, and what leaving costs.
+// This file computes the distance between data centres and the cost of leaving a region.
 //
-// Data centres of one region have wide links between them; two regions share one narrow link,
-// on which control and the reading of the store pass as well. A prompt of 17 KB that finds
-// 13,300 tokens read in the other region saves engines 280 ms of reading and is worth its
-// bytes; a chat of 1.5 KB that finds 350 tokens saves 7 ms and is not. So the cost of leaving a
-// region follows the bytes that cross both ways and the round trip beside the request's
-// objective, in the unit of all costs. A constant for all requests was weighed: it can't tell the
-// two apart, and gained nothing at 0.06.
+// Data centres of one region are connected by wide links; regions share a narrow link that also
+// carries control traffic. Using a part cached in another region is worthwhile for long prompts,
+// whose prefill is expensive compared with their size, but not for short ones. The cost of leaving
+// a region therefore depends on the bytes sent both ways and on the round trip relative to the
+// objective. A constant cost per request can't distinguish the two.
 //
-// An endpoint at home that would begin the request late loses that advantage by and by, so that
-// a region which is overrun spills over before it refuses, and takes the requests back as it
-// empties, without a threshold on either side. What a full link adds to the cost it does not
-// lose: what does not fit stays home.
+// A local endpoint that would start the request late gradually loses its advantage, so that an
+// overloaded region spills over before it refuses requests, and stops as it recovers, without a
+// threshold. The additional cost of a congested link is not lost this way: requests that don't fit
+// the link stay local.
 //
-// Popular parts of prompts are held in each region on purpose: see crossed in popular.go.
+// Popular parts of prompts are cached in each region: see recordCrossing in popular.go.
 
 import (
 	"time"
 )
 
-// A Distance is how far two data centres are apart.
+// A Distance is a class of distance between two data centres.
 type Distance uint8
 
-// The distances.
 const (
 	SameDataCentre Distance = iota
 	SameRegion              // wide links between them
-	Beyond                  // a narrow link between two regions
+	Beyond                  // different regions, with a narrow link between them
 )
 
-// String returns the distance as logs show it.
+// String returns the name of the distance used in logs.
 func (d Distance) String() string {
 	switch d {
 	case SameDataCentre:
@@ -42,11 +39,11 @@
 	return "beyond"
 }
 
-// Regions gives the region of each data centre, as settings say. Data centres that are not
-// named are taken for one region of their own.
+// Regions maps data centres to regions, as configured. Data centres without an entry form one
+// region.
 type Regions map[string]string
 
-// Between returns how far two data centres are apart.
+// Between returns the distance between data centres a and b.
 func (r Regions) Between(a, b string) Distance {
 	switch {
 	case a == b:
@@ -57,74 +54,70 @@
 	return Beyond
 }
 
-// Costs of leaving a region.
+// Cost parameters of leaving a region.
 const (
-	// byteCost is that of a KB on the link between two regions: a chat's parts of 350 tokens,
-	// 0.12 to read anew, are not worth its 3 KB; a long prompt's of 13,300, 4.4, are worth 19.
-	// On 140 engines in two regions, a rush with crashes: at 0.03, 0.06, 0.1 and 0.2 there
-	// cross 0.131, 0.125, 0.115 and 0.102 GB, and 15.5, 15.2, 14.2 and 17.8 million tokens of
-	// shared parts are read again; 0.177 and 17.3 where leaving costs nothing.
+	// byteCost is the cost of a KB on the link between regions. Prefill of a short chat's shared
+	// parts costs less than sending the chat; that of a long prompt's costs several times more.
 	byteCost = 0.1
-	// roundTrip is how long the link takes there and back as long as nothing is measured: a
-	// thousand km.
+	// roundTrip is the assumed round-trip time without a measurement.
 	roundTrip = 25 * time.Millisecond
-	// queueDoubles is how long datagrams wait for the link when a byte costs twice as much:
-	// 150 KB, or nine long prompts, at 60 Mbit/s. Not tuned.
-	queueDoubles = 20 * time.Millisecond
-	// linkFor is how long a measurement holds.
-	linkFor = 5 * time.Second
-	// plainBeyond keeps requests without a model in their region until all slots there are
-	// taken: an idle endpoint beyond costs as much as one nearby with one slot left.
-	plainBeyond = 0.3
-	// homeUntil is the part of the objective at which an engine at home has no advantage left:
-	// below that from which requests are refused.
-	homeUntil = 0.8
+	// queueDoublingTime is the queueing delay of the link at which the cost of a byte doubles.
+	queueDoublingTime = 20 * time.Millisecond
+	// linkTTL is how long a measurement is valid.
+	linkTTL = 5 * time.Second
+	// plainCrossRegionCost keeps requests without an engine in their region until all slots there
+	// are in use.
+	plainCrossRegionCost = 0.3
+	// localAdvantageEnd is the wait, relative to the objective, at which a local engine has lost
+	// its advantage. It is below the wait at which requests are refused.
+	localAdvantageEnd = 0.8
 )
 
-// Bytes of an answer as they cross, about.
+// Estimated bytes of a response.
 const (
-	answerToken = 14  // of a token in a stream: a short text, its frame, its share of an event's
-	answerPlain = 800 // of an answer of an endpoint without a model
-	answerHead  = 400 // of both heads
+	responseBytesPerToken = 14  // per token of a stream: text, framing, and share of an event
+	plainResponseBytes    = 800 // body of a response without an engine
+	responseHeaderBytes   = 400 // request and response headers
 )
 
-// A link is what was measured of the way to other regions.
+// A link is a measurement of the link to other regions.
 type link struct {
-	way   time.Duration // there and back
-	queue time.Duration // what waits for it
-	at    time.Time
+	roundTrip time.Duration
+	queue     time.Duration // queueing delay
+	at        time.Time
 }
 
-// SetLink tells how long the way to other regions takes there and back, and what waits on it
-// now: requests then leave the region the less, so that the link drains and control passes.
+// SetLink records the measured round-trip time and queueing delay of the link to other regions. A
+// queueing delay makes leaving the region more expensive, so that the link drains and control
+// traffic passes.
 func (b *Balancer) SetLink(way, queue time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.link = link{way: way, queue: queue, at: b.now()}
+	b.link = link{roundTrip: way, queue: queue, at: b.now()}
 }
 
-// measured returns what was measured of late, or is assumed.
+// measured returns the last measurement if it is valid, else defaults.
 func (l *link) measured(now time.Time) (way, queue time.Duration) {
-	if l.at.IsZero() || now.Sub(l.at) > linkFor {
+	if l.at.IsZero() || now.Sub(l.at) > linkTTL {
 		return roundTrip, 0
 	}
-	return l.way, l.queue
+	return l.roundTrip, l.queue
 }
 
-// crossing returns what a request costs more in another region, and how much of that it would
-// cost if nothing waited for the link.
-func (b *Balancer) crossing(d *Demand, now time.Time) (cost, calm float64) {
+// crossingCosts returns the cost of placing the request in another region, and the same with an
+// idle link.
+func (b *Balancer) crossingCosts(d *Demand, now time.Time) (cost, calm float64) {
 	way, queue := b.link.measured(now)
-	bytes := d.Bytes + answerHead
+	bytes := d.Bytes + responseHeaderBytes
 	if d.Service.Engine != nil {
-		bytes += answerToken * d.Output
+		bytes += responseBytesPerToken * d.Output
 	} else {
-		bytes += answerPlain
-		calm = plainBeyond
+		bytes += plainResponseBytes
+		calm = plainCrossRegionCost
 	}
 	onLink := byteCost * float64(bytes) / 1024
 	calm += onLink
-	cost = calm + onLink*float64(queue)/float64(queueDoubles)
+	cost = calm + onLink*float64(queue)/float64(queueDoublingTime)
 	if d.Objective > 0 {
 		calm += d.weight() * float64(way) / float64(d.Objective)
 		cost += d.weight() * float64(way+queue) / float64(d.Objective)
@@ -132,23 +125,24 @@
 	return cost, calm
 }
 
-// leaving returns what an endpoint at a distance costs more, near at least if it is in
-// another data centre. Late is how far an endpoint at home is from having no advantage, from
-// 0 to 1 and beyond.
-func (v *outlook) leaving(l *load, near, late float64) float64 {
+// locationCost returns the cost of the endpoint's location: near for another data centre, plus the
+// cost of leaving the region. Within the region, late tells how much of its advantage a local
+// endpoint has lost; it is fully lost at 1.
+func (v *choiceParams) locationCost(l *load, near, late float64) float64 {
 	switch {
 	case l.distance == SameDataCentre:
-		return v.stay(late)
+		return v.lostLocalAdvantage(late)
 	case l.distance == SameRegion:
-		return near + v.stay(late)
+		return near + v.lostLocalAdvantage(late)
 	}
-	return near + v.crossing
+	return near + v.crossRegionCost
 }
 
-// stay returns the advantage that an endpoint of the own region has lost.
-func (v *outlook) stay(late float64) float64 {
-	if v.calm == 0 {
+// lostLocalAdvantage returns the cost of a local endpoint that has lost its advantage, up to that
+// of leaving the region over an idle link.
+func (v *choiceParams) lostLocalAdvantage(late float64) float64 {
+	if v.uncongestedCrossCost == 0 {
 		return 0
 	}
-	return v.calm * min(1, lateness(late))
+	return v.uncongestedCrossCost * min(1, lateness(late))
 }
--- a/balance/fair.go
+++ b/balance/fair.go
@@ -1,16 +1,15 @@
 package balance
 
-// This file keeps one team's rush from being paid by the others.
+// This file enforces fair shares between teams under overload.
 //
-// Where a service is short, requests were refused by who came when: with one team at 15
-// times its usual rate, each of 23 others lost a third of requests that would have fitted.
-// The teams that use more than a fair rate are refused first, before a service is so short
-// that others have to be refused or wait. The rate is found by package fair, from how short
-// the service is as seen here; requests that give way to more urgent ones are included, so
-// that a team's less urgent requests give way to other teams' before these have to.
+// When a service is overloaded, teams above a fair rate are refused first, before other teams have
+// to be refused or wait. Refusing in order of arrival would let a surge of one team displace
+// requests of all others. Package fair computes the rate from the congestion seen by this
+// instance. Requests that yield to more urgent ones are counted too, so that a team's less urgent
+// requests yield to those of other teams first.
 //
-// Requests without a team count as one team of their own: their callers are not known, and
-// left alone they could take what all teams have.
+// Requests without a team form one team. Exempting them would let unidentified callers take all
+// capacity.
 
 import (
 	"math/rand/v2"
@@ -25,55 +24,54 @@
 )
 
 const (
-	// shareAt is the pressure on requests of one urgency from which shares bind: above
-	// yieldAt, so that less urgent requests give way first, and below refuseAt, so that
+	// shareThreshold is the pressure on a level at which fair shares apply. It is above
+	// yieldThreshold, so that less urgent requests yield first, and below refuseThreshold, so that
 	// teams within their share are not refused.
-	shareAt = 0.45
-	// shareYieldAt is the same for the pressure on more urgent requests: below yieldAt, from
-	// which all less urgent requests give way.
-	shareYieldAt = 0.9 * yieldAt
-	// sharePlainWait is the part of the objective for which a plain request may wait before
-	// shares bind: while all slots are in use and callers are served in time, nothing is gained
-	// by refusing the largest team. In requests a slot that wait is kept between
-	// sharePlainLeast and sharePlainMost, since the room of an endpoint's queue is not known.
-	sharePlainWait  = 0.25
-	sharePlainLeast = 0.5
-	sharePlainMost  = 1.5
-	// plainRefused is the part of the own requests from which endpoints that refuse them say
-	// that their room is taken, if all slots are in use.
-	plainRefused = 0.01
-	// sharePlainStep is how much later shares bind for each step of urgency: less urgent requests
-	// of a team above its share are refused first.
-	sharePlainStep = 0.2
-	// sampleWeight is the weight of one request in the part that is refused: some of
-	// the last fifty have to be refused for shares to bind for long.
+	shareThreshold = 0.45
+	// shareYieldThreshold is the same for the pressure on more urgent levels. It is below
+	// yieldThreshold, at which all less urgent requests yield.
+	shareYieldThreshold = 0.9 * yieldThreshold
+	// plainWaitShare is the share of the objective that a request without an engine may wait
+	// before fair shares apply. While all slots are busy but the objective is met, refusing the
+	// largest team gains nothing. In requests per slot, the wait is clamped to minPlainWait and
+	// maxPlainWait, since the endpoints' queue capacity is unknown.
+	plainWaitShare = 0.25
+	minPlainWait   = 0.5
+	maxPlainWait   = 1.5
+	// plainRefusalThreshold is the share of own requests refused by endpoints above which their
+	// queues count as full, if all slots are in use.
+	plainRefusalThreshold = 0.01
+	// plainLevelStep is how much later, in occupancy, fair shares apply per level of urgency, so
+	// that a team's less urgent requests are refused first.
+	plainLevelStep = 0.2
+	// sampleWeight is the weight of one request in the share that is refused. Fair shares apply
+	// for long only if several of the last fifty were refused.
 	sampleWeight = 0.02
-	// endTold is how long a request of another instance that has ended still counts as running,
-	// in ms: half a pause between its reports, and the way. Where requests are short, some of
-	// those that are counted have ended.
-	endTold = 25.0
-	// holdGuess is the time that a plain request is taken to hold a slot, in ms, until some
-	// have.
-	holdGuess = 50.0
-	// The weights of a time that is shorter or longer than the one known: requests that had to
-	// wait took longer than they hold a slot.
-	holdShorter = 0.1
-	holdLonger  = 0.02
-	// shareReturn is the least time until a caller is told to come back whose team has more
-	// than its share: such a rush lasts longer than a short queue.
-	shareReturn = 500 * time.Millisecond
-	// shareReturnPart is the part of the time that its caller has left which that is at
-	// most, with the spread.
-	shareReturnPart = 1.0 / 3
+	// endReportDelay is the mean time in ms that a completed request of another instance is still
+	// counted as running: half the report interval plus network delay.
+	endReportDelay = 25.0
+	// defaultHold is the assumed time in ms that a request without an engine holds a slot, until
+	// measured.
+	defaultHold = 50.0
+	// Weights of samples below and above the mean hold time. Longer samples count less because
+	// they include queueing.
+	holdShorterWeight = 0.1
+	holdLongerWeight  = 0.02
+	// minShareRetryAfter is the minimum retry time for callers whose team exceeds its share. Such
+	// a surge lasts longer than a short queue.
+	minShareRetryAfter = 500 * time.Millisecond
+	// shareRetryDeadlineShare bounds the retry time, spread included, to a share of the caller's
+	// remaining time.
+	shareRetryDeadlineShare = 1.0 / 3
 )
 
-// Levels of urgency are the same as those that shares tell apart.
+// The urgency levels of both packages must match.
 var _ [fair.Levels]struct{} = [levels]struct{}{}
 
-// serviceHash names a service in what instances tell of teams.
+// serviceHash identifies a service in messages about teams.
 func serviceHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// sharesOf returns those of a service. The caller holds b.mu.
+// sharesOf returns the fair shares of a service, creating them if needed. The caller holds b.mu.
 func (b *Balancer) sharesOf(service string) *fair.Shares {
 	s := b.shares[service]
 	if s == nil {
@@ -84,7 +82,7 @@
 	return s
 }
 
-// forgetShares drops those of services that are not asked for any more.
+// forgetShares drops the shares of idle services. The caller holds b.mu.
 func (b *Balancer) forgetShares(now time.Time) {
 	for name, s := range b.shares {
 		if s.Idle(now) {
@@ -94,9 +92,9 @@
 	}
 }
 
-// overShare counts a request for which so much work is asked at its best endpoint p, and returns a refusal if its team
-// has more than its share of a service that is short. The caller holds b.mu.
-func (b *Balancer) overShare(endpoints []*belief.Endpoint, d *Demand, p *Placement, asked float64, now time.Time) *Refusal {
+// shareRefusal counts a request that asks for this much work at its best endpoint p, and returns a
+// refusal if its team exceeds its share of an overloaded service, or nil. The caller holds b.mu.
+func (b *Balancer) shareRefusal(endpoints []*belief.Endpoint, d *Demand, p *Placement, asked float64, now time.Time) *Refusal {
 	if d.Offered {
 		return nil
 	}
@@ -104,14 +102,14 @@
 	if d.Service.Engine == nil {
 		r.Congestion = b.plainCongestion(endpoints, d, now)
 	} else {
-		f := b.figures(d.Service.Name)
+		f := b.statsFor(d.Service.Name)
 		r.Congestion = f.congestion(r.Level, now)
-		// Nobody would have what it leaves, or only less urgent requests would.
-		r.Fixed = r.Fixed || p.Wait <= 0 || !f.othersGiveWay(r.Level, now)
+		// Refusing it would help nobody, or only less urgent requests.
+		r.Fixed = r.Fixed || p.Wait <= 0 || !f.lessUrgentYield(r.Level, now)
 	}
-	if p.load.limits() {
-		// Permits go to teams within their share first, so that nobody need be refused.
-		r.Congestion = max(r.Congestion, b.figures(d.Service.Name).limitCongestion(now))
+	if p.load.hasLimit() {
+		// Permits are granted to teams within their share first, so no refusal is needed.
+		r.Congestion = max(r.Congestion, b.statsFor(d.Service.Name).limitCongestion(now))
 		r.Fixed = true
 	}
 	s := b.sharesOf(d.Service.Name)
@@ -122,65 +120,65 @@
 	return &Refusal{Cause: TeamShare, Pressure: over, Wait: time.Duration(p.Wait * float64(time.Millisecond)), RetryAfter: shareRetryAfter(d)}
 }
 
-// grantShare counts a request that is placed, with the work that it asked for: it may go to an
-// endpoint where it takes more. The caller holds b.mu.
+// grantShare counts a placed request with the work counted in its team's demand, which may differ
+// from the work at the endpoint finally chosen. The caller holds b.mu.
 func (b *Balancer) grantShare(d *Demand, asked float64, now time.Time) {
 	b.sharesOf(d.Service.Name).Grant(now, d.Team, d.level(), asked)
 }
 
-// shareRetryAfter returns when the caller is to come back.
+// shareRetryAfter returns the time after which a caller above its team's share should retry.
 func shareRetryAfter(d *Demand) time.Duration {
-	most := shareReturn + retryAfterSpread
+	most := minShareRetryAfter + retryAfterSpread
 	if d.Deadline > 0 {
-		most = max(retryAfterLeast, min(most, time.Duration(shareReturnPart*float64(d.Deadline))))
+		most = max(minRetryAfter, min(most, time.Duration(shareRetryDeadlineShare*float64(d.Deadline))))
 	}
-	least := min(shareReturn, most/2)
+	least := min(minShareRetryAfter, most/2)
 	return least + time.Duration(rand.Float64()*float64(most-least))
 }
 
-// work returns what a request takes of what is scarce: time of an engine, in ms, or a slot.
-// A token's part of the time is that at an engine whose slots are all taken.
+// work returns the request's use of the scarce resource: engine time in ms, or one slot. Output
+// tokens are charged their share of a step at an engine with all slots in use.
 func work(d *Demand, p *Placement) float64 {
 	e := d.Service.Engine
 	if e == nil {
 		return 1
 	}
-	token := p.Pace.StepTime * (stepEach + 1/float64(max(1, e.Slots)))
+	token := p.Pace.StepTime * (stepPerRequest + 1/float64(max(1, e.Slots)))
 	return float64(max(0, d.Prompt-p.Cached))*p.Pace.ReadTime + float64(d.Output)*token
 }
 
-// congestion returns how short a service is for requests of a level; from 1 on shares bind.
-func (f *figures) congestion(level int, now time.Time) float64 {
-	c := f.pressures[level][level].of(now) / shareAt
+// congestion returns the service's congestion for requests of a level; fair shares apply from 1.
+func (f *serviceStats) congestion(level int, now time.Time) float64 {
+	c := f.pressures[level][level].of(now) / shareThreshold
 	for urgent := range level {
-		c = max(c, f.pressures[urgent][level].of(now)/shareYieldAt)
+		c = max(c, f.pressures[urgent][level].of(now)/shareYieldThreshold)
 	}
 	return c
 }
 
-// othersGiveWay reports whether all requests less urgent than a level are refused now. A fair
-// rate holds for a second and more after the waits that it came from: without this, urgent
-// requests of a team above its share were refused while longer, less urgent ones were let in.
-func (f *figures) othersGiveWay(level int, now time.Time) bool {
-	return level >= levels-1 || f.yields(level+1, now) != nil
+// lessUrgentYield reports whether all requests less urgent than level are being refused. A fair
+// rate outlasts the congestion that caused it by a second or more; without this check, urgent
+// requests above their team's share would be refused while less urgent ones are admitted.
+func (f *serviceStats) lessUrgentYield(level int, now time.Time) bool {
+	return level >= levels-1 || f.yieldRefusal(level+1, now) != nil
 }
 
-// sample takes up one of many, with a weight that does not grow where they are few: one
-// refusal tells nothing.
+// sample records one value with fixed weight, however sparse the samples are, so that a single
+// refusal has little effect.
 func (p *pressure) sample(now time.Time, value float64) {
 	before := p.of(now)
 	p.value = before + sampleWeight*(value-before)
 	p.at = now
 }
 
-// plainEnded takes up how a plain request ended that was sent so long ago.
-func (f *figures) plainEnded(now time.Time, lasted time.Duration, o Outcome) {
+// recordPlain records the outcome and duration of a request without an engine.
+func (f *serviceStats) recordPlain(now time.Time, lasted time.Duration, o Outcome) {
 	switch o {
 	case Refused:
-		f.turnedAway.sample(now, 1)
+		f.plainRefusalRate.sample(now, 1)
 		return
 	case Served:
-		f.turnedAway.sample(now, 0)
+		f.plainRefusalRate.sample(now, 0)
 	default:
 		return
 	}
@@ -189,15 +187,15 @@
 	case f.hold == 0:
 		f.hold = took
 	case took < f.hold:
-		f.hold += holdShorter * (took - f.hold)
+		f.hold += holdShorterWeight * (took - f.hold)
 	default:
-		f.hold += holdLonger * (took - f.hold)
+		f.hold += holdLongerWeight * (took - f.hold)
 	}
 }
 
-// plainCongestion returns the requests at a plain service of late beside those from which
-// shares bind for requests like d. It is a mean, since a queue takes up what comes
-// in clumps.
+// plainCongestion returns the recent mean occupancy of a service without an engine, relative to
+// the occupancy at which fair shares apply to requests like d. It uses a mean because queues
+// absorb bursts. The caller holds b.mu.
 func (b *Balancer) plainCongestion(endpoints []*belief.Endpoint, d *Demand, now time.Time) float64 {
 	own, others, slots := 0, 0, 0
 	r := b.workingSet(d.Service.Name, endpoints)
@@ -213,30 +211,29 @@
 	if slots == 0 {
 		return 0
 	}
-	f := b.figures(d.Service.Name)
+	f := b.statsFor(d.Service.Name)
 	hold := f.hold
 	if hold == 0 {
-		hold = holdGuess
+		hold = defaultHold
 	}
-	running := float64(own) + float64(others)*hold/(hold+endTold)
-	f.occupied.add(now, running/float64(slots))
-	occupied := f.occupied.of(now) - sharePlainStep*float64(levels-1-d.level())
-	wait := sharePlainWait * milliseconds(d.Objective) / hold
-	c := occupied / (1 + min(max(wait, sharePlainLeast), sharePlainMost))
+	running := float64(own) + float64(others)*hold/(hold+endReportDelay)
+	f.occupancy.add(now, running/float64(slots))
+	occupied := f.occupancy.of(now) - plainLevelStep*float64(levels-1-d.level())
+	wait := plainWaitShare * milliseconds(d.Objective) / hold
+	c := occupied / (1 + min(max(wait, minPlainWait), maxPlainWait))
 	if occupied > 1 {
-		c = max(c, f.turnedAway.of(now)/plainRefused)
+		c = max(c, f.plainRefusalRate.of(now)/plainRefusalThreshold)
 	}
 	return c
 }
 
-// A TeamUse is what a team uses of a service, as one instance says.
+// A TeamUse is a team's use of a service, as reported by one instance.
 type TeamUse struct {
-	Service uint32 // a hash of its name
+	Service uint32 // hash of its name
 	fair.Use
 }
 
-// TeamUses returns what there is to tell other instances of teams' use: nothing while
-// nothing is scarce.
+// TeamUses returns the use to report to other instances. It is empty while nothing is scarce.
 func (b *Balancer) TeamUses() []TeamUse {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -249,7 +246,7 @@
 	return out
 }
 
-// MergeTeams takes up what another instance says that teams use.
+// MergeTeams merges another instance's report of team use.
 func (b *Balancer) MergeTeams(instance uint64, uses []TeamUse) {
 	if len(uses) == 0 {
 		return
@@ -262,16 +259,15 @@
 			byService[u.Service] = append(byService[u.Service], u.Use)
 		}
 	}
-	for hash, told := range byService {
-		// Of a service that no request here has asked for, nothing is kept.
+	for hash, serviceUses := range byService {
+		// Reports on services without local requests are dropped.
 		if name, known := b.sharesByHash[hash]; known {
-			b.shares[name].Merge(b.now(), instance, told)
+			b.shares[name].Merge(b.now(), instance, serviceUses)
 		}
 	}
 }
 
-// NameTeams returns the names of teams by their hashes, of those that are known; that of no
-// team is "none".
+// NameTeams maps hashes to the names of known teams. The hash of no team maps to "none".
 func NameTeams(known []catalog.Team, hashes ...uint32) map[uint32]string {
 	names := make(map[uint32]string, len(hashes))
 	for i := range known {
@@ -283,7 +279,7 @@
 	return names
 }
 
-// A TeamChange says that a team begins or ends to be limited to its share of a service.
+// A TeamChange reports that a team started or stopped being limited to its share of a service.
 type TeamChange struct {
 	Service string
 	fair.Change
@@ -296,21 +292,21 @@
 	now := b.now()
 	var out []TeamChange
 	for name, s := range b.shares {
-		for _, c := range s.Changes(now, b.sharesAt) {
+		for _, c := range s.Changes(now, b.teamChangesAt) {
 			out = append(out, TeamChange{Service: name, Change: c})
 		}
 	}
-	b.sharesAt = now
+	b.teamChangesAt = now
 	return out
 }
 
-// A ServiceShares is the state of the shares of one service.
+// ServiceShares is the state of the fair shares of one service.
 type ServiceShares struct {
 	Service string
 	Levels  []fair.Status
 }
 
-// Shares returns the state of all shares, for operators.
+// Shares returns the state of all fair shares, for operators.
 func (b *Balancer) Shares() []ServiceShares {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/grant.go
+++ b/balance/grant.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file lets one instance choose endpoints for others.
+// This file lets a scheduler instance choose endpoints for other instances.
 
 import (
 	"time"
@@ -8,59 +8,58 @@
 	"ivyridge/belief"
 )
 
-// A Choice is an endpoint that one instance chose for another, with what
-// decided it.
+// A Choice is an endpoint that one instance chose for another, with the estimates behind it.
 type Choice struct {
-	Endpoint uint32 // EndpointHash of its ID; zero: none may take the request
+	Endpoint uint32 // EndpointHash of its incarnation; zero: no endpoint is eligible
 	Cost     float64
-	Cached   int    // tokens of the prompt that the endpoint is thought to hold, or to fetch
-	Fetched  int    // those of them that it is to fetch from Donor
-	Donor    uint32 // EndpointHash of its ID; zero: none
+	Cached   int    // prompt tokens presumed cached at the endpoint, or fetched by it
+	Fetched  int    // tokens of Cached to fetch from Donor
+	Donor    uint32 // EndpointHash of its incarnation; zero: none
 	Backlog  time.Duration
-	Ahead    float64 // the same in tokens
-	Wait     float64 // before the prompt is read, in ms
+	Ahead    float64 // Backlog in tokens
+	Wait     float64 // ms before prefill of the prompt starts
 	Pace     Pace
-	Failing  float64 // the share of failures at the service
-	Excess   float64 // of failures at the endpoint over those of the service
-	Spare    bool    // the chooser had a retry left for the request, should it have to be sent again
-	Lent     bool    // a retry was paid for, and no endpoint chosen
-	// Refusal is set if the request is refused; there is no endpoint then.
+	Failing  float64 // failure rate of the service
+	Excess   float64 // failure rate of the endpoint above that of the service
+	Spare    bool    // the scheduler's retry budget covers another retry of the request
+	Lent     bool    // a retry was charged, but no endpoint chosen
+	// Refusal is set, and Endpoint zero, if the request is refused.
 	Refusal *Refusal
 }
 
-// Grant chooses an endpoint for another instance, and counts the request as
-// running there until that instance's next report of the endpoint.
+// Grant chooses an endpoint for another instance, and counts the request as running there until
+// that instance's next report about the endpoint.
 func (b *Balancer) Grant(instance uint64, endpoints []*belief.Endpoint, d *Demand) Choice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	p, refusal := b.admitted(endpoints, d, now, asker(instance))
+	p, refusal := b.admit(endpoints, d, now, requester(instance))
 	if p == nil {
 		return Choice{Refusal: refusal}
 	}
 	l := p.load
-	b.spend(p.Endpoint, l, d.Service, now)
-	spare := b.retries.settle(d, now)
+	b.spendCold(p.Endpoint, l, d.Service, now)
+	spare := b.retries.account(d, now)
 	p.charge = newCharge(d, p.Cached)
 	r := l.remotes[instance]
 	r.add(p.charge)
-	r.at, l.used = now, now
+	r.at, l.lastUsed = now, now
 	l.remotes[instance] = r
-	b.changeRemote(l)
+	b.markRemoteChanged(l)
 	if d.Service.Engine != nil {
-		b.read(l, now, b.parts(d), p.charge.uncached, p.Fetched)
-		b.crossed(p, d, now)
-		p.donates(now)
+		b.recordRead(l, now, b.storableParts(d), p.charge.uncached, p.Fetched)
+		b.recordCrossing(p, d, now)
+		p.markDonor(now)
 	}
-	if d.announced() {
-		b.announce(p, d)
+	if d.needsNotice() {
+		b.queueNotice(p, d)
 	}
 	if d.Suspect {
-		l.suspected(now)
+		l.markSuspect(now)
 	}
 	c := Choice{
 		Endpoint: l.hash, Cost: p.Cost, Cached: p.Cached, Backlog: p.Backlog, Ahead: p.Ahead, Wait: p.Wait, Pace: p.Pace,
-		Failing: p.failing, Excess: l.lately.excess(p.failing), Spare: spare,
+		Failing: p.failureRate, Excess: l.observed.excess(p.failureRate), Spare: spare,
 	}
 	if p.donor != nil {
 		c.Fetched, c.Donor = p.Fetched, p.donor.hash
@@ -68,11 +67,11 @@
 	return c
 }
 
-// Adopt counts a request as running at the endpoint that another instance
-// chose. It returns nil if this instance knows better: the endpoint is not
-// among endpoints, leaves, can't be reached from here, has asked this instance for rest, has
-// had the request, or may not serve it; or if a permit for it has to be asked for first, which
-// the refusal says.
+// Adopt counts a request as running at the endpoint that another instance chose. It returns no
+// placement if the endpoint is not listed or if this instance has newer information: it is
+// draining, unreachable from here, in back-off for this instance, already tried, or not allowed to
+// serve the request. If a permit must be requested first, it returns a refusal with cause
+// PermitWanted.
 func (b *Balancer) Adopt(c Choice, endpoints []*belief.Endpoint, d *Demand) (*Placement, *Refusal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,37 +81,37 @@
 	if e == nil {
 		return nil, nil
 	}
-	l := b.listed(e)
+	l := b.loadFor(e)
 	if b.excluded(e, l, d, now) || l.avoided(e, now, false) {
 		return nil, nil
 	}
-	if _, rests := itself.at(l, b.urgency(d, now), now); rests || d.Permitted && l.limited.short(now) {
+	if _, rests := self.loadState(l, b.urgency(d, now), now); rests || d.Permitted && l.limitState.needsPermit(now) {
 		return nil, nil
 	}
-	if l.limited.short(now) {
+	if l.limitState.needsPermit(now) {
 		return nil, &Refusal{Cause: PermitWanted, Limited: e, Urgency: b.urgency(d, now)}
 	}
 	if d.Service.Engine != nil {
-		l.figures = b.figures(d.Service.Name)
-		l.figures.read.Hear(c.Pace.ReadTime)
-		l.figures.step.Hear(c.Pace.StepTime)
+		l.stats = b.statsFor(d.Service.Name)
+		l.stats.readTime.Hear(c.Pace.ReadTime)
+		l.stats.stepTime.Hear(c.Pace.StepTime)
 	}
-	p := &Placement{Endpoint: e, Cost: c.Cost, Cached: c.Cached, Backlog: c.Backlog, Ahead: c.Ahead, Wait: c.Wait, Pace: c.Pace, Granted: true, Spare: c.Spare, failing: c.Failing, excess: c.Excess, load: l, Distance: l.distance}
+	p := &Placement{Endpoint: e, Cost: c.Cost, Cached: c.Cached, Backlog: c.Backlog, Ahead: c.Ahead, Wait: c.Wait, Pace: c.Pace, Granted: true, Spare: c.Spare, failureRate: c.Failing, excessFailures: c.Excess, load: l, Distance: l.distance}
 	if p.Distance == Beyond {
-		p.Crossing, _ = b.crossing(d, now)
+		p.Crossing, _ = b.crossingCosts(d, now)
 	}
 	b.takeDonor(p, &c, r, d)
 	b.begin(p, d, now)
 	return p, nil
 }
 
-// takeDonor takes up what the chosen endpoint is to fetch. Where its donor is not known here,
-// or may not have the request's parts, it reads that.
+// takeDonor adopts the fetch of the choice. If the donor is unknown here or may not hold the
+// request's parts, the endpoint prefills them instead.
 func (b *Balancer) takeDonor(p *Placement, c *Choice, r *listing, d *Demand) {
 	if c.Donor == 0 {
 		return
 	}
-	if donor := r.byHash[c.Donor]; donor != nil && b.mayServe(donor, d) {
+	if donor := r.byHash[c.Donor]; donor != nil && b.inAllowedRegion(donor, d) {
 		p.Fetched, p.Donor = c.Fetched, donor
 		return
 	}
--- a/balance/homes.go
+++ b/balance/homes.go
@@ -1,33 +1,33 @@
 package balance
 
-// This file keeps requests within the regions where they may be served.
+// This file enforces data residency: requests are served only in their allowed regions.
 //
-// It is asked for each endpoint wherever one is chosen: by a scheduler, by an instance that
-// chooses for itself, and once more by the instance that a scheduler chose for, since a
-// scheduler may be of an older version or know other regions. What can't be told, because
-// settings name no region for a data centre, is not allowed.
+// The check applies to every endpoint considered: by a scheduler, by an instance that chooses
+// locally, and again by the instance that a scheduler chose for, since the scheduler may run
+// another version or have other settings. A data centre without a configured region is not
+// allowed.
 
 import (
 	"ivyridge/belief"
 )
 
-// mayServe reports whether an endpoint lies where the request may be served. The caller holds
-// b.mu.
-func (b *Balancer) mayServe(e *belief.Endpoint, d *Demand) bool {
+// inAllowedRegion reports whether the request may be served in the endpoint's region. The caller
+// holds b.mu.
+func (b *Balancer) inAllowedRegion(e *belief.Endpoint, d *Demand) bool {
 	return !d.Homes.Bound() || d.Homes.Allows(b.regions[e.DataCentre])
 }
 
-// parts returns what this instance may remember of a request's prompt: nothing where the
-// request may not be served in its own region. The caller holds b.mu.
-func (b *Balancer) parts(d *Demand) []Part {
+// storableParts returns the prompt parts that this instance may store: none if the request may not
+// be served in the instance's region. The caller holds b.mu.
+func (b *Balancer) storableParts(d *Demand) []Part {
 	if d.Homes.Bound() && !d.Homes.Allows(b.regions[b.dataCentre]) {
 		return nil
 	}
 	return d.Parts
 }
 
-// Withhold returns notices as a region may be told them: without the parts of prompts that
-// may not be known there.
+// Withhold returns notices with the prompt parts removed that must not be disclosed to region. It
+// does not modify its argument.
 func Withhold(notices []Notice, region string) []Notice {
 	var out []Notice
 	for i, n := range notices {
@@ -45,13 +45,13 @@
 	return out
 }
 
-// bound reports whether some parts may not be known everywhere.
-func (n *Notice) bound() bool { return n.Homes.Bound() && len(n.Parts) > 0 }
+// restricted reports whether the notice has parts that may only be disclosed to certain regions.
+func (n *Notice) restricted() bool { return n.Homes.Bound() && len(n.Parts) > 0 }
 
-// AnyBound reports whether some of notices may not be told everywhere.
+// AnyBound reports whether any notice has parts that may only be disclosed to certain regions.
 func AnyBound(notices []Notice) bool {
 	for i := range notices {
-		if notices[i].bound() {
+		if notices[i].restricted() {
 			return true
 		}
 	}
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -1,18 +1,17 @@
 package balance
 
-// This file keeps what endpoints name as the rate of requests that they take from all instances
-// together, and the permits that this instance holds to send to them.
+// This file tracks rate limits that endpoints announce for all instances together, and the permits
+// that this instance holds to send to them.
 //
-// An endpoint with a limit is a choice while a permit for it is in hand or may be asked for. The
-// choice alone gives none: Admit then returns PermitWanted, the caller has the instance that
-// divides the limit asked, tells the answer and chooses anew; without a permit the endpoint is no choice
-// until it may be asked for again. So no request waits for a permit that isn't there, nothing is counted at an
-// endpoint that doesn't get the request, and MaySend finds the permit with the placement.
+// An endpoint with a rate limit is eligible while a permit for it is held or may be requested.
+// Choosing it does not grant a permit: Admit returns PermitWanted, and the caller requests a
+// permit from the instance that divides the limit, records the answer with TakePermit, and chooses
+// again. Without a permit, the endpoint is ineligible until permits may be requested again. So no
+// request blocks on an unavailable permit, no load is counted at an endpoint that does not receive
+// the request, and MaySend finds the permit with the placement.
 //
-// Weighed: parts of the rate for each data centre or instance, which at 1.2 a second and 390
-// instances are no request and idle where nobody asks; parts that follow demand, which are held by those
-// who had it a moment before; and a scheduler that asks for those it chooses for, which keeps all
-// that it chooses for waiting.
+// Static shares of the rate per data centre or instance don't work: with a low rate and many
+// instances, a share is less than one request and is wasted where there is no demand.
 
 import (
 	"cmp"
@@ -27,58 +26,59 @@
 )
 
 const (
-	// PermitFor is how long a permit holds after it was asked for: a connection may have to be
-	// opened first. One that lapses is lost.
+	// PermitFor is how long a permit is valid after it was requested, which leaves time to open a
+	// connection. An expired permit is lost.
 	PermitFor = 500 * time.Millisecond
-	// permitAsked is how long a permit that was asked for may take. Meanwhile nobody else asks.
-	permitAsked = 100 * time.Millisecond
-	// logLimits is the least pause between two lines on an endpoint's limit.
-	logLimits = time.Second
+	// permitAskTimeout is the timeout of a permit request. Only one is in flight per endpoint.
+	permitAskTimeout = 100 * time.Millisecond
+	// limitLogInterval is the minimum interval between log lines about an endpoint's limit.
+	limitLogInterval = time.Second
 )
 
-// A limited is what is known of the limit of an endpoint's process.
-type limited struct {
-	word    limit.Word
-	opens   [limit.Levels]time.Time // no permit is to be asked for before, by requests of an urgency and less urgent ones
-	asked   time.Time               // one is asked for, until then at the latest
-	permits []time.Time             // in hand, by when they lapse
-	divider string                  // the address of the instance that answered last
-	logged  time.Time
+// A limitState is the state of the rate limit of one endpoint incarnation.
+type limitState struct {
+	rateLimit       limit.Word
+	deniedUntil     [limit.Levels]time.Time // by urgency: no permit may be requested before then at this or lower urgency
+	askPendingUntil time.Time               // a permit request is in flight until then at the latest
+	permits         []time.Time             // expiry times of permits held
+	divider         string                  // address of the instance that answered last
+	loggedAt        time.Time
 }
 
-// short reports whether the endpoint names a limit and no permit for it is in hand.
-func (l *limited) short(now time.Time) bool {
-	if l == nil || !l.word.Named {
+// needsPermit reports whether the endpoint has a limit and no permit for it is held. It drops
+// expired permits. l may be nil.
+func (l *limitState) needsPermit(now time.Time) bool {
+	if l == nil || !l.rateLimit.Named {
 		return false
 	}
 	l.permits = slices.DeleteFunc(l.permits, func(until time.Time) bool { return now.After(until) })
 	return len(l.permits) == 0
 }
 
-// limits reports whether the endpoint names a limit.
-func (l *load) limits() bool { return l.limited != nil && l.limited.word.Named }
+// hasLimit reports whether the endpoint has a rate limit.
+func (l *load) hasLimit() bool { return l.limitState != nil && l.limitState.rateLimit.Named }
 
-// room returns when a permit may be in hand, or asked for, for a request of an urgency. One that is
-// more urgent than those that were denied may ask before they do: the divider keeps permits for it.
-func (l *limited) room(urgency int, now time.Time) time.Time {
-	if !l.short(now) {
+// availableAt returns when a permit may be held or requested at an urgency. A denial does not
+// block requests that are more urgent, since the divider reserves permits for them.
+func (l *limitState) availableAt(urgency int, now time.Time) time.Time {
+	if !l.needsPermit(now) {
 		return now
 	}
-	room := latest(now, l.asked)
-	for _, opens := range l.opens[:urgency+1] {
+	room := latest(now, l.askPendingUntil)
+	for _, opens := range l.deniedUntil[:urgency+1] {
 		room = latest(room, opens)
 	}
 	return room
 }
 
-// closed reports whether no request of an urgency may go there now, and no permit may be asked for.
-func (l *limited) closed(urgency int, now time.Time) bool {
-	return l.short(now) && l.room(urgency, now).After(now)
+// closed reports whether no permit is held and none may be requested yet at an urgency.
+func (l *limitState) closed(urgency int, now time.Time) bool {
+	return l.needsPermit(now) && l.availableAt(urgency, now).After(now)
 }
 
-// take takes a permit out, and returns until when it holds.
-func (l *limited) take(now time.Time) (until time.Time) {
-	if l == nil || !l.word.Named || l.short(now) {
+// takePermit removes a permit and returns its expiry; zero if there is none. l may be nil.
+func (l *limitState) takePermit(now time.Time) (until time.Time) {
+	if l == nil || !l.rateLimit.Named || l.needsPermit(now) {
 		return time.Time{}
 	}
 	until = l.permits[0]
@@ -86,177 +86,178 @@
 	return until
 }
 
-// limitedAt returns what is known of a load's limit, for something to be added. The caller holds
-// b.mu.
-func (b *Balancer) limitedAt(l *load) *limited {
-	if l.limited == nil {
-		l.limited = new(limited)
+// ensureLimit returns the limit state of l, creating it if needed. The caller holds b.mu.
+func (b *Balancer) ensureLimit(l *load) *limitState {
+	if l.limitState == nil {
+		l.limitState = new(limitState)
 	}
-	b.limits[l.hash] = l
-	return l.limited
+	b.limited[l.hash] = l
+	return l.limitState
 }
 
-// inherit has a load go on with the limit that was named under its endpoint's ID, where the birth of
-// the process came to be known only now. The caller holds b.mu.
-func (l *load) inherit(before *load, id string) {
-	if before == nil || before == l || before.limited == nil || l.limited != nil {
+// inheritLimit copies the limit state recorded under the endpoint's ID if the process may be the
+// same one whose start time only became known now. The caller holds b.mu.
+func (l *load) inheritLimit(before *load, id string) {
+	if before == nil || before == l || before.limitState == nil || l.limitState != nil {
 		return
 	}
-	same := before.id == id || l.id == id // one of the two is told without a birth
-	if same || before.limited.word.At.After(l.known.Add(-birthKnown)) {
-		l.limited = before.limited
+	same := before.id == id || l.id == id // one of the two was recorded without a start time
+	if same || before.limitState.rateLimit.At.After(l.firstSeen.Add(-birthDelay)) {
+		l.limitState = before.limitState
 	}
 }
 
-// Limits says that the endpoint's answer names a limit, in requests a second. It reports whether
-// that is news worth a log line.
+// Limits records that the endpoint's response announces a rate limit, in requests/s. It reports
+// whether the change should be logged.
 func (p *Placement) Limits(rate float64) (news bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	l := b.limitedAt(p.load)
-	if !l.word.Name(rate, now) {
+	l := b.ensureLimit(p.load)
+	if !l.rateLimit.Name(rate, now) {
 		return false
 	}
-	return p.limitNews(l, now)
+	return p.limitChanged(l, now)
 }
 
-// Unlimited says that the endpoint's own answer names no limit. It reports whether that is news
-// worth a log line.
+// Unlimited records that the endpoint's own response announces no rate limit. It reports whether
+// the change should be logged.
 func (p *Placement) Unlimited() (news bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := p.load.limited
-	if l == nil || !l.word.Lift(p.began) {
+	l := p.load.limitState
+	if l == nil || !l.rateLimit.Lift(p.startedAt) {
 		return false
 	}
-	return p.limitNews(l, b.now())
+	return p.limitChanged(l, b.now())
 }
 
-// limitNews has others told that what is known of a limit has changed, and reports whether it is
-// to be logged.
-func (p *Placement) limitNews(l *limited, now time.Time) bool {
-	p.balancer.change(p.load)
-	if now.Sub(l.logged) < logLimits {
+// limitChanged schedules a report of a changed limit, and reports whether the change should be
+// logged.
+func (p *Placement) limitChanged(l *limitState, now time.Time) bool {
+	p.balancer.markChanged(p.load)
+	if now.Sub(l.loggedAt) < limitLogInterval {
 		return false
 	}
-	l.logged = now
+	l.loggedAt = now
 	return true
 }
 
-// Limit returns the rate that the endpoint names, in requests a second, the time since it did, and
-// the address of the instance that divided it last; ok is false if it names none.
+// Limit returns the announced rate limit in requests/s, the time since it was announced, and the
+// address of the instance that last divided it; ok is false if there is no limit.
 func (p *Placement) Limit() (rate float64, age time.Duration, divider string, ok bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := p.load.limited
-	if l == nil || !l.word.Named {
+	l := p.load.limitState
+	if l == nil || !l.rateLimit.Named {
 		return 0, 0, "", false
 	}
-	return l.word.Rate, b.now().Sub(l.word.At), l.divider, true
+	return l.rateLimit.Rate, b.now().Sub(l.rateLimit.At), l.divider, true
 }
 
-// permitted reports whether the request may leave for an endpoint that may name a limit, and
-// uses its permit up.
-func (p *Placement) permitted(now time.Time) bool {
-	l := p.load.limited
-	if l == nil || !l.word.Named {
+// usePermit reports whether the request may be sent under the endpoint's rate limit, if any, and
+// consumes its permit.
+func (p *Placement) usePermit(now time.Time) bool {
+	l := p.load.limitState
+	if l == nil || !l.rateLimit.Named {
 		return true
 	}
 	until := p.permit
 	p.permit = time.Time{}
 	if until.IsZero() {
-		until = l.take(now) // the limit was named since the endpoint was chosen
+		until = l.takePermit(now) // the limit was announced after the endpoint was chosen
 	}
 	return !until.IsZero() && !now.After(until)
 }
 
-// keepPermit gives a permit that wasn't used to others.
-func (p *Placement) keepPermit() {
-	if !p.permit.IsZero() && p.load.limited != nil {
-		p.load.limited.permits = append(p.load.limited.permits, p.permit)
+// returnPermit makes an unused permit available to other requests.
+func (p *Placement) returnPermit() {
+	if !p.permit.IsZero() && p.load.limitState != nil {
+		p.load.limitState.permits = append(p.load.limitState.permits, p.permit)
 		p.permit = time.Time{}
 	}
 }
 
-// urgency returns how urgent a request is among those that ask for permits: by its level, and the
-// teams first that use no more than their share. The caller holds b.mu.
+// urgency returns the request's rank for permits; lower is more urgent. It is ordered by urgency
+// level, then by whether the team is within its fair share. The caller holds b.mu.
 func (b *Balancer) urgency(d *Demand, now time.Time) int {
 	urgency := 2 * d.level()
-	if len(b.limits) > 0 && b.sharesOf(d.Service.Name).Above(now, d.Team, d.level()) {
+	if len(b.limited) > 0 && b.sharesOf(d.Service.Name).Above(now, d.Team, d.level()) {
 		urgency++
 	}
 	return urgency
 }
 
-// wanted returns a refusal that asks for a permit, if an endpoint is good for a request but for
-// that. The caller holds b.mu.
-func (b *Balancer) wanted(best *Placement, d *Demand, now time.Time) *Refusal {
-	if !best.load.limited.short(now) {
+// permitRefusal returns a refusal that asks for a permit if best needs one, or nil. The caller
+// holds b.mu.
+func (b *Balancer) permitRefusal(best *Placement, d *Demand, now time.Time) *Refusal {
+	if !best.load.limitState.needsPermit(now) {
 		return nil
 	}
 	return &Refusal{Cause: PermitWanted, Limited: best.Endpoint, Urgency: b.urgency(d, now)}
 }
 
-// WantPermit takes up that a permit for an endpoint is about to be asked for, by a request of an urgency, and returns what is
-// known of its limit. Ok is false if none is needed, or another request asks already.
+// WantPermit records that the caller is about to request a permit for an endpoint, and returns the
+// endpoint's hash and the known limit. ok is false if no permit is needed, none may be requested
+// yet, or a request is already in flight.
 func (b *Balancer) WantPermit(e *belief.Endpoint, urgency int) (endpoint uint32, word limit.Word, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	l := b.load(e.Incarnation())
-	if !l.limited.short(now) || l.limited.closed(urgency, now) {
+	if !l.limitState.needsPermit(now) || l.limitState.closed(urgency, now) {
 		return 0, limit.Word{}, false
 	}
-	l.limited.asked = now.Add(permitAsked)
-	b.closedUntil = latest(b.closedUntil, l.limited.asked)
-	return l.hash, l.limited.word, true
+	l.limitState.askPendingUntil = now.Add(permitAskTimeout)
+	b.limitsClosedUntil = latest(b.limitsClosedUntil, l.limitState.askPendingUntil)
+	return l.hash, l.limitState.rateLimit, true
 }
 
-// TakePermit takes up the answer of the instance with an address to an ask for a permit that was
-// sent at an instant, for a request of an urgency.
+// TakePermit records the answer of the instance at address divider to a permit request that was
+// sent at asked.
 func (b *Balancer) TakePermit(endpoint uint32, urgency int, a limit.Answer, divider string, asked time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := b.byHash[endpoint]
-	if l == nil || l.limited == nil {
+	l := b.loadsByHash[endpoint]
+	if l == nil || l.limitState == nil {
 		return
 	}
-	lim := l.limited
-	lim.word.Merge(a.Word)
-	lim.asked = time.Time{}
+	lim := l.limitState
+	lim.rateLimit.Merge(a.Word)
+	lim.askPendingUntil = time.Time{}
 	lim.divider = divider
 	if a.Granted {
 		lim.permits = append(lim.permits, asked.Add(PermitFor))
 		return
 	}
 	opens := b.now().Add(a.Wait)
-	lim.opens[urgency] = opens
-	b.closedUntil = latest(b.closedUntil, opens)
+	lim.deniedUntil[urgency] = opens
+	b.limitsClosedUntil = latest(b.limitsClosedUntil, opens)
 }
 
-// Word returns what is known of an endpoint's limit.
+// Word returns the known state of an endpoint's rate limit.
 func (b *Balancer) Word(endpoint uint32) limit.Word {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if l := b.byHash[endpoint]; l != nil && l.limited != nil {
-		return l.limited.word
+	if l := b.loadsByHash[endpoint]; l != nil && l.limitState != nil {
+		return l.limitState.rateLimit
 	}
 	return limit.Word{}
 }
 
-// A ToldLimit is what an instance tells of an endpoint's limit. The zero value: nothing.
+// A ToldLimit is the rate limit of an endpoint as reported between instances. The zero value
+// reports nothing.
 type ToldLimit struct {
 	Known bool
 	Named bool
-	Rate  float64       // requests a second, if it is named
-	Age   time.Duration // since the endpoint said so
+	Rate  float64       // requests/s, if Named
+	Age   time.Duration // since the endpoint announced it
 }
 
-// Word returns what it says, as of now.
+// Word converts the report to the limit's state as of now.
 func (t *ToldLimit) Word(now time.Time) limit.Word {
 	if !t.Known {
 		return limit.Word{}
@@ -264,74 +265,73 @@
 	return limit.Told(t.Named, t.Rate, t.Age, now)
 }
 
-// toldLimit returns what is to be told of the endpoint's limit.
+// toldLimit returns the limit to report to other instances.
 func (l *load) toldLimit(now time.Time) ToldLimit {
-	if l.limited == nil || !l.limited.word.Matters(now) {
+	if l.limitState == nil || !l.limitState.rateLimit.Matters(now) {
 		return ToldLimit{}
 	}
-	w := &l.limited.word
+	w := &l.limitState.rateLimit
 	return ToldLimit{Known: true, Named: w.Named, Rate: w.Rate, Age: max(0, now.Sub(w.At))}
 }
 
-// mergeLimit takes up what another instance tells. The caller holds b.mu.
+// mergeLimit merges another instance's report of l's limit. The caller holds b.mu.
 func (b *Balancer) mergeLimit(l *load, t *ToldLimit, now time.Time) {
-	if !t.Known || l.limited == nil && !t.Named {
+	if !t.Known || l.limitState == nil && !t.Named {
 		return
 	}
-	b.limitedAt(l).word.Merge(t.Word(now))
+	b.ensureLimit(l).rateLimit.Merge(t.Word(now))
 }
 
-// closedNow returns the hashes of endpoints for which no permit may be asked for now, for a request
-// of an urgency. The caller holds b.mu.
-func (b *Balancer) closedNow(urgency int, now time.Time) (out []uint32) {
-	if !now.Before(b.closedUntil) {
+// closedLimits returns the hashes of endpoints for which no permit may be requested at an urgency
+// now. The caller holds b.mu.
+func (b *Balancer) closedLimits(urgency int, now time.Time) (out []uint32) {
+	if !now.Before(b.limitsClosedUntil) {
 		return nil
 	}
-	for hash, l := range b.limits {
-		if l.limited.closed(urgency, now) {
+	for hash, l := range b.limited {
+		if l.limitState.closed(urgency, now) {
 			out = append(out, hash)
 		}
 	}
 	return out
 }
 
-// forgetLimits drops loads that aren't there any more. The caller holds b.mu.
+// forgetLimits drops limits of endpoints whose state was dropped. The caller holds b.mu.
 func (b *Balancer) forgetLimits() {
-	for hash, l := range b.limits {
-		if b.byHash[hash] != l {
-			delete(b.limits, hash)
+	for hash, l := range b.limited {
+		if b.loadsByHash[hash] != l {
+			delete(b.limited, hash)
 		}
 	}
 }
 
-// backMost bounds the time within which those who were refused are told to come back, beside the first
-// wait: a caller waits for a third of its time at most.
-const backMost = 4 * time.Second
+// maxRetrySpread bounds the random part of the retry time. Callers wait for at most a third of
+// their remaining time.
+const maxRetrySpread = 4 * time.Second
 
-// allLimited returns the refusal of a request for which no endpoint has a permit. It is told to come
-// back within the time in which the limits bear what was refused of late. The caller holds b.mu.
-func (b *Balancer) allLimited(d *Demand, loads []*load, wait time.Duration, now time.Time) *Refusal {
-	b.offerLimited(d, loads, now)
+// limitedRefusal returns the refusal of a request for which no permit is available. The retry time
+// is spread over as long as the limits take to serve recent refusals. The caller holds b.mu.
+func (b *Balancer) limitedRefusal(d *Demand, loads []*load, wait time.Duration, now time.Time) *Refusal {
+	b.countUnpermitted(d, loads, now)
 	rate := 0.0
 	for _, l := range loads {
-		if l.limited != nil && l.limited.word.Named {
-			rate += l.limited.word.Rate / float64(b.instances)
+		if l.limitState != nil && l.limitState.rateLimit.Named {
+			rate += l.limitState.rateLimit.Rate / float64(b.instances)
 		}
 	}
-	f := b.figures(d.Service.Name)
-	f.unpermitted.add(now)
-	spread := time.Duration(f.unpermitted.n / max(rate, 1e-3) * float64(time.Second))
-	spread = min(max(spread, retryAfterSpread), backMost)
+	f := b.statsFor(d.Service.Name)
+	f.unpermittedRate.add(now)
+	spread := time.Duration(f.unpermittedRate.n / max(rate, 1e-3) * float64(time.Second))
+	spread = min(max(spread, retryAfterSpread), maxRetrySpread)
 	return &Refusal{Cause: EndpointsLimited, Wait: wait, RetryAfter: wait + time.Duration(rand.Float64()*float64(spread))}
 }
 
-// offerLimited counts a request for which there is no permit among what its team asks for. The caller
-// holds b.mu.
-func (b *Balancer) offerLimited(d *Demand, loads []*load, now time.Time) {
+// countUnpermitted counts a request without a permit in its team's demand. The caller holds b.mu.
+func (b *Balancer) countUnpermitted(d *Demand, loads []*load, now time.Time) {
 	if d.Offered {
 		return
 	}
-	f := b.figures(d.Service.Name)
+	f := b.statsFor(d.Service.Name)
 	f.permits.count(now, false)
 	atAny := &Placement{Pace: Pace{ReadTime: loads[0].readTime, StepTime: loads[0].stepTime}}
 	r := fair.Request{Team: d.Team, Level: d.level(), Work: work(d, atAny), Congestion: f.limitCongestion(now), Fixed: true}
@@ -339,77 +339,78 @@
 }
 
 const (
-	// unpermittedAt is the part of requests that find no permit at first from which teams' shares
-	// bind. Below it most find one, and others after a short wait.
-	unpermittedAt = 0.3
-	// unpermittedOver is the time over which they are counted, and unpermittedPrior how many are taken to
-	// have found one before: a denial or two say nothing.
-	unpermittedOver  = 2 * time.Second
-	unpermittedPrior = 3.0
+	// unpermittedThreshold is the share of requests that find no permit at first above which fair
+	// shares apply. Below it, most find one and the rest wait briefly.
+	unpermittedThreshold = 0.3
+	// unpermittedWindow is the time constant of the share, and unpermittedPrior the weight of
+	// assumed successes, so that a few denials have no effect.
+	unpermittedWindow = 2 * time.Second
+	unpermittedPrior  = 3.0
 )
 
-// limitCongestion returns how short a service is for want of permits; from 1 on shares bind.
-func (f *figures) limitCongestion(now time.Time) float64 {
-	return f.permits.denied(now) / unpermittedAt
+// limitCongestion returns the service's shortage of permits; fair shares apply from 1.
+func (f *serviceStats) limitCongestion(now time.Time) float64 {
+	return f.permits.denied(now) / unpermittedThreshold
 }
 
-// A permitCount counts requests that found a permit, and those that found none at first, fading.
-type permitCount struct {
+// permitStats counts requests that found a permit, and those that did not at first, with
+// exponential decay.
+type permitStats struct {
 	all, none float64
 	at        time.Time
 }
 
-// count takes up one request.
-func (c *permitCount) count(now time.Time, found bool) {
-	keep := math.Exp(-now.Sub(c.at).Seconds() / unpermittedOver.Seconds())
+// count records one request.
+func (c *permitStats) count(now time.Time, found bool) {
+	keep := math.Exp(-now.Sub(c.at).Seconds() / unpermittedWindow.Seconds())
 	c.all, c.none, c.at = c.all*keep+1, c.none*keep, now
 	if !found {
 		c.none++
 	}
 }
 
-// denied returns the part that found none.
-func (c *permitCount) denied(now time.Time) float64 {
-	keep := math.Exp(-now.Sub(c.at).Seconds() / unpermittedOver.Seconds())
+// denied returns the share of requests that found no permit.
+func (c *permitStats) denied(now time.Time) float64 {
+	keep := math.Exp(-now.Sub(c.at).Seconds() / unpermittedWindow.Seconds())
 	return c.none * keep / (c.all*keep + unpermittedPrior)
 }
 
-// A fading is a count of the last second's events.
-type fading struct {
+// A decayingCount counts events of about the last second.
+type decayingCount struct {
 	n  float64
 	at time.Time
 }
 
-// add counts one event.
-func (f *fading) add(now time.Time) {
+// add records one event.
+func (f *decayingCount) add(now time.Time) {
 	f.n = f.n*max(0, 1-now.Sub(f.at).Seconds()) + 1
 	f.at = now
 }
 
-// A Limit is an endpoint that names a limit, as operators see it.
+// A Limit is an endpoint with a rate limit, as shown to operators.
 type Limit struct {
-	Endpoint   string // its ID
-	Hash       uint32 // of its incarnation
+	Endpoint   string // ID
+	Hash       uint32 // EndpointHash of its incarnation
 	DataCentre string
-	Rate       float64       // requests a second from all instances together
-	Age        time.Duration // since an answer said so
-	Divider    string        // the address of the instance that divided it last; empty: none was asked
-	Closed     time.Duration // until a permit may be asked for
-	Permits    int           // in hand
+	Rate       float64       // requests/s from all instances together
+	Age        time.Duration // since it was announced
+	Divider    string        // address of the instance that last divided it; empty: none was asked
+	Closed     time.Duration // time until a permit may be requested
+	Permits    int           // held
 }
 
-// Limits returns the endpoints that name a limit, the lowest first.
+// Limits returns the endpoints with a rate limit, lowest rate first.
 func (b *Balancer) Limits() []Limit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	var out []Limit
-	for _, l := range b.limits {
-		if w := &l.limited.word; w.Named {
-			short := l.limited.short(now)
-			lim := Limit{Endpoint: l.endpoint, Hash: l.hash, DataCentre: l.dataCentre, Rate: w.Rate, Age: now.Sub(w.At), Divider: l.limited.divider, Permits: len(l.limited.permits)}
+	for _, l := range b.limited {
+		if w := &l.limitState.rateLimit; w.Named {
+			short := l.limitState.needsPermit(now)
+			lim := Limit{Endpoint: l.endpointID, Hash: l.hash, DataCentre: l.dataCentre, Rate: w.Rate, Age: now.Sub(w.At), Divider: l.limitState.divider, Permits: len(l.limitState.permits)}
 			if short {
-				lim.Closed = l.limited.room(limit.Levels-1, now).Sub(now)
+				lim.Closed = l.limitState.availableAt(limit.Levels-1, now).Sub(now)
 			}
 			out = append(out, lim)
 		}
--- a/balance/listing.go
+++ b/balance/listing.go
@@ -1,18 +1,18 @@
 package balance
 
-// This file keeps which endpoints of a service a choice looks at: its working set.
+// This file maintains the working set of each service: the endpoints considered in a choice.
 //
-// A fleet may list thousands of endpoints for a demand that some hundred serve with room to spare.
-// A choice among all would look at each of them, and spread the parts of prompts, the connections
-// and what instances tell each other over all of them, so that a part or a connection is seldom met
-// again. So a choice looks at a part of them, which all instances agree on without a message: the
-// endpoints whose rank, a hash of the ID, is below a bound. Sets of several sizes are nested, so that
-// instances that see the demand a little differently choose among nearly the same.
+// A fleet may list thousands of endpoints while a few hundred serve the demand. Considering all of
+// them would make choices slow and spread prompt parts, connections and reports over all of them,
+// so that caches and connections are rarely reused. The working set consists of the endpoints
+// whose rank, a hash of the ID, is below a bound, so that instances agree on it without
+// communication. Sets of different sizes are nested; instances with slightly different views of
+// the demand choose from nearly the same set.
 //
-// The set holds what is in use many times over. It is made larger at once where demand needs it,
-// and doubled where the best of its endpoints has too little room, until all are in it;
-// it is made smaller step by step. Endpoints that leave the list make room for others, since the
-// bound follows the number of those that are left.
+// The set is several times larger than the demand requires. It grows immediately when demand does,
+// doubles whenever its best endpoint lacks room until it includes all endpoints, and shrinks
+// gradually. The bound follows the number of open endpoints, so that others replace those that
+// leave.
 
 import (
 	"cmp"
@@ -25,53 +25,52 @@
 )
 
 const (
-	// leastSet is the size up to which a service is always used whole: a choice among so many takes a
-	// tenth of a millisecond, and the loss of any data centre leaves four fifths of them.
-	leastSet = 256
-	// setSlots and setReading are the parts of the slots, and of the time that engines have for
-	// reading, that are in use in a set as large as demand needs it; setBusy is the part of engines
-	// that read at one moment.
-	setSlots   = 0.1
-	setReading = 0.1
-	setBusy    = 0.25
-	// growWait is the part of the objective that a request may wait at the best endpoint of a set,
-	// if that holds nothing of it, before the set is doubled, and growTaken the part of a plain
-	// endpoint's slots.
-	growWait  = 0.25
-	growTaken = 0.75
-	// A set is compared with demand each setEvery. It is made smaller by setStep then, from setKept
-	// after it was made larger on.
-	setStep  = 0.01
-	setEvery = 100 * time.Millisecond
-	setKept  = 5 * time.Second
+	// minWorkingSet is the number of endpoints up to which all are in the set. A choice among
+	// these is fast, and losing a data centre leaves enough of them.
+	minWorkingSet = 256
+	// Target utilization of a set that fits the demand: shares of slots, of time spent on prefill,
+	// and of engines prefilling at one moment.
+	setSlotUse   = 0.1
+	setReadUse   = 0.1
+	setBusyShare = 0.25
+	// growWaitShare is the share of the objective above which a wait at the best endpoint, with
+	// none of the prompt cached, doubles the set. growSlotUse is the share of an endpoint's slots
+	// for requests without an engine.
+	growWaitShare = 0.25
+	growSlotUse   = 0.75
+	// The size is checked every setCheckInterval. It shrinks by setShrinkStep per check, starting
+	// setShrinkDelay after it last grew.
+	setShrinkStep    = 0.01
+	setCheckInterval = 100 * time.Millisecond
+	setShrinkDelay   = 5 * time.Second
 )
 
-// A listing holds the endpoints of a service, as they were listed last.
+// A listing holds the listed endpoints of a service and their working set.
 type listing struct {
 	all    []*belief.Endpoint
-	byHash map[uint32]*belief.Endpoint // of their incarnations
-	open   int                         // those of all that take something new
+	byHash map[uint32]*belief.Endpoint // by hash of the incarnation
+	open   int                         // number of endpoints accepting new requests
 
-	endpoints []*belief.Endpoint // the working set, in the order of all
-	loads     []*load            // of endpoints
-	stale     bool               // endpoints and loads are to be made anew
+	endpoints []*belief.Endpoint // working set, in the order of all
+	loads     []*load            // states of endpoints, in the same order
+	stale     bool               // endpoints and loads must be rebuilt
 
-	size    int       // endpoints that the set is to have, about
-	grown   time.Time // it was last made larger
-	checked time.Time // demand was last looked at
-	demand  int       // how many endpoints that needs
+	size      int       // target size of the working set, approximate
+	grownAt   time.Time // last time size grew
+	checkedAt time.Time // last time size was compared with demand
+	required  int       // size required by demand, as of checkedAt
 }
 
 func newListing() *listing {
-	return &listing{byHash: make(map[uint32]*belief.Endpoint), size: leastSet}
+	return &listing{byHash: make(map[uint32]*belief.Endpoint), size: minWorkingSet}
 }
 
-// whole reports whether all endpoints are in the set.
-func (r *listing) whole() bool { return r.size >= r.open }
+// complete reports whether the working set includes all endpoints.
+func (r *listing) complete() bool { return r.size >= r.open }
 
-// list takes up which endpoints are listed now. Those that stay are the same pointers, mostly in
-// the same order, so that the cost beside a look at each pointer is that of what changed.
-func (r *listing) list(endpoints []*belief.Endpoint) {
+// update replaces the listed endpoints. Unchanged endpoints keep their pointers and mostly their
+// order, so beyond one pointer comparison each, the cost is proportional to the changes.
+func (r *listing) update(endpoints []*belief.Endpoint) {
 	var gone, come []*belief.Endpoint
 	i, j := 0, 0
 	for i < len(r.all) && j < len(endpoints) {
@@ -110,59 +109,60 @@
 	r.stale = true
 }
 
-// lists reports whether these are the endpoints that were listed last.
-func (r *listing) lists(endpoints []*belief.Endpoint) bool {
+// isCurrent reports whether endpoints is the slice passed to the last update.
+func (r *listing) isCurrent(endpoints []*belief.Endpoint) bool {
 	if len(endpoints) != len(r.all) {
 		return false
 	}
 	return len(endpoints) == 0 || &endpoints[0] == &r.all[0]
 }
 
-// bound returns the rank below which endpoints are in the set.
-func (r *listing) bound() uint64 {
-	if r.whole() {
+// rankLimit returns the rank below which endpoints are in the working set.
+func (r *listing) rankLimit() uint64 {
+	if r.complete() {
 		return math.MaxUint32 + 1
 	}
 	return uint64(float64(r.size) / float64(r.open) * (math.MaxUint32 + 1))
 }
 
-// resize gives the set another size.
+// resize sets the target size and marks the working set as stale.
 func (r *listing) resize(size int, now time.Time) {
 	if size > r.size {
-		r.grown = now
+		r.grownAt = now
 	}
 	r.size = size
 	r.stale = true
 }
 
-// listing returns that of a service. Its working set may be stale. The caller holds b.mu.
+// listing returns the listing of a service, updated to endpoints. Its working set may be stale.
+// The caller holds b.mu.
 func (b *Balancer) listing(service string, endpoints []*belief.Endpoint) *listing {
 	r := b.listings[service]
 	if r == nil {
 		r = newListing()
 		b.listings[service] = r
 	}
-	if !r.lists(endpoints) {
-		r.list(endpoints)
+	if !r.isCurrent(endpoints) {
+		r.update(endpoints)
 	}
 	return r
 }
 
-// workingSet returns the listing of a service with its set made. It is kept while the view's slice is
-// the same. The caller holds b.mu.
+// workingSet returns the listing of a service with a current working set. It is cached while
+// endpoints is the same slice. The caller holds b.mu.
 func (b *Balancer) workingSet(service string, endpoints []*belief.Endpoint) *listing {
 	r := b.listing(service, endpoints)
 	if r.stale {
-		b.fill(r)
+		b.rebuild(r)
 	}
 	return r
 }
 
-// fill makes the working set of a listing. The caller holds b.mu.
-func (b *Balancer) fill(r *listing) {
+// rebuild computes the working set of a listing. The caller holds b.mu.
+func (b *Balancer) rebuild(r *listing) {
 	r.stale = false
 	r.endpoints, r.loads = r.all, r.loads[:0]
-	bound := r.bound()
+	bound := r.rankLimit()
 	if bound <= math.MaxUint32 {
 		r.endpoints = make([]*belief.Endpoint, 0, r.size+r.size/4)
 		for _, e := range r.all {
@@ -172,29 +172,29 @@
 		}
 	}
 	for _, e := range r.endpoints {
-		r.loads = append(r.loads, b.listed(e))
+		r.loads = append(r.loads, b.loadFor(e))
 	}
 }
 
-// listed returns the state of an endpoint that is listed. The caller holds b.mu.
-func (b *Balancer) listed(e *belief.Endpoint) *load {
+// loadFor returns the state of a listed endpoint. The caller holds b.mu.
+func (b *Balancer) loadFor(e *belief.Endpoint) *load {
 	l := b.load(e.Incarnation())
 	l.distance = b.regions.Between(b.dataCentre, e.DataCentre)
-	b.hear(l, e)
+	b.attachDirective(l, e)
 	return l
 }
 
-// loadKept is for how long the state of an endpoint that is in no working set is kept after its
+// unusedLoadTTL is how long the state of an endpoint outside all working sets is kept after its
 // last request.
-const loadKept = time.Minute
+const unusedLoadTTL = time.Minute
 
-// unused reports whether no instance has used the endpoint for a while, as far as this one knows.
+// unused reports whether no instance is known to have used the endpoint within unusedLoadTTL.
 func (l *load) unused(now time.Time) bool {
-	return len(l.remotes) == 0 && l.limited == nil && now.Sub(l.used) > loadKept
+	return len(l.remotes) == 0 && l.limitState == nil && now.Sub(l.lastUsed) > unusedLoadTTL
 }
 
-// inSets returns the states of the endpoints in working sets. The caller holds b.mu.
-func (b *Balancer) inSets() map[*load]bool {
+// workingSetLoads returns the states of all endpoints in working sets. The caller holds b.mu.
+func (b *Balancer) workingSetLoads() map[*load]bool {
 	out := make(map[*load]bool)
 	for _, r := range b.listings {
 		for _, l := range r.loads {
@@ -204,98 +204,100 @@
 	return out
 }
 
-// known returns the state of the endpoint with a hash that is listed, or was of late; nil if there
-// is none. The caller holds b.mu.
-func (b *Balancer) known(hash uint32) *load {
-	if l := b.byHash[hash]; l != nil {
+// loadByHash returns the state of a listed or recently listed endpoint by hash, or nil. The caller
+// holds b.mu.
+func (b *Balancer) loadByHash(hash uint32) *load {
+	if l := b.loadsByHash[hash]; l != nil {
 		return l
 	}
 	for _, r := range b.listings {
 		if e := r.byHash[hash]; e != nil {
-			return b.listed(e)
+			return b.loadFor(e)
 		}
 	}
 	return nil
 }
 
-// fit gives the set of a service the size that demand needs, from what runs at its endpoints. The
+// resizeForDemand adjusts the size of a service's working set to the load of its endpoints. The
 // caller holds b.mu.
-func (b *Balancer) fit(r *listing, s *catalog.Service, now time.Time) {
-	if len(r.all) <= leastSet || now.Sub(r.checked) < setEvery {
+func (b *Balancer) resizeForDemand(r *listing, s *catalog.Service, now time.Time) {
+	if len(r.all) <= minWorkingSet || now.Sub(r.checkedAt) < setCheckInterval {
 		return
 	}
-	r.checked = now
-	needed := r.needed(s, now)
-	r.demand = needed
+	r.checkedAt = now
+	needed := r.requiredSize(s, now)
+	r.required = needed
 	switch {
 	case needed > r.size:
 		r.resize(needed, now)
-	case needed < r.size && now.Sub(r.grown) >= setKept:
-		r.resize(max(needed, int(float64(min(r.size, r.open))*(1-setStep))), now)
+	case needed < r.size && now.Sub(r.grownAt) >= setShrinkDelay:
+		r.resize(max(needed, int(float64(min(r.size, r.open))*(1-setShrinkStep))), now)
 	default:
 		return
 	}
-	b.fill(r)
+	b.rebuild(r)
 }
 
-// needed returns how many endpoints demand needs.
-func (r *listing) needed(s *catalog.Service, now time.Time) int {
+// requiredSize returns the number of endpoints that the current load requires.
+func (r *listing) requiredSize(s *catalog.Service, now time.Time) int {
 	taken, reading, busy := 0.0, 0.0, 0.0
 	for i, l := range r.loads {
 		slots := r.endpoints[i].Slots
 		if s.Engine != nil {
 			slots = s.Engine.Slots
 			l.observe(now)
-			reading += l.reading
+			reading += l.readingShare
 			if l.busyUntil.After(now) {
 				busy++
 			}
 		}
 		taken += float64(l.running+l.others.Requests) / float64(max(1, slots))
 	}
-	return max(leastSet, int(math.Ceil(max(taken/setSlots, reading/setReading, busy/setBusy))))
+	return max(minWorkingSet, int(math.Ceil(max(taken/setSlotUse, reading/setReadUse, busy/setBusyShare))))
 }
 
-// grow doubles a set whose best endpoint for a request has too little room, or that has none, and
-// reports whether there is more to look at. The caller holds b.mu.
+// grow doubles the working set if the best endpoint for a request is crowded or nil, and reports
+// whether it did. The caller holds b.mu.
 func (b *Balancer) grow(r *listing, best *Placement, d *Demand, now time.Time) bool {
-	if r.whole() || best != nil && !best.crowded(d) {
+	if r.complete() || best != nil && !best.crowded(d) {
 		return false
 	}
 	r.resize(2*r.size, now)
-	b.fill(r)
+	b.rebuild(r)
 	return true
 }
 
-// crowded reports whether an endpoint that is the best of a set has too little room for a request.
+// crowded reports whether p, the best placement of a working set, is at an endpoint with too
+// little room.
 func (p *Placement) crowded(d *Demand) bool {
 	if d.Service.Engine == nil {
 		taken := float64(p.load.running + p.load.others.Requests + 1)
-		return taken > growTaken*float64(max(1, p.Endpoint.Slots))
+		return taken > growSlotUse*float64(max(1, p.Endpoint.Slots))
 	}
-	return d.Objective > 0 && p.Cached == 0 && p.Wait > growWait*milliseconds(d.Objective)
+	return d.Objective > 0 && p.Cached == 0 && p.Wait > growWaitShare*milliseconds(d.Objective)
 }
 
-// A WorkingSet is which part of a service's endpoints choices look at, as operators see it.
+// A WorkingSet describes the working set of a service, for operators.
 type WorkingSet struct {
 	Service string
 	Listed  int
-	Open    int           // those of them that take something new
-	Used    int           // those of them that choices look at
-	Needed  int           // how many demand needs, as far as this instance knows
-	Grown   time.Duration // since it was last made larger; negative: it never was
+	Open    int           // endpoints accepting new requests
+	Used    int           // endpoints considered in choices
+	Needed  int           // size required by demand, as seen by this instance
+	Grown   time.Duration // since it last grew; negative: never
 }
 
-// WorkingSets returns those of all services for which this instance has chosen endpoints, by name.
+// WorkingSets returns the working sets of all services used by this instance, sorted by service
+// name.
 func (b *Balancer) WorkingSets() []WorkingSet {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	out := make([]WorkingSet, 0, len(b.listings))
 	for service, r := range b.listings {
-		w := WorkingSet{Service: service, Listed: len(r.all), Open: r.open, Used: len(r.endpoints), Needed: r.demand, Grown: -1}
-		if !r.grown.IsZero() {
-			w.Grown = now.Sub(r.grown)
+		w := WorkingSet{Service: service, Listed: len(r.all), Open: r.open, Used: len(r.endpoints), Needed: r.required, Grown: -1}
+		if !r.grownAt.IsZero() {
+			w.Grown = now.Sub(r.grownAt)
 		}
 		out = append(out, w)
 	}
--- a/balance/load.go
+++ b/balance/load.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file holds what is known of one endpoint.
+// This file tracks the state of one endpoint.
 
 import (
 	"math"
@@ -11,23 +11,23 @@
 	"ivyridge/speed"
 )
 
-// Times for which outcomes count.
+// Half-lives, limits and expiry times of observations.
 const (
-	outcomeHalfLife = 5 * time.Second // an outcome counts half after so long
-	outcomePrior    = 6               // outcomes like those of the service that are assumed at first
-	outcomeLeast    = 0.05            // below it, outcomes are forgotten
-	downLeast       = 300 * time.Millisecond
-	downMost        = 2 * time.Second
-	remoteFor       = 5 * time.Second // what another instance said holds so long; of one that is lost it is dropped sooner
-	intensityOver   = 2 * time.Second
+	outcomeHalfLife    = 5 * time.Second
+	outcomePriorWeight = 6    // weight of assumed outcomes at the service's failure rate
+	minOutcomeWeight   = 0.05 // observations with less weight are dropped
+	minDown            = 300 * time.Millisecond
+	maxDown            = 2 * time.Second
+	remoteTTL          = 5 * time.Second // expiry of another instance's report; membership loss drops it sooner
+	contentionWindow   = 2 * time.Second
 )
 
-// A charge is what one running request adds to an endpoint.
+// A charge is the load that one running request adds to an endpoint.
 type charge struct {
-	level    int     // of urgency
-	uncached int     // prompt tokens to read
-	memory   int     // tokens held while it runs
-	exposure float64 // what a pause costs: weight over the lateness of the pause allowed
+	level    int     // urgency level
+	uncached int     // prompt tokens to prefill
+	memory   int     // cache tokens used while it runs
+	exposure float64 // cost of a stall: weight divided by lateness of the acceptable gap
 }
 
 func newCharge(d *Demand, cached int) charge {
@@ -38,25 +38,24 @@
 	return c
 }
 
-// A Running sums up the requests that an instance runs at an endpoint, and what
-// it saw of the last ones.
+// Running sums the requests that an instance runs at an endpoint, and its recent observations.
 type Running struct {
 	Requests int
-	ByLevel  [levels]int // requests for models by urgency
-	Unread   int         // prompt tokens of requests whose answer has not begun
-	UnreadBy [levels]int // the same by urgency
+	ByLevel  [levels]int // engine requests by urgency level
+	Unread   int         // prompt tokens of requests whose response has not begun
+	UnreadBy [levels]int // Unread by urgency level
 	Memory   int
 	Exposure float64
-	Down     bool // the instance could not connect to the endpoint of late
+	Down     bool // the instance recently failed to connect to the endpoint
 	Seen
 }
 
-// Seen is what was seen of requests at an endpoint, recent ones counting more.
+// Seen holds exponentially decayed observations of an endpoint's requests.
 type Seen struct {
-	Ended    float64   // requests
-	Failed   float64   // those of them that failed
-	Reading  speed.Sum // times to read a token of a prompt
-	Stepping speed.Sum // times from token to token of one request alone
+	Ended    float64   // completed requests
+	Failed   float64   // requests of Ended that failed
+	Reading  speed.Sum // prefill times per token
+	Stepping speed.Sum // inter-token times of a request running alone
 }
 
 func (s *Seen) merge(other *Seen) {
@@ -75,7 +74,7 @@
 	r.Exposure += c.exposure
 }
 
-// addRunning adds the requests that another instance runs, not what it saw.
+// addRunning adds another instance's running requests but not its observations.
 func (r *Running) addRunning(other *Running) {
 	r.Requests += other.Requests
 	for level, n := range other.ByLevel {
@@ -87,13 +86,13 @@
 	r.Exposure += other.Exposure
 }
 
-// addAll adds all that another instance says but whether it can connect.
+// addAll adds everything that another instance reports except Down.
 func (r *Running) addAll(other *Running) {
 	r.addRunning(other)
 	r.merge(&other.Seen)
 }
 
-// remove takes out a request whose prompt was taken out of Unread before.
+// remove subtracts a completed request, whose prompt was subtracted from Unread earlier.
 func (r *Running) remove(c charge) {
 	if c == (charge{}) {
 		return
@@ -104,131 +103,130 @@
 	r.Exposure = max(0, r.Exposure-c.exposure)
 }
 
-// A remote is what another instance last said of its requests.
+// A remote is the last report of another instance about an endpoint.
 type remote struct {
 	Running
-	at        time.Time
-	restUntil time.Time // the endpoint wants nothing from that instance before
-	leaves    bool      // the endpoint told that instance that it leaves
+	at           time.Time
+	backoffUntil time.Time // the endpoint asked that instance to back off until then
+	draining     bool      // the endpoint told that instance that it is draining
 }
 
-// A notice is a placement that another instance told.
-type notice struct {
+// A remotePlacement is a placement that another instance announced.
+type remotePlacement struct {
 	at     time.Time
-	level  int // of urgency
-	tokens int // to be read
+	level  int // urgency level
+	tokens int // tokens to prefill
 }
 
-// heldPart remembers that an endpoint read a part of a prompt.
-type heldPart struct {
-	volume int // the endpoint's volume when the part was last used
-	tokens int
+// A cachedPart is a prompt part presumed to be in an endpoint's cache.
+type cachedPart struct {
+	tokensThrough int // value of load.tokensThrough when the part was last used
+	tokens        int
 }
 
-// A load is the state of one endpoint.
+// A load is the state of one incarnation of an endpoint.
 type load struct {
-	id         string // the endpoint's incarnation
-	endpoint   string // its ID; empty until it is listed
-	dataCentre string // its own, as of then
+	id         string // incarnation
+	endpointID string // empty until the endpoint is listed
+	dataCentre string // of the endpoint, set with endpointID
 	hash       uint32
 
-	running int // own requests of any kind
+	running int // own requests, with or without an engine
 	own     Running
 	remotes map[uint64]remote // by instance
 
-	busyUntil time.Time // prompts that were placed will have been read
-	noticed   []notice  // placements by others that their reports need not tell yet
-	intensity float64   // mean lateness of the backlog over recent time
-	reading   float64   // the part of recent time in which prompts were read
-	measured  time.Time
-
-	volume int // tokens that have passed through its memory
-	parts  map[uint64]heldPart
-
-	figures    *figures // of its service; nil until it is first looked at for a request
-	readTime   float64  // ms to read a token, at the last choice
-	stepTime   float64  // ms of a step beside no prompt and no other request, at the last choice
-	seen       Seen     // of own requests, as of faded
-	faded      time.Time
-	others     Running   // what other instances run and saw together, as of refreshed
-	lately     Seen      // of all instances' requests, as of refreshed
-	refreshed  time.Time // zero: never
-	stale      bool      // something was told or seen since
-	distance   Distance  // from this instance
-	downUntil  time.Time
-	downFor    time.Duration
-	downTold   int       // other instances that could not connect of late, at the last choice
-	known      time.Time // since when
-	used       time.Time // when this instance or another one placed a request there last
-	said       *said     // what the endpoint said of itself; nil: nothing that matters
-	limited    *limited  // what is known of its limit; nil: nothing
-	leavesTold time.Time // until then it leaves, by what another instance says
-	goneUntil  time.Time // another endpoint has its address; until then it is not tried
-	cold       quota.Timed
-	slowness   slowness // as told; of plain endpoints
-
-	suspects     int       // own requests there that are suspects
-	suspectUntil time.Time // one that another instance placed counts as being there
-
-	donated time.Time // parts were last fetched from here
-	changed uint64    // the number of the last change of what this instance runs
-
-	remotesChanged uint64 // the same of what other instances run
+	busyUntil        time.Time         // end of the prefill backlog
+	remotePlacements []remotePlacement // recent placements by others that may be missing from their reports
+	contention       float64           // decayed mean lateness of the backlog
+	readingShare     float64           // decayed share of time spent on prefill
+	observedAt       time.Time
+
+	tokensThrough int // tokens that have entered the cache
+	parts         map[uint64]cachedPart
+
+	stats              *serviceStats // of its service; nil until first considered for a request
+	readTime           float64       // ms to prefill a token, as of the last choice
+	stepTime           float64       // ms per token with neither prefill nor other requests, as of the last choice
+	ownObserved        Seen          // from own requests, as of decayedAt
+	decayedAt          time.Time
+	others             Running   // requests and observations of other instances, as of refreshedAt
+	observed           Seen      // observations of all instances, as of refreshedAt
+	refreshedAt        time.Time // zero: never
+	stale              bool      // a report or observation arrived since refreshedAt
+	distance           Distance  // from this instance
+	downUntil          time.Time
+	downFor            time.Duration
+	downReports        int // other instances that recently failed to connect, as of refreshedAt
+	firstSeen          time.Time
+	lastUsed           time.Time   // last placement by any instance
+	directive          *directive  // back-off or drain request of the endpoint; nil: none
+	limitState         *limitState // announced rate limit; nil: none known
+	drainReportedUntil time.Time   // draining until then, as reported by another instance
+	goneUntil          time.Time   // another endpoint has its address; not eligible until then
+	cold               quota.Timed
+	slowness           slowness // self-reported; only for endpoints without an engine
+
+	suspects     int       // own suspect requests running there
+	suspectUntil time.Time // a suspect request placed by another instance counts until then
+
+	lastDonated time.Time // last time parts were fetched from here
+	changed     uint64    // value of Balancer.changes at the last change
+
+	remotesChanged uint64 // value of Balancer.remoteChanges at the last change
 }
 
 func newLoad(id string) *load {
 	return &load{
-		id: id, hash: EndpointHash(id), readTime: readGuess, stepTime: stepGuess,
-		remotes: make(map[uint64]remote), parts: make(map[uint64]heldPart),
+		id: id, hash: EndpointHash(id), readTime: defaultReadTime, stepTime: defaultStepTime,
+		remotes: make(map[uint64]remote), parts: make(map[uint64]cachedPart),
 	}
 }
 
-// refreshEvery is how long the sums over other instances hold though nothing was told:
-// what was told long ago lapses, and what was seen fades. Summed up at each choice, what
-// 60 others tell of 204 endpoints took 2.6 ms.
-const refreshEvery = 100 * time.Millisecond
+// refreshInterval is the maximum age of the sums over other instances. Summing at every choice is
+// too expensive with many instances; without new reports, the sums change only through expiry and
+// decay.
+const refreshInterval = 100 * time.Millisecond
 
-// refresh brings the sums over other instances up to now.
+// refresh updates the sums over other instances if they are stale.
 func (l *load) refresh(now time.Time) {
-	if !l.stale && !l.refreshed.IsZero() && now.Sub(l.refreshed) < refreshEvery {
+	if !l.stale && !l.refreshedAt.IsZero() && now.Sub(l.refreshedAt) < refreshInterval {
 		return
 	}
 	l.others = Running{}
-	l.downTold = 0
+	l.downReports = 0
 	for _, r := range l.remotes {
 		age := now.Sub(r.at)
-		if age < remoteFor {
+		if age < remoteTTL {
 			l.others.addAll(&r.Running)
 		}
-		if r.Down && age < downMost {
-			l.downTold++
+		if r.Down && age < maxDown {
+			l.downReports++
 		}
 	}
-	l.lately = l.recent(now)
-	l.lately.merge(&l.others.Seen)
-	l.refreshed = now
+	l.observed = l.recent(now)
+	l.observed.merge(&l.others.Seen)
+	l.refreshedAt = now
 	l.stale = false
 }
 
-// total sums up what all instances run, as of the last refresh.
+// total returns the running requests of all instances, as of the last refresh.
 func (l *load) total() Running {
 	t := l.own
 	t.addRunning(&l.others)
 	return t
 }
 
-// backlog returns how long, in ms, the endpoint is still thought to read
-// prompts that were placed there.
+// backlog returns the estimated time, in ms, until the endpoint has prefilled all prompts placed
+// there.
 func (l *load) backlog(now time.Time) float64 {
 	return max(0, float64(l.busyUntil.Sub(now))/float64(time.Millisecond))
 }
 
-// readUpTo takes what is known to have been read out of the backlog: no more
-// can wait than the prompts of requests whose answers have not begun. That is
-// told late, so that what others placed since counts as well. Without it, a
-// backlog that was taken for too long would stay so until it has gone.
-func (l *load) readUpTo(now time.Time, unread int, told time.Duration) {
-	waiting := unread + l.noticedSince(now.Add(-told))
+// capBacklog limits the backlog to prompts that can still be queued: those of requests without a
+// response, plus those that other instances placed within reportInterval, which their reports may
+// not cover yet. Without the limit, an overestimated backlog would persist until it has run out.
+func (l *load) capBacklog(now time.Time, unread int, reportInterval time.Duration) {
+	waiting := unread + l.remoteTokensSince(now.Add(-reportInterval))
 	end := now.Add(time.Duration(float64(waiting) * l.readTime * float64(time.Millisecond)))
 	if end.Before(l.busyUntil) {
 		l.observe(now)
@@ -236,72 +234,70 @@
 	}
 }
 
-// noticedSince returns the tokens that others placed after then, and forgets
-// earlier ones.
-func (l *load) noticedSince(then time.Time) int {
-	kept := l.noticed[:0]
+// remoteTokensSince returns the prompt tokens that others placed after then, and drops earlier
+// placements.
+func (l *load) remoteTokensSince(then time.Time) int {
+	kept := l.remotePlacements[:0]
 	sum := 0
-	for _, n := range l.noticed {
+	for _, n := range l.remotePlacements {
 		if n.at.After(then) {
 			kept = append(kept, n)
 			sum += n.tokens
 		}
 	}
-	l.noticed = kept
+	l.remotePlacements = kept
 	return sum
 }
 
-// Below these an endpoint has rested for so long that what it read tells nothing: a ms
-// of backlog, and a thousandth of the time.
+// Below both values, an endpoint counts as idle and its averages are reset: mean lateness of the
+// backlog (that of a 1 ms backlog), and share of time spent on prefill.
 const (
-	leastIntensity = 1.0
-	leastReading   = 1e-3
+	minContention   = 1.0
+	minReadingShare = 1e-3
 )
 
-// observe brings the intensity up to now.
+// observe updates the moving averages of contention and prefill time.
 func (l *load) observe(now time.Time) {
-	passed := now.Sub(l.measured)
+	passed := now.Sub(l.observedAt)
 	if passed <= 0 {
 		return
 	}
-	if !l.busyUntil.After(l.measured) && l.intensity < leastIntensity && l.reading < leastReading {
-		l.measured, l.intensity, l.reading = now, 0, 0
-		return // it rests
+	if !l.busyUntil.After(l.observedAt) && l.contention < minContention && l.readingShare < minReadingShare {
+		l.observedAt, l.contention, l.readingShare = now, 0, 0
+		return // idle
 	}
 	backlog := l.backlog(now)
-	keep := math.Exp(-float64(passed) / float64(intensityOver))
-	l.intensity = keep*l.intensity + (1-keep)*lateness(backlog)
-	if l.busyUntil.After(l.measured) {
-		read := min(float64(l.busyUntil.Sub(l.measured))/float64(passed), 1)
-		l.reading = keep*l.reading + (1-keep)*read
+	keep := math.Exp(-float64(passed) / float64(contentionWindow))
+	l.contention = keep*l.contention + (1-keep)*lateness(backlog)
+	if l.busyUntil.After(l.observedAt) {
+		read := min(float64(l.busyUntil.Sub(l.observedAt))/float64(passed), 1)
+		l.readingShare = keep*l.readingShare + (1-keep)*read
 	} else {
-		l.reading *= keep
+		l.readingShare *= keep
 	}
-	l.measured = now
+	l.observedAt = now
 }
 
-// read notes that the endpoint reads a prompt: its parts are held then, and
-// prompts that come later wait for it.
-func (l *load) read(now time.Time, parts []Part, uncached int) {
+// addPrompt adds a prompt to the backlog and marks its parts as cached.
+func (l *load) addPrompt(now time.Time, parts []Part, uncached int) {
 	l.observe(now)
 	if l.busyUntil.Before(now) {
 		l.busyUntil = now
 	}
 	l.busyUntil = l.busyUntil.Add(time.Duration(float64(uncached) * l.readTime * float64(time.Millisecond)))
-	l.volume += uncached
+	l.tokensThrough += uncached
 	for _, p := range parts {
-		l.parts[p.ID] = heldPart{volume: l.volume, tokens: p.Tokens}
+		l.parts[p.ID] = cachedPart{tokensThrough: l.tokensThrough, tokens: p.Tokens}
 	}
 }
 
-// cached returns how many tokens of a prompt the endpoint is thought to
-// hold: the parts read last, as far as its memory goes, and only up to the
-// first that is missing.
+// cached returns how many leading tokens of a prompt are presumed cached: parts used within the
+// last memory tokens, up to the first part that is missing.
 func (l *load) cached(parts []Part, memory int) int {
 	sum := 0
 	for _, p := range parts {
 		h, ok := l.parts[p.ID]
-		if !ok || l.volume-h.volume > memory {
+		if !ok || l.tokensThrough-h.tokensThrough > memory {
 			break
 		}
 		sum += p.Tokens
@@ -309,102 +305,100 @@
 	return sum
 }
 
-// partsKept bounds the memory of parts.
-const partsKept = 2048
+// maxParts is the number of cached parts above which the older half is dropped.
+const maxParts = 2048
 
 func (l *load) prune(now time.Time) {
-	l.noticedSince(now.Add(-reportMost))
+	l.remoteTokensSince(now.Add(-maxReportInterval))
 	for id, r := range l.remotes {
-		if now.Sub(r.at) > remoteFor {
+		if now.Sub(r.at) > remoteTTL {
 			delete(l.remotes, id)
 			l.stale = true
 		}
 	}
-	if len(l.parts) <= partsKept {
+	if len(l.parts) <= maxParts {
 		return
 	}
-	oldest := l.volume
+	oldest := l.tokensThrough
 	for _, h := range l.parts {
-		oldest = min(oldest, h.volume)
+		oldest = min(oldest, h.tokensThrough)
 	}
-	middle := (oldest + l.volume) / 2
+	middle := (oldest + l.tokensThrough) / 2
 	for id, h := range l.parts {
-		if h.volume <= middle {
+		if h.tokensThrough <= middle {
 			delete(l.parts, id)
 		}
 	}
 }
 
-// downByMany is how many other instances that could not connect to an endpoint make
-// it down for all: one alone may be cut off from it.
-const downByMany = 2
+// downQuorum is how many other instances must fail to connect before an endpoint counts as down. A
+// single instance may itself be partitioned.
+const downQuorum = 2
 
-// failing returns the part that failed.
-func (s *Seen) failing() float64 {
+// failureRate returns the share of completed requests that failed.
+func (s *Seen) failureRate() float64 {
 	if s.Ended == 0 {
 		return 0
 	}
 	return s.Failed / s.Ended
 }
 
-// excess returns by how much the failures of an endpoint are thought to be
-// above those of its service. Where all fail alike, or few requests have
-// ended, there is nothing to flee from: chance alone would drive all requests
-// to the endpoint that has failed least by luck.
+// excess returns how far the endpoint's failure rate exceeds that of its service, shrunk towards
+// zero when few requests have completed. Otherwise random variation would move all traffic to the
+// endpoint with the fewest failures so far.
 func (s *Seen) excess(service float64) float64 {
-	return max(0, (s.Failed+outcomePrior*service)/(s.Ended+outcomePrior)-service)
+	return max(0, (s.Failed+outcomePriorWeight*service)/(s.Ended+outcomePriorWeight)-service)
 }
 
-// recent returns what this instance saw, as it counts now.
+// recent returns this instance's observations, decayed to now.
 func (l *load) recent(now time.Time) Seen {
-	keep := math.Exp2(-float64(now.Sub(l.faded)) / float64(outcomeHalfLife))
-	s := Seen{Reading: l.seen.Reading.Faded(keep), Stepping: l.seen.Stepping.Faded(keep)}
-	if keep*l.seen.Ended >= outcomeLeast {
-		s.Ended, s.Failed = keep*l.seen.Ended, keep*l.seen.Failed
+	keep := math.Exp2(-float64(now.Sub(l.decayedAt)) / float64(outcomeHalfLife))
+	s := Seen{Reading: l.ownObserved.Reading.Faded(keep), Stepping: l.ownObserved.Stepping.Faded(keep)}
+	if keep*l.ownObserved.Ended >= minOutcomeWeight {
+		s.Ended, s.Failed = keep*l.ownObserved.Ended, keep*l.ownObserved.Failed
 	}
 	return s
 }
 
-// fade brings what this instance saw up to now, for something to be added.
-func (l *load) fade(now time.Time) {
+// decay applies the decay up to now, before an observation is added.
+func (l *load) decay(now time.Time) {
 	l.stale = true
-	l.seen = l.recent(now)
-	l.faded = now
+	l.ownObserved = l.recent(now)
+	l.decayedAt = now
 }
 
 func (l *load) record(now time.Time, o Outcome) {
 	if o == Unknown {
 		return
 	}
-	l.fade(now)
-	l.seen.Ended++
+	l.decay(now)
+	l.ownObserved.Ended++
 	if o != Served {
-		l.seen.Failed++
+		l.ownObserved.Failed++
 	}
 }
 
-// answered says that the endpoint is reached.
+// answered clears the connection back-off.
 func (l *load) answered(time.Time) {
 	l.downFor = 0
 	l.downUntil = time.Time{}
 }
 
 func (l *load) unreachable(now time.Time) {
-	l.downFor = min(max(2*l.downFor, downLeast), downMost)
+	l.downFor = min(max(2*l.downFor, minDown), maxDown)
 	l.downUntil = now.Add(l.downFor)
 }
 
-// goneFor is how long an endpoint whose address another one has is not tried: longer than
-// it stays listed, three of its heartbeats and the list's lag. If the answer that said so
-// was a faulty one's, that is what it costs.
-const goneFor = 5 * time.Second
+// goneTTL is how long an endpoint is skipped after another one was found at its address. It
+// exceeds the time that the endpoint stays listed (three heartbeats plus list delay), and bounds
+// the damage of a wrong response.
+const goneTTL = 5 * time.Second
 
-// goneYet returns how much longer the endpoint is not tried.
-func (l *load) goneYet(now time.Time) time.Duration { return max(0, l.goneUntil.Sub(now)) }
+// goneRemaining returns for how much longer the endpoint is skipped as gone.
+func (l *load) goneRemaining(now time.Time) time.Duration { return max(0, l.goneUntil.Sub(now)) }
 
-// avoided reports whether the endpoint is passed over. As a last resort, one
-// that is thought to be down or has just lapsed may be tried; one that is gone
-// is not.
+// avoided reports whether the endpoint is skipped. With lastResort, endpoints that are presumed
+// down or whose listing has just expired are eligible, but not those that are gone.
 func (l *load) avoided(e *belief.Endpoint, now time.Time, lastResort bool) bool {
 	if l.goneUntil.After(now) {
 		return true
@@ -412,5 +406,5 @@
 	if !e.GraceUntil.IsZero() {
 		return !lastResort || now.After(e.GraceUntil)
 	}
-	return !lastResort && (l.downUntil.After(now) || l.downTold >= downByMany)
+	return !lastResort && (l.downUntil.After(now) || l.downReports >= downQuorum)
 }
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file holds what instances tell each other of the requests they place.
+// This file defines the messages in which instances report placements and load.
 
 import (
 	"time"
@@ -8,64 +8,65 @@
 	"ivyridge/catalog"
 )
 
-// A Notice says that an instance placed a request for a model.
+// A Notice announces the placement of a request.
 type Notice struct {
-	Endpoint uint32 // EndpointHash of its ID
-	Uncached int    // prompt tokens to read
-	Priority int    // of the request; 0 is the most urgent
+	Endpoint uint32 // EndpointHash of the endpoint's incarnation
+	Uncached int    // prompt tokens to prefill
+	Priority int    // 0 is the most urgent
 	Fetched  int    // prompt tokens to fetch from another endpoint
 	Parts    []Part
-	Suspect  bool // it was in hand when an endpoint ended
+	Suspect  bool // it was running at an endpoint that terminated
 
-	// Homes are where Parts may be told; they are not told themselves.
+	// Homes are the regions to which Parts may be disclosed. They are not sent.
 	Homes catalog.Homes
 }
 
-// A Report is what an instance runs at an endpoint.
+// A Report is the load of one instance, or of several, at an endpoint.
 type Report struct {
 	Endpoint uint32
-	Gone     time.Duration // another endpoint has its address, so that it is not tried for so long
-	Rest     time.Duration // it wants nothing from that instance for so long
-	Leaves   bool          // it said that it leaves
-	Limit    ToldLimit     // that it names
+	Gone     time.Duration // time left to skip the endpoint because another one has its address
+	Rest     time.Duration // time left of the endpoint's back-off for that instance
+	Leaves   bool          // the endpoint said that it is draining
+	Limit    ToldLimit     // announced by the endpoint
 	Running
 }
 
-// Pauses between reports of an instance to those that choose endpoints.
+// Interval between an instance's reports to schedulers. It grows with the number of instances, so
+// that the rate of reports received stays bounded.
 const (
-	reportLeast       = 40 * time.Millisecond
-	reportMost        = time.Second
-	reportPerInstance = 2 * time.Millisecond // what an instance receives hardly grows with the fleet
+	minReportInterval = 40 * time.Millisecond
+	maxReportInterval = time.Second
+	reportPerInstance = 2 * time.Millisecond
 )
 
-// ReportEvery returns the pause between reports of an instance to the schedulers of
-// its data centre, where there are n instances, and that between their sums for
-// other data centres, in a fleet of n.
+// ReportEvery returns the interval between an instance's reports to the schedulers of its data
+// centre, for n instances in the data centre, or between the data centre's summary reports to
+// others, for n instances in the fleet.
 func ReportEvery(n int) time.Duration {
-	return min(max(time.Duration(n)*reportPerInstance, reportLeast), reportMost)
+	return min(max(time.Duration(n)*reportPerInstance, minReportInterval), maxReportInterval)
 }
 
-// Placed returns the placements since the last call.
+// Placed returns the notices queued since the last call.
 func (b *Balancer) Placed() []Notice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	placed := b.placed
-	b.placed = nil
+	placed := b.pendingNotices
+	b.pendingNotices = nil
 	return placed
 }
 
-// Reports returns what this instance runs and how its requests ended, as far
-// as it changed after the change numbered since, and the number of the last
-// change. Whole reports are all that there is to say.
+// Reports returns this instance's load and observations per endpoint. If whole, it returns all
+// that are not empty; otherwise those changed after change number since. upTo is the number of the
+// latest change.
 func (b *Balancer) Reports(whole bool, since uint64) (reports []Report, upTo uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	for _, l := range b.endpoints {
+	for _, l := range b.loads {
 		recent := l.recent(now)
 		down := l.downUntil.After(now)
-		gone := l.goneYet(now)
-		rest, leaves := l.rest(now), l.said != nil && l.said.leaves
+		gone := l.goneRemaining(now)
+		rest, leaves := l.backoffRemaining(now), l.directive != nil && l.directive.draining
 		lim := l.toldLimit(now)
 		idle := l.running == 0 && recent == (Seen{}) && gone == 0 && !down && rest == 0 && !leaves && !lim.Known
 		if whole && idle || !whole && l.changed <= since {
@@ -80,20 +81,20 @@
 	return reports, b.changes
 }
 
-// Sums returns, as reports, what the instances that share says run together, as far
-// as it changed after the change numbered since, and the number of the last change.
-// Whole sums are all that there is to say.
+// Sums returns, per endpoint, the combined reports of the instances for which share is true. If
+// whole, it returns all that are not empty; otherwise those changed after change number since.
+// upTo is the number of the latest change.
 func (b *Balancer) Sums(share func(instance uint64) bool, whole bool, since uint64) (sums []Report, upTo uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	for _, l := range b.endpoints {
+	for _, l := range b.loads {
 		if !whole && l.remotesChanged <= since {
 			continue
 		}
 		r, down := l.sum(share, now)
-		r.Down = down >= downByMany
-		if whole && r.silent() {
+		r.Down = down >= downQuorum
+		if whole && r.empty() {
 			continue
 		}
 		sums = append(sums, r)
@@ -101,18 +102,18 @@
 	return sums, b.remoteChanges
 }
 
-// silent reports whether there is nothing to say.
-func (r *Report) silent() bool {
+// empty reports whether there is nothing to report.
+func (r *Report) empty() bool {
 	return r.Running == (Running{}) && r.Gone == 0 && r.Rest == 0 && !r.Leaves && !r.Limit.Known
 }
 
-// SumsWithOwn returns what the instances that share says and this one run together, as Sums does,
-// as far as it changed after the changes numbered since and ownSince.
+// SumsWithOwn is like Sums but includes this instance. If not whole, it returns sums changed after
+// since, or after ownSince for this instance's changes.
 func (b *Balancer) SumsWithOwn(share func(instance uint64) bool, whole bool, since, ownSince uint64) (sums []Report, upTo, ownUpTo uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	for _, l := range b.endpoints {
+	for _, l := range b.loads {
 		if !whole && l.remotesChanged <= since && l.changed <= ownSince {
 			continue
 		}
@@ -121,12 +122,12 @@
 		own.Requests = l.running
 		own.Seen = l.recent(now)
 		r.Running.addAll(&own)
-		r.Leaves = r.Leaves || l.said != nil && l.said.leaves
+		r.Leaves = r.Leaves || l.directive != nil && l.directive.draining
 		if l.downUntil.After(now) {
 			down++
 		}
-		r.Down = down >= downByMany
-		if whole && r.silent() {
+		r.Down = down >= downQuorum
+		if whole && r.empty() {
 			continue
 		}
 		sums = append(sums, r)
@@ -134,16 +135,16 @@
 	return sums, b.remoteChanges, b.changes
 }
 
-// sum adds up what the instances that share says run at the endpoint, and counts those that
-// could not connect.
+// sum combines the unexpired reports about l of the instances for which share is true, and counts
+// those that failed to connect.
 func (l *load) sum(share func(instance uint64) bool, now time.Time) (r Report, down int) {
-	r = Report{Endpoint: l.hash, Gone: l.goneYet(now), Limit: l.toldLimit(now)}
+	r = Report{Endpoint: l.hash, Gone: l.goneRemaining(now), Limit: l.toldLimit(now)}
 	for id, remote := range l.remotes {
-		if now.Sub(remote.at) >= remoteFor || !share(id) {
+		if now.Sub(remote.at) >= remoteTTL || !share(id) {
 			continue
 		}
 		r.Running.addAll(&remote.Running)
-		r.Leaves = r.Leaves || remote.leaves
+		r.Leaves = r.Leaves || remote.draining
 		if remote.Down {
 			down++
 		}
@@ -151,59 +152,59 @@
 	return r, down
 }
 
-// Changes returns the number of the last change of what this instance runs.
+// Changes returns the number of the latest change to this instance's load.
 func (b *Balancer) Changes() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changes
 }
 
-// Merge takes up what another instance said. Whole reports are all that it
-// runs.
+// Merge records another instance's notices and reports. If whole, reports replace all earlier ones
+// of that instance.
 func (b *Balancer) Merge(instance uint64, notices []Notice, reports []Report, whole bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	b.noticed(now, notices)
+	b.mergeNotices(now, notices)
 	if whole {
-		for _, l := range b.endpoints {
-			if _, told := l.remotes[instance]; told {
+		for _, l := range b.loads {
+			if _, reported := l.remotes[instance]; reported {
 				delete(l.remotes, instance)
-				b.changeRemote(l)
+				b.markRemoteChanged(l)
 			}
 		}
 	}
 	for _, r := range reports {
-		if l := b.known(r.Endpoint); l != nil {
-			l.remotes[instance] = remote{Running: r.Running, at: now, restUntil: now.Add(r.Rest), leaves: r.Leaves}
+		if l := b.loadByHash(r.Endpoint); l != nil {
+			l.remotes[instance] = remote{Running: r.Running, at: now, backoffUntil: now.Add(r.Rest), draining: r.Leaves}
 			if r.Leaves {
-				l.leavesTold = now.Add(leavingTold)
+				l.drainReportedUntil = now.Add(drainReportTTL)
 			}
 			b.mergeLimit(l, &r.Limit, now)
-			b.changeRemote(l)
-			if until := now.Add(min(r.Gone, goneFor)); until.After(l.goneUntil) {
+			b.markRemoteChanged(l)
+			if until := now.Add(min(r.Gone, goneTTL)); until.After(l.goneUntil) {
 				l.goneUntil = until
 			}
 		}
 	}
 }
 
-// changeRemote notes that what others run at an endpoint has changed.
-func (b *Balancer) changeRemote(l *load) {
+// markRemoteChanged records a change to other instances' load at l, for incremental sums.
+func (b *Balancer) markRemoteChanged(l *load) {
 	b.remoteChanges++
 	l.remotesChanged = b.remoteChanges
 	l.stale = true
 }
 
-func (b *Balancer) noticed(now time.Time, notices []Notice) {
+func (b *Balancer) mergeNotices(now time.Time, notices []Notice) {
 	for _, n := range notices {
-		if l := b.known(n.Endpoint); l != nil {
-			l.used = now
-			b.read(l, now, n.Parts, n.Uncached, n.Fetched)
+		if l := b.loadByHash(n.Endpoint); l != nil {
+			l.lastUsed = now
+			b.recordRead(l, now, n.Parts, n.Uncached, n.Fetched)
 			if n.Suspect {
-				l.suspected(now)
+				l.markSuspect(now)
 			}
-			l.noticed = append(l.noticed, notice{at: now, level: levelOf(n.Priority), tokens: n.Uncached})
+			l.remotePlacements = append(l.remotePlacements, remotePlacement{at: now, level: levelOf(n.Priority), tokens: n.Uncached})
 		}
 	}
 }
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -1,7 +1,6 @@
 package balance
 
-// This file learns how fast the engines of a service are, from the requests
-// that all instances had served there.
+// This file learns the speed of a service's engines from requests of all instances.
 
 import (
 	"time"
@@ -9,171 +8,164 @@
 	"ivyridge/speed"
 )
 
-// What is taken of an engine until its service has served some requests, and
-// what is not learnt.
+// Assumptions about engines without samples, and properties that are not learned.
 const (
-	// readGuess is the time to read a token of a prompt, in ms: between the
-	// engines that the project has met, which read 34 to 57 in a ms.
-	readGuess = 1 / 50.0
-	// stepGuess is the time from token to token of one request alone, in ms: that
-	// of engines whose model takes one accelerator.
-	stepGuess = 3.5
-	// stepEach is the part of a step that each further request adds: measured
-	// at the engines met, 0.005 to 0.03.
-	stepEach = 0.02
-	// chunkTokens are read of a prompt in one step, by the usual setting of
-	// engines that read prompts in pieces.
+	// defaultReadTime is the prefill time per token, in ms.
+	defaultReadTime = 1 / 50.0
+	// defaultStepTime is the inter-token time of a single request, in ms, for a model on one
+	// accelerator.
+	defaultStepTime = 3.5
+	// stepPerRequest is the increase of the step time per concurrent request, as a share of it.
+	stepPerRequest = 0.02
+	// chunkTokens is the usual chunk size of engines with chunked prefill.
 	chunkTokens = 2048
 )
 
-// Which samples tell something.
+// Weights of samples.
 const (
-	// fixedTime is the part of the time to the first token that is not
-	// reading, in ms: the way there and back, a new connection, the first step.
-	fixedTime = 8.0
-	// clearFrom is the number of tokens read from which a sample counts more
-	// than half: a step that is under way when a prompt arrives takes as long as
-	// some hundred tokens.
-	clearFrom = 800.0
-	// leastRead is the number of tokens below which a sample tells nothing.
-	leastRead = 200.0
-	// aheadWeight is how much less a sample counts for what was to be read
-	// before it, of which little is certain.
-	aheadWeight = 2.0
-	// leastEvents is how many events of a stream tell its pace.
-	leastEvents = 4
-	// figuresHold is how long the figures of a service are used before they are
-	// worked out anew: samples come from other instances that often.
-	figuresHold = 100 * time.Millisecond
+	// fixedOverhead is the part of the time to first token, in ms, not spent on prefill: network
+	// round trip, connection setup, first step.
+	fixedOverhead = 8.0
+	// halfWeightTokens is the prompt size at which a sample has half its full weight. The step in
+	// progress when a prompt arrives takes as long as several hundred tokens.
+	halfWeightTokens = 800.0
+	// minReadTokens is the prompt size below which samples are ignored.
+	minReadTokens = 200.0
+	// aheadPenalty reduces the weight of samples by the tokens queued ahead, whose number is
+	// uncertain.
+	aheadPenalty = 2.0
+	// minStreamEvents is the minimum number of stream events for a sample.
+	minStreamEvents = 4
+	// statsTTL is how long a service's statistics are cached. It is about the interval between
+	// reports.
+	statsTTL = 100 * time.Millisecond
 )
 
-// A Pace is how fast an engine was thought to be when it was chosen.
+// A Pace is the estimated speed of an engine when it was chosen.
 type Pace struct {
-	ReadTime  float64 // ms to read a token of a prompt
-	StepTime  float64 // ms from token to token of one request alone
-	TokenTime float64 // ms from token to token beside what ran there
+	ReadTime  float64 // ms of prefill per prompt token
+	StepTime  float64 // ms per output token of a single request
+	TokenTime float64 // ms per output token at the endpoint's load
 }
 
-// figures are what is known of the engines of one service.
-type figures struct {
-	read speed.Figure
-	step speed.Figure
-	at   time.Time // worked out
+// serviceStats holds the statistics of one service's endpoints.
+type serviceStats struct {
+	readTime  speed.Figure
+	stepTime  speed.Figure
+	updatedAt time.Time
 
-	hold      float64 // mean time that a request holds a slot, in ms; zero: not known
-	pressures [levels]rungs
-	refused   [levels]rungs // the part of requests that were refused
-	tallies   [levels]tally // of requests and refusals over a longer time
+	hold         float64 // mean time in ms that a request holds a slot; zero: unknown
+	pressures    [levels]levelPressures
+	refusalRates [levels]levelPressures // shares of requests refused
+	tallies      [levels]tally          // requests and refusals over starvationWindow
 
-	occupied    pressure // requests at a plain service, as a part of its slots
-	turnedAway  pressure // the part of own requests that plain endpoints refused
-	unpermitted fading   // own requests that were refused for want of a permit
-	permits     permitCount
+	occupancy        pressure      // requests per slot at endpoints without an engine
+	plainRefusalRate pressure      // share of own requests refused by endpoints without an engine
+	unpermittedRate  decayingCount // own requests refused for lack of a permit
+	permits          permitStats
 
-	reads, steps []speed.Sum // reused by refresh
+	readBuf, stepBuf []speed.Sum // reused by refresh
 }
 
-func newFigures() *figures {
-	return &figures{read: speed.NewFigure(readGuess), step: speed.NewFigure(stepGuess)}
+func newServiceStats() *serviceStats {
+	return &serviceStats{readTime: speed.NewFigure(defaultReadTime), stepTime: speed.NewFigure(defaultStepTime)}
 }
 
-// figures returns those of a service. The caller holds b.mu.
-func (b *Balancer) figures(service string) *figures {
-	f := b.services[service]
+// statsFor returns the statistics of a service, creating them if needed. The caller holds b.mu.
+func (b *Balancer) statsFor(service string) *serviceStats {
+	f := b.stats[service]
 	if f == nil {
-		f = newFigures()
-		b.services[service] = f
+		f = newServiceStats()
+		b.stats[service] = f
 	}
 	return f
 }
 
-// refresh works the figures of a service out from what is known of its
-// endpoints now.
-func (f *figures) refresh(loads []*load, now time.Time) {
-	if now.Sub(f.at) < figuresHold {
+// refresh recomputes the service's speed from its endpoints' samples if statsTTL has passed.
+func (f *serviceStats) refresh(loads []*load, now time.Time) {
+	if now.Sub(f.updatedAt) < statsTTL {
 		return
 	}
-	passed := now.Sub(f.at)
-	if f.at.IsZero() {
+	passed := now.Sub(f.updatedAt)
+	if f.updatedAt.IsZero() {
 		passed = 0
 	}
-	f.at = now
-	reads, steps := f.reads[:0], f.steps[:0]
+	f.updatedAt = now
+	reads, steps := f.readBuf[:0], f.stepBuf[:0]
 	for _, l := range loads {
-		reads = append(reads, l.lately.Reading)
-		steps = append(steps, l.lately.Stepping)
+		reads = append(reads, l.observed.Reading)
+		steps = append(steps, l.observed.Stepping)
 	}
-	f.read.Update(reads, passed)
-	f.step.Update(steps, passed)
-	f.reads, f.steps = reads, steps
+	f.readTime.Update(reads, passed)
+	f.stepTime.Update(steps, passed)
+	f.readBuf, f.stepBuf = reads, steps
 }
 
-// measure takes up what is known of the endpoint's speed now.
-func (l *load) measure(f *figures) {
-	l.figures = f
-	l.readTime = f.read.Of(l.lately.Reading)
-	l.stepTime = f.step.Of(l.lately.Stepping)
+// updateSpeed recomputes the endpoint's speed.
+func (l *load) updateSpeed(f *serviceStats) {
+	l.stats = f
+	l.readTime = f.readTime.Of(l.observed.Reading)
+	l.stepTime = f.stepTime.Of(l.observed.Stepping)
 }
 
-// tokenTime returns how long, in ms, a token takes beside so many requests, as
-// prompts were read of late.
+// tokenTime returns the time per output token, in ms, beside this many requests and the recent
+// share of prefill.
 func (l *load) tokenTime(requests int) float64 {
-	alone := l.stepTime * (1 + stepEach*float64(requests))
+	alone := l.stepTime * (1 + stepPerRequest*float64(requests))
 	chunk := chunkTokens * l.readTime
-	return 1 / ((1-l.reading)/alone + l.reading/(alone+chunk))
+	return 1 / ((1-l.readingShare)/alone + l.readingShare/(alone+chunk))
 }
 
-// Expected returns how long the first event was thought to take at the choice.
-// It is zero for a plain endpoint.
+// Expected returns the estimated time to the first event, as of the choice. It is zero for an
+// endpoint without an engine.
 func (p *Placement) Expected() time.Duration {
 	if p.Pace == (Pace{}) {
 		return 0
 	}
 	reading := float64(p.charge.uncached) * p.Pace.ReadTime
-	return time.Duration((p.Wait + reading + fixedTime) * float64(time.Millisecond))
+	return time.Duration((p.Wait + reading + fixedOverhead) * float64(time.Millisecond))
 }
 
-// begun notes that the endpoint has read the request's prompt. The caller holds
-// the balancer's lock.
-func (p *Placement) begun() {
-	if p.done || p.read {
+// markRead records that the endpoint has prefilled the request's prompt. The caller holds the
+// balancer's lock.
+func (p *Placement) markRead() {
+	if p.done || p.promptRead {
 		return
 	}
-	p.read = true
+	p.promptRead = true
 	p.load.own.Unread -= p.charge.uncached
 	p.load.own.UnreadBy[p.charge.level] -= p.charge.uncached
-	p.balancer.change(p.load)
+	p.balancer.markChanged(p.load)
 }
 
-// First says that the first event of the request's stream has come, so long
-// after the request was sent to its endpoint.
+// First records that the first event of the request's stream arrived this long after the request
+// was sent to the endpoint.
 func (p *Placement) First(after time.Duration) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p.begun()
+	p.markRead()
 	tokens := p.Ahead + float64(p.charge.uncached)
-	if tokens < leastRead || p.load.figures == nil {
+	if tokens < minReadTokens || p.load.stats == nil {
 		return
 	}
-	took := max(milliseconds(after)-fixedTime, 1) / tokens
-	weight := tokens / (tokens + clearFrom) * tokens / (tokens + aheadWeight*p.Ahead)
-	p.load.fade(b.now())
-	p.load.seen.Reading.Add(p.load.figures.read.Bounded(took), weight)
-	b.change(p.load)
+	took := max(milliseconds(after)-fixedOverhead, 1) / tokens
+	weight := tokens / (tokens + halfWeightTokens) * tokens / (tokens + aheadPenalty*p.Ahead)
+	p.load.decay(b.now())
+	p.load.ownObserved.Reading.Add(p.load.stats.readTime.Bounded(took), weight)
+	b.markChanged(p.load)
 }
 
-// Streamed says that the request's stream went on to its end for so long after
-// its first event.
+// Streamed records that the request's stream completed this long after its first event.
 func (p *Placement) Streamed(events int, lasted time.Duration) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if events < leastEvents || p.output <= 0 || p.Pace.TokenTime <= 0 || p.load.figures == nil {
+	if events < minStreamEvents || p.outputTokens <= 0 || p.Pace.TokenTime <= 0 || p.load.stats == nil {
 		return
 	}
-	took := milliseconds(lasted) / float64(p.output)
-	p.load.fade(b.now())
-	p.load.seen.Stepping.Add(p.load.figures.step.Bounded(p.Pace.StepTime*took/p.Pace.TokenTime), 1)
-	b.change(p.load)
+	took := milliseconds(lasted) / float64(p.outputTokens)
+	p.load.decay(b.now())
+	p.load.ownObserved.Stepping.Add(p.load.stats.stepTime.Bounded(p.Pace.StepTime*took/p.Pace.TokenTime), 1)
+	b.markChanged(p.load)
 }
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file holds what becomes of a request at the endpoint that was chosen for it.
+// This file tracks a request at the endpoint that was chosen for it.
 
 import (
 	"time"
@@ -11,49 +11,49 @@
 // An Outcome says how an endpoint served a request.
 type Outcome uint8
 
-// The outcomes.
 const (
 	Served  Outcome = iota
-	Refused         // it said that it did not run the request
-	Failed          // it failed the request, broke off, or kept silent
-	Unknown         // the caller left, or nothing can be said
+	Refused         // the endpoint said that it did not run the request
+	Failed          // error, broken connection or timeout
+	Unknown         // the caller left, or the outcome is unknown
 )
 
-// A Placement is a request at an endpoint, until Done is called.
+// A Placement is a request at an endpoint, until Done is called. Its methods are safe for
+// concurrent use.
 type Placement struct {
-	Endpoint *belief.Endpoint
-	Cost     float64
-	Cached   int              // tokens of the prompt that the endpoint is thought to hold, or to fetch
-	Fetched  int              // those of them that it is to fetch from Donor
-	Donor    *belief.Endpoint // nil: nothing is fetched
-	Backlog  time.Duration    // reading of prompts that is thought to wait there
-	Ahead    float64          // the same in tokens
-	Pace     Pace             // of the endpoint, as the chooser knew it; zero for a plain one
-	Granted  bool             // another instance chose the endpoint
-	Chooser  string           // that instance; empty if this one chose
-	Spare    bool             // the chooser had a retry left, should the request have to be sent again
-	Cold     bool             // the endpoint was cold when it was chosen
-	Distance Distance         // of the endpoint from the instance that chose
-	Crossing float64          // the part of Cost that is for leaving the region
-	failing  float64          // the share of failures at the service
-	excess   float64          // of failures at the endpoint, as the chooser knew it
-	output   int              // tokens expected
-	reading  float64          // of the own prompt, in ms
-	Wait     float64          // before the prompt is read, for a slot or for other prompts, in ms
-	balancer *Balancer
-	load     *load
-	donor    *load // nil: nothing is fetched, or another instance chose
-	charge   charge
-	began    time.Time
-	permit   time.Time // to send to an endpoint that names a limit, until then; zero: none, or used
-	plain    *figures  // of a plain endpoint's service; nil for an engine
-	suspect  bool
-	done     bool
-	read     bool // its answer has begun
-	overdue  bool // its failure has been counted
+	Endpoint       *belief.Endpoint
+	Cost           float64
+	Cached         int              // prompt tokens presumed cached at the endpoint, or fetched by it
+	Fetched        int              // tokens of Cached to fetch from Donor
+	Donor          *belief.Endpoint // nil: nothing is fetched
+	Backlog        time.Duration    // estimated time of prefill queued at the endpoint
+	Ahead          float64          // Backlog in tokens
+	Pace           Pace             // estimated speed of the endpoint; zero without an engine
+	Granted        bool             // chosen by another instance
+	Chooser        string           // that instance; empty: this one
+	Spare          bool             // the scheduler's retry budget covers another retry of the request
+	Cold           bool             // the endpoint was cold when the request was placed there
+	Distance       Distance         // from the instance that chose to the endpoint
+	Crossing       float64          // share of Cost for leaving the region
+	failureRate    float64          // failure rate of the service
+	excessFailures float64          // failure rate of the endpoint above that of the service, if another instance chose
+	outputTokens   int              // expected tokens
+	readingMS      float64          // prefill time of the request in ms
+	Wait           float64          // ms before prefill of the prompt starts, for a slot or queued prompts
+	balancer       *Balancer
+	load           *load
+	donor          *load // nil: nothing is fetched, or chosen by another instance
+	charge         charge
+	startedAt      time.Time
+	permit         time.Time     // expiry of the permit for a rate-limited endpoint; zero: none, or used
+	plainStats     *serviceStats // statistics of a service without an engine; nil for engines
+	suspect        bool
+	done           bool
+	promptRead     bool // the response has begun
+	overdue        bool // already recorded as a failure
 }
 
-// Done ends a placement. Only its first call counts.
+// Done ends the placement and records its outcome. Calls after the first have no effect.
 func (p *Placement) Done(o Outcome) {
 	b := p.balancer
 	b.mu.Lock()
@@ -61,36 +61,36 @@
 	if p.done {
 		return
 	}
-	p.begun()
+	p.markRead()
 	p.done = true
-	p.keepPermit()
+	p.returnPermit()
 	p.load.running--
 	if p.suspect {
 		p.load.suspects--
 	}
-	b.change(p.load)
+	b.markChanged(p.load)
 	p.load.own.remove(p.charge)
-	if p.plain != nil {
-		p.plain.plainEnded(b.now(), b.now().Sub(p.began), o)
+	if p.plainStats != nil {
+		p.plainStats.recordPlain(b.now(), b.now().Sub(p.startedAt), o)
 	}
 	if !p.overdue || o == Served {
 		p.load.record(b.now(), o)
 	}
 }
 
-// Started says that the endpoint has begun to answer.
+// Started records that the endpoint has begun its response.
 func (p *Placement) Started() {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p.load.answered(b.now())
-	if p.load.said != nil {
-		p.load.said.tried(b.now())
+	if p.load.directive != nil {
+		p.load.directive.endTrial(b.now())
 	}
 }
 
-// Overdue says that the endpoint has kept silent for too long. It counts as a
-// failure at once, before the request has ended.
+// Overdue records that the endpoint has not responded in time. It counts as a failure immediately,
+// before the request has ended.
 func (p *Placement) Overdue() {
 	b := p.balancer
 	b.mu.Lock()
@@ -100,24 +100,23 @@
 	}
 	p.overdue = true
 	p.load.record(b.now(), Failed)
-	b.change(p.load)
+	b.markChanged(p.load)
 }
 
-// suspectExcess is how many more of an endpoint's requests than of its service's
-// fail for it to be suspect.
+// suspectExcess is the failure rate above that of the service from which an endpoint is suspect.
 const suspectExcess = 0.12
 
-// Suspect reports whether the endpoint fails clearly more than its service.
+// Suspect reports whether the endpoint fails significantly more often than its service.
 func (p *Placement) Suspect() bool {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p.load.refresh(b.now())
-	return max(p.excess, p.load.lately.excess(p.failing)) > suspectExcess
+	return max(p.excessFailures, p.load.observed.excess(p.failureRate)) > suspectExcess
 }
 
-// Unreachable says that an endpoint did not accept a connection. It is left
-// alone for a while, longer each time.
+// Unreachable records that the endpoint did not accept a connection. It is skipped for a while,
+// with exponential back-off.
 func (p *Placement) Unreachable() {
 	b := p.balancer
 	b.mu.Lock()
@@ -126,15 +125,15 @@
 	if p.load.downUntil.After(b.downUntil) {
 		b.downUntil = p.load.downUntil
 	}
-	b.change(p.load)
+	b.markChanged(p.load)
 }
 
-// Gone says that another endpoint has the address: this one is not there any more, since
-// every start has an ID of its own. All instances are told.
+// Gone records that another endpoint has this one's address. Every start has its own ID, so this
+// endpoint no longer exists. Other instances are told in reports.
 func (p *Placement) Gone() {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p.load.goneUntil = b.now().Add(goneFor)
-	b.change(p.load)
+	p.load.goneUntil = b.now().Add(goneTTL)
+	b.markChanged(p.load)
 }
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -1,12 +1,11 @@
 package balance
 
-// This file keeps the retries that those who choose endpoints grant.
+// This file manages the retry budget shared by the instances that a scheduler chooses for.
 //
-// A request that has failed is sent again to another endpoint, which is placed like any
-// request: so a retry is asked for with that placement, and costs no message of its own.
-// Whoever chooses for a data centre sees all its requests, and its bucket holds what single
-// instances could not use: 40 streams that an engine takes down belong to few instances,
-// each of which would have had one retry of its own or none.
+// A retry is placed like any request, so it is charged with the placement and needs no extra
+// message. A scheduler sees all requests of its data centre, so its budget pools what individual
+// instances could not use: the streams lost with one engine belong to few instances, whose own
+// budgets cover only some of them.
 
 import (
 	"time"
@@ -14,60 +13,59 @@
 	"ivyridge/quota"
 )
 
-// A Retry says for whom one of the fleet's retries is asked. Instances tell it by its number.
+// A Retry is the kind of retry charged to the shared budget. Its number is sent between instances.
 type Retry uint8
 
-// What retries are asked for, by how much of the bucket is kept from them.
+// The kinds of retries, by the share of the budget that is reserved from them.
 const (
-	NoRetry     Retry = iota // none is asked for
-	RetryLate                // a request that has missed its objective
-	RetryStream              // a stream that has begun, which nobody but a retry can finish
-	RetryInTime              // a request whose objective can still be met
+	NoRetry     Retry = iota // no retry is charged
+	RetryLate                // request that has missed its objective
+	RetryStream              // stream that has begun and can only be completed by a retry
+	RetryInTime              // request that can still meet its objective
 )
 
-// retryKept is the part of a full bucket that is kept from retries of each kind, for those
-// that gain more by one. Little, since a bucket is full again within a second of a busy
-// service, and a moment in which engines fail makes most requests late: with a half and a
-// quarter, 105 retries were denied in ten seconds while buckets were not empty (dispatch,
-// scale-2, a trial).
-var retryKept = [...]float64{RetryLate: 0.25, RetryStream: 0.1, RetryInTime: 0}
+// retryReserve is the share of a full bucket reserved from each kind of retry, for kinds that gain
+// more. It is small, since a busy service refills its bucket within a second and an engine failure
+// makes most requests late: a larger reserve denies retries while budget is left.
+var retryReserve = [...]float64{RetryLate: 0.25, RetryStream: 0.1, RetryInTime: 0}
 
-// kept returns the part of a full bucket that is kept from r.
-func (r Retry) kept() float64 { return retryKept[min(r, RetryInTime)] }
+// reserve returns the share of a full bucket that r may not use.
+func (r Retry) reserve() float64 { return retryReserve[min(r, RetryInTime)] }
 
-// retries are what this instance may grant.
+// retries is the retry budget of this instance.
 type retries struct {
 	bound       quota.Retries
-	part        quota.Part
+	share       quota.Part
 	dataCentres int
-	instances   int              // that are heard
-	buckets     map[string]*pool // by the name of the service
+	instances   int                     // instances in the membership list
+	buckets     map[string]*retryBucket // by service name
 }
 
-// A pool is what is left for a service, and what was granted of it.
-type pool struct {
+// A retryBucket is the remaining budget of one service, with counts of retries.
+type retryBucket struct {
 	quota.Earned
 	granted, denied int64
 }
 
-// SetRetries replaces the bound on retries, which holds for all instances together.
+// SetRetries sets the bound on retries of all instances together.
 func (b *Balancer) SetRetries(bound quota.Retries) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.retries.bound = bound
 }
 
-// SetRetryPart tells which part of all retries this instance may grant, as of now, where so
-// many data centres divide them. What was left of a part that has lapsed is lost.
+// SetRetryPart sets the share of all retries that this instance may grant, valid from now, and the
+// number of data centres that divide the retries. The remaining budget of an expired share is
+// lost.
 func (b *Balancer) SetRetryPart(part float64, dataCentres int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.retries.hold(part, dataCentres, b.now())
+	b.retries.setShare(part, dataCentres, b.now())
 }
 
-func (r *retries) hold(part float64, dataCentres int, now time.Time) {
+func (r *retries) setShare(part float64, dataCentres int, now time.Time) {
 	r.dataCentres = dataCentres
-	if !r.part.Hold(part, now) {
+	if !r.share.Hold(part, now) {
 		return
 	}
 	for _, p := range r.buckets {
@@ -75,58 +73,59 @@
 	}
 }
 
-// most returns what a bucket holds at most now.
-func (r *retries) most(now time.Time) float64 {
-	return r.bound.Pooled(r.part.Share(now), r.dataCentres, r.instances)
+// capacity returns the capacity of a bucket at now.
+func (r *retries) capacity(now time.Time) float64 {
+	return r.bound.Pooled(r.share.Share(now), r.dataCentres, r.instances)
 }
 
-func (r *retries) of(service string) *pool {
+func (r *retries) bucket(service string) *retryBucket {
 	p := r.buckets[service]
 	if p == nil {
-		p = new(pool)
+		p = new(retryBucket)
 		r.buckets[service] = p
 	}
 	return p
 }
 
-// refuse returns why a request that asks for a retry gets none, or nil.
+// refuse returns a refusal if the request needs a retry and its service's budget is exhausted, or
+// nil.
 func (r *retries) refuse(d *Demand, now time.Time) *Refusal {
 	if d.Retry == NoRetry {
 		return nil
 	}
-	p := r.of(d.Service.Name)
-	if p.Has(r.most(now), d.Retry.kept(), now) {
+	p := r.bucket(d.Service.Name)
+	if p.Has(r.capacity(now), d.Retry.reserve(), now) {
 		return nil
 	}
 	p.denied++
 	return &Refusal{Cause: RetriesSpent}
 }
 
-// settle takes up that a request is placed: the first time it earns, and a retry is
-// charged. It reports whether one is left for the request after that.
-func (r *retries) settle(d *Demand, now time.Time) (spare bool) {
-	most := r.most(now)
+// account records a placement: it earns budget, and a retry is charged. It reports whether the
+// budget covers another retry of the request.
+func (r *retries) account(d *Demand, now time.Time) (spare bool) {
+	most := r.capacity(now)
 	if most <= 0 {
 		return false
 	}
-	p := r.of(d.Service.Name)
+	p := r.bucket(d.Service.Name)
 	p.Earn(r.bound.Earns(d.Earns), most, now)
 	if d.Retry != NoRetry {
 		p.Spend(most, now)
 		p.granted++
 	}
-	return p.Has(most, RetryLate.kept(), now)
+	return p.Has(most, RetryLate.reserve(), now)
 }
 
-// PayRetry takes a retry of a service out for a request that another instance has placed.
-// It reports whether there is one.
+// PayRetry charges a retry for a request that another instance has placed. It reports whether the
+// budget covered it.
 func (b *Balancer) PayRetry(service string, r Retry) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := b.retries.of(service)
+	p := b.retries.bucket(service)
 	now := b.now()
-	most := b.retries.most(now)
-	if r == NoRetry || !p.Has(most, r.kept(), now) {
+	most := b.retries.capacity(now)
+	if r == NoRetry || !p.Has(most, r.reserve(), now) {
 		p.denied++
 		return false
 	}
@@ -135,30 +134,30 @@
 	return true
 }
 
-// Holdings are what an instance holds of the bounds that the fleet divides.
+// Holdings are an instance's shares of limits that apply to all instances together.
 type Holdings struct {
-	ColdPart    float64               `json:"cold_part"` // of what cold endpoints bear
-	Part        float64               `json:"part"`      // of retries
+	ColdPart    float64               `json:"cold_part"` // share of the rate of cold endpoints
+	Part        float64               `json:"part"`      // share of retries
 	DataCentres int                   `json:"data_centres"`
 	Instances   int                   `json:"instances"` // that share endpoints' connections
-	Retries     map[string]RetryShare `json:"retries"`   // by service
+	Retries     map[string]RetryShare `json:"retries"`   // by service name
 }
 
-// A RetryShare is what an instance holds of a service's retries, and what it granted.
+// A RetryShare is an instance's retry budget for a service, with counts of retries.
 type RetryShare struct {
 	Left    float64 `json:"left"`
-	Most    float64 `json:"most"` // beside what busy services earn
+	Most    float64 `json:"most"` // capacity, without what busy services earn
 	Granted int64   `json:"granted"`
 	Denied  int64   `json:"denied"`
 }
 
-// Holdings returns what this instance holds now.
+// Holdings returns the current shares.
 func (b *Balancer) Holdings() Holdings {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	s := Holdings{ColdPart: b.cold.Share(now), Part: b.retries.part.Share(now), DataCentres: b.retries.dataCentres, Instances: b.instances, Retries: make(map[string]RetryShare)}
-	most := b.retries.most(now)
+	s := Holdings{ColdPart: b.coldShare.Share(now), Part: b.retries.share.Share(now), DataCentres: b.retries.dataCentres, Instances: b.instances, Retries: make(map[string]RetryShare)}
+	most := b.retries.capacity(now)
 	for service, p := range b.retries.buckets {
 		s.Retries[service] = RetryShare{Left: p.Left(most, now), Most: most, Granted: p.granted, Denied: p.denied}
 	}
--- /dev/null
+++ b/balance/slowness.go
@@ -0,0 +1,87 @@
+package balance
+
+// This file accounts for endpoints without an engine that report being slow, for example because
+// they share their machine.
+//
+// A reported value is already old when it arrives, so its weight halves at slownessHalfLife and it
+// needs no revocation. It scales the endpoint's current load instead of excluding the endpoint: as
+// requests move away the endpoint becomes cheaper, which prevents instances with the same report
+// from oscillating. Engines are not covered, since their speed is learned from samples that
+// already include the effect.
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	// slownessHalfLife is the half-life of a reported slowness.
+	slownessHalfLife = 250 * time.Millisecond
+	// Reported values are clamped to these bounds.
+	minSlowness = 0.25
+	maxSlowness = 20.0
+)
+
+// ToldLoad is the load that an endpoint reports in its response headers.
+type ToldLoad struct {
+	Running, Waiting, Slots int
+	Slowness                float64 // duration of work relative to normal; zero: not reported
+}
+
+// A slowness is the last value that an endpoint reported to this instance.
+type slowness struct {
+	ratio float64 // zero: none
+	at    time.Time
+}
+
+// of returns the expected duration of work at the endpoint relative to normal.
+func (s *slowness) of(now time.Time) float64 {
+	if s.ratio == 0 {
+		return 1
+	}
+	age := max(0, now.Sub(s.at))
+	return 1 + (s.ratio-1)*math.Exp2(-float64(age)/float64(slownessHalfLife))
+}
+
+// Tells records the load reported in the endpoint's response headers.
+func (p *Placement) Tells(load ToldLoad) {
+	if load.Slowness <= 0 {
+		return
+	}
+	b := p.balancer
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	p.load.slowness = slowness{ratio: min(max(load.Slowness, minSlowness), maxSlowness), at: b.now()}
+}
+
+// A SlowEndpoint is an endpoint that reported being slower than normal.
+type SlowEndpoint struct {
+	Endpoint string  // ID
+	Slowness float64 // as reported
+	Age      time.Duration
+}
+
+// Slow lists values up to slownessShownFor old and of at least minShownSlowness.
+const (
+	slownessShownFor = 10 * time.Second
+	minShownSlowness = 1.2
+)
+
+// Slow returns the endpoints that recently reported being slow, slowest first.
+func (b *Balancer) Slow() []SlowEndpoint {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.now()
+	var out []SlowEndpoint
+	for _, l := range b.loads {
+		if age := now.Sub(l.slowness.at); l.slowness.ratio >= minShownSlowness && age < slownessShownFor {
+			out = append(out, SlowEndpoint{Endpoint: l.endpointID, Slowness: l.slowness.ratio, Age: age})
+		}
+	}
+	slices.SortFunc(out, func(x, y SlowEndpoint) int {
+		return cmp.Or(cmp.Compare(y.Slowness, x.Slowness), cmp.Compare(x.Endpoint, y.Endpoint))
+	})
+	return out
+}
