--- a/balance/urgency.go
+++ b/balance/urgency.go
@@ -1,17 +1,14 @@
 package balance
 
-// This file tells what a request waits for at an engine from what less urgent ones wait
-// for there.
+// This file estimates how long a request waits at an engine by urgency level.
 //
-// An engine lets the more urgent in first. So a request begins behind the prompts of its
-// own and of more urgent levels, and behind the piece that is being read when it comes.
-// Counted behind all prompts, short urgent requests were refused in a rush of
-// long prompts that they would have gone ahead of: at three times the traffic of 60 engines,
-// some that were thought to wait for 200 to 300 ms began after 124.
+// Engines schedule more urgent requests first. A request therefore waits for queued prompts of its
+// own and more urgent levels, plus the prefill chunk in progress. Counting all queued prompts
+// would refuse short urgent requests that overtake long, less urgent ones.
 //
-// Who gives way to whom follows from the same: requests of a level give way to more urgent
-// ones that are pressed by this level and by those above it, not by what goes behind it.
-// So the least urgent give way first, and the next only if that does not do.
+// A request yields to more urgent ones only if they are delayed by requests of its level or more
+// urgent levels. The least urgent level therefore yields first, and the next one only if that is
+// not enough.
 
 import (
 	"time"
@@ -19,21 +16,21 @@
 	"ivyridge/belief"
 )
 
-// rungs are the pressures on the requests of one level: for each level, that by requests
-// as urgent as this or more. Those of more urgent levels than its own are not used.
-type rungs [levels]pressure
+// levelPressures are the pressures on the requests of one level. Element by is the pressure caused
+// by requests at least as urgent as level by; elements below the own level are unused.
+type levelPressures [levels]pressure
 
-// add takes up a request's waits beside the time that it has room for.
-func (r *rungs) add(now time.Time, level int, waits *[levels]float64, room float64) {
+// add records the waits of one request in ms, relative to maxWait.
+func (r *levelPressures) add(now time.Time, level int, waits *[levels]float64, room float64) {
 	for by := level; by < levels; by++ {
 		r[by].add(now, waits[by]/room)
 	}
 }
 
-// count takes up whether a request was refused. The least urgent give way already where the
-// endpoint that is best for it would begin it too late behind all that waits there: it is
-// begun in time elsewhere, but the streams among such requests will pause too long there.
-func (r *rungs) count(now time.Time, level int, refused, crowded bool) {
+// count records whether a request was refused. A request that is crowded, because the whole
+// backlog at its best endpoint would delay it beyond its objective, also counts against the least
+// urgent level: it starts in time elsewhere, but at an endpoint where streams stall.
+func (r *levelPressures) count(now time.Time, level int, refused, crowded bool) {
 	for by := level; by < levels; by++ {
 		part := 0.0
 		if refused || crowded && by == levels-1 {
@@ -43,14 +40,14 @@
 	}
 }
 
-// waits returns, for each level from that of the request on, how long in ms the request
-// would wait at an endpoint if nothing less urgent than that level came before it. At its
-// own level, that is how long it waits: for a slot, or for prompts and for the piece in
-// hand, which may be of any level. What others place is told within told.
-func (f *figures) waits(d *Demand, l *load, told time.Duration, now time.Time) (waits [levels]float64) {
+// waits returns, for each level from the request's own, the wait in ms if only requests of that or
+// more urgent levels were ahead. For the own level, that includes waiting for a slot and for the
+// prefill chunk in progress, which may be of any level. Placements by others within reportInterval
+// are added, since reports may not cover them.
+func (f *serviceStats) waits(d *Demand, l *load, reportInterval time.Duration, now time.Time) (waits [levels]float64) {
 	total := l.total()
 	backlog := l.backlog(now)
-	noticed := l.noticedBy(now.Add(-told))
+	noticed := l.remoteTokensByLevel(now.Add(-reportInterval))
 	tokens := 0
 	for by := range waits {
 		tokens += total.UnreadBy[by] + noticed[by]
@@ -63,38 +60,37 @@
 	return waits
 }
 
-// room returns how long, in ms, a request may wait at an endpoint where its prompt takes
-// so long to read, for its answer to begin in time.
-func (d *Demand) room(reading float64) float64 {
+// maxWait returns the longest wait, in ms, that meets the objective given the request's prefill
+// time in ms.
+func (d *Demand) maxWait(reading float64) float64 {
 	objective := milliseconds(d.Objective)
-	return max(objective-reading-fixedTime, leastRoom*objective)
+	return max(objective-reading-fixedOverhead, minWaitShare*objective)
 }
 
-// late reports whether the request would begin too late at the endpoint.
-func (l *load) late(d *Demand, reading float64, told time.Duration, now time.Time) bool {
-	waits := l.figures.waits(d, l, told, now)
-	return waits[d.level()] > refuseAt*d.room(reading)
+// late reports whether the request would start too late at the endpoint.
+func (l *load) late(d *Demand, reading float64, reportInterval time.Duration, now time.Time) bool {
+	waits := l.stats.waits(d, l, reportInterval, now)
+	return waits[d.level()] > refuseThreshold*d.maxWait(reading)
 }
 
-// sooner returns the endpoint where the request begins in time, if best is one where it
-// does not and less urgent ones could make room elsewhere. Streams gather at the engines
-// that read least, until they wait for slots there: at three times the traffic of 60
-// engines, 64 and more at each of 4, while 30 engines had none.
-func (b *Balancer) sooner(endpoints []*belief.Endpoint, best *Placement, d *Demand, now time.Time, by asker) *Placement {
-	if d.level() == levels-1 || !best.load.late(d, best.reading, b.told, now) {
+// chooseInTime returns best, or an endpoint that starts the request in time if best does not. It
+// applies to levels above the least urgent one. Without it, streams queue for slots at the few
+// engines with the least prefill while others have free slots.
+func (b *Balancer) chooseInTime(endpoints []*belief.Endpoint, best *Placement, d *Demand, now time.Time, by requester) *Placement {
+	if d.level() == levels-1 || !best.load.late(d, best.readingMS, b.reportInterval, now) {
 		return best
 	}
 	hurried := *d
-	hurried.inTime = true
+	hurried.requireInTime = true
 	if p := b.choose(b.workingSet(d.Service.Name, endpoints), &hurried, now, by, false); p != nil {
 		return p
 	}
 	return best
 }
 
-// noticedBy returns the tokens that others placed after then, by level.
-func (l *load) noticedBy(then time.Time) (tokens [levels]int) {
-	for _, n := range l.noticed {
+// remoteTokensByLevel returns the prompt tokens that others placed after then, by urgency level.
+func (l *load) remoteTokensByLevel(then time.Time) (tokens [levels]int) {
+	for _, n := range l.remotePlacements {
 		if n.at.After(then) {
 			tokens[n.level] += n.tokens
 		}
