--- a/balance/admit.go
+++ b/balance/admit.go
@@ -131,8 +131,8 @@
 	if best == nil {
 		return nil, nil // the requester knows when its back-offs end
 	}
-	asked := work(d, best)
-	refusal := b.shareRefusal(endpoints, d, best, asked, now)
+	requestedWork := work(d, best)
+	refusal := b.shareRefusal(endpoints, d, best, requestedWork, now)
 	if refusal == nil && d.hasObjective() && !d.Sent {
 		best, refusal = b.admitInTime(endpoints, d, best, now, by)
 	}
@@ -153,7 +153,7 @@
 	if best.load.hasLimit() {
 		b.statsFor(d.Service.Name).permits.count(now, true)
 	}
-	b.grantShare(d, asked, now)
+	b.grantShare(d, requestedWork, now)
 	return best, nil
 }
 
@@ -183,11 +183,11 @@
 // the one chosen by chooseInTime. It records pressures and refusal rates.
 func (f *serviceStats) refuse(d *Demand, first, p *Placement, reportInterval time.Duration, now time.Time) *Refusal {
 	level := d.level()
-	room := d.maxWait(first.readingMS)
+	room := d.maxWait(first.prefillTime)
 	waits := f.waits(d, first.load, reportInterval, now)
 	f.pressures[level].add(now, level, &waits, room)
 	crowded := waits[levels-1] > refuseThreshold*room
-	room = d.maxWait(p.readingMS)
+	room = d.maxWait(p.prefillTime)
 	waits = f.waits(d, p.load, reportInterval, now)
 	wait := waits[level]
 	own := wait / room
--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -264,7 +264,7 @@
 // unavailableRefusal returns the refusal of a request for which all otherwise eligible endpoints
 // are in back-off or lack permits, or nil if there are none. The caller holds b.mu.
 func (b *Balancer) unavailableRefusal(endpoints []*belief.Endpoint, d *Demand, now time.Time) *Refusal {
-	var first time.Time
+	var earliest time.Time
 	var limited bool // the earliest endpoint lacks a permit
 	r := b.workingSet(d.Service.Name, endpoints)
 	loads := r.loads
@@ -274,18 +274,18 @@
 		if l.directive == nil && !l.limitState.needsPermit(now) || b.excluded(e, l, d, now) || l.avoided(e, now, true) {
 			continue
 		}
-		rests, opens := now, l.limitState.availableAt(urgency, now)
+		backoffEnd, permitAt := now, l.limitState.availableAt(urgency, now)
 		if l.directive != nil {
-			rests = l.directive.availableAt(now)
+			backoffEnd = l.directive.availableAt(now)
 		}
-		if room := latest(rests, opens); first.IsZero() || room.Before(first) {
-			first, limited = room, l.limitState.needsPermit(now) && !opens.Before(rests)
+		if room := latest(backoffEnd, permitAt); earliest.IsZero() || room.Before(earliest) {
+			earliest, limited = room, l.limitState.needsPermit(now) && !permitAt.Before(backoffEnd)
 		}
 	}
-	if first.IsZero() {
+	if earliest.IsZero() {
 		return nil
 	}
-	wait := first.Sub(now)
+	wait := earliest.Sub(now)
 	if limited {
 		return b.limitedRefusal(d, loads, wait, now)
 	}
--- a/balance/backoff_test.go
+++ b/balance/backoff_test.go
@@ -11,44 +11,44 @@
 	"ivyridge/belief"
 )
 
-// spread is by how much a rest of some seconds is stretched at most.
-const spread = 300 * time.Millisecond
+// maxJitter is the maximum extension of a back-off.
+const maxJitter = 300 * time.Millisecond
 
-// askRest has the endpoint that a request is placed at ask for rest.
-func (f *fixture) askRest(b *balance.Balancer, endpoint int, d time.Duration) *balance.Placement {
+// requestBackoff makes an endpoint refuse a request and ask for back-off.
+func (f *fixture) requestBackoff(b *balance.Balancer, endpoint int, d time.Duration) *balance.Placement {
 	p := b.Place(f.endpoints[endpoint:endpoint+1], f.stream())
 	p.Rests(d)
 	p.Done(balance.Refused)
 	return p
 }
 
-func TestRestingEndpointIsNoChoice(t *testing.T) {
+func TestEndpointInBackoffIsIneligible(t *testing.T) {
 	f := newFixture(2)
 	b := f.balancer()
-	f.askRest(b, 0, 3*time.Second)
+	f.requestBackoff(b, 0, 3*time.Second)
 	for end := f.now.Add(3 * time.Second); f.now.Before(end); f.now = f.now.Add(50 * time.Millisecond) {
 		if p := b.Place(f.endpoints, f.stream()); p.Endpoint != f.endpoints[1] {
-			t.Fatalf("%s before its end, a request is placed at an endpoint that rests", end.Sub(f.now))
+			t.Fatalf("%s before the end of the back-off, a request is placed at the endpoint", end.Sub(f.now))
 		} else {
 			p.Done(balance.Served)
 		}
 	}
-	f.now = f.now.Add(spread)
+	f.now = f.now.Add(maxJitter)
 	if p := b.Place(f.endpoints[:1], f.stream()); p == nil {
-		t.Error("an endpoint whose rest is over is no choice")
+		t.Error("endpoint is ineligible after its back-off")
 	}
 }
 
-// The first request after a rest goes alone until it is answered, or most would have been.
-func TestFirstRequestAfterARestGoesAlone(t *testing.T) {
+// After a back-off, requests wait until the first one is answered or trialTimeout has passed.
+func TestSingleTrialAfterBackoff(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		f := newFixture(1)
 		b := f.balancer()
-		f.askRest(b, 0, time.Second)
-		f.now = f.now.Add(time.Second + spread)
+		f.requestBackoff(b, 0, time.Second)
+		f.now = f.now.Add(time.Second + maxJitter)
 		first, second := b.Place(f.endpoints, f.stream()), b.Place(f.endpoints, f.stream())
 		if !first.MaySend() || second.MaySend() {
-			t.Fatal("not one request alone goes after a rest")
+			t.Fatal("want exactly one request sent after a back-off")
 		}
 		second.Done(balance.Unknown)
 		if answered {
@@ -57,47 +57,48 @@
 			f.now = f.now.Add(200 * time.Millisecond)
 		}
 		if p := b.Place(f.endpoints, f.stream()); p == nil || !p.MaySend() {
-			t.Errorf("answered %v: nothing goes after the first request", answered)
+			t.Errorf("answered %v: no request is sent after the trial", answered)
 		}
 	}
 }
 
-// Answers come in any order, and while requests are placed that have not left yet.
-func TestRestsAskedForMeanwhile(t *testing.T) {
+// Back-offs may overlap, and may be requested while placed requests have not been sent yet.
+func TestOverlappingBackoffs(t *testing.T) {
 	f := newFixture(1)
 	b := f.balancer()
 	placed := b.Place(f.endpoints, f.stream())
 	if !placed.MaySend() {
-		t.Fatal("a request may not be sent to an endpoint that asked for nothing")
+		t.Fatal("request may not be sent to an endpoint without back-off")
 	}
-	f.askRest(b, 0, 2*time.Second)
-	f.askedAgain(t, placed, 500*time.Millisecond) // a shorter one takes nothing back
+	f.requestBackoff(b, 0, 2*time.Second)
+	f.extendBackoff(t, placed, 500*time.Millisecond) // a shorter one has no effect
 	if placed.MaySend() {
-		t.Error("a request that was placed before may be sent while its endpoint rests")
+		t.Error("request placed before the back-off may be sent during it")
 	}
 	f.now = f.now.Add(1500 * time.Millisecond)
-	f.askedAgain(t, placed, 2*time.Second) // a longer one counts
+	f.extendBackoff(t, placed, 2*time.Second) // a longer one extends it
 	f.now = f.now.Add(1900 * time.Millisecond)
 	if p := b.Place(f.endpoints, f.stream()); p != nil {
-		t.Error("the second rest is not kept")
+		t.Error("request placed during the extended back-off")
 	}
-	f.now = f.now.Add(100*time.Millisecond + spread)
+	f.now = f.now.Add(100*time.Millisecond + maxJitter)
 	if p := b.Place(f.endpoints, f.stream()); p == nil || !p.MaySend() {
-		t.Error("a rest lasts beyond its end")
+		t.Error("endpoint is ineligible after its back-off")
 	}
 }
 
-func (f *fixture) askedAgain(t *testing.T, p *balance.Placement, d time.Duration) {
+func (f *fixture) extendBackoff(t *testing.T, p *balance.Placement, d time.Duration) {
 	if p.Rests(d) {
-		t.Error("rest that is asked for again while it lasts is news")
+		t.Error("extension of a back-off is reported as new")
 	}
 }
 
-// An endpoint that asked for a very long rest gets one request before its end, and is not lost.
-func TestLongRestIsProbedOnce(t *testing.T) {
+// An endpoint that asked for a very long back-off is probed once before its end, and is eligible
+// afterwards.
+func TestLongBackoffIsProbedOnce(t *testing.T) {
 	f := newFixture(1)
 	b := f.balancer()
-	f.askRest(b, 0, time.Hour)
+	f.requestBackoff(b, 0, time.Hour)
 	sent := 0
 	for end := f.now.Add(time.Hour); f.now.Before(end); f.now = f.now.Add(time.Second) {
 		if p := b.Place(f.endpoints, f.stream()); p != nil {
@@ -109,17 +110,17 @@
 		}
 	}
 	if sent != 1 {
-		t.Errorf("%d requests were sent in a rest of an hour, want 1", sent)
+		t.Errorf("%d requests sent during a back-off of an hour, want 1", sent)
 	}
-	f.now = f.now.Add(spread)
+	f.now = f.now.Add(maxJitter)
 	if b.Place(f.endpoints, f.stream()) == nil {
-		t.Error("the endpoint is lost")
+		t.Error("endpoint is ineligible after its back-off")
 	}
 }
 
-// Over drawn rests, answers and times, an endpoint gets at most one request in each rest that
-// it asked for, whichever of many requests was placed when, and whatever the list shows.
-func TestRestsAreKept(t *testing.T) {
+// For random back-offs, responses, time steps and lists, an endpoint is sent at most one request
+// during each back-off.
+func TestBackoffsAreKept(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFixture(3)
 		b := f.balancer()
@@ -144,7 +145,7 @@
 				} else {
 					b.Forget(func(string) bool { return false })
 				}
-				f.endpoints = append([]*belief.Endpoint(nil), f.endpoints...) // a new view
+				f.endpoints = append([]*belief.Endpoint(nil), f.endpoints...) // new slice invalidates the listing
 			default:
 				if len(placed) == 0 {
 					continue
@@ -171,68 +172,68 @@
 		}
 		for _, w := range windows {
 			if w.sent > 1 {
-				rt.Fatalf("%s got %d requests in a rest that it had asked for", w.endpoint.ID, w.sent)
+				rt.Fatalf("%s was sent %d requests during a back-off, want at most 1", w.endpoint.ID, w.sent)
 			}
 		}
 	})
 }
 
-// Where all rest, a request is told when the first of them is free.
-func TestAllRest(t *testing.T) {
+// If all endpoints are in back-off, a request is told when the first back-off ends.
+func TestAllEndpointsInBackoff(t *testing.T) {
 	f := newFixture(3)
 	b := f.balancer()
 	for i, d := range []time.Duration{3 * time.Second, time.Second, 2 * time.Second} {
-		f.askRest(b, i, d)
+		f.requestBackoff(b, i, d)
 	}
 	p, refusal := b.Admit(f.endpoints, f.stream())
 	if p != nil || refusal == nil || refusal.Cause != balance.EndpointsRest {
-		t.Fatalf("placed %v, refusal %+v", p, refusal)
+		t.Fatalf("placement %v and refusal %+v, want cause EndpointsRest", p, refusal)
 	}
-	if refusal.Wait < time.Second || refusal.Wait > time.Second+spread || refusal.RetryAfter < refusal.Wait {
-		t.Errorf("a wait of %v, come back after %v", refusal.Wait, refusal.RetryAfter)
+	if refusal.Wait < time.Second || refusal.Wait > time.Second+maxJitter || refusal.RetryAfter < refusal.Wait {
+		t.Errorf("wait %v and retry after %v, want the back-off that ends first", refusal.Wait, refusal.RetryAfter)
 	}
 	if got := len(b.Absences()); got != 3 {
-		t.Errorf("operators see %d endpoints that rest", got)
+		t.Errorf("%d endpoints listed as absent, want 3", got)
 	}
 	if _, refusal := b.Admit(nil, f.stream()); refusal != nil {
-		t.Errorf("where there are no endpoints, the refusal is %+v", refusal)
+		t.Errorf("refusal without endpoints: %+v", refusal)
 	}
 }
 
-// Rest is asked of one instance: whoever chooses for it doesn't choose that endpoint, and
-// chooses it for others.
-func TestRestHoldsForItsInstance(t *testing.T) {
+// A back-off applies to the instance that was asked: schedulers don't grant the endpoint to that
+// instance, but do to others.
+func TestBackoffAppliesToOneInstance(t *testing.T) {
 	f := newFixture(1)
 	asks, scheduler := f.balancer(), f.balancer()
 	scheduler.Place(f.endpoints, f.stream()).Done(balance.Served)
-	f.askRest(asks, 0, 3*time.Second)
+	f.requestBackoff(asks, 0, 3*time.Second)
 	if got := asks.Resting(f.stream()); len(got) != 1 || got[0] != balance.EndpointHash("e0") {
-		t.Errorf("an ask names %v as resting", got)
+		t.Errorf("Resting() = %v, want e0", got)
 	}
 	reports, _ := asks.Reports(false, 0)
 	scheduler.Merge(7, nil, reports, false)
 	if c := scheduler.Grant(7, f.endpoints, f.stream()); c.Endpoint != 0 || c.Refusal != nil {
-		t.Errorf("granted %+v where the endpoint rests for the asker", c)
+		t.Errorf("granted %+v to the instance in back-off", c)
 	}
 	if c := scheduler.Grant(8, f.endpoints, f.stream()); c.Endpoint == 0 {
 		t.Error("not granted to another instance")
 	} else if p, _ := asks.Adopt(c, f.endpoints, f.stream()); p != nil {
-		t.Error("an instance uses a grant of an endpoint that asked it for rest")
+		t.Error("grant adopted by the instance in back-off")
 	}
-	f.now = f.now.Add(3*time.Second + spread)
+	f.now = f.now.Add(3*time.Second + maxJitter)
 	if c := scheduler.Grant(7, f.endpoints, f.stream()); c.Endpoint == 0 {
-		t.Error("not granted once the rest is over")
+		t.Error("not granted after the back-off")
 	}
 }
 
-// The next process under an ID has asked for nothing, unless it may be the one that asked.
-func TestRestAndBirths(t *testing.T) {
+// A restarted process is not in back-off, unless it may be the one that asked.
+func TestBackoffAndRestarts(t *testing.T) {
 	for _, c := range []struct {
-		after time.Duration // the birth is known so long after the answer
+		after time.Duration // time from the response until the start time is known
 		holds bool
 	}{{time.Second, true}, {4 * time.Second, false}} {
 		f := newFixture(1)
-		first, next := f.reborn(1000), f.reborn(2000)
+		first, next := f.restarted(1000), f.restarted(2000)
 		b := f.balancer()
 		p := b.Place(first, f.stream())
 		p.Rests(10 * time.Second)
@@ -241,29 +242,29 @@
 		f.now = f.now.Add(c.after)
 		b.Forget(func(string) bool { return false })
 		if got := b.Place(next, f.stream()) == nil; got != c.holds {
-			t.Errorf("a birth that is known %v after the answer: it holds %v", c.after, got)
+			t.Errorf("start time known %v after the response: back-off applies: %v", c.after, got)
 		}
 	}
 	f := newFixture(1)
 	b := f.balancer()
-	old := b.Place(f.reborn(1000), f.stream())
-	next := f.reborn(2000)
+	old := b.Place(f.restarted(1000), f.stream())
+	next := f.restarted(2000)
 	if b.Place(next, f.stream()) == nil {
-		t.Fatal("the next process is no choice")
+		t.Fatal("restarted process is ineligible")
 	}
-	old.Rests(time.Second) // an answer of either
+	old.Rests(time.Second) // the response may come from either process
 	if b.Place(next, f.stream()) != nil {
-		t.Error("the answer may be that of the next process, which gets requests")
+		t.Error("restarted process is eligible although the response may be its own")
 	}
 }
 
-func TestLeavingIsTold(t *testing.T) {
+func TestDrainIsReported(t *testing.T) {
 	f := newFixture(2)
 	knows, hears := f.balancer(), f.balancer()
 	hears.Place(f.endpoints, f.stream()).Done(balance.Served)
 	p := knows.Place(f.endpoints[:1], f.stream())
 	if !p.Leaves() || p.Leaves() {
-		t.Error("what is said first is not news, or what is said again is")
+		t.Error("Leaves() must report true once, then false")
 	}
 	p.Done(balance.Served)
 	tell := func() {
@@ -272,30 +273,30 @@
 	}
 	tell()
 	if knows.Place(f.endpoints[:1], f.stream()) != nil || hears.Place(f.endpoints[:1], f.stream()) != nil {
-		t.Error("an endpoint that leaves is chosen")
+		t.Error("draining endpoint is chosen")
 	}
 	sums, _ := hears.Sums(func(uint64) bool { return false }, true, 0)
 	for _, s := range sums {
 		if s.Leaves {
-			t.Error("what was told by one data centre is told as another's own")
+			t.Error("drain reported by an excluded instance is included in the sum")
 		}
 	}
 	f.now = f.now.Add(20 * time.Second)
 	if knows.Place(f.endpoints[:1], f.stream()) != nil {
-		t.Error("what the endpoint said is forgotten")
+		t.Error("drain announced by the endpoint is forgotten")
 	}
 	if hears.Place(f.endpoints[:1], f.stream()) == nil {
-		t.Error("what another instance said holds though it says it no more")
+		t.Error("drain reported by another instance does not expire")
 	}
 }
 
-func BenchmarkPlaceBesideResting(bench *testing.B) {
+func BenchmarkPlaceWithBackoffs(bench *testing.B) {
 	for _, n := range []int{12, 690} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
 			f := newFixture(n)
 			b := f.balancer()
 			for i := 0; i < n; i += 3 {
-				f.askRest(b, i, time.Hour)
+				f.requestBackoff(b, i, time.Hour)
 			}
 			d := f.long(9)
 			bench.ReportAllocs()
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -218,7 +218,7 @@
 // loadState returns how many requests the requester runs at l, and whether l is known to be closed
 // to it. Other instances name endpoints with closed limits in their request, so that only their
 // back-off is checked here.
-func (a requester) loadState(l *load, urgency int, now time.Time) (running int, rests bool) {
+func (a requester) loadState(l *load, urgency int, now time.Time) (running int, closed bool) {
 	if a == self {
 		return l.running, l.directive != nil && l.directive.backingOff(now) || l.limitState.closed(urgency, now)
 	}
@@ -231,13 +231,13 @@
 func (b *Balancer) choose(r *listing, d *Demand, now time.Time, by requester, lastResort bool) *Placement {
 	best := Placement{Cost: math.Inf(1)}
 	endpoints, loads := r.endpoints, r.loads
-	view := choiceParams{failureRate: b.refreshLoads(loads, d.Service, now), firstPartShare: b.uses.costShare(now, d.Parts, len(loads))}
+	params := choiceParams{failureRate: b.refreshLoads(loads, d.Service, now), firstPartShare: b.uses.costShare(now, d.Parts, len(loads))}
 	if b.multiRegion {
-		view.crossRegionCost, view.uncongestedCrossCost = b.crossingCosts(d, now)
-		view.paidCrossings = b.uses.paid(now, d.Parts)
+		params.crossRegionCost, params.uncongestedCrossCost = b.crossingCosts(d, now)
+		params.paidCrossings = b.uses.paid(now, d.Parts)
 	}
 	if d.Service.Engine != nil && !r.complete() {
-		view.typicalReadTime = b.statsFor(d.Service.Name).readTime.Value()
+		params.typicalReadTime = b.statsFor(d.Service.Name).readTime.Value()
 	}
 	urgency := b.urgency(d, now)
 	var from donors
@@ -249,21 +249,21 @@
 		if b.excluded(e, l, d, now) || l.avoided(e, now, lastResort) {
 			continue
 		}
-		running, rests := by.loadState(l, urgency, now)
+		running, closed := by.loadState(l, urgency, now)
 		if d.Permitted && l.limitState.needsPermit(now) {
 			continue
 		}
-		if rests || !b.hasConn(running, d.Service) || !b.coldAllows(e, l, d.Service, now) {
+		if closed || !b.hasConn(running, d.Service) || !b.coldAllows(e, l, d.Service, now) {
 			continue
 		}
 		if d.Service.Engine != nil {
-			view.cachedTokens = b.cachedTokens[i]
+			params.cachedTokens = b.cachedTokens[i]
 		}
 		if l.hash == d.Permit {
-			best = b.estimate(e, l, d, &view, math.Inf(1), now)
+			best = b.estimate(e, l, d, &params, math.Inf(1), now)
 			break
 		}
-		p := b.estimate(e, l, d, &view, best.Cost, now)
+		p := b.estimate(e, l, d, &params, best.Cost, now)
 		if d.Suspect {
 			p.Cost += l.suspectCost(now)
 		}
@@ -275,7 +275,7 @@
 		return nil
 	}
 	if best.Distance == Beyond {
-		best.Crossing = view.crossRegionCost
+		best.Crossing = params.crossRegionCost
 	}
 	if d.Service.Engine != nil {
 		best.planFetch(&from, d, b.regions)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestPromptsStayNearTheirParts(t *testing.T) {
+func TestPromptsPreferCachedParts(t *testing.T) {
 	f := newFixture(9)
 	b := f.balancer()
 	first := b.Place(f.endpoints, f.long(55))
@@ -55,25 +55,25 @@
 	for range 5 {
 		p := b.Place(f.endpoints, f.long(55))
 		if p.Endpoint != first.Endpoint || p.Cached != 6200 {
-			t.Fatalf("placed at %s with %d tokens kept, want %s with 6200", p.Endpoint.ID, p.Cached, first.Endpoint.ID)
+			t.Fatalf("placed at %s with %d tokens cached, want %s with 6200", p.Endpoint.ID, p.Cached, first.Endpoint.ID)
 		}
 		p.Done(balance.Served)
 		f.now = f.now.Add(time.Second)
 	}
 }
 
-// Instances that have not heard of each other agree on where parts are kept.
-func TestInstancesAgreeWithoutSpeaking(t *testing.T) {
+// Instances without information about each other agree on where parts are cached.
+func TestInstancesAgreeWithoutCommunication(t *testing.T) {
 	f := newFixture(9)
 	for part := uint64(100); part < 120; part++ {
 		a, b := f.balancer().Place(f.endpoints, f.long(part)), f.balancer().Place(f.endpoints, f.long(part))
 		if a.Endpoint != b.Endpoint {
-			t.Fatalf("part %d: %s and %s", part, a.Endpoint.ID, b.Endpoint.ID)
+			t.Fatalf("part %d: placed at %s and %s, want the same endpoint", part, a.Endpoint.ID, b.Endpoint.ID)
 		}
 	}
 }
 
-func TestLongPromptsKeepAwayFromStreams(t *testing.T) {
+func TestLongPromptsAvoidStreams(t *testing.T) {
 	f := newFixture(2)
 	b := f.balancer()
 	var home string
@@ -83,15 +83,15 @@
 	f.now = f.now.Add(time.Second)
 	for part := uint64(0); part < 4; part++ {
 		if p := b.Place(f.endpoints, f.long(100+part)); part > 0 && p.Endpoint.ID == home && p.Backlog > 100*time.Millisecond {
-			t.Fatalf("a long prompt waits beside eight streams")
+			t.Fatalf("long prompt queued beside eight streams")
 		}
 	}
 }
 
-func TestNoticesOfOthersCount(t *testing.T) {
+func TestRemoteNoticesCount(t *testing.T) {
 	f := newFixture(4)
 	a, b := f.balancer(), f.balancer()
-	b.Place(f.endpoints, f.long(5)).Done(balance.Served) // b knows the endpoints
+	b.Place(f.endpoints, f.long(5)).Done(balance.Served) // makes the endpoints known to b
 	f.now = f.now.Add(5 * time.Second)
 	p := a.Place(f.endpoints, f.long(77))
 	reports, _ := a.Reports(true, 0)
@@ -99,7 +99,7 @@
 	f.now = f.now.Add(time.Second)
 	q := b.Place(f.endpoints, f.long(77))
 	if q.Endpoint != p.Endpoint || q.Cached != 6200 {
-		t.Fatalf("placed at %s with %d tokens kept, want %s with 6200", q.Endpoint.ID, q.Cached, p.Endpoint.ID)
+		t.Fatalf("placed at %s with %d tokens cached, want %s with 6200", q.Endpoint.ID, q.Cached, p.Endpoint.ID)
 	}
 }
 
@@ -113,15 +113,14 @@
 	}
 	for _, e := range f.endpoints {
 		if count[e.ID] != 10 {
-			t.Fatalf("30 requests at once spread as %v", count)
+			t.Fatalf("30 concurrent requests spread as %v, want 10 each", count)
 		}
 	}
 }
 
-// Plain requests stay in their data centre until half of the slots there are taken, and
-// leave before any would wait: at a cost of leaving of 0.004 and one of the slots taken that
-// grew with their square, four in five of them crossed between five data centres.
-func TestPlainRequestsStayNear(t *testing.T) {
+// Requests without an engine stay in their data centre until half of its slots are in use, and
+// leave it before any of them would wait.
+func TestPlainRequestsPreferLocalEndpoints(t *testing.T) {
 	f := newFixture(5)
 	for _, e := range f.endpoints[1:] {
 		e.DataCentre = "far"
@@ -132,7 +131,7 @@
 		f.now = f.now.Add(100 * time.Millisecond)
 		p := b.Place(f.endpoints, d)
 		if p.Endpoint.ID != "e0" {
-			t.Fatalf("an idle endpoint nearby was passed over for %s", p.Endpoint.ID)
+			t.Fatalf("idle local endpoint passed over for %s", p.Endpoint.ID)
 		}
 		p.Done(balance.Served)
 	}
@@ -141,7 +140,7 @@
 		count[b.Place(f.endpoints, d).Endpoint.ID]++
 	}
 	if count["e0"] < 4 || count["e0"] > 7 {
-		t.Errorf("of 30 requests at once %d stay at an endpoint with 8 slots, want at least half of these and not all: %v", count["e0"], count)
+		t.Errorf("of 30 concurrent requests %d placed at the local endpoint, want 4 to 7 of its 8 slots: %v", count["e0"], count)
 	}
 }
 
@@ -161,12 +160,12 @@
 		}
 	}
 	if count["e1"] > 60 || count["e1"] == 0 {
-		t.Fatalf("300 requests went %v; e1 fails all, and is still to be tried at times", count)
+		t.Fatalf("300 requests spread as %v, want 1 to 60 at the failing e1", count)
 	}
 }
 
-// Where all endpoints fail alike, none is fled from.
-func TestCommonFailureMovesNothing(t *testing.T) {
+// If all endpoints fail at the same rate, none is avoided.
+func TestCommonFailuresDoNotShiftTraffic(t *testing.T) {
 	f := newFixture(4)
 	b := f.balancer()
 	d := &balance.Demand{Service: f.plain, Objective: 100 * time.Millisecond}
@@ -183,12 +182,12 @@
 	}
 	for id, n := range count {
 		if n > 160 {
-			t.Fatalf("%s got %d of 400: %v", id, n, count)
+			t.Fatalf("%s got %d of 400 requests: %v", id, n, count)
 		}
 	}
 }
 
-func TestSilenceCountsBeforeTheEnd(t *testing.T) {
+func TestOverdueCountsImmediately(t *testing.T) {
 	f := newFixture(2)
 	b := f.balancer()
 	d := &balance.Demand{Service: f.plain, Objective: 100 * time.Millisecond}
@@ -197,7 +196,7 @@
 		b.Place(f.endpoints[1:], d).Done(balance.Served)
 	}
 	if p := b.Place(f.endpoints, d); p.Endpoint.ID != "e1" {
-		t.Fatal("an endpoint that keeps silent is chosen")
+		t.Fatal("overdue endpoint is chosen")
 	}
 }
 
@@ -211,11 +210,11 @@
 		n++
 	}
 	if n != 8 {
-		t.Fatalf("%d requests at once; the share of one in five of 50 connections, less a margin, is 8", n)
+		t.Fatalf("%d concurrent requests, want 8: a fifth of 50 connections, less the margin", n)
 	}
 }
 
-func TestLeavingAndTriedEndpoints(t *testing.T) {
+func TestDrainingAndTriedEndpoints(t *testing.T) {
 	f := newFixture(3)
 	b := f.balancer()
 	f.endpoints[0].Draining = true
@@ -223,20 +222,20 @@
 	d := &balance.Demand{Service: f.plain}
 	for range 20 {
 		if p := b.Place(f.endpoints, d); p.Endpoint.ID != "e2" {
-			t.Fatalf("placed at %s", p.Endpoint.ID)
+			t.Fatalf("placed at %s, want e2", p.Endpoint.ID)
 		}
 	}
 	d.Avoid = []uint32{balance.EndpointHash("e2")}
 	if p := b.Place(f.endpoints, d); p == nil || p.Endpoint.ID != "e1" {
-		t.Fatal("an endpoint that has just lapsed is the last resort")
+		t.Fatal("endpoint with expired listing is not used as a last resort")
 	}
 	f.now = f.now.Add(2 * time.Second)
 	if p := b.Place(f.endpoints, d); p != nil {
-		t.Fatalf("placed at %s, which lapsed long ago or leaves", p.Endpoint.ID)
+		t.Fatalf("placed at %s, which is draining or whose listing expired long ago", p.Endpoint.ID)
 	}
 }
 
-func TestUnreachableEndpointRests(t *testing.T) {
+func TestUnreachableEndpointIsSkipped(t *testing.T) {
 	f := newFixture(2)
 	b := f.balancer()
 	d := &balance.Demand{Service: f.plain}
@@ -245,14 +244,14 @@
 	p.Done(balance.Failed)
 	for range 5 {
 		if p := b.Place(f.endpoints, d); p.Endpoint.ID == "e0" {
-			t.Fatal("an endpoint that refused a connection is tried at once")
+			t.Fatal("endpoint that refused a connection is tried immediately")
 		}
 	}
 }
 
-// A long answer leaves an engine that reads prompts all the time, where tokens
-// come slowly, even if its prompt is kept there; a short one stays.
-func TestLongAnswersLeaveEnginesThatRead(t *testing.T) {
+// A request with a long output avoids an engine that is busy with prefill, where tokens are slow,
+// even if its prompt is cached there; one with a short output does not.
+func TestLongOutputsAvoidEnginesBusyWithPrefill(t *testing.T) {
 	for _, c := range []struct {
 		output int
 		stays  bool
@@ -269,15 +268,14 @@
 		kept.Output, kept.Deadline = c.output, 4*time.Second
 		f.now = f.now.Add(200 * time.Millisecond)
 		if p := b.Place(f.endpoints, kept); (p.Endpoint.ID == "e0") != c.stays {
-			t.Errorf("an answer of %d tokens is placed at %s (cost %.2f)", c.output, p.Endpoint.ID, p.Cost)
+			t.Errorf("request with an output of %d tokens placed at %s (cost %.2f)", c.output, p.Endpoint.ID, p.Cost)
 		}
 	}
 }
 
-// A choice where 60 other instances tell what they run at each endpoint, a few of them
-// anew before each choice: 1.07 ms at 204 endpoints while what they tell was summed up at
-// each choice.
-func BenchmarkPlaceBesideOthers(bench *testing.B) {
+// BenchmarkPlaceWithRemoteReports places requests while 60 other instances report load at each
+// endpoint, a few of them before each choice.
+func BenchmarkPlaceWithRemoteReports(bench *testing.B) {
 	const others = 60
 	for _, n := range []int{12, 63, 204, 690, 6000, 12000} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -10,7 +10,7 @@
 	"ivyridge/catalog"
 )
 
-// coldFixture has n endpoints, all cold for a minute, that bear 13 requests a second.
+// coldFixture returns n endpoints that are cold for a minute and sustain 13 requests/s.
 func coldFixture(n int) (*fixture, *catalog.Service) {
 	f := newFixture(n)
 	service := *f.plain
@@ -21,8 +21,8 @@
 	return f, &service
 }
 
-// Without a part of its own, an instance sends nothing to cold endpoints, also as a last resort.
-func TestColdEndpointsAreLeftAlone(t *testing.T) {
+// Without a share, an instance sends nothing to cold endpoints, not even as a last resort.
+func TestColdEndpointsNeedAShare(t *testing.T) {
 	f, service := coldFixture(2)
 	f.endpoints[1].ColdUntil = time.Time{}
 	b := f.balancer()
@@ -36,24 +36,23 @@
 	}
 	f.endpoints[0].ColdUntil = f.now
 	if b.Place(f.endpoints[:1], &balance.Demand{Service: service}) == nil {
-		t.Fatal("an endpoint that is cold no more gets nothing")
+		t.Fatal("endpoint that is no longer cold is ineligible")
 	}
 }
 
-// A part that was not worked out anew, since the instance was paused, holds no more.
-func TestColdPartLapses(t *testing.T) {
+// A share that was not renewed, because the instance was paused, expires.
+func TestColdShareExpires(t *testing.T) {
 	f, service := coldFixture(1)
 	b := f.balancer()
 	b.SetColdBounds(balance.ColdBounds{Over: 1.5, Slack: 5})
 	b.SetColdPart(1)
 	f.now = f.now.Add(1100 * time.Millisecond)
 	if p := b.Place(f.endpoints, &balance.Demand{Service: service}); p != nil {
-		t.Fatal("placed at a cold endpoint by a part that is a second old")
+		t.Fatal("placed at a cold endpoint with an expired share")
 	}
 }
 
-// An endpoint that another instance chose is adopted though it is cold: the chooser has
-// counted it.
+// A grant of a cold endpoint is adopted, since the scheduler has charged it.
 func TestGrantOfAColdEndpointIsAdopted(t *testing.T) {
 	f, service := coldFixture(1)
 	scheduler, other := f.balancer(), f.balancer()
@@ -65,13 +64,12 @@
 		t.Fatalf("adopted %+v, want a cold endpoint", p)
 	}
 	if again := scheduler.Grant(7, f.endpoints, d); again.Endpoint != 0 {
-		t.Fatal("granted a second request at once")
+		t.Fatal("granted a second request immediately")
 	}
 }
 
-// Whatever the parts of a fleet's instances are, as long as they are one whole together,
-// and also while one of them has taken over from another that goes on, no second brings a
-// cold endpoint more than is allowed.
+// For any division of the rate among instances, also while two instances hold the same share
+// during a takeover, a cold endpoint receives no more requests within a second than allowed.
 func TestColdBoundHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f, service := coldFixture(1)
@@ -79,7 +77,7 @@
 		bounds := balance.ColdBounds{Over: rapid.Float64Range(1, 2).Draw(rt, "over"), Slack: rapid.Float64Range(0, 10).Draw(rt, "slack")}
 		holders := rapid.IntRange(1, 18).Draw(rt, "holders")
 		twice := 0
-		if holders >= 5 { // where a part is a fifth or less, one may count twice
+		if holders >= 5 { // with a share of a fifth or less, one may be held twice
 			twice = 1
 		}
 		var fleet []*balance.Balancer
@@ -107,7 +105,7 @@
 				}
 			}
 			if allowed := bounds.Over*service.ColdRate + bounds.Slack; float64(n) > allowed {
-				rt.Fatalf("step %d: %d requests within a second, %.1f are allowed", step, n, allowed)
+				rt.Fatalf("step %d: %d requests within a second, want at most %.1f", step, n, allowed)
 			}
 		}
 	})
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -46,26 +46,26 @@
 // that is faster than typical gets no advantage, and queueing costs as much as prefill of the same
 // duration. Otherwise prompts pile up at the few endpoints that look fastest or cache their first
 // part while other endpoints are idle.
-func (b *Balancer) estimate(e *belief.Endpoint, l *load, d *Demand, view *choiceParams, most float64, now time.Time) Placement {
-	p := Placement{Endpoint: e, load: l, Distance: l.distance, failureRate: view.failureRate}
+func (b *Balancer) estimate(e *belief.Endpoint, l *load, d *Demand, params *choiceParams, maxCost float64, now time.Time) Placement {
+	p := Placement{Endpoint: e, load: l, Distance: l.distance, failureRate: params.failureRate}
 	if d.Service.Engine == nil {
-		p.Cost = b.plainCost(e, l, view, now)
+		p.Cost = b.plainCost(e, l, params, now)
 		return p
 	}
 	engine := d.Service.Engine
-	p.Cached = view.cachedTokens
-	reading := float64(d.Prompt-p.Cached) * l.readTime
-	perToken := max(l.readTime, view.typicalReadTime)
+	p.Cached = params.cachedTokens
+	prefillTime := float64(d.Prompt-p.Cached) * l.readTime
+	perToken := max(l.readTime, params.typicalReadTime)
 	reads := readCost * float64(d.Prompt-p.Cached) * perToken
 	if p.Cached == 0 && len(d.Parts) > 0 {
 		first := readCost * float64(min(d.Parts[0].Tokens, d.Prompt)) * perToken
-		reads -= (1 - view.firstPartShare) * first
+		reads -= (1 - params.firstPartShare) * first
 		if l.distance != Beyond {
-			reads -= min(view.paidCrossings, view.firstPartShare*first)
+			reads -= min(params.paidCrossings, params.firstPartShare*first)
 		}
 	}
 	l.observe(now)
-	if reads >= most {
+	if reads >= maxCost {
 		p.Cost = math.Inf(1)
 		return p
 	}
@@ -77,44 +77,44 @@
 	p.Ahead = backlog / p.Pace.ReadTime
 	p.Pace.StepTime = l.stepTime
 	p.Pace.TokenTime = l.tokenTime(total.Requests)
-	p.readingMS = reading
+	p.prefillTime = prefillTime
 	p.Wait = max(backlog, l.stats.slotWait(&total, d.level(), engine.Slots))
-	if d.requireInTime && l.late(d, reading, b.reportInterval, now) {
+	if d.requireInTime && l.late(d, prefillTime, b.reportInterval, now) {
 		p.Cost = math.Inf(1)
 		return p
 	}
 	w := d.weight()
-	late := (p.Wait + reading) / milliseconds(d.Objective)
+	late := (p.Wait + prefillTime) / milliseconds(d.Objective)
 	p.Cost = w * lateness(late)
-	p.Cost += w * failureCost * l.observed.excess(view.failureRate)
-	p.Cost += total.Exposure * (lateness(backlog+reading) - lateness(backlog))
+	p.Cost += w * failureCost * l.observed.excess(params.failureRate)
+	p.Cost += total.Exposure * (lateness(backlog+prefillTime) - lateness(backlog))
 	if d.Pause > 0 {
 		p.Cost += w * l.contention / lateness(milliseconds(d.Pause))
 	}
 	if d.Deadline > 0 && d.Output > 0 {
-		finish := p.Wait + reading + float64(d.Output)*p.Pace.TokenTime
+		finish := p.Wait + prefillTime + float64(d.Output)*p.Pace.TokenTime
 		p.Cost += w * lateness(finish/milliseconds(d.Deadline))
 	}
 	p.Cost += reads
-	if view.typicalReadTime > 0 {
+	if params.typicalReadTime > 0 {
 		p.Cost += readCost * p.Wait
 	}
 	p.Cost += w * slotsCost * overLimit(float64(total.Requests+1), slotsSoftLimit*float64(engine.Slots), float64(engine.Slots))
 	p.Cost += w * memoryCost * overLimit(float64(total.Memory+d.Prompt), memorySoftLimit*float64(engine.MemoryTokens), float64(engine.MemoryTokens))
 	p.Cost += affinityCost * affinity(l.hash, d.Parts)
-	p.Cost += view.locationCost(l, crossDataCentreCost, late/localAdvantageEnd)
+	p.Cost += params.locationCost(l, crossDataCentreCost, late/localAdvantageEnd)
 	return p
 }
 
 // plainCost returns the cost of an endpoint without an engine.
-func (b *Balancer) plainCost(e *belief.Endpoint, l *load, view *choiceParams, now time.Time) float64 {
+func (b *Balancer) plainCost(e *belief.Endpoint, l *load, params *choiceParams, now time.Time) float64 {
 	busy := float64(l.running + l.others.Requests)
 	ends := l.observed
 	slow := l.slowness.of(now)
 	taken := slow * (busy + 1) / float64(max(1, e.Slots))
-	cost := plainCost*lateness(taken) + failureCost*ends.excess(view.failureRate)
+	cost := plainCost*lateness(taken) + failureCost*ends.excess(params.failureRate)
 	cost += rotationCost * ends.Ended * slow
-	cost += view.locationCost(l, plainCrossCost, taken)
+	cost += params.locationCost(l, plainCrossCost, taken)
 	return cost
 }
 
--- a/balance/distance.go
+++ b/balance/distance.go
@@ -90,14 +90,14 @@
 // SetLink records the measured round-trip time and queueing delay of the link to other regions. A
 // queueing delay makes leaving the region more expensive, so that the link drains and control
 // traffic passes.
-func (b *Balancer) SetLink(way, queue time.Duration) {
+func (b *Balancer) SetLink(rtt, queue time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.link = link{roundTrip: way, queue: queue, at: b.now()}
+	b.link = link{roundTrip: rtt, queue: queue, at: b.now()}
 }
 
 // measured returns the last measurement if it is valid, else defaults.
-func (l *link) measured(now time.Time) (way, queue time.Duration) {
+func (l *link) measured(now time.Time) (rtt, queue time.Duration) {
 	if l.at.IsZero() || now.Sub(l.at) > linkTTL {
 		return roundTrip, 0
 	}
@@ -106,23 +106,23 @@
 
 // crossingCosts returns the cost of placing the request in another region, and the same with an
 // idle link.
-func (b *Balancer) crossingCosts(d *Demand, now time.Time) (cost, calm float64) {
-	way, queue := b.link.measured(now)
+func (b *Balancer) crossingCosts(d *Demand, now time.Time) (cost, uncongested float64) {
+	rtt, queue := b.link.measured(now)
 	bytes := d.Bytes + responseHeaderBytes
 	if d.Service.Engine != nil {
 		bytes += responseBytesPerToken * d.Output
 	} else {
 		bytes += plainResponseBytes
-		calm = plainCrossRegionCost
+		uncongested = plainCrossRegionCost
 	}
 	onLink := byteCost * float64(bytes) / 1024
-	calm += onLink
-	cost = calm + onLink*float64(queue)/float64(queueDoublingTime)
+	uncongested += onLink
+	cost = uncongested + onLink*float64(queue)/float64(queueDoublingTime)
 	if d.Objective > 0 {
-		calm += d.weight() * float64(way) / float64(d.Objective)
-		cost += d.weight() * float64(way+queue) / float64(d.Objective)
+		uncongested += d.weight() * float64(rtt) / float64(d.Objective)
+		cost += d.weight() * float64(rtt+queue) / float64(d.Objective)
 	}
-	return cost, calm
+	return cost, uncongested
 }
 
 // locationCost returns the cost of the endpoint's location: near for another data centre, plus the
--- a/balance/distance_test.go
+++ b/balance/distance_test.go
@@ -10,8 +10,8 @@
 	"ivyridge/balance"
 )
 
-// regionsFixture has the first half of n engines at home and the others beyond a narrow link;
-// its balancer stands at home.
+// regionsFixture returns n engines, the second half of them in another region, and a balancer in
+// the first region.
 func regionsFixture(n int) (*fixture, *balance.Balancer) {
 	f := newFixture(n)
 	for _, e := range f.endpoints[n/2:] {
@@ -22,7 +22,8 @@
 	return f, b
 }
 
-// prompt is a request whose first part has so many tokens, with a body of so many bytes.
+// prompt returns a request with shared tokens in its first part and own tokens in its second, and
+// a body of this many bytes.
 func (f *fixture) prompt(id uint64, shared, own, bytes int) *balance.Demand {
 	return &balance.Demand{
 		Service: f.engines, Priority: 2, Objective: 2 * time.Second, Prompt: shared + own, Output: 120, Bytes: bytes,
@@ -30,9 +31,9 @@
 	}
 }
 
-// A long prompt goes where it is read already; a short one, whose reading takes less than its
-// bytes are worth, is read again at home.
-func TestLongPromptsCrossForTheirParts(t *testing.T) {
+// A long prompt goes to the region that caches it; a short one, whose prefill costs less than
+// sending it, is prefilled locally.
+func TestLongPromptsCrossRegionsForCachedParts(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		shared, own, bytes int
@@ -48,14 +49,14 @@
 		f.now = f.now.Add(10 * time.Second)
 		p := b.Place(f.endpoints, f.prompt(5, c.shared, c.own, c.bytes))
 		if crosses := p.Distance == balance.Beyond; crosses != c.crosses {
-			t.Errorf("%s: placed at a distance of %v with %d tokens kept, want crossing: %v", c.name, p.Distance, p.Cached, c.crosses)
+			t.Errorf("%s: placed at distance %v with %d tokens cached, want crossing: %v", c.name, p.Distance, p.Cached, c.crosses)
 		}
 	}
 }
 
-// While datagrams wait for the link, what crosses must save more: first short prompts stay, then
-// long ones. A measurement that has grown old counts no more.
-func TestFullLinkKeepsRequestsHome(t *testing.T) {
+// While the link to the other region is congested, requests stay local. An expired measurement has
+// no effect.
+func TestCongestedLinkKeepsRequestsLocal(t *testing.T) {
 	for _, c := range []struct {
 		queue   time.Duration
 		age     time.Duration
@@ -68,18 +69,18 @@
 		f.now = f.now.Add(c.age)
 		p := b.Place(f.endpoints, f.prompt(5, 13300, 3720, 17000))
 		if crosses := p.Distance == balance.Beyond; crosses != c.crosses {
-			t.Errorf("%v wait for the link, measured %v ago: crosses: %v, want %v", c.queue, c.age, crosses, c.crosses)
+			t.Errorf("queueing delay %v, measured %v ago: crossing: %v, want %v", c.queue, c.age, crosses, c.crosses)
 		}
 	}
 }
 
-// A part that is asked for again and again is read at home once its crossings have cost about
-// as much; one asked for once a minute stays where it is.
-func TestPopularPartsAreHeldInBothRegions(t *testing.T) {
-	// The first of each is placed beyond.
+// A frequently used part is prefilled locally once leaving the region has cost about as much; one
+// used once a minute stays where it is.
+func TestPopularPartsAreCachedInBothRegions(t *testing.T) {
+	// The first request of each case is placed in the other region.
 	for _, c := range []struct {
 		every            time.Duration
-		fewest, farthest int // requests that cross of 40
+		fewest, farthest int // of 40 requests, the range that leaves the region
 	}{
 		{500 * time.Millisecond, 1, 3},
 		{8 * time.Second, 2, 10},
@@ -100,14 +101,14 @@
 			}
 		}
 		if crossed < c.fewest || crossed > c.farthest {
-			t.Errorf("asked for every %v, %d of 40 requests cross, want %d to %d", c.every, crossed, c.fewest, c.farthest)
+			t.Errorf("one request every %v: %d of 40 leave the region, want %d to %d", c.every, crossed, c.fewest, c.farthest)
 		}
 	}
 }
 
-// A region that is overrun spills over before it refuses, also what counts little, and takes
-// requests back as it empties.
-func TestOverrunRegionSpills(t *testing.T) {
+// An overloaded region spills over before it refuses requests of any priority, and stops once it
+// is idle.
+func TestOverloadedRegionSpillsOver(t *testing.T) {
 	for priority := range 10 {
 		f, b := regionsFixture(8)
 		demand := func() *balance.Demand {
@@ -127,17 +128,17 @@
 			}
 		}
 		if beyond < 15 || refused > 0 {
-			t.Errorf("priority %d: of 60 requests at once, more than four engines read in time, %d cross and %d are refused, want at least 15 and none", priority, beyond, refused)
+			t.Errorf("priority %d: of 60 concurrent requests %d leave the region and %d are refused, want at least 15 and none", priority, beyond, refused)
 		}
 		f.now = f.now.Add(30 * time.Second)
 		if p, _ := b.Admit(f.endpoints, demand()); p == nil || p.Distance == balance.Beyond {
-			t.Errorf("priority %d: placed %+v once home is empty, want home", priority, p)
+			t.Errorf("priority %d: placed %+v once the local region is idle, want a local endpoint", priority, p)
 		}
 	}
 }
 
-// A region that is overrun keeps more of its requests while the link is full.
-func TestFullLinkBoundsWhatSpills(t *testing.T) {
+// An overloaded region keeps more of its requests while the link is congested.
+func TestCongestedLinkLimitsSpillover(t *testing.T) {
 	spilled := func(queue time.Duration) (beyond int) {
 		f, b := regionsFixture(8)
 		b.SetLink(25*time.Millisecond, queue)
@@ -150,14 +151,14 @@
 		return beyond
 	}
 	if calm, full := spilled(0), spilled(200*time.Millisecond); 2*full > calm {
-		t.Errorf("of 60 requests at once %d cross a calm link and %d a full one, want less than half as many", calm, full)
+		t.Errorf("of 60 concurrent requests %d cross an idle link and %d a congested one, want less than half as many", calm, full)
 	}
 }
 
-// Requests without a model stay in their region while a slot is free there, in any of its data
-// centres.
+// Requests without an engine stay in their region, in any of its data centres, while slots are
+// free there.
 func TestPlainRequestsStayInTheirRegion(t *testing.T) {
-	f := newFixture(4) // of 8 slots each
+	f := newFixture(4) // with 8 slots each
 	f.endpoints[1].DataCentre = "near"
 	f.endpoints[2].DataCentre, f.endpoints[3].DataCentre = "far", "far"
 	b := f.balancer()
@@ -168,13 +169,12 @@
 		at[b.Place(f.endpoints, d).Distance]++
 	}
 	if home := at[balance.SameDataCentre] + at[balance.SameRegion]; home < 13 || home > 17 {
-		t.Errorf("of 24 requests at once %d stay in a region with 16 slots, want nearly all of these and hardly more: %v", home, at)
+		t.Errorf("of 24 concurrent requests %d stay in a region with 16 slots, want 13 to 17: %v", home, at)
 	}
 }
 
-// Where settings name no region, or one for all, a choice is the same whatever the bodies
-// weigh, and of no other cost.
-func TestOneRegionChangesNothing(t *testing.T) {
+// Without regions, or with a single one, the size of the body affects neither choice nor cost.
+func TestSingleRegionHasNoEffect(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		f := newFixture(9)
 		for i, e := range f.endpoints {
@@ -193,7 +193,7 @@
 			d.Bytes = rapid.IntRange(0, 1_000_000).Draw(r, "bytes")
 			got := single.Place(f.endpoints, d)
 			if got.Endpoint != want.Endpoint || got.Cost != want.Cost {
-				r.Fatalf("placed at %s for %v, want %s for %v", got.Endpoint.ID, got.Cost, want.Endpoint.ID, want.Cost)
+				r.Fatalf("placed at %s with cost %v, want %s with cost %v", got.Endpoint.ID, got.Cost, want.Endpoint.ID, want.Cost)
 			}
 			if rapid.Bool().Draw(r, "ends") {
 				want.Done(balance.Served)
@@ -203,7 +203,7 @@
 	})
 }
 
-// The distance of a data centre that the settings don't name is that of another region.
+// A data centre without a configured region is in another region than those with one.
 func TestDistances(t *testing.T) {
 	regions := balance.Regions{"a1": "a", "a2": "a", "b1": "b"}
 	for _, c := range []struct {
@@ -219,12 +219,12 @@
 		{nil, "a1", "b1", balance.SameRegion},
 	} {
 		if got := c.regions.Between(c.from, c.to); got != c.want {
-			t.Errorf("from %s to %s: %v, want %v", c.from, c.to, got, c.want)
+			t.Errorf("distance from %s to %s = %v, want %v", c.from, c.to, got, c.want)
 		}
 	}
 }
 
-// A choice between two regions costs no more than one within a region: see BenchmarkPlace.
+// Compare with BenchmarkPlace: two regions must not make choices slower.
 func BenchmarkPlaceInTwoRegions(bench *testing.B) {
 	for _, n := range []int{12, 63, 204, 690} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
--- a/balance/fair.go
+++ b/balance/fair.go
@@ -94,11 +94,11 @@
 
 // shareRefusal counts a request that asks for this much work at its best endpoint p, and returns a
 // refusal if its team exceeds its share of an overloaded service, or nil. The caller holds b.mu.
-func (b *Balancer) shareRefusal(endpoints []*belief.Endpoint, d *Demand, p *Placement, asked float64, now time.Time) *Refusal {
+func (b *Balancer) shareRefusal(endpoints []*belief.Endpoint, d *Demand, p *Placement, requestedWork float64, now time.Time) *Refusal {
 	if d.Offered {
 		return nil
 	}
-	r := fair.Request{Team: d.Team, Level: d.level(), Work: asked, Fixed: d.Sent, Chance: rand.Float64()}
+	r := fair.Request{Team: d.Team, Level: d.level(), Work: requestedWork, Fixed: d.Sent, Chance: rand.Float64()}
 	if d.Service.Engine == nil {
 		r.Congestion = b.plainCongestion(endpoints, d, now)
 	} else {
@@ -122,8 +122,8 @@
 
 // grantShare counts a placed request with the work counted in its team's demand, which may differ
 // from the work at the endpoint finally chosen. The caller holds b.mu.
-func (b *Balancer) grantShare(d *Demand, asked float64, now time.Time) {
-	b.sharesOf(d.Service.Name).Grant(now, d.Team, d.level(), asked)
+func (b *Balancer) grantShare(d *Demand, requestedWork float64, now time.Time) {
+	b.sharesOf(d.Service.Name).Grant(now, d.Team, d.level(), requestedWork)
 }
 
 // shareRetryAfter returns the time after which a caller above its team's share should retry.
--- a/balance/fetch_test.go
+++ b/balance/fetch_test.go
@@ -8,8 +8,8 @@
 	"ivyridge/belief"
 )
 
-// fetchFixture has n engines that can take parts from each other; e0 holds the first 6,200
-// tokens of f.long(5), and takes no more requests.
+// fetchFixture returns n engines that can fetch parts from each other. e0 caches the first 6,200
+// tokens of f.long(5), and the returned demand avoids it.
 func fetchFixture(n int) (*fixture, *balance.Balancer, *balance.Demand) {
 	f := newFixture(n)
 	f.engines.Engine.TokenBytes, f.engines.Engine.LinkMbps = 18432, 550_000
@@ -22,25 +22,24 @@
 	return f, b, d
 }
 
-// What another engine holds is fetched, and counted as what the engine holds from then on.
+// Parts cached at another engine are fetched, and count as cached at the target from then on.
 func TestPartsAreFetched(t *testing.T) {
 	f, b, d := fetchFixture(2)
 	p := b.Place(f.endpoints, d)
 	if p.Endpoint.ID != "e1" || p.Donor != f.endpoints[0] || p.Fetched != 6200 || p.Cached != 6200 {
-		t.Fatalf("placed at %s with %d tokens kept, %d from %v, want e1, 6200 and 6200 from e0", p.Endpoint.ID, p.Cached, p.Fetched, p.Donor)
+		t.Fatalf("placed at %s with %d tokens cached, %d fetched from %v, want e1, 6200 and 6200 from e0", p.Endpoint.ID, p.Cached, p.Fetched, p.Donor)
 	}
 	notices := b.Placed()
 	if len(notices) != 1 || notices[0].Fetched != 6200 || notices[0].Uncached != 2800 {
-		t.Fatalf("announced %+v, want 6200 fetched and 2800 to read", notices)
+		t.Fatalf("notices %+v, want 6200 tokens fetched and 2800 to prefill", notices)
 	}
 	f.now = f.now.Add(time.Second)
 	if again := b.Place(f.endpoints[1:], f.long(5)); again.Cached != 6200 || again.Donor != nil {
-		t.Fatalf("then %d tokens are kept, from %v, want 6200 of its own", again.Cached, again.Donor)
+		t.Fatalf("then %d tokens cached and donor %v, want 6200 and none", again.Cached, again.Donor)
 	}
 }
 
-// Nothing is fetched from an engine that leaves, is cold, can't be reached, is in another
-// region or holds hardly more.
+// Nothing is fetched from a donor that is ineligible or caches hardly more.
 func TestPartsAreNotFetched(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -61,18 +60,19 @@
 		{"holds 100 tokens", func(_ *fixture, _ *balance.Balancer, d *balance.Demand) {
 			d.Parts = []balance.Part{{ID: 1, Tokens: 100}, {ID: 99, Tokens: 8900}}
 		}},
-		{"engines that can't move any", func(f *fixture, _ *balance.Balancer, _ *balance.Demand) { f.engines.Engine.LinkMbps = 0 }},
+		{"is of a service without transfers", func(f *fixture, _ *balance.Balancer, _ *balance.Demand) { f.engines.Engine.LinkMbps = 0 }},
 	} {
 		f, b, d := fetchFixture(2)
 		c.change(f, b, d)
 		if p := b.Place(f.endpoints, d); p == nil || p.Donor != nil || p.Fetched != 0 {
-			t.Errorf("from an engine that %s: placed %+v, want nothing fetched", c.name, p)
+			t.Errorf("donor that %s: placed %+v, want nothing fetched", c.name, p)
 		}
 	}
 }
 
-// Of engines that hold as much, one of the same data centre is asked first, and not always the same.
-func TestDonorsTakeTurns(t *testing.T) {
+// Of donors that cache equally much, one in the same data centre is preferred, and they are used
+// in rotation.
+func TestDonorsAreRotated(t *testing.T) {
 	f, b, d := fetchFixture(5)
 	f.endpoints[0].DataCentre = "y"
 	for _, e := range f.endpoints[1:3] {
@@ -87,12 +87,12 @@
 		d.Avoid = append(d.Avoid, balance.EndpointHash(p.Endpoint.ID))
 	}
 	if asked["e1"] != 1 || asked["e2"] != 1 {
-		t.Errorf("asked %v, want e1 and e2 once each", asked)
+		t.Errorf("donors used: %v, want e1 and e2 once each", asked)
 	}
 }
 
-// An instance that asked a scheduler has the same parts fetched, from where it knows the donor.
-func TestGrantNamesTheDonor(t *testing.T) {
+// An instance that adopts a grant fetches the same parts if it knows the donor.
+func TestGrantIncludesDonor(t *testing.T) {
 	f, b, d := fetchFixture(2)
 	c := b.Grant(7, f.endpoints, d)
 	other := f.balancer()
@@ -100,6 +100,6 @@
 		t.Fatalf("adopted %+v, want 6200 tokens from e0", p)
 	}
 	if p, _ := f.balancer().Adopt(c, f.endpoints[1:], d); p == nil || p.Donor != nil || p.Cached != 0 {
-		t.Fatalf("adopted %+v without the donor, want that all is read", p)
+		t.Fatalf("adopted %+v without the donor, want nothing cached", p)
 	}
 }
--- a/balance/grant_test.go
+++ b/balance/grant_test.go
@@ -7,7 +7,7 @@
 	"ivyridge/balance"
 )
 
-// A scheduler counts what it grants, until the instance itself reports it.
+// A scheduler counts its grants until the instance reports the requests itself.
 func TestGrantsCountUntilTheyAreReported(t *testing.T) {
 	f := newFixture(3)
 	scheduler, other := f.balancer(), f.balancer()
@@ -18,32 +18,32 @@
 	}
 	for hash, n := range count {
 		if n != 10 {
-			t.Fatalf("30 grants at once spread as %v (%d)", count, hash)
+			t.Fatalf("30 concurrent grants spread as %v (%d)", count, hash)
 		}
 	}
 	placement, _ := other.Adopt(balance.Choice{Endpoint: balance.EndpointHash("e0")}, f.endpoints, demand)
 	reports, _ := other.Reports(true, 0)
 	scheduler.Merge(7, nil, reports, true)
 	if got := scheduler.Grant(8, f.endpoints, demand).Endpoint; got == balance.EndpointHash("e0") {
-		t.Fatal("granted the one endpoint that is in use")
+		t.Fatal("granted the only endpoint in use")
 	}
 	placement.Done(balance.Served)
 	reports, _ = other.Reports(false, 0)
 	if len(reports) != 1 || reports[0].Requests != 0 {
-		t.Fatalf("after the end: %+v", reports)
+		t.Fatalf("reports after completion: %+v", reports)
 	}
 }
 
 func TestGrantsAreAnnounced(t *testing.T) {
 	f := newFixture(4)
 	a, b := f.balancer(), f.balancer()
-	b.Place(f.endpoints, f.long(5)).Done(balance.Served) // b knows the endpoints
+	b.Place(f.endpoints, f.long(5)).Done(balance.Served) // makes the endpoints known to b
 	b.Placed()
 	c := a.Grant(7, f.endpoints, f.long(77))
 	b.Merge(1, a.Placed(), nil, false)
-	f.now = f.now.Add(time.Second) // a new last part
+	f.now = f.now.Add(time.Second) // changes the last part
 	if got := b.Grant(9, f.endpoints, f.long(77)); got.Endpoint != c.Endpoint || got.Cached != 6200 {
-		t.Fatalf("granted %+v, want the endpoint of %+v with 6200 tokens kept", got, c)
+		t.Fatalf("granted %+v, want the endpoint of %+v with 6200 tokens cached", got, c)
 	}
 }
 
@@ -51,15 +51,15 @@
 	f := newFixture(4)
 	b := f.balancer()
 	if p, _ := b.Adopt(balance.Choice{Endpoint: balance.EndpointHash("e1")}, f.endpoints, f.long(5)); p == nil || !p.Granted {
-		t.Fatalf("got %+v, want a placement that another instance chose", p)
+		t.Fatalf("got %+v, want a placement chosen by another instance", p)
 	}
 	if notices := b.Placed(); len(notices) != 0 {
-		t.Fatalf("announced %+v", notices)
+		t.Fatalf("notices %+v, want none", notices)
 	}
 }
 
-// What an instance knows itself goes before what it is granted.
-func TestAdoptKnowsBetter(t *testing.T) {
+// Adopt rejects a grant that conflicts with the instance's own information.
+func TestAdoptPrefersLocalKnowledge(t *testing.T) {
 	f := newFixture(3)
 	b := f.balancer()
 	b.Place(f.endpoints[:1], f.long(1)).Unreachable()
@@ -68,31 +68,31 @@
 	demand.Avoid = []uint32{balance.EndpointHash("e2")}
 	for _, id := range []string{"e0", "e1", "e2", "e3"} {
 		if p, _ := b.Adopt(balance.Choice{Endpoint: balance.EndpointHash(id)}, f.endpoints, demand); p != nil {
-			t.Errorf("adopted %s", id)
+			t.Errorf("adopted %s, which is known to be ineligible", id)
 		}
 	}
 }
 
-func TestReportsTellWhatChanged(t *testing.T) {
+func TestReportsAreIncremental(t *testing.T) {
 	f := newFixture(3)
 	b := f.balancer()
 	p := b.Place(f.endpoints[:1], f.long(1))
 	_, seen := b.Reports(false, 0)
 	if reports, _ := b.Reports(false, seen); len(reports) != 0 {
-		t.Fatalf("nothing changed, and %+v is told", reports)
+		t.Fatalf("reports without changes: %+v", reports)
 	}
 	p.Done(balance.Served)
 	if reports, _ := b.Reports(false, seen); len(reports) != 1 {
-		t.Fatalf("one end, and %+v is told", reports)
+		t.Fatalf("reports after one completion: %+v", reports)
 	}
 }
 
-// One instance that finds an endpoint gone tells it to all.
-func TestEndpointThatIsGoneIsTold(t *testing.T) {
+// An endpoint that one instance finds gone is skipped by all.
+func TestGoneEndpointIsReported(t *testing.T) {
 	f := newFixture(2)
 	a, b := f.balancer(), f.balancer()
 	d := &balance.Demand{Service: f.plain}
-	b.Place(f.endpoints, d).Done(balance.Served) // b knows the endpoints
+	b.Place(f.endpoints, d).Done(balance.Served) // makes the endpoints known to b
 	b.Place(f.endpoints, d).Done(balance.Served)
 	p := a.Place(f.endpoints[:1], d)
 	p.Gone()
@@ -100,7 +100,7 @@
 	for _, whole := range []bool{true, false} {
 		reports, _ := a.Reports(whole, 0)
 		if len(reports) != 1 || reports[0].Gone <= 0 {
-			t.Fatalf("whole %v: told %+v", whole, reports)
+			t.Fatalf("whole %v: reports %+v", whole, reports)
 		}
 		b.Merge(1, nil, reports, whole)
 	}
@@ -111,9 +111,9 @@
 		}
 	}
 	if p := b.Place(f.endpoints[:1], d); p != nil {
-		t.Fatal("placed at an endpoint that is gone for want of another")
+		t.Fatal("placed at an endpoint that is gone, as a last resort")
 	}
-	// What is told back and forth does not last longer for that.
+	// Repeated reports between instances don't extend the time.
 	for range 20 {
 		f.now = f.now.Add(100 * time.Millisecond)
 		for _, pair := range [][2]*balance.Balancer{{a, b}, {b, a}} {
@@ -122,14 +122,13 @@
 		}
 	}
 	if p := b.Place(f.endpoints[:1], d); p == nil {
-		t.Fatal("an endpoint is taken for gone for good")
+		t.Fatal("endpoint counts as gone forever")
 	}
 }
 
-// An endpoint that one instance can't reach may be reached by others; where two can't,
-// it is left alone for a while. A scheduler does not grant an instance what that one
-// can't reach.
-func TestEndpointThatOthersCantReach(t *testing.T) {
+// An endpoint is skipped only after two instances failed to connect to it, and only for a while.
+// An instance lists the endpoints that it can't reach in its requests to schedulers.
+func TestUnreachableEndpointNeedsQuorum(t *testing.T) {
 	f := newFixture(2)
 	scheduler := f.balancer()
 	d := &balance.Demand{Service: f.plain}
@@ -144,7 +143,7 @@
 	}
 	first := unreachable()
 	if down := first.Unreachable(); len(down) != 1 || down[0] != balance.EndpointHash("e0") {
-		t.Fatalf("can't reach %v, want e0", down)
+		t.Fatalf("unreachable endpoints %v, want e0", down)
 	}
 	tell := func(id uint64, b *balance.Balancer) {
 		reports, _ := b.Reports(false, 0)
@@ -156,7 +155,7 @@
 		got[scheduler.Place(f.endpoints, d).Endpoint.ID] = true
 	}
 	if !got["e0"] {
-		t.Fatal("an endpoint is left alone because one instance can't reach it")
+		t.Fatal("endpoint skipped although only one instance can't reach it")
 	}
 	tell(2, unreachable())
 	for range 6 {
@@ -166,9 +165,9 @@
 	}
 	f.now = f.now.Add(3 * time.Second)
 	if p := scheduler.Place(f.endpoints[:1], d); p == nil {
-		t.Fatal("an endpoint is left alone for good")
+		t.Fatal("endpoint is skipped forever")
 	}
 	if down := first.Unreachable(); len(down) != 0 {
-		t.Fatalf("still can't reach %v", down)
+		t.Fatalf("endpoints %v still count as unreachable", down)
 	}
 }
--- a/balance/homes_test.go
+++ b/balance/homes_test.go
@@ -12,16 +12,16 @@
 	"ivyridge/catalog"
 )
 
-// A world of drawn data centres: some in regions, some in none.
-type places struct {
+// A topology is a random set of data centres, some of them in regions.
+type topology struct {
 	regions   map[string]string // by data centre
 	endpoints []*belief.Endpoint
 }
 
 var regionNames = []string{"north", "south", "east", ""}
 
-func drawPlaces(t *rapid.T) *places {
-	p := &places{regions: make(map[string]string)}
+func drawTopology(t *rapid.T) *topology {
+	p := &topology{regions: make(map[string]string)}
 	for i := range rapid.IntRange(1, 5).Draw(t, "data centres") {
 		name := fmt.Sprint("dc", i)
 		if rapid.Bool().Draw(t, "named in the settings") {
@@ -39,8 +39,9 @@
 	return rapid.SliceOfN(rapid.SampledFrom([]string{"north", "south", "east", "nowhere", ""}), 0, 3).Draw(t, "homes")
 }
 
-// allows reports whether an endpoint may have a request bound to homes, worked out anew.
-func (p *places) allows(homes []string, id string) bool {
+// allows reports whether an endpoint may serve a request restricted to homes. It is independent of
+// the code under test.
+func (p *topology) allows(homes []string, id string) bool {
 	for _, e := range p.endpoints {
 		region := p.regions[e.DataCentre]
 		if e.ID != id || region == "" {
@@ -55,7 +56,7 @@
 	return false
 }
 
-func (p *places) byHash(hash uint32) string {
+func (p *topology) byHash(hash uint32) string {
 	for _, e := range p.endpoints {
 		if balance.EndpointHash(e.ID) == hash {
 			return e.ID
@@ -64,14 +65,15 @@
 	return ""
 }
 
-// Whoever chooses, whatever is down or full, and whatever a scheduler that is wrong about
-// regions chose: a bound request is never sent, and takes no parts, outside its homes.
-func TestBoundRequestsStayAtHome(t *testing.T) {
+// Whichever instance chooses, whatever is down or full, and whatever a scheduler with wrong
+// regions chose, a restricted request is neither sent nor fetches parts outside its allowed
+// regions.
+func TestRestrictedRequestsStayInAllowedRegions(t *testing.T) {
 	service := &catalog.Service{Name: "m", MaxConns: 100, Engine: &catalog.Engine{
 		Slots: 2, MemoryTokens: 30_000, TokenBytes: 1000, LinkMbps: 1e5}}
 	plain := &catalog.Service{Name: "p", MaxConns: 100}
 	rapid.Check(t, func(t *rapid.T) {
-		p := drawPlaces(t)
+		p := drawTopology(t)
 		now := time.Unix(1000, 0)
 		b := balance.New(fmt.Sprint("dc", rapid.IntRange(0, 5).Draw(t, "own")), func() time.Time { return now })
 		b.SetRegions(p.regions)
@@ -100,19 +102,19 @@
 					wrong.Donor = balance.EndpointHash(rapid.SampledFrom(p.endpoints).Draw(t, "donor").ID)
 				}
 				adopted, _ := b.Adopt(wrong, p.endpoints, d)
-				running = adopt(adopted, &chosen, &donor, running)
+				running = recordPlacement(adopted, &chosen, &donor, running)
 			default:
 				placement, _ := b.Admit(p.endpoints, d)
-				running = adopt(placement, &chosen, &donor, running)
+				running = recordPlacement(placement, &chosen, &donor, running)
 			}
 			if !d.Homes.Bound() {
 				continue
 			}
 			if chosen != "" && !p.allows(homes, chosen) {
-				t.Fatalf("chose %s in %q for homes %q", chosen, p.regions[chosen[:3]], homes)
+				t.Fatalf("chose %s in region %q, allowed %q", chosen, p.regions[chosen[:3]], homes)
 			}
 			if donor != "" && !p.allows(homes, donor) {
-				t.Fatalf("fetches from %s in %q for homes %q", donor, p.regions[donor[:3]], homes)
+				t.Fatalf("fetches from %s in region %q, allowed %q", donor, p.regions[donor[:3]], homes)
 			}
 			if len(running) > 0 && rapid.Bool().Draw(t, "one ends") {
 				if rapid.Bool().Draw(t, "unreachable") {
@@ -126,8 +128,8 @@
 	})
 }
 
-// adopt notes where a placement is, if there is one.
-func adopt(p *balance.Placement, chosen, donor *string, running []*balance.Placement) []*balance.Placement {
+// recordPlacement records the placement's endpoint and donor, if there is one.
+func recordPlacement(p *balance.Placement, chosen, donor *string, running []*balance.Placement) []*balance.Placement {
 	if p == nil {
 		return running
 	}
@@ -138,22 +140,22 @@
 	return append(running, p)
 }
 
-// checkNotices fails the test if a region would be told parts that may not be known there.
+// checkNotices fails the test if a region would be sent parts that must not be disclosed there.
 func checkNotices(t *rapid.T, notices []balance.Notice) {
 	for _, region := range regionNames {
 		told := balance.Withhold(notices, region)
 		if len(told) != len(notices) {
-			t.Fatalf("%d notices of %d are told", len(told), len(notices))
+			t.Fatalf("%d of %d notices passed on", len(told), len(notices))
 		}
 		for i, n := range told {
 			if len(n.Parts) > 0 && !notices[i].Homes.Allows(region) {
-				t.Fatalf("%q is told %v, with homes %v", region, n.Parts, notices[i].Homes.Regions())
+				t.Fatalf("region %q is sent parts %v, allowed %v", region, n.Parts, notices[i].Homes.Regions())
 			}
 			if n.Endpoint != notices[i].Endpoint || n.Uncached != notices[i].Uncached {
-				t.Fatalf("the load is not told: %+v, want %+v", n, notices[i])
+				t.Fatalf("notice without load: %+v, want %+v", n, notices[i])
 			}
 			if len(notices[i].Parts) > 0 && notices[i].Homes.Allows(region) && len(n.Parts) == 0 {
-				t.Fatalf("%q is not told parts that it may know", region)
+				t.Fatalf("region %q is not sent parts that it may know", region)
 			}
 		}
 	}
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -233,9 +233,9 @@
 		lim.permits = append(lim.permits, asked.Add(PermitFor))
 		return
 	}
-	opens := b.now().Add(a.Wait)
-	lim.deniedUntil[urgency] = opens
-	b.limitsClosedUntil = latest(b.limitsClosedUntil, opens)
+	until := b.now().Add(a.Wait)
+	lim.deniedUntil[urgency] = until
+	b.limitsClosedUntil = latest(b.limitsClosedUntil, until)
 }
 
 // Word returns the known state of an endpoint's rate limit.
@@ -350,29 +350,29 @@
 
 // limitCongestion returns the service's shortage of permits; fair shares apply from 1.
 func (f *serviceStats) limitCongestion(now time.Time) float64 {
-	return f.permits.denied(now) / unpermittedThreshold
+	return f.permits.deniedShare(now) / unpermittedThreshold
 }
 
 // permitStats counts requests that found a permit, and those that did not at first, with
 // exponential decay.
 type permitStats struct {
-	all, none float64
-	at        time.Time
+	all, denied float64
+	at          time.Time
 }
 
 // count records one request.
 func (c *permitStats) count(now time.Time, found bool) {
 	keep := math.Exp(-now.Sub(c.at).Seconds() / unpermittedWindow.Seconds())
-	c.all, c.none, c.at = c.all*keep+1, c.none*keep, now
+	c.all, c.denied, c.at = c.all*keep+1, c.denied*keep, now
 	if !found {
-		c.none++
+		c.denied++
 	}
 }
 
-// denied returns the share of requests that found no permit.
-func (c *permitStats) denied(now time.Time) float64 {
+// deniedShare returns the share of requests that found no permit.
+func (c *permitStats) deniedShare(now time.Time) float64 {
 	keep := math.Exp(-now.Sub(c.at).Seconds() / unpermittedWindow.Seconds())
-	return c.none * keep / (c.all*keep + unpermittedPrior)
+	return c.denied * keep / (c.all*keep + unpermittedPrior)
 }
 
 // A decayingCount counts events of about the last second.
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -11,157 +11,156 @@
 	"ivyridge/limit"
 )
 
-// urgency is that of the requests.
+// urgency of the requests in these tests.
 const urgency = 0
 
-// named has the endpoint that a request is placed at name a limit.
-func (f *fixture) named(b *balance.Balancer, endpoint int, rate float64) {
+// announceLimit makes an endpoint announce a rate limit in a response.
+func (f *fixture) announceLimit(b *balance.Balancer, endpoint int, rate float64) {
 	p := b.Place(f.endpoints[endpoint:endpoint+1], f.stream())
 	p.Limits(rate)
 	p.Done(balance.Served)
 	f.now = f.now.Add(time.Millisecond)
 }
 
-// An endpoint that names a limit is chosen once a permit for it is in hand, and one permit is for
-// one request.
-func TestEndpointWithALimitNeedsAPermit(t *testing.T) {
+// An endpoint with a rate limit is chosen only with a permit, and each permit is for one request.
+func TestLimitedEndpointNeedsAPermit(t *testing.T) {
 	f := newFixture(1)
 	b := f.balancer()
-	f.named(b, 0, 1.2)
+	f.announceLimit(b, 0, 1.2)
 	p, refusal := b.Admit(f.endpoints, f.stream())
 	if p != nil || refusal.Cause != balance.PermitWanted || refusal.Limited != f.endpoints[0] {
-		t.Fatalf("got %+v, %+v", p, refusal)
+		t.Fatalf("got %+v, %+v, want refusal with cause PermitWanted", p, refusal)
 	}
 	endpoint, word, ok := b.WantPermit(refusal.Limited, urgency)
 	if !ok || !word.Named || word.Rate != 1.2 {
-		t.Fatalf("got %+v, %v", word, ok)
+		t.Fatalf("got %+v, %v, want a limit of 1.2", word, ok)
 	}
 	if _, _, again := b.WantPermit(refusal.Limited, urgency); again {
-		t.Error("two requests ask for a permit at the same time")
+		t.Error("two permit requests in flight")
 	}
 	b.TakePermit(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
 	p, refusal = b.Admit(f.endpoints, f.stream())
 	if refusal != nil || !p.MaySend() {
-		t.Fatalf("with a permit a request is refused: %+v", refusal)
+		t.Fatalf("refused with a permit: %+v", refusal)
 	}
 	if p.MaySend() {
-		t.Error("a permit is used twice")
+		t.Error("permit is used twice")
 	}
 	if _, refusal = b.Admit(f.endpoints, f.stream()); refusal == nil || refusal.Cause != balance.PermitWanted {
-		t.Errorf("a second request got %+v", refusal)
+		t.Errorf("second request got %+v, want cause PermitWanted", refusal)
 	}
 }
 
-// Where it is denied, others are chosen at once; where there are none, callers are told when
-// permits are asked for again, and later the more are refused.
+// After a denial other endpoints are chosen. If there are none, callers are told when permits may
+// be requested again, later if many were refused.
 func TestDeniedPermits(t *testing.T) {
 	f := newFixture(2)
 	b := f.balancer()
-	f.named(b, 0, 1.2)
+	f.announceLimit(b, 0, 1.2)
 	endpoint, _, _ := b.WantPermit(f.endpoints[0], urgency)
 	b.TakePermit(endpoint, urgency, limit.Answer{Wait: 700 * time.Millisecond}, "a", f.now)
 	for range 10 {
 		if p, refusal := b.Admit(f.endpoints, f.stream()); refusal != nil || p.Endpoint != f.endpoints[1] {
-			t.Fatalf("got %+v", refusal)
+			t.Fatalf("got %+v, want a placement at the other endpoint", refusal)
 		}
 	}
 	if got := b.Resting(f.stream()); len(got) != 1 || got[0] != endpoint {
-		t.Errorf("asks of schedulers name %v as closed", got)
+		t.Errorf("Resting() = %v, want the closed endpoint", got)
 	}
 	var longest time.Duration
 	for range 100 {
 		_, refusal := b.Admit(f.endpoints[:1], f.stream())
 		if refusal == nil || refusal.Cause != balance.EndpointsLimited || refusal.Wait != 700*time.Millisecond || refusal.RetryAfter < refusal.Wait {
-			t.Fatalf("got %+v", refusal)
+			t.Fatalf("got %+v, want cause EndpointsLimited", refusal)
 		}
 		longest = max(longest, refusal.RetryAfter)
 	}
 	if longest < 2*time.Second {
-		t.Errorf("a hundred refused at 1.2 a second are told to come back within %v", longest)
+		t.Errorf("a hundred refused callers are told to retry within %v, want at least 2s", longest)
 	}
 	f.now = f.now.Add(700 * time.Millisecond)
 	if _, refusal := b.Admit(f.endpoints[:1], f.stream()); refusal == nil || refusal.Cause != balance.PermitWanted {
-		t.Errorf("after the wait a request got %+v", refusal)
+		t.Errorf("after the wait a request got %+v, want cause PermitWanted", refusal)
 	}
 }
 
-// A permit that was denied to a less urgent request may be there for a more urgent one.
-func TestUrgentRequestsAskAgain(t *testing.T) {
+// A denial to a less urgent request does not block permit requests of more urgent ones.
+func TestUrgentRequestsMayAskAfterDenial(t *testing.T) {
 	f := newFixture(1)
 	b := f.balancer()
-	f.named(b, 0, 1.2)
+	f.announceLimit(b, 0, 1.2)
 	endpoint, _, _ := b.WantPermit(f.endpoints[0], 4)
 	b.TakePermit(endpoint, 4, limit.Answer{Wait: time.Second}, "a", f.now)
 	if _, refusal := b.Admit(f.endpoints, f.long(9)); refusal == nil || refusal.Cause != balance.EndpointsLimited {
-		t.Errorf("a less urgent request got %+v", refusal)
+		t.Errorf("less urgent request got %+v, want cause EndpointsLimited", refusal)
 	}
 	if _, refusal := b.Admit(f.endpoints, f.stream()); refusal == nil || refusal.Cause != balance.PermitWanted {
-		t.Errorf("a more urgent request got %+v", refusal)
+		t.Errorf("more urgent request got %+v, want cause PermitWanted", refusal)
 	}
 }
 
-// A limit that is named while a request is on its way to the endpoint holds for it; a permit that is
-// not used goes to the next request, and none holds for long.
-func TestPermitsAreKeptAndLapse(t *testing.T) {
+// A limit applies to requests already placed when it is announced. An unused permit passes to the
+// next request, and permits expire.
+func TestPermitsAreReturnedAndExpire(t *testing.T) {
 	f := newFixture(1)
 	b := f.balancer()
 	early, _ := b.Admit(f.endpoints, f.stream())
-	f.named(b, 0, 1.2)
+	f.announceLimit(b, 0, 1.2)
 	if early.MaySend() {
-		t.Error("a request leaves without a permit")
+		t.Error("request may be sent without a permit")
 	}
 	endpoint, _, _ := b.WantPermit(f.endpoints[0], urgency)
 	b.TakePermit(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
 	p, _ := b.Admit(f.endpoints, f.stream())
-	p.Done(balance.Unknown) // its connection failed
+	p.Done(balance.Unknown) // connection failed
 	p, refusal := b.Admit(f.endpoints, f.stream())
 	if refusal != nil {
-		t.Fatalf("a permit that was not used is lost: %+v", refusal)
+		t.Fatalf("unused permit is lost: %+v", refusal)
 	}
 	f.now = f.now.Add(time.Second)
 	if p.MaySend() {
-		t.Error("a permit holds for a second")
+		t.Error("permit is still valid after a second")
 	}
 }
 
-// Only an answer to a request that was sent since the limit was named ends it.
-func TestLimitIsOver(t *testing.T) {
+// A limit is lifted only by a response to a request sent after the limit was announced.
+func TestLimitIsLifted(t *testing.T) {
 	f := newFixture(1)
 	b := f.balancer()
 	early, _ := b.Admit(f.endpoints, f.stream())
 	f.now = f.now.Add(time.Millisecond)
-	f.named(b, 0, 1.2)
+	f.announceLimit(b, 0, 1.2)
 	if early.Unlimited() {
-		t.Error("an answer that may be older ends a limit")
+		t.Error("response that may predate the limit lifts it")
 	}
 	endpoint, _, _ := b.WantPermit(f.endpoints[0], urgency)
 	b.TakePermit(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
 	p, _ := b.Admit(f.endpoints, f.stream())
 	f.now = f.now.Add(2 * time.Second)
 	if !p.Unlimited() {
-		t.Error("an answer without a limit does not end it")
+		t.Error("response without a limit does not lift it")
 	}
 	if _, refusal := b.Admit(f.endpoints, f.stream()); refusal != nil {
-		t.Errorf("after a limit a request got %+v", refusal)
+		t.Errorf("request refused after the limit was lifted: %+v", refusal)
 	}
 }
 
-// What one instance heard all know, also that it is over.
-func TestLimitsAreTold(t *testing.T) {
+// Limits, and that they were lifted, are reported to other instances.
+func TestLimitsAreReported(t *testing.T) {
 	f := newFixture(1)
 	b, other := f.balancer(), f.balancer()
 	other.Place(f.endpoints, f.stream()).Done(balance.Served)
-	f.named(b, 0, 1.2)
+	f.announceLimit(b, 0, 1.2)
 	tell := func() {
 		reports, _ := b.Reports(true, 0)
 		other.Merge(1, nil, reports, true)
 	}
 	tell()
 	if _, refusal := other.Admit(f.endpoints, f.stream()); refusal == nil || refusal.Cause != balance.PermitWanted {
-		t.Errorf("another instance got %+v", refusal)
+		t.Errorf("another instance got %+v, want cause PermitWanted", refusal)
 	}
 	if sums, _ := other.Sums(func(uint64) bool { return true }, true, 0); len(sums) != 1 || !sums[0].Limit.Named {
-		t.Errorf("it passes on %+v", sums)
+		t.Errorf("sums %+v, want one with the limit", sums)
 	}
 	endpoint, _, _ := b.WantPermit(f.endpoints[0], urgency)
 	b.TakePermit(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
@@ -169,58 +168,58 @@
 	p, _ := b.Admit(f.endpoints, f.stream())
 	p.Unlimited()
 	f.now = f.now.Add(time.Second)
-	p, _ = b.Admit(f.endpoints, f.stream()) // what is told counts as older than it is
+	p, _ = b.Admit(f.endpoints, f.stream()) // reported limits count as older than they are
 	p.Unlimited()
 	tell()
 	if _, refusal := other.Admit(f.endpoints, f.stream()); refusal != nil {
-		t.Errorf("after the limit another instance got %+v", refusal)
+		t.Errorf("request refused after the limit was lifted: %+v", refusal)
 	}
 }
 
-// A limit is that of a process: one that starts anew under the ID has named none, unless the birth
-// was only not known yet.
-func TestLimitOfAProcess(t *testing.T) {
+// A limit applies to one process, not to one restarted under the same ID, unless it may be the
+// same process whose start time was not known yet.
+func TestLimitAppliesToOneProcess(t *testing.T) {
 	f := newFixture(1)
 	b := f.balancer()
-	f.named(b, 0, 1.2)
+	f.announceLimit(b, 0, 1.2)
 	listed := *f.endpoints[0]
 	listed.Born = 1000
 	known := []*belief.Endpoint{&listed}
 	if _, refusal := b.Admit(known, f.stream()); refusal == nil || refusal.Cause != balance.PermitWanted {
-		t.Errorf("once the birth is known a request got %+v", refusal)
+		t.Errorf("request got %+v once the start time is known, want cause PermitWanted", refusal)
 	}
 	f.now = f.now.Add(time.Minute)
 	anew := listed
 	anew.Born = 61000
 	if _, refusal := b.Admit([]*belief.Endpoint{&anew}, f.stream()); refusal != nil {
-		t.Errorf("at a process that has started anew a request got %+v", refusal)
+		t.Errorf("request to a restarted process refused: %+v", refusal)
 	}
 }
 
-// A scheduler chooses an endpoint that names a limit for another instance, which asks for a permit
-// itself; and parts of prompts are not fetched from such endpoints.
+// A scheduler grants an endpoint with a limit; the instance that adopts the grant requests the
+// permit.
 func TestGrantsOfLimitedEndpoints(t *testing.T) {
 	f := newFixture(1)
 	scheduler, asks := f.balancer(), f.balancer()
 	asks.Place(f.endpoints, f.stream()).Done(balance.Served)
-	f.named(asks, 0, 1.2)
+	f.announceLimit(asks, 0, 1.2)
 	c := scheduler.Grant(7, f.endpoints, f.stream())
 	p, refusal := asks.Adopt(c, f.endpoints, f.stream())
 	if p != nil || refusal == nil || refusal.Cause != balance.PermitWanted {
-		t.Fatalf("got %+v, %+v", p, refusal)
+		t.Fatalf("got %+v, %+v, want refusal with cause PermitWanted", p, refusal)
 	}
 	endpoint, _, _ := asks.WantPermit(f.endpoints[0], urgency)
 	asks.TakePermit(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
 	if p, _ = asks.Adopt(c, f.endpoints, f.stream()); p == nil || !p.MaySend() {
-		t.Error("with a permit a grant is not taken")
+		t.Error("grant is not adopted with a permit")
 	}
 	if p, refusal = asks.Adopt(c, f.endpoints, &balance.Demand{Service: f.stream().Service, Permitted: true}); p != nil || refusal != nil {
-		t.Errorf("one that asks no more got %+v, %+v", p, refusal)
+		t.Errorf("request with Permitted set got %+v, %+v, want neither", p, refusal)
 	}
 }
 
-// Over drawn requests, permits, waits and words of other instances, no request leaves for an endpoint
-// that names a limit without a permit of its own that is younger than half a second.
+// For random requests, permits, waits and time steps, no request is sent to an endpoint with a
+// limit without its own permit of at most half a second of age.
 func TestNoRequestLeavesWithoutPermit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFixture(3)
@@ -263,7 +262,7 @@
 						all = all[1:]
 					}
 					if len(all) == 0 {
-						rt.Fatalf("a request leaves for %s without a permit", p.Endpoint.ID)
+						rt.Fatalf("request sent to %s without a permit", p.Endpoint.ID)
 					}
 					granted[endpoint] = all[1:]
 				}
--- a/balance/listing.go
+++ b/balance/listing.go
@@ -71,7 +71,7 @@
 // update replaces the listed endpoints. Unchanged endpoints keep their pointers and mostly their
 // order, so beyond one pointer comparison each, the cost is proportional to the changes.
 func (r *listing) update(endpoints []*belief.Endpoint) {
-	var gone, come []*belief.Endpoint
+	var removed, added []*belief.Endpoint
 	i, j := 0, 0
 	for i < len(r.all) && j < len(endpoints) {
 		switch before, now := r.all[i], endpoints[j]; {
@@ -79,19 +79,19 @@
 			i++
 			j++
 		case before.ID < now.ID:
-			gone = append(gone, before)
+			removed = append(removed, before)
 			i++
 		case before.ID > now.ID:
-			come = append(come, now)
+			added = append(added, now)
 			j++
 		default:
-			gone, come = append(gone, before), append(come, now)
+			removed, added = append(removed, before), append(added, now)
 			i++
 			j++
 		}
 	}
-	gone, come = append(gone, r.all[i:]...), append(come, endpoints[j:]...)
-	for _, e := range gone {
+	removed, added = append(removed, r.all[i:]...), append(added, endpoints[j:]...)
+	for _, e := range removed {
 		if hash := EndpointHash(e.Incarnation()); r.byHash[hash] == e {
 			delete(r.byHash, hash)
 		}
@@ -99,7 +99,7 @@
 			r.open--
 		}
 	}
-	for _, e := range come {
+	for _, e := range added {
 		r.byHash[EndpointHash(e.Incarnation())] = e
 		if !e.Closed() {
 			r.open++
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -11,7 +11,7 @@
 	"ivyridge/catalog"
 )
 
-// newLargeFixture returns one of n endpoints in five data centres, ordered by ID.
+// newLargeFixture returns n endpoints in five data centres, ordered by ID.
 func newLargeFixture(n int) *fixture {
 	f := newFixture(0)
 	f.engines.Engine.Slots = 32
@@ -21,17 +21,17 @@
 	return f
 }
 
-// An ended request gives its endpoint free at a time.
-type ended struct {
+// A runningRequest ends at a time.
+type runningRequest struct {
 	at time.Time
 	p  *balance.Placement
 }
 
-// load has requests placed, so many a second for a time, each of which lasts for so long, and
-// returns how many came to each endpoint, and the longest wait.
+// load places rate requests per second for a time d, each running for lasts. It returns the number
+// of requests per endpoint and the longest wait.
 func (f *fixture) load(b *balance.Balancer, rate int, d, lasts time.Duration, request func() *balance.Demand) (at map[string]int, worst time.Duration) {
 	at = make(map[string]int)
-	var ends []ended
+	var ends []runningRequest
 	step := time.Second / time.Duration(rate)
 	for until := f.now.Add(d); f.now.Before(until); f.now = f.now.Add(step) {
 		for len(ends) > 0 && !ends[0].at.After(f.now) {
@@ -42,7 +42,7 @@
 		b.Placed()
 		at[p.Endpoint.ID]++
 		worst = max(worst, time.Duration(p.Wait*float64(time.Millisecond)))
-		ends = append(ends, ended{f.now.Add(lasts), p})
+		ends = append(ends, runningRequest{f.now.Add(lasts), p})
 	}
 	for _, e := range ends {
 		e.p.Done(balance.Served)
@@ -50,21 +50,21 @@
 	return at, worst
 }
 
-// lookup is a request without a model; they take turns among the endpoints.
+// lookup returns a request without an engine.
 func (f *fixture) lookup() *balance.Demand {
 	return &balance.Demand{Service: f.plain, Objective: 150 * time.Millisecond}
 }
 
-// chat is a request of a session for a model, with nothing that others have read.
+// chat returns an engine request without cacheable parts.
 func (f *fixture) chat() *balance.Demand {
 	d := f.stream()
 	d.Prompt, d.Parts = 2000, nil
 	return d
 }
 
-// At a demand that some endpoints serve, as many are used however many are listed, in all data
-// centres.
-func TestALargeFleetUsesFewEndpoints(t *testing.T) {
+// The number of endpoints used depends on the demand, not on the size of the fleet, and all data
+// centres are used.
+func TestWorkingSetFollowsDemandNotFleetSize(t *testing.T) {
 	for _, n := range []int{1500, 6000} {
 		f := newLargeFixture(n)
 		b := f.balancer()
@@ -74,20 +74,20 @@
 			places[id[len(id)-1]%5]++
 		}
 		set := b.WorkingSets()[0]
-		t.Logf("%d endpoints are used: %+v", len(at), set)
+		t.Logf("%d endpoints used: %+v", len(at), set)
 		if len(at) < 200 || len(at) > 320 || set.Used > 320 || set.Listed != n {
-			t.Errorf("%d of %d endpoints are used", len(at), n)
+			t.Errorf("%d of %d endpoints used", len(at), n)
 		}
 		for place, used := range places {
 			if used < 25 {
-				t.Errorf("%d of %d are in data centre %d", used, len(at), place)
+				t.Errorf("%d of %d used endpoints are in data centre %d", used, len(at), place)
 			}
 		}
 	}
 }
 
-// Instances that have not heard of each other use the same endpoints, also where one lists a few
-// more or has more demand.
+// Instances that don't communicate use the same endpoints, even if their lists and demand differ
+// slightly.
 func TestInstancesAgreeOnTheWorkingSet(t *testing.T) {
 	f := newLargeFixture(6000)
 	first, _ := f.load(f.balancer(), 200, 10*time.Second, 20*time.Millisecond, f.lookup)
@@ -104,9 +104,9 @@
 	}
 }
 
-// A rush of forty times the demand finds the endpoints that rest at once, and some time after it
-// few are used again.
-func TestARushFindsTheRest(t *testing.T) {
+// A surge of forty times the demand is spread to unused endpoints at once, and the working set
+// shrinks afterwards.
+func TestWorkingSetGrowsInASurge(t *testing.T) {
 	f := newLargeFixture(6000)
 	b := f.balancer()
 	f.load(b, 50, 2*time.Second, 400*time.Millisecond, f.chat)
@@ -115,18 +115,18 @@
 	rush := b.WorkingSets()[0].Used
 	f.load(b, 10, 60*time.Second, 400*time.Millisecond, f.chat)
 	after := b.WorkingSets()[0].Used
-	t.Logf("%d endpoints, %d in the rush, %d after it; the longest wait %v", calm, rush, after, worst)
+	t.Logf("%d endpoints used before, %d during and %d after the surge; longest wait %v", calm, rush, after, worst)
 	if worst > 150*time.Millisecond {
-		t.Errorf("in a rush a request waits for %v while endpoints rest", worst)
+		t.Errorf("request waits for %v while other endpoints are idle", worst)
 	}
 	if rush < 2*calm || after > 2*calm {
-		t.Errorf("%d endpoints are used, %d in a rush, %d after it", calm, rush, after)
+		t.Errorf("%d endpoints used before, %d during and %d after the surge", calm, rush, after)
 	}
 }
 
-// Endpoints are replaced all the time, and a third of the set is unreachable at once: every request
-// finds one, and the set keeps its size.
-func TestWorkingSetThatIsReplaced(t *testing.T) {
+// While endpoints are replaced continuously, and when a third of the set becomes unreachable,
+// every request finds an endpoint and the set keeps its size.
+func TestWorkingSetUnderChurn(t *testing.T) {
 	f := newLargeFixture(3000)
 	b := f.balancer()
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -144,11 +144,11 @@
 		at, _ = f.load(b, 200, time.Second, 20*time.Millisecond, f.lookup)
 		for _, e := range f.endpoints {
 			if e.Draining && at[e.ID] > 0 {
-				t.Fatalf("%s leaves and gets requests", e.ID)
+				t.Fatalf("draining endpoint %s is used", e.ID)
 			}
 		}
 		if set := b.WorkingSets()[0]; set.Used > 450 || set.Used < 200 {
-			t.Fatalf("the set is %+v", set)
+			t.Fatalf("working set %+v, want 200 to 450 endpoints", set)
 		}
 	}
 	lost := 0
@@ -160,7 +160,7 @@
 	f.load(b, 200, time.Second, 20*time.Millisecond, f.lookup)
 }
 
-// unreachable has an endpoint refuse a connection.
+// unreachable makes connections to an endpoint fail.
 func (f *fixture) unreachable(b *balance.Balancer, id string) {
 	for i, e := range f.endpoints {
 		if e.ID == id && !e.Closed() {
@@ -171,8 +171,8 @@
 	}
 }
 
-// Where nothing in the set may serve a request, what else is listed is looked at.
-func TestRequestThatTheWorkingSetCannotServe(t *testing.T) {
+// If no endpoint of the working set is eligible, the others are considered.
+func TestRequestOutsideTheWorkingSet(t *testing.T) {
 	f := newLargeFixture(1400)
 	b := f.balancer()
 	f.load(b, 100, time.Second, 20*time.Millisecond, f.chat)
@@ -183,13 +183,12 @@
 		}
 	}
 	if p := b.Place(f.endpoints, d); p == nil || p.Endpoint != f.endpoints[1234] {
-		t.Errorf("the one endpoint of %d that may serve a request is not found", len(f.endpoints))
+		t.Errorf("the only eligible endpoint of %d is not found", len(f.endpoints))
 	}
 }
 
-// BenchmarkPlaceInALargeFleet is a choice among n endpoints where 60 other instances tell what they
-// run at 200 of them, a few anew before each choice: at 6,000 listed 1,590 us with all looked at, and
-// 62 us in a working set.
+// BenchmarkPlaceInALargeFleet places requests among n endpoints while 60 other instances report
+// load at 200 of them, a few before each choice.
 func BenchmarkPlaceInALargeFleet(bench *testing.B) {
 	const others, used = 60, 200
 	for _, n := range []int{204, 6000, 12000} {
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -122,8 +122,8 @@
 	if p.Pace == (Pace{}) {
 		return 0
 	}
-	reading := float64(p.charge.uncached) * p.Pace.ReadTime
-	return time.Duration((p.Wait + reading + fixedOverhead) * float64(time.Millisecond))
+	prefillTime := float64(p.charge.uncached) * p.Pace.ReadTime
+	return time.Duration((p.Wait + prefillTime + fixedOverhead) * float64(time.Millisecond))
 }
 
 // markRead records that the endpoint has prefilled the request's prompt. The caller holds the
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -38,7 +38,7 @@
 	failureRate    float64          // failure rate of the service
 	excessFailures float64          // failure rate of the endpoint above that of the service, if another instance chose
 	outputTokens   int              // expected tokens
-	readingMS      float64          // prefill time of the request in ms
+	prefillTime    float64          // prefill time of the request in ms
 	Wait           float64          // ms before prefill of the prompt starts, for a slot or queued prompts
 	balancer       *Balancer
 	load           *load
--- a/balance/popular_test.go
+++ b/balance/popular_test.go
@@ -7,18 +7,15 @@
 	"ivyridge/balance"
 )
 
-// Symptom: long prompts went to 75 of 204 engines, each of which read half of the time
-// and made tokens slowly, while 6 engines had no request in 34 s.
-//
-// Cause: that an engine lacks the part with which a quarter of all prompts begin was
-// charged to the one request that would have it read there.
-func TestPromptsWithACommonPartUseAllEngines(t *testing.T) {
+// Guards against prompts with a popular first part being confined to the few engines that cache
+// it. That happens if its prefill at one more engine is charged to a single request.
+func TestPopularPartUsesAllEngines(t *testing.T) {
 	f := newFixture(20)
 	b := f.balancer()
 	used := make(map[string]int)
 	var running []*balance.Placement
 	for i := range 3000 {
-		f.now = f.now.Add(10 * time.Millisecond) // the reading of eight engines
+		f.now = f.now.Add(10 * time.Millisecond) // prefill load of eight engines
 		p := b.Place(f.endpoints, f.long(uint64(100+i)))
 		used[p.Endpoint.ID]++
 		running = append(running, p)
@@ -32,12 +29,12 @@
 		busiest = max(busiest, n)
 	}
 	if len(used) < 17 || busiest > 200 {
-		t.Errorf("%d of 20 engines had all 3000 requests, the busiest %d: %v", len(used), busiest, used)
+		t.Errorf("%d of 20 engines used for 3000 requests, at most %d at one: %v", len(used), busiest, used)
 	}
 }
 
-// A part that few requests share stays where it is.
-func TestPromptsWithARarePartStay(t *testing.T) {
+// A part used by few requests stays at one engine.
+func TestRarePartStaysAtOneEngine(t *testing.T) {
 	f := newFixture(20)
 	b := f.balancer()
 	used := make(map[string]int)
@@ -48,6 +45,6 @@
 		p.Done(balance.Served)
 	}
 	if len(used) > 1 {
-		t.Errorf("a session's prompts went to %v", used)
+		t.Errorf("prompts of one session went to %v", used)
 	}
 }
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -8,8 +8,8 @@
 	"ivyridge/quota"
 )
 
-// retryFixture returns a chooser that holds all of 45 retries, of which it has earned all
-// that it may hold: 0.7 x 45 / 3 = 10.5.
+// retryFixture returns a scheduler that holds the whole budget of 45 retries and has filled its
+// bucket: 0.7 x 45 / 3 = 10.5.
 func retryFixture() (*fixture, *balance.Balancer) {
 	f := newFixture(2)
 	b := f.balancer()
@@ -19,7 +19,7 @@
 	return f, b
 }
 
-// earn has requests earn retries, and lets so much time pass that they raise nothing any more.
+// earn places requests that earn budget, and lets the rate of earning decay.
 func (f *fixture) earn(b *balance.Balancer, requests int) {
 	for range requests {
 		b.Grant(7, f.endpoints, &balance.Demand{Service: f.plain, Earns: quota.EarnsWhole})
@@ -39,22 +39,22 @@
 			continue
 		}
 		if c.Refusal == nil || c.Refusal.Cause != balance.RetriesSpent {
-			t.Fatalf("a denied retry has refusal %+v", c.Refusal)
+			t.Fatalf("denied retry has refusal %+v", c.Refusal)
 		}
 		return n
 	}
 }
 
-// Retries that gain more have the last part of a bucket: those of late requests leave a
-// quarter, those of streams a tenth.
-func TestLastRetriesAreKept(t *testing.T) {
+// The last part of a bucket is reserved for retries that gain more: a quarter is reserved from
+// late requests, a tenth from streams.
+func TestRetryReserve(t *testing.T) {
 	f, b := retryFixture()
 	for _, c := range []struct {
 		kind balance.Retry
 		want int
 	}{{balance.RetryLate, 7}, {balance.RetryStream, 2}, {balance.RetryInTime, 1}} {
 		if got := f.granted(t, b, c.kind); got != c.want {
-			t.Errorf("%d retries of kind %d are granted, want %d", got, c.kind, c.want)
+			t.Errorf("%d retries of kind %d granted, want %d", got, c.kind, c.want)
 		}
 	}
 	if s := b.Holdings().Retries["p"]; s.Granted != 10 || s.Denied != 3 {
@@ -62,8 +62,7 @@
 	}
 }
 
-// A retry that no endpoint may take is not charged; one that is sent is, and a request earns
-// once, however often it is placed.
+// A retry is charged only if it is placed, and a request earns budget only once.
 func TestRetriesAreChargedOnce(t *testing.T) {
 	f, b := retryFixture()
 	d := &balance.Demand{Service: f.plain, Retry: balance.RetryInTime, Sent: true}
@@ -76,13 +75,13 @@
 		b.Grant(7, f.endpoints, &balance.Demand{Service: f.plain})
 	}
 	if got := f.granted(t, b, balance.RetryInTime); got != 10 {
-		t.Errorf("%d retries are granted, want 10", got)
+		t.Errorf("%d retries granted, want 10", got)
 	}
 }
 
-// A part that has lapsed takes what was saved along: another instance may have taken over
-// and spent as much.
-func TestLapsedRetriesAreLost(t *testing.T) {
+// An expired share loses its remaining budget, since another instance may have taken it over and
+// spent as much.
+func TestExpiredShareLosesBudget(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		lapse func(*fixture, *balance.Balancer)
@@ -93,23 +92,22 @@
 		f, b := retryFixture()
 		c.lapse(f, b)
 		if b.PayRetry("p", balance.RetryInTime) {
-			t.Errorf("%s: a retry is granted without a part", c.name)
+			t.Errorf("%s: retry granted without a share", c.name)
 		}
 		b.SetRetryPart(1, 1)
 		if got := f.granted(t, b, balance.RetryInTime); got != 0 {
-			t.Errorf("%s: %d retries are granted by a part that is new", c.name, got)
+			t.Errorf("%s: %d retries granted with a new share, want 0", c.name, got)
 		}
 		f.earn(b, 20)
 		if got := f.granted(t, b, balance.RetryInTime); got != 10 {
-			t.Errorf("%s: %d retries are granted later, want 10", c.name, got)
+			t.Errorf("%s: %d retries granted later, want 10", c.name, got)
 		}
 	}
 }
 
-// Forty streams that one engine took down go on at all the others, none of which gets twice
-// the mean: what they have read is lost for all alike, and one engine that gets them all
-// would read 40 prompts in turn.
-func TestLostStreamsGoOnElsewhere(t *testing.T) {
+// Streams lost with one engine are resumed at all others, none of which gets twice the mean: their
+// prefill is lost everywhere, and a single engine would have to prefill all of them in sequence.
+func TestLostStreamsAreSpread(t *testing.T) {
 	f := newFixture(9)
 	b := f.balancer()
 	b.SetRetries(quota.Retries{Ratio: 1, Extra: 1000})
@@ -128,7 +126,7 @@
 		d.Retry, d.Sent, d.Avoid = balance.RetryStream, true, []uint32{balance.EndpointHash(lost.ID)}
 		p, refusal := b.Admit(f.endpoints, d)
 		if p == nil {
-			t.Fatalf("stream %d does not go on: %+v", i, refusal)
+			t.Fatalf("stream %d is not resumed: %+v", i, refusal)
 		}
 		on = append(on, p.Endpoint.ID)
 	}
@@ -138,7 +136,7 @@
 	}
 	for id, n := range at {
 		if n > 2*len(on)/(len(f.endpoints)-1) || id == lost.ID {
-			t.Errorf("%d of %d streams go on at %s", n, len(on), id)
+			t.Errorf("%d of %d streams resumed at %s", n, len(on), id)
 		}
 	}
 	t.Logf("%v", at)
--- a/balance/slowness_test.go
+++ b/balance/slowness_test.go
@@ -8,46 +8,46 @@
 	"ivyridge/balance"
 )
 
-// A shared endpoint fleet that many instances use, in virtual time: each hears what an endpoint
-// says of its speed in its own answers only, and what others run a while later.
+// A slowFleet simulates instances that share a few endpoints. Each learns an endpoint's slowness
+// only from its own responses, and the load of others only from reports.
 type slowFleet struct {
 	*fixture
-	balancers []*balance.Balancer
-	slow      float64 // of the first endpoint
-	ends      []slowEnd
+	balancers   []*balance.Balancer
+	slowdown    float64 // of the first endpoint
+	completions []slowCompletion
 }
 
-type slowEnd struct {
+type slowCompletion struct {
 	at        time.Time
 	placement *balance.Placement
 	slow      float64
 }
 
 const (
-	slowFleetStep = 5 * time.Millisecond
-	slowFleetTold = 100 * time.Millisecond // what others run is told
+	slowFleetStep           = 5 * time.Millisecond
+	slowFleetReportInterval = 100 * time.Millisecond // interval between reports
 )
 
-// run lets time pass with so many requests a step, and returns the share that came to the first
-// endpoint in each tenth of a second.
+// run simulates d with each requests per step. It returns the share of requests placed at the
+// first endpoint in each tenth of a second.
 func (f *slowFleet) run(d time.Duration, each int, rng *rand.Rand) (shares []float64) {
 	its, all := 0, 0
 	for n := 0; time.Duration(n)*slowFleetStep < d; n++ {
 		f.now = f.now.Add(slowFleetStep)
-		f.settle()
+		f.complete()
 		for range each {
 			b := f.balancers[rng.IntN(len(f.balancers))]
 			p := b.Place(f.endpoints, &balance.Demand{Service: f.plain, Objective: 100 * time.Millisecond})
 			slow := 1.0
 			if p.Endpoint == f.endpoints[0] {
-				slow = f.slow
+				slow = f.slowdown
 				its++
 			}
 			all++
-			f.ends = append(f.ends, slowEnd{f.now.Add(time.Duration(20 * slow * float64(time.Millisecond))), p, slow})
+			f.completions = append(f.completions, slowCompletion{f.now.Add(time.Duration(20 * slow * float64(time.Millisecond))), p, slow})
 		}
-		f.tell(n)
-		if f.now.UnixNano()%int64(slowFleetTold) == 0 {
+		f.exchangeReports(n)
+		if f.now.UnixNano()%int64(slowFleetReportInterval) == 0 {
 			shares = append(shares, float64(its)/float64(max(1, all)))
 			its, all = 0, 0
 		}
@@ -55,10 +55,10 @@
 	return shares
 }
 
-// settle ends the requests whose time has come.
-func (f *slowFleet) settle() {
-	kept := f.ends[:0]
-	for _, e := range f.ends {
+// complete ends the requests that are done.
+func (f *slowFleet) complete() {
+	kept := f.completions[:0]
+	for _, e := range f.completions {
 		if e.at.After(f.now) {
 			kept = append(kept, e)
 			continue
@@ -66,13 +66,13 @@
 		e.placement.Tells(balance.ToldLoad{Slots: 8, Slowness: e.slow})
 		e.placement.Done(balance.Served)
 	}
-	f.ends = kept
+	f.completions = kept
 }
 
-// tell has instances tell the others what they run, each at its own time.
-func (f *slowFleet) tell(step int) {
+// exchangeReports reports each instance's load to the others, at staggered times.
+func (f *slowFleet) exchangeReports(step int) {
 	for i, from := range f.balancers {
-		if (step+i)%int(slowFleetTold/slowFleetStep) != 0 {
+		if (step+i)%int(slowFleetReportInterval/slowFleetStep) != 0 {
 			continue
 		}
 		reports, _ := from.Reports(true, 0)
@@ -84,37 +84,37 @@
 	}
 }
 
-// An endpoint that was slow gets requests again as its word grows old, and its share comes back
-// without a swing: instances that heard the same word at the same time do not return together.
-func TestInstancesDoNotReturnTogether(t *testing.T) {
+// A recovered endpoint regains its share gradually: instances that received the same slowness must
+// not all return at once.
+func TestRecoveredEndpointIsNotOverrun(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	f := &slowFleet{fixture: newFixture(4), slow: 1}
+	f := &slowFleet{fixture: newFixture(4), slowdown: 1}
 	for range 58 {
 		f.balancers = append(f.balancers, f.balancer())
 	}
-	const each = 2 // 400 requests a second
+	const each = 2 // 400 requests/s
 	f.run(3*time.Second, each, rng)
-	f.slow = 4
+	f.slowdown = 4
 	slow := means(f.run(3*time.Second, each, rng))
-	f.slow = 1
+	f.slowdown = 1
 	back := means(f.run(5*time.Second, each, rng))
-	t.Logf("shares of half seconds while it is slow %.2f, and then %.2f", slow, back)
+	t.Logf("share of requests per half second: %.2f while slow, then %.2f", slow, back)
 	for _, share := range slow {
 		if share > 0.2 {
-			t.Errorf("%.2f of the requests of half a second come to one of four endpoints while it says that it is slow", share)
+			t.Errorf("share %.2f of a half second's requests at the slow endpoint, want at most 0.2", share)
 		}
 	}
 	for i, share := range back {
 		if share > 0.5 {
-			t.Errorf("%.2f of the requests of half a second come to one of four endpoints as it recovers", share)
+			t.Errorf("share %.2f of a half second's requests at the recovering endpoint, want at most 0.5", share)
 		}
 		if i >= 3 && share < 0.15 {
-			t.Errorf("%.2f of the requests of half a second come to it from 1.5 s after it recovers on", share)
+			t.Errorf("share %.2f of a half second's requests 1.5 s after recovery, want at least 0.15", share)
 		}
 	}
 }
 
-// means returns the means of five tenths of a second each.
+// means returns the means of consecutive groups of five shares.
 func means(shares []float64) (out []float64) {
 	const each = 5
 	for ; len(shares) >= each; shares = shares[each:] {
--- a/balance/spread_test.go
+++ b/balance/spread_test.go
@@ -9,30 +9,28 @@
 	"ivyridge/balance"
 )
 
-// A reading is a prompt that an engine reads until a time.
-type reading struct {
+// A prefill is a prompt whose prefill completes at a time.
+type prefill struct {
 	at time.Time
 	p  *balance.Placement
-	d  time.Duration // since it was sent
+	d  time.Duration // time to first event
 }
 
-type readings []reading
+type prefills []prefill
 
-func (r readings) Len() int           { return len(r) }
-func (r readings) Less(i, j int) bool { return r[i].at.Before(r[j].at) }
-func (r readings) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
-func (r *readings) Push(x any)        { *r = append(*r, x.(reading)) }
-func (r *readings) Pop() any {
+func (r prefills) Len() int           { return len(r) }
+func (r prefills) Less(i, j int) bool { return r[i].at.Before(r[j].at) }
+func (r prefills) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
+func (r *prefills) Push(x any)        { *r = append(*r, x.(prefill)) }
+func (r *prefills) Pop() any {
 	last := (*r)[len(*r)-1]
 	*r = (*r)[:len(*r)-1]
 	return last
 }
 
-// Fifteen schedulers place 300 long prompts a second of 2,600 sessions among 1,500 engines of unlike
-// speed, and tell each other each 90 ms. In a working set of 256, prompts gathered at the engines that
-// looked fastest or held the first part: on the whole fleet the busiest had 92 times the mean, 304 of
-// 6,876 prompts were late and 130 not answered in 4 s. Beside endpoints that rest no prompt is to
-// wait for longer than reading it takes.
+// Guards against long prompts piling up at the engines of a working set that look fastest or cache
+// the first part, while others are idle. Fifteen schedulers place 300 prompts/s of 2,600 sessions
+// at 1,500 engines of different speeds and exchange reports every 90 ms.
 func TestLongPromptsSpreadOverTheWorkingSet(t *testing.T) {
 	const (
 		schedulers = 15
@@ -51,12 +49,12 @@
 	busy := make(map[string]time.Time)
 	held := make(map[string]map[uint64]bool)
 	count := make(map[string]int)
-	under := new(readings)
+	under := new(prefills)
 	tooLate, all := 0, 0
 	told := f.now
 	for end := f.now.Add(lasts); f.now.Before(end); f.now = f.now.Add(step) {
 		for under.Len() > 0 && !(*under)[0].at.After(f.now) {
-			r := heap.Pop(under).(reading)
+			r := heap.Pop(under).(prefill)
 			r.p.Started()
 			r.p.First(r.d)
 			r.p.Done(balance.Served)
@@ -104,18 +102,18 @@
 		if first > late {
 			tooLate++
 		}
-		heap.Push(under, reading{busy[id], p, first})
+		heap.Push(under, prefill{busy[id], p, first})
 	}
 	most := 0
 	for _, n := range count {
 		most = max(most, n)
 	}
-	t.Logf("%d of %d prompts late, %d engines, the busiest %d", tooLate, all, len(count), most)
+	t.Logf("%d of %d prompts late, %d engines used, at most %d at one", tooLate, all, len(count), most)
 	if tooLate > all/100 {
-		t.Errorf("%d of %d prompts begin after %v while engines rest", tooLate, all, late)
+		t.Errorf("%d of %d prompts start after %v while other engines are idle", tooLate, all, late)
 	}
 	if mean := all / len(count); most > 8*mean {
-		t.Errorf("the busiest engine has %d prompts, the mean of %d is %d", most, len(count), mean)
+		t.Errorf("%d prompts at one engine, mean of %d is %d", most, len(count), mean)
 	}
 }
 
--- a/balance/starvation_test.go
+++ b/balance/starvation_test.go
@@ -1,10 +1,7 @@
 package balance_test
 
-// Two teams' rush beyond the engines was over, and for five seconds from then on 93 of 351 requests
-// of the middle urgency had got nothing while longer, less urgent ones began: they were let in
-// again half a second after the last refusal, and one by one meanwhile, whenever an engine had
-// nothing waiting. From the lines of all instances: at 22.0 s "letter team-limit": 32 in half a
-// second, "dossier ok": 5; at 22.5 s none, and 9; at 23.0 s none, and 17.
+// The tests in this file guard against admitting less urgent requests right after, or between,
+// refusals of urgent ones, whose callers then find engines busy on their return.
 
 import (
 	"testing"
@@ -13,10 +10,10 @@
 	"ivyridge/balance"
 )
 
-// busy is how many of 16 slots are taken once urgent requests have got nothing.
-const busy = 10
+// busySlots is how many of 16 slots stay in use after urgent requests were starved.
+const busySlots = 10
 
-// starved returns a balancer that has refused ten and more urgent requests, and those that run.
+// starved returns a balancer that has refused at least ten urgent requests, and the running ones.
 func starved(t *testing.T) (*fixture, *balance.Balancer, []*balance.Placement) {
 	t.Helper()
 	f := newFixture(2)
@@ -33,60 +30,60 @@
 		running = append(running, p)
 	}
 	if refused < 10 {
-		t.Fatalf("%d of 60 urgent requests are refused: the test shows nothing", refused)
+		t.Fatalf("%d of 60 urgent requests refused, want at least 10", refused)
 	}
 	for i, p := range running {
 		p.First(100 * time.Millisecond)
-		if i >= busy {
+		if i >= busySlots {
 			p.Done(balance.Served)
 		}
 	}
 	return f, b, running
 }
 
-func TestLessUrgentWaitUntilUrgentAreServedAgain(t *testing.T) {
+func TestStarvationRefusesLessUrgentUntilIdle(t *testing.T) {
 	f, b, running := starved(t)
 	began := f.now
 	for f.now.Sub(began) < 4*time.Second {
 		f.now = f.now.Add(500 * time.Millisecond)
 		if p, _ := b.Admit(f.endpoints, f.stream()); p == nil {
-			t.Fatal("an urgent request is refused where slots are free")
+			t.Fatal("urgent request refused while slots are free")
 		} else {
 			p.First(100 * time.Millisecond)
 			p.Done(balance.Served)
 		}
 		if p, refusal := b.Admit(f.endpoints, f.long(5)); p != nil {
-			t.Fatalf("a less urgent request begins %s after urgent ones got nothing", f.now.Sub(began))
+			t.Fatalf("less urgent request admitted %s after urgent ones were starved", f.now.Sub(began))
 		} else if refusal.RetryAfter <= 0 {
-			t.Error("no time to come back")
+			t.Error("refusal without a retry time")
 		}
 	}
-	for _, p := range running[:busy] {
+	for _, p := range running[:busySlots] {
 		p.Done(balance.Served)
 	}
 	if p, _ := b.Admit(f.endpoints, f.long(5)); p == nil {
-		t.Error("a less urgent request is refused while the engines are idle")
+		t.Error("less urgent request refused while the engines are idle")
 	}
-	// Idle engines starve nobody: what comes then is let in while they are busy, too.
-	for range busy {
+	// An idle service resets starvation, so that requests are admitted once it is busy again.
+	for range busySlots {
 		p, _ := b.Admit(f.endpoints, f.stream())
 		p.First(100 * time.Millisecond)
 	}
 	f.now = f.now.Add(100 * time.Millisecond)
 	if p, _ := b.Admit(f.endpoints, f.long(6)); p == nil {
-		t.Error("a less urgent request is refused after the engines were idle")
+		t.Error("less urgent request refused after the engines were idle")
 	}
 }
 
-// They wait no longer than urgent callers count, though the engines never are idle.
-func TestLessUrgentWaitForFiveSecondsAtMost(t *testing.T) {
+// Starvation ends after starvationWindow even if the engines are never idle.
+func TestStarvationLastsFiveSecondsAtMost(t *testing.T) {
 	f, b, _ := starved(t)
 	f.now = f.now.Add(4 * time.Second)
 	if p, _ := b.Admit(f.endpoints, f.long(5)); p != nil {
-		t.Error("a less urgent request begins 4 s after urgent ones got nothing")
+		t.Error("less urgent request admitted 4 s after urgent ones were starved")
 	}
 	f.now = f.now.Add(1600 * time.Millisecond)
 	if p, refusal := b.Admit(f.endpoints, f.long(5)); p == nil {
-		t.Errorf("a less urgent request is refused 5.6 s after urgent ones got nothing: %+v", refusal)
+		t.Errorf("less urgent request refused 5.6 s after urgent ones were starved: %+v", refusal)
 	}
 }
--- a/balance/suspect_test.go
+++ b/balance/suspect_test.go
@@ -7,7 +7,7 @@
 	"ivyridge/balance"
 )
 
-// Suspects are kept apart, wherever they are placed, and go where the least is lost.
+// Suspects are placed at separate, lightly loaded endpoints, also by different instances.
 func TestSuspectsAreKeptApart(t *testing.T) {
 	for _, service := range []string{"engines", "plain"} {
 		f := newFixture(6)
@@ -37,18 +37,18 @@
 			}
 			p := from.Place(f.endpoints, suspect())
 			if p.Endpoint.ID < "e3" {
-				t.Errorf("%s: a suspect is placed at %s, where 20 others run", service, p.Endpoint.ID)
+				t.Errorf("%s: suspect placed at %s, which runs 20 other requests", service, p.Endpoint.ID)
 			}
 			if seen[p.Endpoint.ID] {
-				t.Errorf("%s: two suspects are at %s", service, p.Endpoint.ID)
+				t.Errorf("%s: two suspects placed at %s", service, p.Endpoint.ID)
 			}
 			seen[p.Endpoint.ID] = true
 			to.Merge(9, from.Placed(), nil, false)
 		}
-		// What is granted to an instance counts as being there, too.
+		// Granted suspects count too.
 		c := a.Grant(7, f.endpoints[3:], suspect())
 		if p := a.Place(f.endpoints[3:], suspect()); balance.EndpointHash(p.Endpoint.ID) == c.Endpoint {
-			t.Errorf("%s: placed where a suspect was granted a moment ago", service)
+			t.Errorf("%s: suspect placed where another was just granted", service)
 		}
 	}
 }
--- a/balance/urgency.go
+++ b/balance/urgency.go
@@ -62,22 +62,22 @@
 
 // maxWait returns the longest wait, in ms, that meets the objective given the request's prefill
 // time in ms.
-func (d *Demand) maxWait(reading float64) float64 {
+func (d *Demand) maxWait(prefillTime float64) float64 {
 	objective := milliseconds(d.Objective)
-	return max(objective-reading-fixedOverhead, minWaitShare*objective)
+	return max(objective-prefillTime-fixedOverhead, minWaitShare*objective)
 }
 
 // late reports whether the request would start too late at the endpoint.
-func (l *load) late(d *Demand, reading float64, reportInterval time.Duration, now time.Time) bool {
+func (l *load) late(d *Demand, prefillTime float64, reportInterval time.Duration, now time.Time) bool {
 	waits := l.stats.waits(d, l, reportInterval, now)
-	return waits[d.level()] > refuseThreshold*d.maxWait(reading)
+	return waits[d.level()] > refuseThreshold*d.maxWait(prefillTime)
 }
 
 // chooseInTime returns best, or an endpoint that starts the request in time if best does not. It
 // applies to levels above the least urgent one. Without it, streams queue for slots at the few
 // engines with the least prefill while others have free slots.
 func (b *Balancer) chooseInTime(endpoints []*belief.Endpoint, best *Placement, d *Demand, now time.Time, by requester) *Placement {
-	if d.level() == levels-1 || !best.load.late(d, best.readingMS, b.reportInterval, now) {
+	if d.level() == levels-1 || !best.load.late(d, best.prefillTime, b.reportInterval, now) {
 		return best
 	}
 	hurried := *d
--- a/balance/urgency_test.go
+++ b/balance/urgency_test.go
@@ -8,16 +8,15 @@
 	"ivyridge/balance"
 )
 
-// letter returns the demand of a request between a stream and a long prompt in urgency and
-// length.
-func (f *fixture) letter() *balance.Demand {
+// mediumRequest returns a request between a stream and a long prompt in urgency and length.
+func (f *fixture) mediumRequest() *balance.Demand {
 	d := f.stream()
 	d.Priority, d.Objective, d.Prompt, d.Output = 1, 500*time.Millisecond, 2400, 25
 	return d
 }
 
-// flood admits long prompts until one of them is refused, and returns how many were admitted.
-func (f *fixture) flood(t *testing.T, b *balance.Balancer) (admitted int) {
+// fillWithLong admits long prompts until one is refused, and returns how many were admitted.
+func (f *fixture) fillWithLong(t *testing.T, b *balance.Balancer) (admitted int) {
 	t.Helper()
 	for part := uint64(1000); part < 2000; part++ {
 		if _, refusal := b.Admit(f.endpoints, f.long(part)); refusal != nil {
@@ -25,14 +24,14 @@
 		}
 		admitted++
 	}
-	t.Fatal("a thousand long prompts at once are admitted")
+	t.Fatal("a thousand concurrent long prompts admitted")
 	return 0
 }
 
-// rush lets streams, letters and long prompts come in turn, the first two of which take half
-// of the time of engines that read tokensPerMS, and have begun when the next come. It returns
-// how many of each are refused.
-func (f *fixture) rush(b *balance.Balancer, n int, tokensPerMS float64) (streams, letters, long int) {
+// mixedLoad admits n rounds of a stream, a medium request and a long prompt. Streams and medium
+// requests use half the time of engines that prefill tokensPerMS, and start before the next round.
+// It returns how many of each were refused.
+func (f *fixture) mixedLoad(b *balance.Balancer, n int, tokensPerMS float64) (streams, letters, long int) {
 	var begun []*balance.Placement
 	turn := time.Duration(5000 / tokensPerMS / float64(len(f.endpoints)) * float64(time.Millisecond))
 	for part := range uint64(n) {
@@ -41,15 +40,15 @@
 			p.First(turn)
 		}
 		begun = begun[:0]
-		begun = f.count(b, f.stream(), &streams, begun)
-		begun = f.count(b, f.letter(), &letters, begun)
-		f.count(b, f.long(5000+part), &long, nil)
+		begun = f.admitOrCount(b, f.stream(), &streams, begun)
+		begun = f.admitOrCount(b, f.mediumRequest(), &letters, begun)
+		f.admitOrCount(b, f.long(5000+part), &long, nil)
 	}
 	return streams, letters, long
 }
 
-// count admits a request to those placed, or counts it as refused.
-func (f *fixture) count(b *balance.Balancer, d *balance.Demand, refused *int, placed []*balance.Placement) []*balance.Placement {
+// admitOrCount admits a request and appends it to placed, or counts it as refused.
+func (f *fixture) admitOrCount(b *balance.Balancer, d *balance.Demand, refused *int, placed []*balance.Placement) []*balance.Placement {
 	p, _ := b.Admit(f.endpoints, d)
 	if p == nil {
 		*refused++
@@ -58,69 +57,65 @@
 	return append(placed, p)
 }
 
-// Symptom: in a rush, one letter in three was turned away though it would have waited 40 ms,
-// while long prompts, which are less urgent, were let in by other schedulers. Sequence: long
-// prompts fill the engines up to their own objective; a stream comes, with an objective below that
-// wait; it is refused; for half a second letters give way to it as long prompts do. Cause: the
-// stream was counted behind prompts that it goes ahead of.
-func TestUrgentRequestsAreNotRefusedBehindLessUrgentOnes(t *testing.T) {
+// Guards against refusing streams, and then medium requests that yield to them, because their wait
+// was computed behind less urgent prompts that they overtake.
+func TestUrgentRequestsDoNotWaitForLessUrgentOnes(t *testing.T) {
 	for _, engines := range []int{2, 6, 20} {
 		for _, speed := range []float64{25, 50, 100} {
 			f := newFleet(slices.Repeat([]float64{speed}, engines)...)
-			f.play(60, 500*time.Millisecond/time.Duration(engines)) // the speed is learned
-			f.answer(f.now.Add(time.Minute))
+			f.sendRequests(60, 500*time.Millisecond/time.Duration(engines)) // learn the speed
+			f.deliver(f.now.Add(time.Minute))
 			f.now = f.now.Add(time.Minute)
-			admitted := f.flood(t, f.b)
+			admitted := f.fillWithLong(t, f.b)
 			turns := int(speed) * engines / 10 // half a second
-			streams, letters, long := f.rush(f.b, turns, speed)
+			streams, letters, long := f.mixedLoad(f.b, turns, speed)
 			if streams > 0 || letters > 0 {
-				t.Errorf("%d engines of %.0f tokens a ms, %d long prompts: %d streams and %d letters refused", engines, speed, admitted, streams, letters)
+				t.Errorf("%d engines of %.0f tokens/ms, %d long prompts: %d streams and %d medium requests refused", engines, speed, admitted, streams, letters)
 			}
 			if long < turns/4 {
-				t.Errorf("%d engines of %.0f tokens a ms: %d of %d long prompts refused while they fill the engines", engines, speed, long, turns)
+				t.Errorf("%d engines of %.0f tokens/ms: %d of %d long prompts refused under overload", engines, speed, long, turns)
 			}
 		}
 	}
 }
 
-// The same where another instance has let the long prompts in, and told so by notices or by
-// reports.
-func TestUrgencyOfOthersRequestsIsTold(t *testing.T) {
+// The same if another instance placed the long prompts and reported them in notices or reports.
+func TestRemoteUrgencyIsReported(t *testing.T) {
 	for _, told := range []string{"notices", "reports"} {
 		f := newFixture(4)
 		other, b := f.balancer(), f.balancer()
-		b.Place(f.endpoints, f.letter()).Done(balance.Served) // b knows the endpoints
-		f.flood(t, other)
+		b.Place(f.endpoints, f.mediumRequest()).Done(balance.Served) // makes the endpoints known to b
+		f.fillWithLong(t, other)
 		reports, _ := other.Reports(true, 0)
 		if told == "notices" {
 			reports = nil
 		}
 		b.Merge(1, other.Placed(), reports, true)
 		if told == "reports" {
-			f.now = f.now.Add(100 * time.Millisecond) // the notices have lapsed
+			f.now = f.now.Add(100 * time.Millisecond) // the notices have expired
 		}
-		if streams, letters, _ := f.rush(b, 10, 50); streams > 0 || letters > 0 {
-			t.Errorf("told by %s: %d streams and %d letters refused", told, streams, letters)
+		if streams, letters, _ := f.mixedLoad(b, 10, 50); streams > 0 || letters > 0 {
+			t.Errorf("reported by %s: %d streams and %d medium requests refused", told, streams, letters)
 		}
 	}
 }
 
-// What goes ahead counts: letters that fill the engines give way to streams, after long
-// prompts did.
-func TestTheLeastUrgentGiveWayFirst(t *testing.T) {
+// More urgent requests count: medium requests that fill the engines yield to streams, after long
+// prompts do.
+func TestLeastUrgentYieldFirst(t *testing.T) {
 	f := newFixture(4)
 	b := f.balancer()
 	for refused := 0; refused == 0; {
-		refused = admit(t, f, b, 1, f.letter)
+		refused = admit(t, f, b, 1, f.mediumRequest)
 	}
 	long := func() *balance.Demand { return f.long(9000) }
 	if refused := admit(t, f, b, 20, long); refused != 20 {
-		t.Errorf("%d of 20 long prompts refused while letters are", refused)
+		t.Errorf("%d of 20 long prompts refused while medium requests are, want all", refused)
 	}
 	if refused := admit(t, f, b, 20, f.stream); refused > 0 {
-		t.Errorf("%d of 20 streams refused behind letters that they go ahead of", refused)
+		t.Errorf("%d of 20 streams refused behind medium requests, want 0", refused)
 	}
-	if refused := admit(t, f, b, 20, f.letter); refused < 19 {
-		t.Errorf("%d of 20 letters refused behind others that fill the engines", refused)
+	if refused := admit(t, f, b, 20, f.mediumRequest); refused < 19 {
+		t.Errorf("%d of 20 medium requests refused behind others of their level, want at least 19", refused)
 	}
 }
