--- /dev/null
+++ b/gossip/aggregates.go
@@ -0,0 +1,88 @@
+package gossip
+
+// This file sends the aggregated load of this data centre to other data centres.
+//
+// Instances send load reports to the schedulers of their own data centre. The first of these
+// sends the aggregate to one scheduler of each other data centre, which forwards it to the other
+// schedulers there. So each change crosses between two data centres once.
+
+import (
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"ivyridge/balance"
+)
+
+// fullAggregateInterval is the pause between complete aggregates. It must be shorter than the
+// time after which received ones expire.
+const fullAggregateInterval = 2 * time.Second
+
+// publishAggregates sends the load of this data centre's ordinary instances to one scheduler of
+// each other data centre, if this instance is the first scheduler and the interval has passed.
+func (g *Gossip) publishAggregates(now time.Time, r *roles) {
+	group := &g.groups.aggregates
+	if !r.isFirst || len(r.localPeers) == 0 || len(r.regionFirsts) == 0 || now.Sub(group.lastSent) < balance.ReportEvery(g.fleetSize)-tickSlack {
+		return
+	}
+	full := now.Sub(group.lastFull) >= fullAggregateInterval
+	ordinary := make(map[uint64]bool, len(r.localPeers))
+	for _, m := range r.localPeers {
+		ordinary[m.ID] = true
+	}
+	sums, upTo := g.Balancer.Sums(func(id uint64) bool { return ordinary[id] }, full, group.sentUpTo)
+	group.sentUpTo = upTo
+	if len(sums) == 0 && !full {
+		return
+	}
+	group.lastSent = now
+	if full {
+		group.lastFull = now
+	}
+	g.sendAggregates(now, sums, g.DataCentre, full, r.regionFirsts)
+}
+
+// sendAggregates sends sums in as many datagrams as needed. Datagrams after the first add to it.
+func (g *Gossip) sendAggregates(now time.Time, sums []balance.Report, dataCentre string, full bool, to []*Member) {
+	const room = (maxDatagram - headerBytes) / aggregateBytes
+	for {
+		m := g.newMessage(now)
+		m.Next = heartbeatInterval(g.fleetSize)
+		m.SumsOf, m.SumsWhole = dataCentre, full
+		n := min(room, len(sums))
+		m.Sums, sums = sums[:n], sums[n:]
+		g.send(m, addresses(to))
+		if len(sums) == 0 {
+			return
+		}
+		full = false
+	}
+}
+
+// handleAggregates processes received aggregates, and forwards those from another data centre to
+// the other schedulers of this one. The caller holds g.mu.
+func (g *Gossip) handleAggregates(now time.Time, m *Message) {
+	if m.SumsOf == "" {
+		return
+	}
+	if m.SumsOf == g.DataCentre {
+		return // instances of this data centre report directly
+	}
+	g.Balancer.Merge(aggregateKey(m.SumsOf), nil, m.Sums, m.SumsWhole)
+	if m.DataCentre != m.SumsOf {
+		return // already forwarded within this data centre
+	}
+	var to []*Member
+	for _, other := range g.members.currentRoles(now).schedulers {
+		if other.DataCentre == g.DataCentre {
+			to = append(to, other)
+		}
+	}
+	if len(to) > 0 {
+		g.sendAggregates(now, m.Sums, m.SumsOf, m.SumsWhole, to)
+	}
+}
+
+// aggregateKey returns the key of a data centre's aggregate, which takes the place of an instance
+// ID.
+func aggregateKey(dataCentre string) uint64 { return xxhash.Sum64String("sums of " + dataCentre) }
--- a/gossip/sums_test.go
+++ b/gossip/aggregates_test.go
@@ -10,14 +10,14 @@
 	"ivyridge/catalog"
 )
 
-// sumOf returns how many requests n thinks that a data centre's instances run at an
-// endpoint, by its sums and by what its schedulers tell of themselves.
-func (n *node) sumOf(dataCentre, endpoint string) int {
-	told := map[uint64]bool{sumsKey(dataCentre): true}
-	for _, other := range n.world.nodes {
-		told[other.id] = told[other.id] || other.DataCentre == dataCentre
+// requestsAt returns how many requests n believes the instances of a data centre run at an
+// endpoint, from its aggregate and the reports of its schedulers.
+func (n *node) requestsAt(dataCentre, endpoint string) int {
+	ids := map[uint64]bool{aggregateKey(dataCentre): true}
+	for _, other := range n.sim.nodes {
+		ids[other.id] = ids[other.id] || other.DataCentre == dataCentre
 	}
-	sums, _ := n.Balancer.Sums(func(id uint64) bool { return told[id] }, true, 0)
+	sums, _ := n.Balancer.Sums(func(id uint64) bool { return ids[id] }, true, 0)
 	for _, s := range sums {
 		if s.Endpoint == balance.EndpointHash(endpoint) {
 			return s.Requests
@@ -26,15 +26,15 @@
 	return 0
 }
 
-// What the instances of a data centre run is known to all schedulers of the others, each
-// request once, and forgotten when it has ended; also after its first scheduler is lost.
-func TestSumsReachOtherDataCentres(t *testing.T) {
+// The load of a data centre reaches all schedulers of the others, each request counted once, and
+// is removed when it ends; also after the first scheduler is lost.
+func TestAggregatesReachOtherDataCentres(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, 60, 3)
+	w := newSimulation(t, 60, 3)
 	endpoints := []*belief.Endpoint{{Endpoint: catalog.Endpoint{ID: "e", Slots: 8}}}
 	d := &balance.Demand{Service: &catalog.Service{Name: "s"}}
 	for _, n := range w.nodes {
-		n.Balancer.Place(endpoints, d).Done(balance.Served) // all know the endpoint
+		n.Balancer.Place(endpoints, d).Done(balance.Served) // makes the endpoint known to all instances
 	}
 	w.run(8 * time.Second)
 	var running []*balance.Placement
@@ -52,8 +52,8 @@
 			if n.dead || !schedules || n.DataCentre == "dc0" {
 				continue
 			}
-			if got := n.sumOf("dc0", "e"); got != want {
-				t.Errorf("%s: scheduler %d of %s (%d others) thinks %d run in dc0, want %d", what, i, n.DataCentre, len(others), got, want)
+			if got := n.requestsAt("dc0", "e"); got != want {
+				t.Errorf("%s: scheduler %d of %s (%d others) counts %d requests in dc0, want %d", what, i, n.DataCentre, len(others), got, want)
 			}
 		}
 	}
@@ -69,11 +69,11 @@
 	check("ended", 0)
 }
 
-// Sums of many endpoints need several datagrams, which add up.
-func TestSumsOfManyEndpoints(t *testing.T) {
+// Aggregates of many endpoints are split into several datagrams, which add up.
+func TestAggregatesOfManyEndpoints(t *testing.T) {
 	t.Parallel()
 	const endpoints = 300
-	w := newWorld(t, 30, 3)
+	w := newSimulation(t, 30, 3)
 	d := &balance.Demand{Service: &catalog.Service{Name: "s"}}
 	var all []*belief.Endpoint
 	for e := range endpoints {
@@ -96,8 +96,8 @@
 			continue
 		}
 		for e := range all {
-			if got := n.sumOf("dc0", fmt.Sprint(e)); got != 1 {
-				t.Fatalf("a scheduler of %s thinks %d run at endpoint %d, want 1", n.DataCentre, got, e)
+			if got := n.requestsAt("dc0", fmt.Sprint(e)); got != 1 {
+				t.Fatalf("scheduler of %s counts %d requests at endpoint %d, want 1", n.DataCentre, got, e)
 			}
 		}
 	}
--- /dev/null
+++ b/gossip/broadcast.go
@@ -0,0 +1,265 @@
+package gossip
+
+// This file decides which messages are sent to which instances, and when.
+
+import (
+	"time"
+
+	"ivyridge/balance"
+)
+
+// tickSlack is how much earlier than its interval a send may happen, so that a tick that fires
+// slightly early doesn't postpone the send to the next tick.
+const tickSlack = minTick / 2
+
+// A receiverGroup is a group of members that are sent the same messages.
+type receiverGroup struct {
+	lastSent time.Time // last message
+	lastFull time.Time // last complete message
+	sentUpTo uint64    // change counter of the load reports sent so far
+	sentMark sentMark  // last version mark sent
+}
+
+// receiverGroups are the groups that an instance sends to, depending on its role.
+type receiverGroups struct {
+	schedulers       receiverGroup
+	ownScheduler     receiverGroup // the scheduler that this instance sends requests to
+	remoteSchedulers receiverGroup // for an ordinary instance: schedulers of other data centres
+	startup          receiverGroup // for a seed: all live members, shortly after start
+	localPeers       receiverGroup // for a scheduler: the other instances of its data centre
+	heartbeatOnly    receiverGroup // members that only get heartbeats
+	aggregates       receiverGroup // for a first scheduler: the first schedulers of other data centres
+	teams            receiverGroup // for a scheduler: the other schedulers, while capacity is scarce
+}
+
+// tick sends what is due to each receiver group.
+func (g *Gossip) tick() {
+	now := g.Now()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.prune(now)
+	r := g.members.currentRoles(now)
+	n := g.fleetSize
+	g.updateShares(now, r)
+	g.announceFirstState(now, r)
+	g.introduceSchedulers(now, r)
+	g.announceFreshState(now, r)
+	switch {
+	case r.isScheduler:
+		g.sendUpdates(now, r.regionSchedulers, r, r.tickInterval())
+		g.publishAggregates(now, r)
+		g.sendTeams(now, r)
+		g.sendToGateways(now, r)
+		g.heartbeat(now, &g.crossRegion.schedulers, r.otherRegionSchedulers, remoteHeartbeatInterval, r.regionSchedulers)
+		g.heartbeat(now, &g.groups.localPeers, r.localPeers, maxQuiet, r.localContacts)
+		g.heartbeat(now, &g.groups.heartbeatOnly, r.regionPeers, heartbeatInterval(n), r.regionSchedulers)
+	default:
+		g.reportToScheduler(now, r)
+		g.sendUpdates(now, r.localSchedulers, r, balance.ReportEvery(r.dataCentreSize()))
+		g.heartbeat(now, &g.groups.heartbeatOnly, r.localPeers, heartbeatInterval(n), r.localContacts)
+		g.heartbeat(now, &g.groups.remoteSchedulers, r.regionRemoteSchedulers, heartbeatInterval(n), nil)
+	}
+	g.probe(now, r)
+	g.logTeams(now)
+}
+
+// announceFirstState announces once that this instance has received its first state, since
+// instances that start at the same time wait for one to fetch it from. Seeds, which every
+// instance contacts first, announce it to all members.
+func (g *Gossip) announceFirstState(now time.Time, r *roles) {
+	if g.announced || g.Beliefs.View().Revision == 0 {
+		return
+	}
+	g.announced = true
+	to := append(r.schedulers[:len(r.schedulers):len(r.schedulers)], r.localPeers...)
+	if g.members.isSeed() {
+		to = append(to, r.remotePeers...)
+	}
+	m := g.newMessage(now)
+	m.Next = heartbeatInterval(g.fleetSize)
+	m.Peers = g.members.welcomePeers()
+	g.send(m, addresses(to))
+}
+
+// Ages at which state counts as stale, and as fresh again.
+const (
+	stateStaleAfter  = 2 * time.Second
+	stateFreshWithin = time.Second
+)
+
+// announceFreshState announces immediately that this instance's state has been confirmed again
+// after it was stale. Other instances may be refusing requests until they learn of it; heartbeats
+// would take up to maxQuiet per hop.
+func (g *Gossip) announceFreshState(now time.Time, r *roles) {
+	age, confirmed := g.Beliefs.Age()
+	if !confirmed {
+		return
+	}
+	if age > stateStaleAfter {
+		g.wasStale = true
+	}
+	if !g.wasStale || age > stateFreshWithin {
+		return
+	}
+	g.wasStale = false
+	to := r.localSchedulers
+	if r.isScheduler {
+		to = r.localContacts
+	}
+	m := g.newMessage(now)
+	m.Next = maxQuiet
+	g.send(m, addresses(to))
+}
+
+// introduceSchedulers sends the addresses of schedulers to all members of a seed shortly after
+// its start. When a whole fleet starts, the first instances to contact a seed learn of only a
+// few.
+func (g *Gossip) introduceSchedulers(now time.Time, r *roles) {
+	if !g.members.isSeed() || now.Sub(g.startedAt) > startupPeriod {
+		return
+	}
+	to := append(r.localPeers[:len(r.localPeers):len(r.localPeers)], r.remotePeers...)
+	if len(to) == 0 || now.Sub(g.groups.startup.lastSent) < maxQuiet {
+		return
+	}
+	g.groups.startup.lastSent = now
+	m := g.newMessage(now)
+	m.Next = heartbeatInterval(g.fleetSize)
+	m.Peers = g.members.welcomePeers()
+	g.send(m, addresses(to))
+}
+
+// sendUpdates sends placement notices and load reports to schedulers, if the interval has passed.
+func (g *Gossip) sendUpdates(now time.Time, to []*Member, r *roles, interval time.Duration) {
+	group := &g.groups.schedulers
+	if len(to) == 0 {
+		g.holdForGateways(r, g.Balancer.Placed()) // no receivers in this region
+		return
+	}
+	if now.Sub(group.lastSent) < interval-tickSlack {
+		return
+	}
+	full := now.Sub(group.lastFull) >= max(maxQuiet, fullReportTicks*interval)
+	notices := g.Balancer.Placed()
+	reports, upTo := g.Balancer.Reports(full, group.sentUpTo)
+	group.sentUpTo = upTo
+	starting := now.Sub(g.startedAt) < startupPeriod
+	if len(notices) == 0 && len(reports) == 0 && !full && !starting && now.Sub(group.lastSent) < maxQuiet {
+		return
+	}
+	group.lastSent = now
+	m := g.newMessage(now)
+	m.Next = max(maxQuiet, interval)
+	m.Reports, m.Whole = reports, full
+	if full {
+		group.lastFull = now
+		m.Mark = group.sentMark.next(g.mark(), now)
+		m.Peers = samplePeers(r.localContacts)
+	}
+	g.holdForGateways(r, notices)
+	g.sendNotices(m, notices, to)
+}
+
+// sendNotices sends m with notices to members, and withholds from each region the prompt parts
+// that it may not receive.
+func (g *Gossip) sendNotices(m *Message, notices []balance.Notice, to []*Member) {
+	if !balance.AnyBound(notices) {
+		g.sendNoticeDatagrams(m, notices, to)
+		return
+	}
+	regions := make(map[string][]*Member)
+	for _, member := range to {
+		region := g.Regions[member.DataCentre]
+		regions[region] = append(regions[region], member)
+	}
+	for region, members := range regions {
+		part := *m
+		allowed := balance.Withhold(notices, region)
+		if region == g.Regions[g.DataCentre] {
+			allowed = g.sendBoundNotices(&part, allowed, members)
+		}
+		g.sendNoticeDatagrams(&part, allowed, members)
+	}
+}
+
+// sendNoticeDatagrams sends m with notices in as many datagrams as needed.
+func (g *Gossip) sendNoticeDatagrams(m *Message, notices []balance.Notice, to []*Member) {
+	for {
+		room := max(1, (maxDatagram-headerBytes-reportBytes*len(m.Reports))/noticeBytes)
+		n := min(room, len(notices))
+		m.Notices, notices = notices[:n], notices[n:]
+		g.send(m, addresses(to))
+		if len(notices) == 0 {
+			return
+		}
+		m.Reports, m.Whole, m.Peers = nil, false, nil
+	}
+}
+
+// reportToScheduler reports load changes at once to the scheduler that this instance sends
+// requests to, so that it learns of the end of requests it placed.
+func (g *Gossip) reportToScheduler(now time.Time, r *roles) {
+	address := g.nextScheduler(now)
+	group := &g.groups.ownScheduler
+	if address == "" || g.Balancer.Changes() == group.sentUpTo {
+		return
+	}
+	m := g.newMessage(now)
+	m.Next = max(maxQuiet, balance.ReportEvery(r.dataCentreSize()))
+	m.Reports, group.sentUpTo = g.Balancer.Reports(false, group.sentUpTo)
+	g.send(m, []string{address})
+}
+
+// heartbeat announces liveness, state age and some member addresses, if the interval has passed
+// or a changed version mark is urgent.
+func (g *Gossip) heartbeat(now time.Time, group *receiverGroup, to []*Member, interval time.Duration, peers []*Member) {
+	mark := g.mark()
+	if len(to) == 0 || now.Sub(group.lastSent) < interval && !group.sentMark.urgent(mark) {
+		return
+	}
+	group.lastSent = now
+	m := g.newMessage(now)
+	m.Next = interval
+	m.Mark = group.sentMark.next(mark, now)
+	m.Peers = samplePeers(peers)
+	g.send(m, addresses(to))
+}
+
+// probe contacts addresses that are known but not heard from. Seeds of other data centres are
+// skipped once schedulers there are live.
+func (g *Gossip) probe(now time.Time, r *roles) {
+	interval := probeInterval
+	starting := now.Sub(g.startedAt) < startupPeriod
+	if starting {
+		interval = startupProbeInterval
+	}
+	if now.Sub(g.lastProbe) < interval {
+		return
+	}
+	g.lastProbe = now
+	to := g.members.candidates(starting || r.isScheduler || !g.members.connected())
+	if len(to) == 0 {
+		return
+	}
+	m := g.newMessage(now)
+	m.Next = heartbeatInterval(g.fleetSize)
+	m.Peers = samplePeers(r.regionSchedulers)
+	g.send(m, to)
+}
+
+// welcome answers a new member with the addresses of schedulers. The caller holds g.mu.
+func (g *Gossip) welcome(now time.Time, address string) {
+	m := g.newMessage(now)
+	m.Next = heartbeatInterval(g.fleetSize)
+	m.Mark = g.mark()
+	m.Peers = g.members.welcomePeers()
+	g.send(m, []string{address})
+}
+
+func addresses(members []*Member) []string {
+	out := make([]string, 0, len(members))
+	for _, m := range members {
+		out = append(out, m.Address)
+	}
+	return out
+}
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -1,14 +1,13 @@
-// Package gossip lets instances tell each other, in datagrams, what they run
-// at endpoints, which prompts they place, and how fresh their beliefs are.
+// Package gossip exchanges load reports, placement notices and state freshness between instances
+// in UDP datagrams.
 //
-// Instances find each other through seeds and through the addresses that
-// messages name; nothing is agreed on, and a lost datagram costs a little
-// accuracy. In a large fleet a few instances of each data centre, its
-// schedulers, choose endpoints for the others, which ask them in one datagram
-// and are answered in one: see roles.go. A proof of beliefs travels with its age and is dated by an echo:
-// the receiver takes the instant at which it sent the token that came back,
-// less the age, so that neither the time on the way nor a pause of either
-// process can make a belief look younger than it is.
+// Instances discover each other through seeds and through the addresses that messages contain.
+// There is no consensus, and a lost datagram only makes the load picture less accurate. In a
+// large fleet a few instances of each data centre, its schedulers, choose endpoints for the
+// others, with one request and one response datagram per choice: see roles.go. A message carries
+// the age of the sender's state. The receiver dates that state by the echo: it takes the time at
+// which it sent the token that came back, less the age, so that neither network delay nor a pause
+// of either process can make state look newer than it is.
 package gossip
 
 import (
@@ -28,92 +27,94 @@
 	"ivyridge/poison"
 )
 
-// Bounds on datagrams.
+// Datagram sizes.
 const (
-	maxDatagram = 1400
-	readSize    = 64 << 10
-	noticeBytes = 60 // of one notice, about
-	reportBytes = 20 // of one report, about
-	sumBytes    = 50 // of one report that sums up a data centre, about
-	headBytes   = 260
+	maxDatagram    = 1400
+	readBufferSize = 64 << 10
+	noticeBytes    = 60 // approximate, of one notice
+	reportBytes    = 20 // approximate, of one report
+	aggregateBytes = 50 // approximate, of one report that aggregates a data centre
+	headerBytes    = 260
 )
 
-// tokensKept is how many own tokens are remembered with their instants.
-const tokensKept = 512
+// tokenWindow is how many of its own tokens an instance remembers with their send times.
+const tokenWindow = 512
 
-// Options assemble a Gossip.
+// Options configure a Gossip.
 type Options struct {
-	Address    string // IP:port to listen at
-	DataCentre string // this instance's data centre
-	// DataCentres is how many there are, as settings say; zero: as many as are heard.
+	Address    string // IP:port to listen on
+	DataCentre string // the data centre of this instance
+	// DataCentres is the configured number of data centres; zero means the number seen.
 	DataCentres int
-	// Regions gives the region of each data centre, as settings say.
+	// Regions is the configured region of each data centre.
 	Regions  balance.Regions
-	Cores    float64  // of this instance's machine
-	Seeds    []string // IP:port of other instances' gossip
+	Cores    float64  // of the machine of this instance
+	Seeds    []string // IP:port of the gossip sockets of other instances
 	Beliefs  *belief.Table
 	Balancer *balance.Balancer
 	Log      *zap.Logger
 	Count    func(event string)
-	Mark     func() inventory.Mark // what this instance runs; nil: it does not tell
-	// Beyond, if set, is told the bytes that are sent to other regions, by what they say.
+	Mark     func() inventory.Mark // build and settings of this instance; nil: not announced
+	// Beyond, if set, is called with the number of bytes sent to other regions, by kind of
+	// message.
 	Beyond func(kind string, bytes int)
 	Now    func() time.Time
-	// Suspects holds the requests that end endpoints; nil: nothing is told of them.
+	// Suspects holds requests suspected of crashing endpoints; nil disables exchanging them.
 	Suspects *poison.Table
-	// SuspectNews, if set, is told what other instances told that was new of them.
+	// SuspectNews, if set, is called with entries received from other instances that changed
+	// Suspects. It is called with internal locks held and must not call into the Gossip.
 	SuspectNews func([]poison.Entry)
-	// PullSuspects returns all that the instance with a gossip address holds of them, as
-	// SuspectsHandler answers; nil: nobody is asked.
+	// PullSuspects fetches the whole suspect table of the instance with the given gossip address,
+	// as SuspectsHandler serves it; nil disables pulling.
 	PullSuspects func(address string) ([]byte, error)
-	// Instances is told how many instances are heard, this one among them, and
-	// within which time they tell what they run.
-	Instances func(n int, told time.Duration)
+	// Instances is called when the number of live instances (this one included) changes, with the
+	// time within which load reports reach all schedulers.
+	Instances func(n int, delay time.Duration)
 }
 
-// A Gossip speaks to the other instances. It is safe for concurrent use.
+// A Gossip exchanges state with other instances. It is safe for concurrent use.
 type Gossip struct {
 	Options
 	id   uint64
 	conn packetConn
 
-	mu       sync.Mutex
-	members  *members
-	addrs    map[string]netip.AddrPort
-	token    uint32
-	sent     [tokensKept]time.Time // by token
-	began    time.Time
-	forgotAt time.Time // members were last looked through
-	hello    time.Time
-	heard    int           // instances that are heard, this one among them
-	count    int           // that there are, as far as this or another one hears
-	newer    chan struct{} // closed when a member knows a newer revision
-	asks     uint64
-	pending  map[uint64]chan balance.Choice // by the number of the ask
-	silences map[string]*silence            // by address
-	unlent   map[string]time.Time           // when no other instance had a retry, by the name of the service
-	told     audiences
-	part     float64 // of the retries
-	dividing dividing
-
-	teamsLogged time.Time // the last look for teams that are limited
-	beyond      beyond
-	link        link
-	pull        suspectsPull
-	background  func(func()) // runs what waits for another instance
-
-	announced bool // that there are first beliefs
-	proofOld  bool // the proof has grown old and was not renewed since
+	mu             sync.Mutex
+	members        *members
+	addrs          map[string]netip.AddrPort
+	token          uint32
+	sent           [tokenWindow]time.Time // send times by token
+	startedAt      time.Time
+	lastPrune      time.Time // last run of prune
+	lastProbe      time.Time
+	directCount    int           // live instances that this one receives from, itself included
+	fleetSize      int           // live instances known directly or through another instance
+	newerRevision  chan struct{} // closed when a member reports a newer revision
+	requestNumber  uint64
+	pending        map[uint64]chan balance.Choice // by request number
+	backoffs       map[string]*backoff            // by address
+	borrowFailedAt map[string]time.Time           // when no lender had a retry, by service name
+	groups         receiverGroups
+	retryShare     float64 // of the retry budget
+	limits         limitAllocation
+
+	lastTeamsLog time.Time // last check for rate-limited teams
+	crossRegion  crossRegion
+	link         link
+	suspectSync  suspectSync
+	background   func(func()) // runs calls that wait for another instance
+
+	announced bool // the first state has been announced
+	wasStale  bool // the state has become stale and has not been confirmed since
 }
 
-// A packetConn sends and receives datagrams; *net.UDPConn is one.
+// A packetConn sends and receives datagrams. *net.UDPConn implements it.
 type packetConn interface {
 	WriteToUDPAddrPort(data []byte, to netip.AddrPort) (int, error)
 	ReadFromUDPAddrPort(buf []byte) (int, netip.AddrPort, error)
 	Close() error
 }
 
-// Listen opens the socket.
+// Listen opens the UDP socket. Run must be called to serve it.
 func Listen(o Options) (*Gossip, error) {
 	address, err := net.ResolveUDPAddr("udp4", o.Address)
 	if err != nil {
@@ -128,144 +129,142 @@
 
 func newGossip(o Options, id uint64, conn packetConn) *Gossip {
 	g := &Gossip{
-		Options: o, id: id, conn: conn, began: o.Now(),
-		addrs: make(map[string]netip.AddrPort), newer: make(chan struct{}),
-		pending: make(map[uint64]chan balance.Choice), silences: make(map[string]*silence), unlent: make(map[string]time.Time),
+		Options: o, id: id, conn: conn, startedAt: o.Now(),
+		addrs: make(map[string]netip.AddrPort), newerRevision: make(chan struct{}),
+		pending: make(map[uint64]chan balance.Choice), backoffs: make(map[string]*backoff), borrowFailedAt: make(map[string]time.Time),
 	}
 	g.members = newMembers(Member{Address: o.Address, ID: id, DataCentre: o.DataCentre, Cores: o.Cores}, o.Seeds)
 	g.members.setRegions(o.Regions)
 	g.link = newLink()
-	g.dividing.pending, g.dividing.late = make(map[uint64]chan Permit), make(map[uint64]latePermit)
+	g.limits.pending, g.limits.abandoned = make(map[uint64]chan Permit), make(map[uint64]abandonedRequest)
 	g.background = func(f func()) { go f() }
 	return g
 }
 
-// Run speaks and listens until ctx ends.
+// Run sends and receives messages until ctx ends, and then closes the socket.
 func (g *Gossip) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = g.conn.Close() })
 	defer stop()
 	go g.receive()
 	for ctx.Err() == nil {
-		g.beat()
+		g.tick()
 		select {
 		case <-ctx.Done():
-		case <-time.After(g.interval()):
+		case <-time.After(g.tickInterval()):
 		}
 	}
 }
 
-func (g *Gossip) interval() time.Duration {
+func (g *Gossip) tickInterval() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.members.current(g.Now()).interval()
+	return g.members.currentRoles(g.Now()).tickInterval()
 }
 
-// Leave tells the others that this instance stops.
+// Leave announces to the other instances that this one is shutting down.
 func (g *Gossip) Leave() {
 	g.mu.Lock()
 	g.members.self.Leaving = true
-	g.told = audiences{}
-	g.beyond.told, g.beyond.abroad = audience{}, audience{}
+	g.groups = receiverGroups{}
+	g.crossRegion.gateways, g.crossRegion.schedulers = receiverGroup{}, receiverGroup{}
 	g.mu.Unlock()
-	g.beat()
+	g.tick()
 }
 
-// SetSeeds replaces the seeds.
+// SetSeeds replaces the seed addresses.
 func (g *Gossip) SetSeeds(seeds []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.members.seeds = seeds
 }
 
-// Members returns the instances that are heard.
+// Members returns a copy of the live instances, without this one.
 func (g *Gossip) Members() []Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []Member
-	g.members.live(g.Now(), func(m *Member) { out = append(out, *m) })
+	g.members.eachLive(g.Now(), func(m *Member) { out = append(out, *m) })
 	return out
 }
 
-// Schedulers returns the other schedulers, and whether this instance is one.
-func (g *Gossip) Schedulers() (others []Member, schedules bool) {
+// Schedulers returns the other schedulers, and reports whether this instance is one.
+func (g *Gossip) Schedulers() (others []Member, isScheduler bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := g.members.current(g.Now())
+	r := g.members.currentRoles(g.Now())
 	for _, m := range r.schedulers {
 		others = append(others, *m)
 	}
-	return others, r.schedules
+	return others, r.isScheduler
 }
 
-// Upstreams returns the schedulers whose beliefs this instance may follow, the
-// first one first, and the newest revision that any scheduler is known to have.
-// The first scheduler of a data centre follows none.
+// Upstreams returns the schedulers whose state this instance may follow, in order of preference,
+// and the newest revision that any scheduler reports. The first scheduler of a data centre
+// follows none.
 func (g *Gossip) Upstreams() (upstreams []Member, newest int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := g.members.current(g.Now())
+	r := g.members.currentRoles(g.Now())
 	for _, m := range r.schedulers {
 		newest = max(newest, m.Revision)
 	}
-	follows := r.asked
-	if r.schedules {
-		follows = r.ahead
+	followed := r.schedulerOrder
+	if r.isScheduler {
+		followed = r.predecessors
 	}
-	for _, m := range follows {
+	for _, m := range followed {
 		upstreams = append(upstreams, *m)
 	}
 	return upstreams, newest
 }
 
-// Readers returns how many instances follow the store itself: one in each data
-// centre.
+// Readers returns the number of instances that read the store directly: one per data centre.
 func (g *Gossip) Readers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.members.current(g.Now()).readers
+	return g.members.currentRoles(g.Now()).storeReaders
 }
 
-// Crowd returns how many instances there are that schedule nothing, if schedulers
-// of this one's data centre are heard; otherwise one: cut off, it is alone.
+// Crowd returns the number of instances that aren't schedulers. It returns one if no scheduler of
+// this data centre has been heard from recently, since the instance may then be isolated.
 func (g *Gossip) Crowd() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Now()
-	r := g.members.current(now)
-	for _, m := range r.asked {
-		if now.Sub(m.heard) < silentLeast {
-			return max(1, g.count-len(r.schedulers))
+	r := g.members.currentRoles(now)
+	for _, m := range r.schedulerOrder {
+		if now.Sub(m.lastHeard) < minSilence {
+			return max(1, g.fleetSize-len(r.schedulers))
 		}
 	}
 	return 1
 }
 
-// ID returns what names this instance among the others; it is new at every
-// start.
+// ID returns the identifier of this instance. It is random and changes with each start.
 func (g *Gossip) ID() uint64 { return g.id }
 
-// Newer returns a channel that is closed once a member knows a revision that
-// this instance does not.
+// Newer returns a channel that is closed once a member reports a newer revision than this
+// instance has.
 func (g *Gossip) Newer() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.newer
+	return g.newerRevision
 }
 
-func (g *Gossip) message(now time.Time) *Message {
+func (g *Gossip) newMessage(now time.Time) *Message {
 	g.token++
-	g.sent[g.token%tokensKept] = now
-	proof, proved := g.Beliefs.Proof()
+	g.sent[g.token%tokenWindow] = now
+	proof, confirmed := g.Beliefs.Proof()
 	m := &Message{Sender: g.id, DataCentre: g.DataCentre, Leaving: g.members.self.Leaving, Token: g.token, Revision: proof.Revision, Age: -time.Millisecond,
-		Cores: g.Cores, Warm: g.members.self.Warm, Hears: g.heard, Level: levelNow, Part: g.part}
-	m.HearsHome = g.members.home
-	m.Divides = g.dividing.part.Share(now) > 0
+		Cores: g.Cores, Warm: g.members.self.Warm, Hears: g.directCount, Level: protocolCurrent, Part: g.retryShare}
+	m.HearsHome = g.members.regionSize
+	m.Divides = g.limits.share.Share(now) > 0
 	if g.Suspects != nil {
 		m.Digest = g.Suspects.Digest()
 	}
-	if proved {
-		// Not as of now, which may lie before the arrival of the token that is
-		// echoed: the receiver would date the proof too late.
+	if confirmed {
+		// Uses the present time instead of now: now may precede the arrival of the token that is
+		// echoed, and the receiver would then date the state too late.
 		m.Age = g.Now().Sub(proof.At).Truncate(time.Millisecond) + time.Millisecond
 	}
 	return m
@@ -279,15 +278,15 @@
 			continue
 		}
 		data := common
-		if member := g.members.all[receiver]; member != nil && member.token != 0 {
-			data = appendHeld(appendEcho(common, member.token), g.held(member))
+		if member := g.members.byAddress[receiver]; member != nil && member.token != 0 {
+			data = appendHeld(appendEcho(common, member.token), g.tokenHoldTime(member))
 		}
 		if _, err := g.conn.WriteToUDPAddrPort(data, to); err != nil {
 			g.Count("send-failed")
 			continue
 		}
 		g.Count("sent")
-		g.countBeyond(m, receiver, len(data))
+		g.countCrossRegion(m, receiver, len(data))
 	}
 }
 
@@ -304,106 +303,105 @@
 	return to, true
 }
 
-// forgetEvery is the pause between looks for instances that are not heard any more, which may
-// be silent for much longer than that.
-const forgetEvery = 100 * time.Millisecond
+// pruneInterval is the pause between checks for timed-out members. Member timeouts are much
+// longer.
+const pruneInterval = 100 * time.Millisecond
 
-// forget drops the instances that are not heard any more, and counts the others. The caller holds
-// g.mu.
-func (g *Gossip) forget(now time.Time) {
-	if now.Sub(g.forgotAt) < forgetEvery && !g.members.changed {
+// prune drops members that have timed out and counts the rest. The caller holds g.mu.
+func (g *Gossip) prune(now time.Time) {
+	if now.Sub(g.lastPrune) < pruneInterval && !g.members.changed {
 		return
 	}
-	g.forgotAt, g.members.changed = now, false
-	for _, id := range g.members.forget(now) {
+	g.lastPrune, g.members.changed = now, false
+	for _, id := range g.members.prune(now) {
 		g.Balancer.Merge(id, nil, nil, true)
-		g.Log.Info("instance lost", zap.Uint64("member", id))
+		g.Log.Info("instance timed out", zap.Uint64("member", id))
 	}
-	g.recount(now)
+	g.updateCounts(now)
 }
 
-func (g *Gossip) recount(now time.Time) {
+func (g *Gossip) updateCounts(now time.Time) {
 	var n int
-	g.heard, n = g.members.count(now)
-	if n != g.count {
-		g.count = n
-		g.Log.Info("instances heard", zap.Int("count", n))
-		g.Instances(n, g.members.current(now).told(n))
+	g.directCount, n = g.members.count(now)
+	if n != g.fleetSize {
+		g.fleetSize = n
+		g.Log.Info("live instance count changed", zap.Int("count", n))
+		g.Instances(n, g.members.currentRoles(now).propagationDelay(n))
 	}
 }
 
 func (g *Gossip) receive() {
-	buf := make([]byte, readSize)
+	buf := make([]byte, readBufferSize)
 	for {
 		n, from, err := g.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // an answer to an earlier datagram that could not be delivered
+			continue // ICMP error for an earlier datagram
 		}
 		m, err := Decode(buf[:n])
 		if err != nil {
 			g.Count("unreadable")
 			continue
 		}
-		g.take(from, m)
+		g.handle(from, m)
 	}
 }
 
-// take takes up a message.
-func (g *Gossip) take(from netip.AddrPort, m *Message) {
+// handle processes one received message.
+func (g *Gossip) handle(from netip.AddrPort, m *Message) {
 	switch {
 	case m.Sender == g.id:
 		return
 	case m.Ask != nil:
-		g.grant(from, m.Sender, m.Ask)
+		g.answerRequest(from, m.Sender, m.Ask)
 		return
 	case m.Grant != nil:
-		g.settle(m.Grant)
+		g.deliverAnswer(m.Grant)
 		return
 	case m.PermitAsk != nil:
-		g.grantPermit(from, m.PermitAsk)
+		g.answerPermitRequest(from, m.PermitAsk)
 		return
 	case m.Permit != nil:
-		g.settlePermit(m.Permit)
+		g.deliverPermit(m.Permit)
 		return
 	}
 	now := g.Now()
 	address := from.String()
 	g.mu.Lock()
-	proved := g.dated(m)
-	g.measure(now, m)
-	fresh := g.members.heard(now, address, m, proved)
+	confirmedAt := g.confirmationTime(m)
+	g.measureLink(now, m)
+	joined := g.members.observe(now, address, m, confirmedAt)
 	newer := m.Revision > g.Beliefs.View().Revision
 	if newer {
-		close(g.newer)
-		g.newer = make(chan struct{})
+		close(g.newerRevision)
+		g.newerRevision = make(chan struct{})
 	}
-	if fresh {
+	if joined {
 		g.welcome(now, address)
 	}
-	g.takeSums(now, m)
-	g.takeRegion(now, m)
-	g.collect(now, m)
-	g.takeSuspects(now, address, m)
+	g.handleAggregates(now, m)
+	g.handleRegionState(now, m)
+	g.collectNotices(now, m)
+	g.handleSuspects(now, address, m)
 	g.mu.Unlock()
 	g.Count("received")
-	if fresh {
-		g.Log.Info("instance heard", zap.String("address", address), zap.Uint64("member", m.Sender), zap.String("data_centre", m.DataCentre))
+	if joined {
+		g.Log.Info("instance joined", zap.String("address", address), zap.Uint64("member", m.Sender), zap.String("data_centre", m.DataCentre))
 	}
-	if !proved.IsZero() {
-		g.Beliefs.Confirm(m.Revision, proved)
+	if !confirmedAt.IsZero() {
+		g.Beliefs.Confirm(m.Revision, confirmedAt)
 	}
 	g.Balancer.Merge(m.Sender, m.Notices, m.Reports, m.Whole)
 	g.Balancer.MergeTeams(m.Sender, m.Teams)
 }
 
-// dated returns the instant, on this instance's clock, from which the
-// sender's beliefs are proved at the latest; zero if that can't be told.
-func (g *Gossip) dated(m *Message) time.Time {
-	if m.Age < 0 || m.Echo == 0 || m.Echo > g.token || g.token-m.Echo >= tokensKept {
+// confirmationTime returns the latest time, on this instance's clock, at which the sender's state
+// is known to have been current. It is zero if the message doesn't echo a remembered token.
+func (g *Gossip) confirmationTime(m *Message) time.Time {
+	if m.Age < 0 || m.Echo == 0 || m.Echo > g.token || g.token-m.Echo >= tokenWindow {
 		return time.Time{}
 	}
-	return g.sent[m.Echo%tokensKept].Add(-m.Age)
+	return g.sent[m.Echo%tokenWindow].Add(-m.Age)
 }
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -30,9 +30,9 @@
 		Next:       time.Duration(rapid.IntRange(0, 1<<20).Draw(t, "next")) * time.Millisecond,
 		Hears:      rapid.IntRange(0, 1000).Draw(t, "hears"),
 		Level:      rapid.IntRange(0, 1000).Draw(t, "level"),
-		Part:       float64(rapid.IntRange(0, 1/partUnit).Draw(t, "part")) * partUnit,
+		Part:       float64(rapid.IntRange(0, 1/shareUnit).Draw(t, "part")) * shareUnit,
 	}
-	if rapid.Bool().Draw(t, "says what it runs") {
+	if rapid.Bool().Draw(t, "has mark") {
 		m.Mark = &inventory.Mark{
 			Build: rapid.Uint32().Draw(t, "build"), Settings: rapid.Uint32().Draw(t, "settings"), Version: rapid.Int64Min(0).Draw(t, "version"),
 			Ready: rapid.Bool().Draw(t, "ready"), Refused: rapid.Bool().Draw(t, "refused"), Waiting: rapid.Bool().Draw(t, "waiting"),
@@ -51,7 +51,7 @@
 		m.Sums = append(m.Sums, drawReport(t))
 	}
 	m.SumsOf = rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "sums of")
-	m.SumsWhole = rapid.Bool().Draw(t, "whole sums")
+	m.SumsWhole = rapid.Bool().Draw(t, "sums complete")
 	for range rapid.IntRange(0, 3).Draw(t, "notices") {
 		n := balance.Notice{Endpoint: rapid.Uint32().Draw(t, "endpoint"), Uncached: rapid.IntRange(0, 1<<20).Draw(t, "uncached"),
 			Priority: rapid.IntRange(0, 9).Draw(t, "priority"), Fetched: rapid.IntRange(0, 1<<20).Draw(t, "fetched")}
@@ -126,7 +126,7 @@
 			Cause:      balance.Cause(rapid.Uint8().Draw(t, "cause")),
 			Wait:       time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "wait of a refusal")) * time.Microsecond,
 			Pressure:   rapid.Float64Range(0, 100).Draw(t, "pressure"),
-			RetryAfter: time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "come back")) * time.Microsecond,
+			RetryAfter: time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "retry after")) * time.Microsecond,
 		}
 	}
 	return g
@@ -152,7 +152,7 @@
 	return r
 }
 
-func TestMessagesSurviveTheWay(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t)
 		got, err := Decode(m.Append(nil))
@@ -167,20 +167,20 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := Decode(data)
 		if err == nil && m.Sender == 0 {
-			t.Fatal("a message without sender was taken")
+			t.Fatal("message without sender accepted")
 		}
 	})
 }
 
-// An instance under test, with a clock of its own.
-type speaker struct {
+// A testInstance is an instance under test with its own clock.
+type testInstance struct {
 	g     *Gossip
 	table *belief.Table
 	clock time.Time
 }
 
-func newSpeaker(t interface{ Fatal(...any) }, skew time.Duration, id uint64) *speaker {
-	s := &speaker{clock: time.Unix(1000, 0).Add(skew)}
+func newTestInstance(t interface{ Fatal(...any) }, skew time.Duration, id uint64) *testInstance {
+	s := &testInstance{clock: time.Unix(1000, 0).Add(skew)}
 	now := func() time.Time { return s.clock }
 	s.table = belief.NewTable(now)
 	s.g = newGossip(Options{
@@ -192,28 +192,28 @@
 
 func document() *catalog.Document { return &catalog.Document{Version: 1} }
 
-// However messages are delayed, lost and reordered, and however long the two
-// instances stand still, a belief is never thought younger than it is.
-func TestProofIsNeverTooYoung(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { checkProofs(t, (*Gossip).dated) })
+// State must never look newer than it is, however messages are delayed, lost and reordered, and
+// however long either instance is paused.
+func TestStateAgeNeverUnderestimated(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { checkProofs(t, (*Gossip).confirmationTime) })
 }
 
-// The property finds the fault of dating a proof by its arrival.
-func TestPropertyFindsDatingByArrival(t *testing.T) {
+// The check must detect an implementation that dates state by the arrival of the message.
+func TestStateAgeCheckDetectsDatingByArrival(t *testing.T) {
 	byArrival := func(g *Gossip, m *Message) time.Time { return g.Now().Add(-m.Age) }
 	if !findsFault(byArrival) {
-		t.Fatal("a proof dated by its arrival passes the check")
+		t.Fatal("state dated by message arrival passes the check")
 	}
 }
 
-// findsFault plays one schedule that the property draws: a message that waits
-// while its receiver stands still.
+// findsFault plays one schedule of the property: a message in flight while its receiver is
+// paused.
 func findsFault(dated func(*Gossip, *Message) time.Time) bool {
-	a, b := newSpeaker(failing{}, 0, 1), newSpeaker(failing{}, time.Hour, 2)
+	a, b := newTestInstance(failing{}, 0, 1), newTestInstance(failing{}, time.Hour, 2)
 	proved := a.clock
 	_ = a.table.Apply(&belief.Update{Revision: 5, Config: document(), Proved: a.clock})
 	_ = b.table.Apply(&belief.Update{Revision: 5, Config: document(), Proved: b.clock.Add(-time.Minute)})
-	m := a.g.message(a.clock)
+	m := a.g.newMessage(a.clock)
 	a.clock, b.clock = a.clock.Add(3*time.Second), b.clock.Add(3*time.Second)
 	b.table.Confirm(m.Revision, dated(b.g, m))
 	age, ok := b.table.Age()
@@ -225,9 +225,9 @@
 func (failing) Fatal(...any) {}
 
 func checkProofs(t *rapid.T, dated func(*Gossip, *Message) time.Time) {
-	var truth time.Duration // when the store was last read, on the true clock
+	var lastRead time.Duration // when the store was last read, in true time
 	var now time.Duration
-	a, b := newSpeaker(t, 0, 1), newSpeaker(t, time.Hour, 2)
+	a, b := newTestInstance(t, 0, 1), newTestInstance(t, time.Hour, 2)
 	_ = a.table.Apply(&belief.Update{Revision: 5, Config: document(), Proved: a.clock})
 	_ = b.table.Apply(&belief.Update{Revision: 5, Config: document(), Proved: b.clock.Add(-time.Minute)})
 	var toA, toB []*Message
@@ -237,19 +237,19 @@
 		a.clock, b.clock = a.clock.Add(pause), b.clock.Add(pause)
 		switch rapid.IntRange(0, 4).Draw(t, "event") {
 		case 0: // a reads the store
-			truth = now
+			lastRead = now
 			_ = a.table.Apply(&belief.Update{Revision: 5, Proved: a.clock})
 		case 1:
-			m := a.g.message(a.clock)
-			if member := a.g.members.all["b"]; member != nil {
+			m := a.g.newMessage(a.clock)
+			if member := a.g.members.byAddress["b"]; member != nil {
 				m.Echo = member.token
 			}
 			toB = append(toB, m)
 		case 2:
-			toA = append(toA, b.g.message(b.clock))
+			toA = append(toA, b.g.newMessage(b.clock))
 		case 3:
 			if m := deliver(t, &toA); m != nil {
-				a.g.members.heard(a.clock, "b", m, time.Time{})
+				a.g.members.observe(a.clock, "b", m, time.Time{})
 			}
 		case 4:
 			if m := deliver(t, &toB); m != nil {
@@ -258,60 +258,61 @@
 				}
 			}
 		}
-		if age, ok := b.table.Age(); ok && age < now-truth {
-			t.Fatalf("b thinks its beliefs %v old, they are %v", age, now-truth)
+		if age, ok := b.table.Age(); ok && age < now-lastRead {
+			t.Fatalf("b computes an age of %v, want at least %v", age, now-lastRead)
 		}
 	}
 }
 
-// deliver takes any message from the way.
-func deliver(t *rapid.T, way *[]*Message) *Message {
-	if len(*way) == 0 {
+// deliver removes and returns a random message in flight. The message may stay, to be delivered
+// again.
+func deliver(t *rapid.T, queue *[]*Message) *Message {
+	if len(*queue) == 0 {
 		return nil
 	}
-	i := rapid.IntRange(0, len(*way)-1).Draw(t, "which")
-	m := (*way)[i]
+	i := rapid.IntRange(0, len(*queue)-1).Draw(t, "which")
+	m := (*queue)[i]
 	if rapid.Bool().Draw(t, "once") {
-		*way = append((*way)[:i], (*way)[i+1:]...)
+		*queue = append((*queue)[:i], (*queue)[i+1:]...)
 	}
 	return m
 }
 
-func TestMembersComeAndGo(t *testing.T) {
+func TestMemberLifecycle(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newMembers(Member{ID: 1, Address: "own"}, []string{"seed", "own"})
-	if got := s.unheard(true); !reflect.DeepEqual(got, []string{"seed"}) {
-		t.Fatalf("before anything is heard, %v are greeted", got)
+	if got := s.candidates(true); !reflect.DeepEqual(got, []string{"seed"}) {
+		t.Fatalf("candidates before any message: %v, want the seed", got)
 	}
-	s.heard(now, "seed", &Message{Sender: 2, Peers: []string{"third", "own"}}, time.Time{})
-	if got := s.unheard(true); !reflect.DeepEqual(got, []string{"third"}) {
-		t.Fatalf("%v are greeted, want the one that the seed named", got)
+	s.observe(now, "seed", &Message{Sender: 2, Peers: []string{"third", "own"}}, time.Time{})
+	if got := s.candidates(true); !reflect.DeepEqual(got, []string{"third"}) {
+		t.Fatalf("candidates %v, want the one that the seed named", got)
 	}
-	if got := addresses(s.current(now).schedulers); !reflect.DeepEqual(got, []string{"seed"}) {
-		t.Fatalf("beats go to %v, want the seed", got)
+	if got := addresses(s.currentRoles(now).schedulers); !reflect.DeepEqual(got, []string{"seed"}) {
+		t.Fatalf("schedulers %v, want the seed", got)
 	}
 	count := func() (n int) {
-		s.live(now, func(*Member) { n++ })
+		s.eachLive(now, func(*Member) { n++ })
 		return n
 	}
 	if count() != 1 {
-		t.Fatalf("%d live, want one: a named instance is not heard yet", count())
+		t.Fatalf("%d live, want 1: a named instance has sent nothing yet", count())
 	}
 	now = now.Add(time.Minute)
-	if gone := s.forget(now); !reflect.DeepEqual(gone, []uint64{2}) || len(s.all) != 0 {
-		t.Fatalf("lost %v, %d left", gone, len(s.all))
+	if gone := s.prune(now); !reflect.DeepEqual(gone, []uint64{2}) || len(s.byAddress) != 0 {
+		t.Fatalf("pruned %v, %d left", gone, len(s.byAddress))
 	}
 }
 
-func TestRestartIsNoticed(t *testing.T) {
+func TestRestartDetected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newMembers(Member{ID: 1, Address: "own"}, nil)
 	for _, c := range []struct {
 		id    uint64
 		fresh bool
 	}{{2, true}, {2, false}, {3, true}} {
-		if got := s.heard(now, "a", &Message{Sender: c.id}, time.Time{}); got != c.fresh {
-			t.Fatalf("sender %d new: %v, want %v", c.id, got, c.fresh)
+		if got := s.observe(now, "a", &Message{Sender: c.id}, time.Time{}); got != c.fresh {
+			t.Fatalf("sender %d new = %v, want %v", c.id, got, c.fresh)
 		}
 	}
 }
--- a/gossip/heap_bench_test.go
+++ b/gossip/heap_bench_test.go
@@ -12,8 +12,8 @@
 	"ivyridge/catalog"
 )
 
-// BenchmarkHeap tells what an instance holds of a service's endpoints: those that it lists, and the
-// state of those that it chooses among.
+// BenchmarkHeap measures the heap used per service for the endpoint list, and for the balancer's
+// state of the endpoints.
 func BenchmarkHeap(bench *testing.B) {
 	for _, n := range []int{690, 6000, 12000} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
--- a/gossip/homes_test.go
+++ b/gossip/home_regions_test.go
@@ -9,8 +9,8 @@
 	"ivyridge/catalog"
 )
 
-// twoRegions puts the even data centres of a world into one region and the others into another.
-func (w *world) twoRegions() {
+// twoRegions assigns the data centres alternately to two regions.
+func (w *simulation) twoRegions() {
 	regions := map[string]string{"dc0": "north", "dc1": "south", "dc2": "north", "dc3": "south"}
 	for _, n := range w.nodes {
 		n.Regions = regions
@@ -18,7 +18,7 @@
 	}
 }
 
-// boundDemand is that of a request to a model that may be served in the regions named.
+// boundDemand returns a request to a model that may only be served in the given regions.
 func boundDemand(homes ...string) *balance.Demand {
 	return &balance.Demand{
 		Service:   &catalog.Service{Name: "m", MaxConns: 1000, Engine: &catalog.Engine{Slots: 64, MemoryTokens: 300_000}},
@@ -28,19 +28,19 @@
 	}
 }
 
-// The parts of a bound prompt reach the schedulers of its homes and nobody else; what it
-// weighs reaches all of them.
-func TestPartsOfBoundPromptsStayAtHome(t *testing.T) {
-	w := newWorld(t, 24, 4)
+// Prompt parts of a request bound to home regions are only sent to schedulers of these; its load
+// is sent to all.
+func TestBoundPartsSentToHomeRegionOnly(t *testing.T) {
+	w := newSimulation(t, 24, 4)
 	w.twoRegions()
 	w.run(8 * time.Second)
 	endpoints := []*belief.Endpoint{
 		{Endpoint: catalog.Endpoint{ID: "e-north", DataCentre: "dc0"}},
 		{Endpoint: catalog.Endpoint{ID: "e-south", DataCentre: "dc1"}},
 	}
-	told := make(map[string]int) // notices by the region that had them
+	notices := make(map[string]int) // notice counts by region of the receiver
 	parts := make(map[string]int)
-	w.way = nil
+	w.inFlight = nil
 	var scheduler *node
 	for _, n := range w.nodes {
 		if _, schedules := n.Schedulers(); schedules && n.DataCentre == "dc0" {
@@ -50,29 +50,30 @@
 	if p := scheduler.Balancer.Place(endpoints, boundDemand("north")); p == nil || p.Endpoint.ID != "e-north" {
 		t.Fatalf("placed at %+v", p)
 	}
-	scheduler.beat()
-	for _, datagram := range w.way {
+	scheduler.tick()
+	for _, datagram := range w.inFlight {
 		m, err := Decode(datagram.data)
 		if err != nil {
 			t.Fatal(err)
 		}
-		region := scheduler.Regions[w.at[datagram.to].DataCentre]
+		region := scheduler.Regions[w.byAddr[datagram.to].DataCentre]
 		for _, n := range m.Notices {
-			told[region]++
+			notices[region]++
 			parts[region] += len(n.Parts)
 		}
 	}
-	if told["north"] == 0 || told["south"] == 0 {
-		t.Errorf("notices by region: %v, want some in both", told)
+	if notices["north"] == 0 || notices["south"] == 0 {
+		t.Errorf("notices by region: %v, want some in both", notices)
 	}
 	if parts["north"] == 0 || parts["south"] != 0 {
 		t.Errorf("parts by region: %v, want them in the north only", parts)
 	}
 }
 
-// A scheduler that does not know homes is not told of a request that is bound by some.
-func TestOldSchedulersAreNotAskedForBoundRequests(t *testing.T) {
-	w := newWorld(t, 24, 4)
+// A scheduler whose version doesn't support home regions must not be asked to place a bound
+// request.
+func TestOldSchedulersNotAskedForBoundRequests(t *testing.T) {
+	w := newSimulation(t, 24, 4)
 	w.twoRegions()
 	w.run(8 * time.Second)
 	var ordinary *node
@@ -83,15 +84,15 @@
 		}
 	}
 	ordinary.mu.Lock()
-	for _, m := range ordinary.members.all {
-		m.level = levelHomes - 1
+	for _, m := range ordinary.members.byAddress {
+		m.protocol = protocolHomes - 1
 	}
 	ordinary.mu.Unlock()
-	w.way = nil
-	if _, _, ok := ordinary.ask(t.Context(), boundDemand("north")); ok || len(w.way) != 0 {
-		t.Fatalf("asked: %t, %d datagrams", ok, len(w.way))
+	w.inFlight = nil
+	if _, _, ok := ordinary.askScheduler(t.Context(), boundDemand("north")); ok || len(w.inFlight) != 0 {
+		t.Fatalf("bound request: answered %t, %d datagrams, want 0", ok, len(w.inFlight))
 	}
-	if _, _, ok := ordinary.ask(t.Context(), &balance.Demand{Service: &catalog.Service{Name: "m"}}); ok || len(w.way) != 1 {
-		t.Fatalf("a request that is not bound: answered %t, %d datagrams, want one", ok, len(w.way))
+	if _, _, ok := ordinary.askScheduler(t.Context(), &balance.Demand{Service: &catalog.Service{Name: "m"}}); ok || len(w.inFlight) != 1 {
+		t.Fatalf("unbound request: answered %t, %d datagrams, want 1", ok, len(w.inFlight))
 	}
 }
--- a/gossip/inventory.go
+++ b/gossip/inventory.go
@@ -1,10 +1,10 @@
 package gossip
 
-// This file says what this instance runs, and keeps what the others said.
+// This file announces the build and settings of this instance, and records those of others.
 //
-// A mark travels with heartbeats and whole reports only, and there when it has changed or was
-// last told some time ago: with every heartbeat, marks were 15% of the bytes between the data centres of 300
-// instances; so they are 4%. Other settings, and a file that was kept out, are told at once.
+// A version mark is sent with heartbeats and complete reports, and only if it has changed or
+// markInterval has passed, to save bandwidth between data centres. Changed settings and rejected
+// settings files are announced at once.
 
 import (
 	"time"
@@ -13,50 +13,50 @@
 )
 
 const (
-	// lostFor is how long an instance that is not heard any more is listed as lost: long
-	// enough to be found after an alarm.
-	lostFor = 2 * time.Minute
-	// lostMost bounds the lost instances that are listed.
-	lostMost = 1024
-	// markEvery is how often each audience is told a mark that stays the same: datagrams are
-	// lost, and some start to listen.
-	markEvery = 15 * time.Second
+	// lostTTL is how long a member that timed out stays listed as lost, for operators to see
+	// after an alert.
+	lostTTL = 2 * time.Minute
+	// maxLost bounds the number of lost members listed.
+	maxLost = 1024
+	// markInterval is how often an unchanged mark is sent to each receiver group again, for lost
+	// datagrams and new receivers.
+	markInterval = 15 * time.Second
 )
 
-// A Seen is an instance as this one knows it.
+// A Seen is a snapshot of what this instance knows of another one.
 type Seen struct {
 	Member
 	Mark       inventory.Mark
-	Told       bool // it says what it runs
+	Told       bool // it announces its build and settings
 	Schedules  bool
 	Lost       bool
-	HeardSince time.Duration // since it was last heard
+	HeardSince time.Duration // time since the last message from it
 }
 
-// A told is the mark that an audience was last told.
-type told struct {
-	mark inventory.Mark
-	at   time.Time // zero: none was
+// A sentMark is the mark last sent to a receiver group.
+type sentMark struct {
+	mark   inventory.Mark
+	sentAt time.Time // zero: none was sent
 }
 
-// urgent reports whether operators should see a mark before the next heartbeat is due: they
-// have changed settings and wait for that. A new version comes to all at once, and would be
-// told by all at once.
-func (t *told) urgent(m *inventory.Mark) bool {
-	return m != nil && !t.at.IsZero() &&
+// urgent reports whether m should be sent before the next heartbeat: operators wait to see
+// changed settings applied. A new build is not urgent, since it reaches all instances at once,
+// and all would announce it at once.
+func (t *sentMark) urgent(m *inventory.Mark) bool {
+	return m != nil && !t.sentAt.IsZero() &&
 		(t.mark.Settings != m.Settings || t.mark.Refused != m.Refused || t.mark.Waiting != m.Waiting)
 }
 
-// next returns what of m is told at now: all or nothing.
-func (t *told) next(m *inventory.Mark, now time.Time) *inventory.Mark {
-	if m == nil || !t.at.IsZero() && t.mark == *m && now.Sub(t.at) < markEvery {
+// next returns m if it is due to be sent at now, and nil otherwise.
+func (t *sentMark) next(m *inventory.Mark, now time.Time) *inventory.Mark {
+	if m == nil || !t.sentAt.IsZero() && t.mark == *m && now.Sub(t.sentAt) < markInterval {
 		return nil
 	}
-	t.mark, t.at = *m, now
+	t.mark, t.sentAt = *m, now
 	return m
 }
 
-// mark returns what this instance says of itself; nil if there is nothing to say.
+// mark returns the build and settings of this instance, nil if they aren't announced.
 func (g *Gossip) mark() *inventory.Mark {
 	if g.Mark == nil {
 		return nil
@@ -65,38 +65,39 @@
 	return &m
 }
 
-// lose keeps a member that is not heard any more, in place of the one that was lost first if there are
-// too many.
-func (s *members) lose(m *Member) {
+// recordLost records a member that timed out. If there are too many, it evicts the one that has
+// been lost for the longest.
+func (s *members) recordLost(m *Member) {
 	if s.lost == nil {
 		s.lost = make(map[string]*Member)
 	}
 	s.lost[m.Address] = m
-	if len(s.lost) <= lostMost {
+	if len(s.lost) <= maxLost {
 		return
 	}
 	oldest := m
 	for _, other := range s.lost {
-		if other.heard.Before(oldest.heard) {
+		if other.lastHeard.Before(oldest.lastHeard) {
 			oldest = other
 		}
 	}
 	delete(s.lost, oldest.Address)
 }
 
-// Seen returns the other instances that are heard or were of late.
+// Seen returns the other instances that are live, and those that timed out within the last two
+// minutes.
 func (g *Gossip) Seen() []Seen {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Now()
-	schedules := make(map[string]bool)
-	for _, m := range g.members.current(now).schedulers {
-		schedules[m.Address] = true
+	isScheduler := make(map[string]bool)
+	for _, m := range g.members.currentRoles(now).schedulers {
+		isScheduler[m.Address] = true
 	}
 	var out []Seen
-	g.members.live(now, func(m *Member) { out = append(out, m.seen(now, schedules[m.Address])) })
+	g.members.eachLive(now, func(m *Member) { out = append(out, m.seen(now, isScheduler[m.Address])) })
 	for address, m := range g.members.lost {
-		if now.Sub(m.heard) > lostFor {
+		if now.Sub(m.lastHeard) > lostTTL {
 			delete(g.members.lost, address)
 			continue
 		}
@@ -107,8 +108,8 @@
 	return out
 }
 
-func (m *Member) seen(now time.Time, schedules bool) Seen {
-	s := Seen{Member: *m, Schedules: schedules, HeardSince: now.Sub(m.heard)}
+func (m *Member) seen(now time.Time, isScheduler bool) Seen {
+	s := Seen{Member: *m, Schedules: isScheduler, HeardSince: now.Sub(m.lastHeard)}
 	if m.mark != nil {
 		s.Mark, s.Told = *m.mark, true
 	}
--- a/gossip/late_permit_test.go
+++ b/gossip/late_permit_test.go
@@ -9,42 +9,41 @@
 	"ivyridge/limit"
 )
 
-// On a machine with other work, a divider's answers took longer than the 15 ms for which a request
-// waits: the permits were charged to the endpoint's limit and thrown away, and 0.87 of the limit
-// was used. The counters of the asker: permit-unanswered and permit-late, equally many.
-func TestLatePermitIsOfUse(t *testing.T) {
+// Regression test: a permit that arrived after the request timeout was charged to the limit but
+// discarded, so that part of the limit went unused.
+func TestLatePermitIsUsed(t *testing.T) {
 	d := newDataCentre(t)
 	address := d.scheduler.conn.(*net.UDPConn).LocalAddr().String()
-	d.asker.members.all[address].level = levelNow
-	p := d.asker.Balancer.Place(d.endpoints, d.demand)
+	d.client.members.byAddress[address].protocol = protocolCurrent
+	p := d.client.Balancer.Place(d.endpoints, d.demand)
 	p.Limits(1)
 	p.Done(balance.Served)
 	for _, e := range d.endpoints[1:] {
 		e.Draining = true
 	}
-	endpoint, word, ok := d.asker.Balancer.WantPermit(p.Endpoint, 0)
+	endpoint, known, ok := d.client.Balancer.WantPermit(p.Endpoint, 0)
 	if !ok {
-		t.Fatal("no permit is wanted")
+		t.Fatal("no permit needed")
 	}
-	asked := d.asker.Now()
-	ask := &PermitAsk{Endpoint: endpoint, Limit: toldLimit(&word, asked)}
-	if _, answered := d.asker.askPermitAt(context.Background(), address, ask); answered {
-		t.Fatal("a divider answers that doesn't listen")
+	requestedAt := d.client.Now()
+	request := &PermitAsk{Endpoint: endpoint, Limit: limitAt(&known, requestedAt)}
+	if _, answered := d.client.requestPermitFrom(context.Background(), address, request); answered {
+		t.Fatal("an allocator that doesn't receive answered")
 	}
-	d.asker.Balancer.TakePermit(endpoint, 0, limit.Answer{Wait: limit.NoPart}, "", asked)
-	if _, refusal := d.asker.Balancer.Admit(d.endpoints, d.demand); refusal == nil {
-		t.Fatal("a request is placed without a permit")
+	d.client.Balancer.TakePermit(endpoint, 0, limit.Answer{Wait: limit.NoPart}, "", requestedAt)
+	if _, refusal := d.client.Balancer.Admit(d.endpoints, d.demand); refusal == nil {
+		t.Fatal("request placed without a permit")
 	}
-	late := &Permit{Number: ask.Number, Granted: true, Limit: balance.ToldLimit{Known: true, Named: true, Rate: 1}}
-	d.asker.settlePermit(late)
-	d.asker.settlePermit(late) // a copy
-	if p, refusal := d.asker.Balancer.Admit(d.endpoints, d.demand); p == nil || !p.MaySend() {
-		t.Errorf("a permit that came late is lost: %+v", refusal)
+	late := &Permit{Number: request.Number, Granted: true, Limit: balance.ToldLimit{Known: true, Named: true, Rate: 1}}
+	d.client.deliverPermit(late)
+	d.client.deliverPermit(late) // duplicate
+	if p, refusal := d.client.Balancer.Admit(d.endpoints, d.demand); p == nil || !p.MaySend() {
+		t.Errorf("late permit not used: %+v", refusal)
 	}
-	if p, _ := d.asker.Balancer.Admit(d.endpoints, d.demand); p != nil {
-		t.Error("a permit that came twice counts twice")
+	if p, _ := d.client.Balancer.Admit(d.endpoints, d.demand); p != nil {
+		t.Error("duplicate permit counted twice")
 	}
-	if n := len(d.asker.dividing.late); n != 0 {
-		t.Errorf("%d asks are remembered", n)
+	if n := len(d.client.limits.abandoned); n != 0 {
+		t.Errorf("%d requests still tracked", n)
 	}
 }
--- /dev/null
+++ b/gossip/limit_allocation.go
@@ -0,0 +1,129 @@
+package gossip
+
+// This file determines which instance allocates the rate limit of an endpoint, and which share of
+// a limit this instance allocates. It does no I/O.
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"ivyridge/limit"
+	"ivyridge/quota"
+)
+
+// homeRegionShare is the share of a limit that the endpoint's own region allocates. The other
+// regions split the rest, since requests seldom leave their region.
+const homeRegionShare = 0.9
+
+// limitAllocation is the state for allocating limits and for requesting permits. It is guarded by
+// g.mu.
+type limitAllocation struct {
+	side        quota.Side // cached, since counting members costs more than a tick
+	sideRolesAt time.Time  // rolesComputedAt of the roles that side was computed from
+	claim       quota.SideClaim
+	share       quota.Part // of each limit
+	allocator   limit.Divider
+	pending     map[uint64]chan Permit      // by request number
+	abandoned   map[uint64]abandonedRequest // unanswered requests that nobody waits for any more, by request number
+}
+
+// mayAllocate reports whether this instance may allocate limits according to its role.
+func (r *roles) mayAllocate() bool {
+	return r.isScheduler && len(r.predecessors) < r.activeSchedulers()
+}
+
+// regionSide returns what this instance sees of its region, on its side of a network partition.
+func (g *Gossip) regionSide(now time.Time, r *roles) quota.Side {
+	s := g.members
+	direct, reported := s.count(now)
+	side := quota.Side{Alone: s.isolated(r), Named: g.DataCentres}
+	region := g.Regions[g.DataCentre]
+	if s.multiRegion {
+		direct, reported, side.Named = s.regionSize, s.regionSize, 0
+		for _, of := range g.Regions {
+			if of == region {
+				side.Named++
+			}
+		}
+	}
+	dataCentres := map[string]bool{g.DataCentre: true}
+	s.eachLive(now, func(m *Member) {
+		if g.Regions[m.DataCentre] != region {
+			return
+		}
+		dataCentres[m.DataCentre] = true
+		if s.multiRegion {
+			reported = max(reported, m.regionSize)
+		}
+	})
+	side.Heard, side.Told, side.DataCentres = direct, reported, len(dataCentres)
+	return side
+}
+
+// updateLimitShare recomputes this instance's share of limits. The caller holds g.mu.
+func (g *Gossip) updateLimitShare(now time.Time, r *roles) {
+	if at := g.members.rolesComputedAt; !at.Equal(g.limits.sideRolesAt) {
+		g.limits.side, g.limits.sideRolesAt = g.regionSide(now, r), at
+	}
+	share := g.limits.claim.Part(g.limits.side, now)
+	if !r.mayAllocate() || g.members.self.Leaving {
+		share = 0
+	}
+	held := g.limits.share.Share(now)
+	if g.limits.share.Hold(share, now); share != held {
+		g.Log.Info("limit share changed", zap.Float64("part", share), zap.Float64("before", held))
+	}
+}
+
+// limitShare returns the share of the limit of an endpoint in dataCentre that this instance
+// allocates. The caller holds g.mu.
+func (g *Gossip) limitShare(now time.Time, dataCentre string) float64 {
+	share := g.limits.share.Share(now)
+	if !g.members.multiRegion {
+		return share
+	}
+	regions := make(map[string]bool)
+	for _, region := range g.Regions {
+		regions[region] = true
+	}
+	if g.Regions[dataCentre] == g.Regions[g.DataCentre] {
+		return share * homeRegionShare
+	}
+	return share * (1 - homeRegionShare) / float64(max(1, len(regions)-1))
+}
+
+// limitAllocator returns the gossip address of the instance that allocates the limit of an
+// endpoint in dataCentre, as far as this instance knows. It is this instance's own address if it
+// is the allocator, and empty if there is none. The caller holds g.mu.
+func (g *Gossip) limitAllocator(now time.Time, endpoint uint32, dataCentre string) string {
+	var candidates []limit.Candidate
+	var addresses []string
+	if g.limits.share.Share(now) > 0 {
+		candidates = append(candidates, limit.Candidate{ID: g.id, DataCentre: g.DataCentre})
+		addresses = append(addresses, g.Address)
+	}
+	for _, m := range g.members.currentRoles(now).schedulers {
+		if m.Divides && !m.Leaving && m.protocol >= protocolLimits && g.Regions[m.DataCentre] == g.Regions[g.DataCentre] {
+			candidates = append(candidates, limit.Candidate{ID: m.ID, DataCentre: m.DataCentre})
+			addresses = append(addresses, m.Address)
+		}
+	}
+	if i := limit.Divides(endpoint, dataCentre, candidates); i >= 0 {
+		return addresses[i]
+	}
+	return ""
+}
+
+// Divided returns the share of the limit of an endpoint in dataCentre that this instance
+// allocates, zero if it isn't the allocator, and the number of permits that it has granted for
+// it.
+func (g *Gossip) Divided(endpoint uint32, dataCentre string) (share float64, permits uint64) {
+	now := g.Now()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.limitAllocator(now, endpoint, dataCentre) == g.Address {
+		share = g.limitShare(now, dataCentre)
+	}
+	return share, g.limits.allocator.Permits(endpoint)
+}
--- a/gossip/members.go
+++ b/gossip/members.go
@@ -1,6 +1,6 @@
 package gossip
 
-// This file keeps the picture of the other instances. It does no I/O.
+// This file tracks the other instances. It does no I/O.
 
 import (
 	"math/rand/v2"
@@ -13,200 +13,199 @@
 	"ivyridge/quota"
 )
 
-// Times of membership.
+// Membership timing.
 const (
-	quietFor     = 400 * time.Millisecond // what is to be heard soon is said so often though there is no news
-	silentBeats  = 3                      // that a member may miss
-	silentLeast  = 1500 * time.Millisecond
-	helloEvery   = 500 * time.Millisecond // to seeds and named addresses that are not heard
-	helloEarly   = 100 * time.Millisecond // the same, soon after the start
-	earlyFor     = 3 * time.Second
-	peersNamed   = 6               // addresses in a message
-	peersWelcome = 16              // addresses in the first message to a new member
-	unheardFor   = 5 * time.Second // an address that was only named is tried so long
+	maxQuiet             = 400 * time.Millisecond // longest pause between messages to members that need frequent updates
+	missedHeartbeats     = 3                      // missed before a member times out
+	minSilence           = 1500 * time.Millisecond
+	probeInterval        = 500 * time.Millisecond // to seeds and candidate addresses
+	startupProbeInterval = 100 * time.Millisecond // the same, shortly after the start
+	startupPeriod        = 3 * time.Second
+	peersPerMessage      = 6               // addresses in a message
+	peersInWelcome       = 16              // addresses in the first message to a new member
+	candidateTTL         = 5 * time.Second // how long an address that was only named is tried
 )
 
 // A Member is another instance.
 type Member struct {
-	Address    string // IP:port of its gossip
+	Address    string // IP:port of its gossip socket
 	ID         uint64
 	DataCentre string
 	Cores      float64
 	Leaving    bool
-	Warm       bool    // it has scheduled for some time
-	Part       float64 // of the retries
-	Divides    bool    // limits
+	Warm       bool    // it has been a scheduler for at least the warm-up period
+	Part       float64 // of the retry budget
+	Divides    bool    // it may allocate endpoint rate limits
 	Revision   int64
-	Proved     time.Time // of its beliefs, on this instance's clock, at the earliest; zero: not known
+	Proved     time.Time // earliest time, on this instance's clock, up to which its state may have been current; zero: not known
 
-	heard time.Time // zero if it was only named
-	named time.Time
-	token uint32          // the last it sent
-	next  time.Duration   // within which it speaks again
-	hears int             // instances
-	level int             // what it understands
-	mark  *inventory.Mark // what it runs; nil: it does not tell
+	lastHeard  time.Time // zero if it was only named by others
+	lastNamed  time.Time
+	token      uint32          // last one received
+	nextWithin time.Duration   // it sends again within this time
+	fleetSize  int             // live instances that it reports
+	protocol   int             // version that it supports
+	mark       *inventory.Mark // build and settings; nil: not announced
 
-	hearsHome int // instances of its region
+	regionSize int // live instances that it reports for its region
 }
 
-// silentAfter returns how long m may be silent before it is taken for lost.
-func (m *Member) silentAfter() time.Duration { return max(silentLeast, silentBeats*m.next) }
+// timeout returns how long m may be silent before it counts as lost.
+func (m *Member) timeout() time.Duration { return max(minSilence, missedHeartbeats*m.nextWithin) }
 
 // members holds the other instances by address.
 type members struct {
-	self  Member // this instance; its address is learnt from nobody
-	seeds []string
-	all   map[string]*Member
-	// ordered are those of all that were heard, by address: sorted anew at each beat, 600 took
-	// three fifths of an instance's time for gossip.
-	ordered []*Member
-	changed bool               // a member came since they were last looked through
-	lost    map[string]*Member // not heard any more
-
-	regions balance.Regions // by data centre
-	several bool            // there is more than one region
-	home    int             // instances of the own region that are heard, this one among them; zero: there is one region
-
-	roles   roles
-	rolesAt time.Time // zero: to be worked out anew
-	since   time.Time // this instance has been a scheduler since then; zero: it is none
+	self      Member // this instance; its address comes from the settings
+	seeds     []string
+	byAddress map[string]*Member
+	// sorted holds the members that were heard from, by address. It is kept sorted on insertion,
+	// since sorting at each tick dominates the cost of gossip in a large fleet.
+	sorted  []*Member
+	changed bool               // a member joined since the last prune
+	lost    map[string]*Member // members that timed out
+
+	regions     balance.Regions // by data centre
+	multiRegion bool            // there are several regions
+	regionSize  int             // live instances of this region, this one included; zero: there is one region
+
+	roles           roles
+	rolesComputedAt time.Time // zero: roles must be recomputed
+	schedulerSince  time.Time // when this instance became a scheduler; zero: it is none
 
 	coldClaim, retryClaim quota.Claim
 }
 
 func newMembers(self Member, seeds []string) *members {
-	return &members{self: self, seeds: seeds, all: make(map[string]*Member)}
+	return &members{self: self, seeds: seeds, byAddress: make(map[string]*Member)}
 }
 
-// live calls visit for the members that are heard, in the order of their
-// addresses.
-func (s *members) live(now time.Time, visit func(*Member)) {
-	for _, m := range s.ordered {
-		if now.Sub(m.heard) < m.silentAfter() {
+// eachLive calls visit for each live member, in order of address.
+func (s *members) eachLive(now time.Time, visit func(*Member)) {
+	for _, m := range s.sorted {
+		if now.Sub(m.lastHeard) < m.timeout() {
 			visit(m)
 		}
 	}
 }
 
-// add takes up a member that is heard, in place of one that had its address.
+// add inserts a member that was heard from, and replaces one with the same address.
 func (s *members) add(m *Member) {
-	s.all[m.Address] = m
+	s.byAddress[m.Address] = m
 	s.changed = true
-	at, there := s.place(m.Address)
-	if there {
-		s.ordered[at] = m
+	at, found := s.search(m.Address)
+	if found {
+		s.sorted[at] = m
 		return
 	}
-	s.ordered = slices.Insert(s.ordered, at, m)
+	s.sorted = slices.Insert(s.sorted, at, m)
 }
 
-// drop removes a member that was heard.
-func (s *members) drop(m *Member) {
-	delete(s.all, m.Address)
-	if at, there := s.place(m.Address); there {
-		s.ordered = slices.Delete(s.ordered, at, at+1)
+// remove removes a member that was heard from.
+func (s *members) remove(m *Member) {
+	delete(s.byAddress, m.Address)
+	if at, found := s.search(m.Address); found {
+		s.sorted = slices.Delete(s.sorted, at, at+1)
 	}
 }
 
-// place returns where an address stands in ordered, or would stand.
-func (s *members) place(address string) (at int, there bool) {
-	return slices.BinarySearchFunc(s.ordered, address, func(m *Member, address string) int { return strings.Compare(m.Address, address) })
+// search returns the index of an address in sorted, or the index at which it would be inserted.
+func (s *members) search(address string) (at int, found bool) {
+	return slices.BinarySearchFunc(s.sorted, address, func(m *Member, address string) int { return strings.Compare(m.Address, address) })
 }
 
-// count returns how many instances this one hears, itself among them, and how
-// many it or another one hears. Only the first is told on: what was told, told
-// again, would keep instances that are gone in the count for ever.
-func (s *members) count(now time.Time) (heard, most int) {
-	heard = 1
-	told := 0
-	s.live(now, func(m *Member) {
-		heard++
-		told = max(told, m.hears)
+// count returns how many live instances this one receives from, itself included, and the largest
+// number that it or another instance reports. Only the first is announced: announcing reported
+// numbers would keep lost instances in the count forever.
+func (s *members) count(now time.Time) (direct, total int) {
+	direct = 1
+	reported := 0
+	s.eachLive(now, func(m *Member) {
+		direct++
+		reported = max(reported, m.fleetSize)
 	})
-	if s.several {
-		var abroad int
-		s.home, abroad = s.hearsHome(now)
-		heard = max(heard, s.home+abroad)
+	if s.multiRegion {
+		var remote int
+		s.regionSize, remote = s.countByRegion(now)
+		direct = max(direct, s.regionSize+remote)
 	}
-	return heard, max(heard, told)
+	return direct, max(direct, reported)
 }
 
-// heard takes up a message, and reports whether its sender is new.
-func (s *members) heard(now time.Time, from string, m *Message, proved time.Time) (fresh bool) {
+// observe records a message, and reports whether its sender is new.
+func (s *members) observe(now time.Time, from string, m *Message, confirmedAt time.Time) (joined bool) {
 	if m.Sender == s.self.ID || from == s.self.Address {
 		return false
 	}
-	member := s.all[from]
-	if member == nil || member.heard.IsZero() || member.ID != m.Sender {
+	member := s.byAddress[from]
+	if member == nil || member.lastHeard.IsZero() || member.ID != m.Sender {
 		member = &Member{Address: from, ID: m.Sender}
 		s.add(member)
 		delete(s.lost, from)
-		fresh = true
+		joined = true
 	}
-	if fresh || member.Leaving != m.Leaving || member.Warm != m.Warm || member.level != m.Level {
-		s.rolesAt = time.Time{}
+	if joined || member.Leaving != m.Leaving || member.Warm != m.Warm || member.protocol != m.Level {
+		s.rolesComputedAt = time.Time{}
 	}
 	member.DataCentre = m.DataCentre
 	member.Cores = m.Cores
 	member.Leaving = m.Leaving
 	member.Warm = m.Warm
-	member.heard = now
-	member.next = m.Next
-	member.hears = m.Hears
-	member.level = m.Level
+	member.lastHeard = now
+	member.nextWithin = m.Next
+	member.fleetSize = m.Hears
+	member.protocol = m.Level
 	member.Part = m.Part
 	member.Divides = m.Divides
-	member.hearsHome = m.HearsHome
+	member.regionSize = m.HearsHome
 	member.token = m.Token
 	member.Revision = m.Revision
 	if m.Mark != nil {
 		member.mark = m.Mark
 	}
-	if proved.After(member.Proved) {
-		member.Proved = proved
+	if confirmedAt.After(member.Proved) {
+		member.Proved = confirmedAt
 	}
 	for _, address := range m.Peers {
-		s.name(now, address)
+		s.addCandidate(now, address)
 	}
-	return fresh
+	return joined
 }
 
-// name notes an address that another instance hears.
-func (s *members) name(now time.Time, address string) {
+// addCandidate records an address that another instance named.
+func (s *members) addCandidate(now time.Time, address string) {
 	if address == s.self.Address {
 		return
 	}
-	if m := s.all[address]; m == nil {
-		s.all[address] = &Member{Address: address, named: now}
-	} else if m.heard.IsZero() {
-		m.named = now
+	if m := s.byAddress[address]; m == nil {
+		s.byAddress[address] = &Member{Address: address, lastNamed: now}
+	} else if m.lastHeard.IsZero() {
+		m.lastNamed = now
 	}
 }
 
-// forget drops the members that have long been silent, and returns their IDs.
-func (s *members) forget(now time.Time) []uint64 {
-	var gone []uint64
-	for address, m := range s.all {
+// prune drops members that have timed out, and returns their IDs.
+func (s *members) prune(now time.Time) []uint64 {
+	var timedOut []uint64
+	for address, m := range s.byAddress {
 		switch {
-		case m.heard.IsZero() && now.Sub(m.named) > unheardFor:
-			delete(s.all, address)
-		case !m.heard.IsZero() && now.Sub(m.heard) > m.silentAfter():
-			gone = append(gone, m.ID)
-			s.lose(m)
-			s.drop(m)
-			s.rolesAt = time.Time{}
+		case m.lastHeard.IsZero() && now.Sub(m.lastNamed) > candidateTTL:
+			delete(s.byAddress, address)
+		case !m.lastHeard.IsZero() && now.Sub(m.lastHeard) > m.timeout():
+			timedOut = append(timedOut, m.ID)
+			s.recordLost(m)
+			s.remove(m)
+			s.rolesComputedAt = time.Time{}
 		}
 	}
-	return gone
+	return timedOut
 }
 
-// unheard returns the addresses that are named, by others or, if seeds is set, by
-// the settings, and not heard yet.
-func (s *members) unheard(seeds bool) []string {
+// candidates returns the addresses that others named, or the settings if seeds is set, and that
+// haven't been heard from.
+func (s *members) candidates(seeds bool) []string {
 	var out []string
-	for address, m := range s.all {
-		if m.heard.IsZero() {
+	for address, m := range s.byAddress {
+		if m.lastHeard.IsZero() {
 			out = append(out, address)
 		}
 	}
@@ -214,35 +213,34 @@
 		return out
 	}
 	for _, seed := range s.seeds {
-		if s.all[seed] == nil && seed != s.self.Address {
+		if s.byAddress[seed] == nil && seed != s.self.Address {
 			out = append(out, seed)
 		}
 	}
 	return out
 }
 
-// sample returns some addresses of members that another instance is to be told
-// of.
-func sample(of []*Member) []string {
-	out := addresses(of)
+// samplePeers returns a random sample of the members' addresses.
+func samplePeers(members []*Member) []string {
+	out := addresses(members)
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return out[:min(len(out), peersNamed)]
+	return out[:min(len(out), peersPerMessage)]
 }
 
-// welcome returns the addresses that a new member should hear first.
-func (s *members) welcome() []string {
-	out := addresses(s.roles.home)
-	return out[:min(len(out), peersWelcome)]
+// welcomePeers returns the addresses to send to a new member first.
+func (s *members) welcomePeers() []string {
+	out := addresses(s.roles.regionSchedulers)
+	return out[:min(len(out), peersInWelcome)]
 }
 
-// connected reports whether a scheduler of another data centre is heard: whoever
-// hears one need not ask seeds for the others.
+// connected reports whether a scheduler of another data centre is live, in which case seeds
+// needn't be asked for others.
 func (s *members) connected() bool {
-	if s.roles.divided && len(s.roles.homeBeyond) == 0 {
-		return len(s.roles.home) > 0
+	if s.roles.useGateways && len(s.roles.regionRemoteSchedulers) == 0 {
+		return len(s.roles.regionSchedulers) > 0
 	}
 	return slices.ContainsFunc(s.roles.schedulers, func(m *Member) bool { return m.DataCentre != s.self.DataCentre })
 }
 
-// isSeed reports whether the settings name this instance as a seed.
+// isSeed reports whether this instance is configured as a seed.
 func (s *members) isSeed() bool { return slices.Contains(s.seeds, s.self.Address) }
--- a/gossip/members_test.go
+++ b/gossip/members_test.go
@@ -10,10 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// Members are visited in the order of their addresses, each once, whatever came and went, and a
-// visit allocates nothing: with 585 instances whose members were sorted at each beat, 8 s of a fleet at rest
-// took 15.2 s of a core, and 6.7 s since.
-func TestMembersAreKeptInOrder(t *testing.T) {
+// Members must be visited in order of their addresses, each once, without sorting or allocation
+// per visit.
+func TestMembersStaySorted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		s := newMembers(Member{Address: "self", ID: 1}, nil)
@@ -23,22 +22,22 @@
 			id := rapid.Uint64Range(2, 4).Draw(t, "id")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				s.name(now, address)
+				s.addCandidate(now, address)
 			case 1:
-				if m := s.all[address]; m != nil && !m.heard.IsZero() {
-					m.heard = now.Add(-time.Minute)
+				if m := s.byAddress[address]; m != nil && !m.lastHeard.IsZero() {
+					m.lastHeard = now.Add(-time.Minute)
 					delete(want, address)
 				}
-				s.forget(now)
+				s.prune(now)
 			default:
-				s.heard(now, address, &Message{Sender: id, Next: time.Second}, time.Time{})
+				s.observe(now, address, &Message{Sender: id, Next: time.Second}, time.Time{})
 				want[address] = id
 			}
 		}
 		var got []string
-		s.live(now, func(m *Member) {
+		s.eachLive(now, func(m *Member) {
 			got = append(got, m.Address)
-			if m.ID != want[m.Address] || s.all[m.Address] != m {
+			if m.ID != want[m.Address] || s.byAddress[m.Address] != m {
 				t.Fatalf("%s is %d, want %d", m.Address, m.ID, want[m.Address])
 			}
 		})
@@ -46,8 +45,8 @@
 			t.Fatalf("visited %v, want %v", got, addresses)
 		}
 		n := 0
-		if allocs := testing.AllocsPerRun(10, func() { s.live(now, func(*Member) { n++ }) }); allocs > 0 {
-			t.Fatalf("a visit allocates %v times", allocs)
+		if allocs := testing.AllocsPerRun(10, func() { s.eachLive(now, func(*Member) { n++ }) }); allocs > 0 {
+			t.Fatalf("eachLive allocates %v times", allocs)
 		}
 	})
 }
--- a/gossip/message.go
+++ b/gossip/message.go
@@ -1,7 +1,7 @@
 package gossip
 
-// This file encodes what instances tell each other. A Message is a protobuf
-// message, written field by field, so that no registry is linked in.
+// This file encodes gossip messages. A Message is a protobuf message that is encoded by hand,
+// field by field, so that no type registry is linked in.
 
 import (
 	"time"
@@ -13,50 +13,50 @@
 	"ivyridge/inventory"
 )
 
-// A Message is what one instance tells others in a datagram.
+// A Message is the content of one datagram.
 type Message struct {
-	Sender     uint64        // new at every start of a process
-	DataCentre string        // the sender's data centre
-	Leaving    bool          // it stops
-	Token      uint32        // comes back as Echo
-	Echo       uint32        // the last Token that the sender had from the receiver; zero: none
-	Revision   int64         // of the sender's beliefs
-	Age        time.Duration // of their proof, at sending; negative: not proved
-	Peers      []string      // some gossip addresses that the sender hears
-	Whole      bool          // Reports are all that the sender runs
+	Sender     uint64        // changes with each start of a process
+	DataCentre string        // of the sender
+	Leaving    bool          // the sender is shutting down
+	Token      uint32        // returned as Echo
+	Echo       uint32        // last Token that the sender received from the receiver; zero: none
+	Revision   int64         // of the sender's state
+	Age        time.Duration // time since the sender's state was confirmed, at sending; negative: never confirmed
+	Peers      []string      // gossip addresses of some live members
+	Whole      bool          // Reports are complete and replace earlier ones
 	Reports    []balance.Report
 	Notices    []balance.Notice
 
-	// Sums say what the instances of a data centre that schedule nothing run
-	// together; they cross to another data centre once, and are passed on there.
+	// Sums aggregate the load of all ordinary instances of a data centre. They are sent once to
+	// each other data centre, and are forwarded within it.
 	Sums      []balance.Report
-	SumsOf    string // the data centre; empty: the sender's
-	SumsWhole bool   // Sums are all that these instances run
+	SumsOf    string // the data centre; empty: no sums
+	SumsWhole bool   // Sums are complete and replace earlier ones
 
 	Cores float64         // of the sender's machine
-	Warm  bool            // the sender has been a scheduler for some time
-	Next  time.Duration   // within which the receiver hears from the sender again
-	Hears int             // instances that the sender hears, itself among them
-	Level int             // what the sender understands; see levelNow
-	Mark  *inventory.Mark // what the sender runs; nil: not said here
-	Part  float64         // of the retries, that the sender holds
+	Warm  bool            // the sender has been a scheduler for at least the warm-up period
+	Next  time.Duration   // the receiver gets another message from the sender within this time
+	Hears int             // live instances that the sender receives from, itself included
+	Level int             // protocol version of the sender
+	Mark  *inventory.Mark // build and settings of the sender; nil: not sent in this message
+	Part  float64         // share of the retry budget that the sender holds
 
-	Teams []balance.TeamUse // what teams use, by the requests that the sender chose for
+	Teams []balance.TeamUse // use by team, from requests that the sender placed
 
-	Suspects [][]byte // encoded, one a suspect; see suspects.go
-	Digest   uint64   // of all suspects that the sender holds; zero: none
+	Suspects [][]byte // one encoded suspect each; see suspects.go
+	Digest   uint64   // of the sender's suspect table; zero: empty
 
 	RegionMessage
 
-	Ask   *Ask   // the receiver is to choose an endpoint; nothing else is said
-	Grant *Grant // the answer to an Ask; nothing else is said
+	Ask   *Ask   // a placement request; other content is ignored
+	Grant *Grant // the answer to a placement request; other content is ignored
 
-	Divides   bool       // the sender may divide limits
-	PermitAsk *PermitAsk // for a permit; nothing else is said
-	Permit    *Permit    // the answer to a PermitAsk; nothing else is said
+	Divides   bool       // the sender may allocate endpoint rate limits
+	PermitAsk *PermitAsk // a permit request; other content is ignored
+	Permit    *Permit    // the answer to a permit request; other content is ignored
 }
 
-// The fields of a Message and of the messages in it.
+// Field numbers of a Message and the messages in it.
 const (
 	fieldSender     protowire.Number = 1
 	fieldDataCentre protowire.Number = 2
@@ -69,7 +69,7 @@
 	fieldWhole      protowire.Number = 9
 	fieldReports    protowire.Number = 10
 	fieldNotices    protowire.Number = 11
-	fieldCores      protowire.Number = 12 // in coresUnit
+	fieldCores      protowire.Number = 12 // in units of coresUnit
 	fieldWarm       protowire.Number = 13
 	fieldNext       protowire.Number = 14 // milliseconds
 	fieldHears      protowire.Number = 15
@@ -81,7 +81,7 @@
 	fieldLevel      protowire.Number = 21
 	fieldMark       protowire.Number = 31 // inventory.Mark
 	fieldTeams      protowire.Number = 22
-	fieldHeldPart   protowire.Number = 29 // in partUnit
+	fieldHeldPart   protowire.Number = 29 // in units of shareUnit
 	fieldDivides    protowire.Number = 34
 	fieldPermitAsk  protowire.Number = 35
 	fieldPermit     protowire.Number = 36
@@ -96,20 +96,20 @@
 	fieldTokens   protowire.Number = 2
 )
 
-// Levels of what an instance understands. Fields that it does not know are passed over; what
-// must not be misunderstood is told only to those that know it.
+// Protocol versions. Receivers skip unknown fields; content that an older version would
+// misinterpret is only sent to instances of a sufficient version.
 const (
-	levelHomes   = 1 // homes bind its choices
-	levelRetries = 2 // it charges the retries that it is asked for
-	levelRegions = 3 // it passes on what another region tells
-	levelLimits  = 4 // it divides limits, and answers asks for permits
-	levelNow     = levelLimits
+	protocolHomes   = 1 // placements respect home regions
+	protocolRetries = 2 // schedulers charge retries
+	protocolRegions = 3 // messages from other regions are forwarded
+	protocolLimits  = 4 // instances allocate limits and answer permit requests
+	protocolCurrent = protocolLimits
 )
 
-// partUnit is the step in which a part travels.
-const partUnit = 1e-4
+// shareUnit is the encoding resolution of a share.
+const shareUnit = 1e-4
 
-// coresUnit is the step in which the size of a machine travels.
+// coresUnit is the encoding resolution of a machine's cores.
 const coresUnit = 1e-3
 
 func appendUint(b []byte, n protowire.Number, v uint64) []byte {
@@ -130,10 +130,10 @@
 	return protowire.AppendBytes(b, v)
 }
 
-// appendEcho adds the one field that differs from receiver to receiver.
+// appendEcho appends the echo, which differs between receivers.
 func appendEcho(b []byte, echo uint32) []byte { return appendUint(b, fieldEcho, uint64(echo)) }
 
-// Append appends the encoding of m to b.
+// Append appends the encoding of m to b and returns the result.
 func (m *Message) Append(b []byte) []byte {
 	b = appendUint(b, fieldSender, m.Sender)
 	b = appendBytes(b, fieldDataCentre, []byte(m.DataCentre))
@@ -151,7 +151,7 @@
 	if m.Mark != nil {
 		b = appendBytes(b, fieldMark, m.Mark.Append(nil))
 	}
-	b = appendUint(b, fieldHeldPart, uint64(max(0, m.Part/partUnit+0.5)))
+	b = appendUint(b, fieldHeldPart, uint64(max(0, m.Part/shareUnit+0.5)))
 	b = appendUint(b, fieldDivides, protowire.EncodeBool(m.Divides))
 	if m.PermitAsk != nil {
 		b = appendBytes(b, fieldPermitAsk, m.PermitAsk.append(nil))
@@ -208,14 +208,14 @@
 	return b
 }
 
-// A field is one decoded field.
+// A field is one decoded protobuf field.
 type field struct {
 	number protowire.Number
 	value  uint64
 	bytes  []byte
 }
 
-// eachField calls visit for the fields of b; unknown ones are visited too.
+// eachField calls visit for each field of b, known or not.
 func eachField(b []byte, visit func(f field) error) error {
 	for len(b) > 0 {
 		number, kind, n := protowire.ConsumeTag(b)
@@ -249,12 +249,12 @@
 	return nil
 }
 
-// most bounds the numbers that are taken from a datagram.
-const most = 1 << 30
+// maxCount bounds the integers accepted from a datagram.
+const maxCount = 1 << 30
 
-func boundedCount(v uint64) int { return int(min(v, most)) }
+func boundedCount(v uint64) int { return int(min(v, maxCount)) }
 
-// Decode reads a Message.
+// Decode decodes a Message. It returns an error if b is malformed or has no sender.
 func Decode(b []byte) (*Message, error) {
 	m := new(Message)
 	err := eachField(b, func(f field) error {
@@ -292,7 +292,7 @@
 				m.Mark = &mark
 			}
 		case fieldHeldPart:
-			m.Part = float64(boundedCount(f.value)) * partUnit
+			m.Part = float64(boundedCount(f.value)) * shareUnit
 		case fieldDivides:
 			m.Divides = f.value != 0
 		case fieldPermitAsk:
@@ -329,7 +329,7 @@
 		return nil
 	})
 	if err == nil && m.Sender == 0 {
-		err = errors.New("gossip: a message without sender")
+		err = errors.New("gossip: message has no sender ID")
 	}
 	return m, err
 }
--- /dev/null
+++ b/gossip/old_builds_test.go
@@ -0,0 +1,62 @@
+package gossip
+
+// During a rolling upgrade, instances of an old build forward the configuration without the
+// fields that they don't know. A newer instance must not take a missing field for an empty one,
+// e.g. missing home regions for no restriction.
+//
+// The files are responses recorded from old builds, named by commit.
+
+import (
+	"context"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"ivyridge/belief"
+)
+
+// newOldBuildRelay returns a relay to a server of a recorded response.
+func newOldBuildRelay(t *testing.T, name string) *Relay {
+	answer, err := os.ReadFile(filepath.Join("testdata", "builds", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(answer) }))
+	t.Cleanup(server.Close)
+	return &Relay{
+		Address: strings.TrimPrefix(server.URL, "http://"), HTTP: http.DefaultClient, Now: time.Now,
+		Version: func() int64 { return 0 },
+	}
+}
+
+func TestOldBuildResponses(t *testing.T) {
+	for name, missing := range map[string]string{
+		"beliefs-f7612d7.json": "HomeRegions", // also lacks later fields
+		"beliefs-6a00187.json": "HomeRegions",
+		"beliefs-6c0c873.json": "HomeRegions",
+		"beliefs-881fb3f.json": "Born",
+		"beliefs-a5d942b.json": "",
+	} {
+		t.Run(name, func(t *testing.T) {
+			relay := newOldBuildRelay(t, name)
+			for call, read := range map[string]func() (*belief.Update, error){
+				"load":  func() (*belief.Update, error) { return relay.Load(context.Background()) },
+				"watch": func() (*belief.Update, error) { return relay.Watch(context.Background(), belief.Query{}) },
+			} {
+				u, err := read()
+				switch {
+				case missing == "" && (err != nil || u.Config == nil || len(u.Present) != 1):
+					t.Errorf("%s of a complete response: %v", call, err)
+				case missing != "" && err == nil:
+					t.Errorf("%s of a response without %s succeeded: %+v", call, missing, u.Config)
+				case missing != "" && !strings.Contains(err.Error(), missing):
+					t.Errorf("%s: error does not name %s: %v", call, missing, err)
+				}
+			}
+		})
+	}
+}
--- a/gossip/pack.go
+++ b/gossip/pack.go
@@ -1,6 +1,6 @@
 package gossip
 
-// This file encodes beliefs once for all instances that ask for them.
+// This file encodes and caches the state that followers fetch.
 
 import (
 	"bytes"
@@ -15,86 +15,86 @@
 	"ivyridge/catalog"
 )
 
-// maxUnpacked bounds what a packed part of beliefs holds, in bytes.
+// maxUnpacked bounds the decompressed size of a response part, in bytes.
 const maxUnpacked = 16 << 20
 
-// A packer holds a Table's beliefs as they are sent: a scheduler sends the
-// same to some 30 followers at each change, and a large configuration is 750 KB
-// unpacked, which fills a link of 200 Mbit/s for a second. It is safe for
+// A packer caches a table's state in encoded form: a scheduler sends the same state to about 30
+// followers at each change, and a large configuration is 750 KB uncompressed. It is safe for
 // concurrent use.
 type packer struct {
 	table *belief.Table
 
 	mu       sync.Mutex
-	view     *belief.View     // that was current when the beliefs below were packed
-	whole    *packed          // nil: not packed since
-	parts    map[int64]packed // by the revision after which they changed
+	view     *belief.View     // for which the fields below were packed
+	full     *packed          // nil: not packed yet
+	partials map[int64]packed // changes by the revision that they follow
 	document *catalog.Document
-	config   []byte // of document
+	config   []byte // document in packed form
 }
 
-// A packed is what is sent of one revision's endpoints.
+// A packed is the encoded state of one revision.
 type packed struct {
 	revision int64
 	document *catalog.Document // nil if there is none
-	present  []byte            // packed []belief.Record; nil if it is partial
+	present  []byte            // compressed []belief.Record; nil if partial
 	partial  bool
 	changed  []byte // JSON []belief.Record
-	gone     []belief.Departure
+	removed  []belief.Departure
 	digest   uint64
 
 	evacuations []belief.Evacuation
 }
 
-// mostChanged is the number of changed endpoints from which everything is sent: packed, a list of
-// thousands is not longer.
-const mostChanged = 1000
+// maxPartial is the number of changed endpoints above which the full list is sent, whose
+// compressed size is then no larger.
+const maxPartial = 1000
 
-// pack returns the table's beliefs, encoded anew where they have changed: what changed after a
-// revision if that is known and asked for, and otherwise everything.
+// pack returns the encoded state: the changes since a revision if partial is set and they are
+// known, and otherwise everything.
 func (p *packer) pack(after int64, partial bool) (packed, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if v := p.table.View(); v != p.view {
-		p.view, p.whole, p.parts = v, nil, make(map[int64]packed)
+		p.view, p.full, p.partials = v, nil, make(map[int64]packed)
 	}
 	if partial {
-		part, ok, err := p.since(after)
+		part, ok, err := p.packChanges(after)
 		if ok || err != nil {
 			return part, err
 		}
 	}
-	if p.whole == nil {
+	if p.full == nil {
 		u := p.table.Snapshot()
 		present, err := compress(u.Present)
 		if err != nil {
 			return packed{}, err
 		}
-		p.whole = &packed{revision: u.Revision, document: u.Config, present: present, digest: u.Digest, evacuations: u.Evacuations}
+		p.full = &packed{revision: u.Revision, document: u.Config, present: present, digest: u.Digest, evacuations: u.Evacuations}
 	}
-	return *p.whole, nil
+	return *p.full, nil
 }
 
-// since returns what changed after a revision. Ok is false if that is not known, or too much.
-func (p *packer) since(after int64) (part packed, ok bool, err error) {
-	if part, ok = p.parts[after]; ok {
+// packChanges returns the changes since a revision. ok is false if they aren't known or there are
+// too many.
+func (p *packer) packChanges(after int64) (part packed, ok bool, err error) {
+	if part, ok = p.partials[after]; ok {
 		return part, true, nil
 	}
 	u, ok := p.table.Since(after)
-	if !ok || len(u.Present)+len(u.Gone) > mostChanged {
+	if !ok || len(u.Present)+len(u.Gone) > maxPartial {
 		return packed{}, false, nil
 	}
-	part = packed{revision: u.Revision, document: u.Config, partial: true, gone: u.Gone, digest: u.Digest, evacuations: u.Evacuations}
+	part = packed{revision: u.Revision, document: u.Config, partial: true, removed: u.Gone, digest: u.Digest, evacuations: u.Evacuations}
 	if len(u.Present) > 0 {
 		if part.changed, err = json.Marshal(u.Present); err != nil {
 			return packed{}, false, errors.Wrap(err, "pack")
 		}
 	}
-	p.parts[after] = part
+	p.partials[after] = part
 	return part, true, nil
 }
 
-// packConfig returns a packed configuration, encoded anew if it is another one.
+// packConfig returns the encoded configuration.
 func (p *packer) packConfig(d *catalog.Document) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,7 +108,7 @@
 	return config, err
 }
 
-// compress encodes v as JSON, gzipped.
+// compress returns v as gzipped JSON.
 func compress(v any) ([]byte, error) {
 	var out bytes.Buffer
 	z, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
@@ -124,7 +124,7 @@
 	return out.Bytes(), nil
 }
 
-// decompress returns the JSON that compress has packed.
+// decompress reverses the gzip step of compress.
 func decompress(data []byte) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
--- a/gossip/pack_test.go
+++ b/gossip/pack_test.go
@@ -10,7 +10,7 @@
 	"ivyridge/catalog"
 )
 
-// largeTable returns beliefs with a configuration of some thousand routes.
+// largeTable returns a table whose configuration has 2800 routes.
 func largeTable(t *testing.T) *belief.Table {
 	t.Helper()
 	d := &catalog.Document{Version: 3, Services: []catalog.Service{{Name: "app"}}}
@@ -28,9 +28,8 @@
 	return table
 }
 
-// A scheduler sends the configuration to all of its followers at once; at
-// 100 KB, 30 of them have it over 200 Mbit/s in 0.12 s.
-func TestLargeConfigurationIsSmallOnTheWay(t *testing.T) {
+// Bounds the size of a large configuration, which a scheduler sends to all its followers at once.
+func TestLargeConfigurationCompressed(t *testing.T) {
 	r, _ := relayOf(t, largeTable(t), 0)
 	u, err := r.Load(context.Background())
 	if err != nil || len(u.Config.Routes) != 2800 {
@@ -41,51 +40,51 @@
 	}
 }
 
-func TestBeliefsAreEncodedOnceAChange(t *testing.T) {
+func TestResponseEncodedOncePerChange(t *testing.T) {
 	table := largeTable(t)
 	p := &packer{table: table}
-	tell := func(after, version int64, partial bool) *beliefs {
+	respond := func(after, version int64, partial bool) *stateResponse {
 		t.Helper()
-		out, err := p.told(after, version, partial)
+		out, err := p.respond(after, version, partial)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return out
 	}
-	first := tell(0, 0, false)
-	if again := tell(0, 0, true); &again.Present[0] != &first.Present[0] || &again.Config[0] != &first.Config[0] {
-		t.Fatal("encoded anew without a change")
+	first := respond(0, 0, false)
+	if again := respond(0, 0, true); &again.Present[0] != &first.Present[0] || &again.Config[0] != &first.Config[0] {
+		t.Fatal("encoded again without a change")
 	}
 	if err := table.Apply(&belief.Update{Revision: 6, Proved: time.Now(), Present: []belief.Record{{Endpoint: catalog.Endpoint{ID: "e"}, Revision: 6}}}); err != nil {
 		t.Fatal(err)
 	}
-	changed := tell(0, 0, false)
+	changed := respond(0, 0, false)
 	if changed.Revision != 6 || &changed.Present[0] == &first.Present[0] {
-		t.Fatal("a change of endpoints is not told")
+		t.Fatal("changed endpoints not sent")
 	}
 	if &changed.Config[0] != &first.Config[0] {
-		t.Fatal("the configuration is encoded anew though only endpoints changed")
+		t.Fatal("configuration encoded again though only endpoints changed")
 	}
-	part := tell(5, 3, true)
+	part := respond(5, 3, true)
 	if !part.Partial || part.Present != nil || part.Config != nil || len(part.Changed) == 0 {
-		t.Fatalf("told %+v, want the change alone", part)
+		t.Fatalf("response %+v, want only the change", part)
 	}
-	if again := tell(5, 3, true); &again.Changed[0] != &part.Changed[0] {
-		t.Fatal("a change is encoded for each who asks")
+	if again := respond(5, 3, true); &again.Changed[0] != &part.Changed[0] {
+		t.Fatal("change encoded again for another caller")
 	}
-	if whole := tell(5, 3, false); whole.Partial || whole.Present == nil {
-		t.Fatalf("an instance that doesn't take parts is told %+v", whole)
+	if full := respond(5, 3, false); full.Partial || full.Present == nil {
+		t.Fatalf("response to a caller without partial support: %+v", full)
 	}
-	if whole := tell(4, 3, true); whole.Partial || whole.Present == nil {
-		t.Fatalf("an instance that knows less than is remembered is told %+v", whole)
+	if full := respond(4, 3, true); full.Partial || full.Present == nil {
+		t.Fatalf("response to a caller behind the remembered changes: %+v", full)
 	}
 }
 
-func TestPackedPartThatCannotBeRead(t *testing.T) {
+func TestCorruptPackedPart(t *testing.T) {
 	for _, data := range [][]byte{{}, []byte("{}"), {0x1f, 0x8b}} {
 		var u belief.Update
-		if err := (&beliefs{Config: data}).unpack(&u); err == nil {
-			t.Errorf("%q was taken", data)
+		if err := (&stateResponse{Config: data}).unpack(&u); err == nil {
+			t.Errorf("%q accepted", data)
 		}
 	}
 }
--- a/gossip/permit.go
+++ b/gossip/permit.go
@@ -1,13 +1,14 @@
 package gossip
 
-// This file asks the instance that divides an endpoint's limit for permits, and answers those who
-// ask.
+// This file requests permits from the instance that allocates an endpoint's rate limit, and
+// answers such requests.
 //
-// Whoever chooses endpoints for others may divide limits, and says so in each message; package
-// limit has the order in which they do. An instance that is asked and hears a better one names that, so that an
-// ordinary instance, which hears of the schedulers of other data centres seldom, asks the right
-// one at the second try. Each region divides its own part of a limit: the way to another one
-// takes longer than most requests may wait, and two regions that lose each other each have theirs.
+// Each active scheduler may allocate limits, and announces that in each message; package limit
+// decides which one allocates the limit of an endpoint. An instance that receives a request and
+// knows a better allocator names it, so that an ordinary instance, which rarely hears from
+// schedulers of other data centres, finds the right one with its second request. Each region
+// allocates its own part of a limit: a round trip to another region takes longer than most
+// requests may wait, and regions that lose contact each keep their part.
 
 import (
 	"context"
@@ -21,53 +22,53 @@
 )
 
 const (
-	// permitsAsked is how many endpoints a request asks permits for. Each that is denied is
-	// closed for the next requests.
-	permitsAsked = 6
-	// permitHops is how many instances are asked for one permit: the second is the one that the
-	// first names.
-	permitHops = 2
+	// maxPermitRequests is how many endpoints a permit is requested for on behalf of one request.
+	// Endpoints whose permit is denied are closed for following requests.
+	maxPermitRequests = 6
+	// maxPermitHops is how many instances are contacted for one permit: the second is the
+	// allocator that the first names.
+	maxPermitHops = 2
 )
 
-// permit has a permit for an endpoint asked for, and takes the answer up. It returns the hash of the
-// endpoint if there is one, and otherwise zero.
-func (g *Gossip) permit(ctx context.Context, e *belief.Endpoint, urgency int) uint32 {
-	endpoint, word, ok := g.Balancer.WantPermit(e, urgency)
+// requestPermit requests a permit for an endpoint and passes the answer to the balancer. It
+// returns the hash of the endpoint if the permit was granted, and zero otherwise.
+func (g *Gossip) requestPermit(ctx context.Context, e *belief.Endpoint, urgency int) uint32 {
+	endpoint, known, ok := g.Balancer.WantPermit(e, urgency)
 	if !ok {
 		return 0
 	}
-	asked := g.Now()
+	requestedAt := g.Now()
 	g.mu.Lock()
-	divider := g.divider(asked, endpoint, e.DataCentre)
+	allocator := g.limitAllocator(requestedAt, endpoint, e.DataCentre)
 	g.mu.Unlock()
-	ask := &PermitAsk{Endpoint: endpoint, DataCentre: e.DataCentre, Urgency: urgency, Limit: toldLimit(&word, asked)}
+	request := &PermitAsk{Endpoint: endpoint, DataCentre: e.DataCentre, Urgency: urgency, Limit: limitAt(&known, requestedAt)}
 	answer := limit.Answer{Wait: limit.NoPart}
-	for range permitHops {
-		if divider == "" {
+	for range maxPermitHops {
+		if allocator == "" {
 			g.Count("permit-nobody")
 			break
 		}
-		if divider == g.Address {
-			answer, _ = g.divide(ask)
+		if allocator == g.Address {
+			answer, _ = g.allocate(request)
 			g.Count("permit-own")
 			break
 		}
-		p, answered := g.askPermitAt(ctx, divider, ask)
+		p, answered := g.requestPermitFrom(ctx, allocator, request)
 		if !answered {
 			g.Count("permit-unanswered")
 			break
 		}
-		answer = limit.Answer{Granted: p.Granted, Wait: p.Wait, Word: word}
+		answer = limit.Answer{Granted: p.Granted, Wait: p.Wait, Word: known}
 		if p.Limit.Known {
 			answer.Word = p.Limit.Word(g.Now())
 		}
-		if p.Divider == "" || p.Divider == divider {
+		if p.Divider == "" || p.Divider == allocator {
 			break
 		}
 		g.Count("permit-redirected")
-		divider = p.Divider
+		allocator = p.Divider
 	}
-	g.Balancer.TakePermit(endpoint, urgency, answer, divider, asked)
+	g.Balancer.TakePermit(endpoint, urgency, answer, allocator, requestedAt)
 	if !answer.Granted {
 		g.Count("permit-denied")
 		return 0
@@ -76,52 +77,53 @@
 	return endpoint
 }
 
-// A latePermit is an ask that was given up before its answer came.
-type latePermit struct {
-	ask     PermitAsk
-	divider string // the address that was asked
-	asked   time.Time
+// An abandonedRequest is a permit request whose caller stopped waiting for the answer.
+type abandonedRequest struct {
+	request   PermitAsk
+	allocator string // address that it was sent to
+	sentAt    time.Time
 }
 
-// lapsed reports whether a permit that answers the ask would be of no use any more.
-func (p *latePermit) lapsed(now time.Time) bool { return now.Sub(p.asked) > balance.PermitFor }
+// expired reports whether a permit that answers the request would no longer be valid.
+func (p *abandonedRequest) expired(now time.Time) bool { return now.Sub(p.sentAt) > balance.PermitFor }
 
-// endAsk notes that no request waits for the answer to an ask any more. One that was sent and not
-// answered is remembered: what it grants is paid for at the divider.
-func (g *Gossip) endAsk(a *PermitAsk, divider string, asked time.Time, unanswered bool) {
+// finishPermitRequest removes a pending request. A request that was sent and not answered is
+// remembered, since the allocator may have charged a permit for it.
+func (g *Gossip) finishPermitRequest(a *PermitAsk, allocator string, sentAt time.Time, unanswered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.dividing.pending, a.Number)
+	delete(g.limits.pending, a.Number)
 	now := g.Now()
-	for number, p := range g.dividing.late {
-		if p.lapsed(now) {
-			delete(g.dividing.late, number)
+	for number, p := range g.limits.abandoned {
+		if p.expired(now) {
+			delete(g.limits.abandoned, number)
 		}
 	}
 	if unanswered {
-		g.dividing.late[a.Number] = latePermit{ask: *a, divider: divider, asked: asked}
+		g.limits.abandoned[a.Number] = abandonedRequest{request: *a, allocator: allocator, sentAt: sentAt}
 	}
 }
 
-// askPermitAt asks the instance at an address, and reports whether it answered.
-func (g *Gossip) askPermitAt(ctx context.Context, address string, a *PermitAsk) (p Permit, answered bool) {
+// requestPermitFrom sends a permit request to an address, and reports whether it was answered in
+// time.
+func (g *Gossip) requestPermitFrom(ctx context.Context, address string, a *PermitAsk) (p Permit, answered bool) {
 	g.mu.Lock()
 	to, ok := g.resolve(address)
-	known := g.members.all[address]
-	ok = ok && known != nil && known.level >= levelLimits // others would take an ask for a heartbeat
-	g.asks++
-	a.Number = g.asks
+	member := g.members.byAddress[address]
+	ok = ok && member != nil && member.protocol >= protocolLimits // older versions would take the request for a heartbeat
+	g.requestNumber++
+	a.Number = g.requestNumber
 	reply := make(chan Permit, 1)
-	g.dividing.pending[a.Number] = reply
+	g.limits.pending[a.Number] = reply
 	g.mu.Unlock()
-	asked := g.Now()
+	sentAt := g.Now()
 	sent := false
-	defer func() { g.endAsk(a, address, asked, sent && !answered) }()
-	if !ok || !g.write(&Message{Sender: g.id, DataCentre: g.DataCentre, PermitAsk: a}, to) {
+	defer func() { g.finishPermitRequest(a, address, sentAt, sent && !answered) }()
+	if !ok || !g.sendDirect(&Message{Sender: g.id, DataCentre: g.DataCentre, PermitAsk: a}, to) {
 		return Permit{}, false
 	}
 	sent = true
-	timer := time.NewTimer(askWithin)
+	timer := time.NewTimer(requestTimeout)
 	defer timer.Stop()
 	select {
 	case p := <-reply:
@@ -132,60 +134,62 @@
 	return Permit{}, false
 }
 
-// write sends a message that is no heartbeat.
-func (g *Gossip) write(m *Message, to netip.AddrPort) bool {
-	if _, err := g.conn.WriteToUDPAddrPort(m.Append(make([]byte, 0, askBytes)), to); err != nil {
+// sendDirect sends a request or an answer to one instance.
+func (g *Gossip) sendDirect(m *Message, to netip.AddrPort) bool {
+	if _, err := g.conn.WriteToUDPAddrPort(m.Append(make([]byte, 0, requestBytes)), to); err != nil {
 		g.Count("send-failed")
 		return false
 	}
 	return true
 }
 
-// divide answers an ask, and names the instance that divides the limit if that is another one.
-func (g *Gossip) divide(a *PermitAsk) (answer limit.Answer, divider string) {
+// allocate answers a permit request, and returns the address of the allocator if that is another
+// instance.
+func (g *Gossip) allocate(a *PermitAsk) (answer limit.Answer, allocator string) {
 	now := g.Now()
-	word := a.Limit.Word(now)
-	word.Merge(g.Balancer.Word(a.Endpoint))
+	known := a.Limit.Word(now)
+	known.Merge(g.Balancer.Word(a.Endpoint))
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	divider = g.divider(now, a.Endpoint, a.DataCentre)
-	if divider != g.Address {
-		return limit.Answer{Wait: limit.NoPart, Word: word}, divider
+	allocator = g.limitAllocator(now, a.Endpoint, a.DataCentre)
+	if allocator != g.Address {
+		return limit.Answer{Wait: limit.NoPart, Word: known}, allocator
 	}
-	share := g.share(now, a.DataCentre)
-	return g.dividing.divider.Ask(a.Endpoint, word, share, a.Urgency, now, rand.Float64()), ""
+	share := g.limitShare(now, a.DataCentre)
+	return g.limits.allocator.Ask(a.Endpoint, known, share, a.Urgency, now, rand.Float64()), ""
 }
 
-// grantPermit answers an instance that asks for a permit.
-func (g *Gossip) grantPermit(to netip.AddrPort, a *PermitAsk) {
-	answer, divider := g.divide(a)
+// answerPermitRequest answers a permit request of another instance.
+func (g *Gossip) answerPermitRequest(to netip.AddrPort, a *PermitAsk) {
+	answer, allocator := g.allocate(a)
 	now := g.Now()
-	p := &Permit{Number: a.Number, Granted: answer.Granted, Wait: answer.Wait, Divider: divider, Limit: toldLimit(&answer.Word, now)}
-	g.write(&Message{Sender: g.id, DataCentre: g.DataCentre, Permit: p}, to)
+	p := &Permit{Number: a.Number, Granted: answer.Granted, Wait: answer.Wait, Divider: allocator, Limit: limitAt(&answer.Word, now)}
+	g.sendDirect(&Message{Sender: g.id, DataCentre: g.DataCentre, Permit: p}, to)
 	g.Count("permits")
 }
 
-// settlePermit hands a permit to the request that waits for it.
-func (g *Gossip) settlePermit(p *Permit) {
+// deliverPermit passes an answer to the request that waits for it.
+func (g *Gossip) deliverPermit(p *Permit) {
 	g.mu.Lock()
-	if reply := g.dividing.pending[p.Number]; reply != nil {
+	if reply := g.limits.pending[p.Number]; reply != nil {
 		select {
 		case reply <- *p:
-		default: // a copy of an answer that came
+		default: // duplicate answer
 		}
 		g.mu.Unlock()
 		return
 	}
-	late, ok := g.dividing.late[p.Number]
-	delete(g.dividing.late, p.Number)
+	abandoned, ok := g.limits.abandoned[p.Number]
+	delete(g.limits.abandoned, p.Number)
 	now := g.Now()
 	g.mu.Unlock()
 	g.Count("permit-late")
-	if !ok || !p.Granted || late.lapsed(now) {
+	if !ok || !p.Granted || abandoned.expired(now) {
 		return
 	}
-	// The request that asked is over; thrown away, a busy instance's permits are lost to all.
+	// The caller has given up, but the permit was charged to the limit. Keep it for the next
+	// request.
 	answer := limit.Answer{Granted: true, Word: p.Limit.Word(now)}
-	g.Balancer.TakePermit(late.ask.Endpoint, late.ask.Urgency, answer, late.divider, late.asked)
+	g.Balancer.TakePermit(abandoned.request.Endpoint, abandoned.request.Urgency, answer, abandoned.allocator, abandoned.sentAt)
 	g.Count("permit-late-kept")
 }
--- a/gossip/permit_message.go
+++ b/gossip/permit_message.go
@@ -1,6 +1,6 @@
 package gossip
 
-// This file encodes asks for permits, their answers, and what is told of limits.
+// This file encodes permit requests, their answers and rate limits.
 
 import (
 	"math"
@@ -12,25 +12,25 @@
 	"ivyridge/limit"
 )
 
-// A PermitAsk asks for a permit to send one request to an endpoint.
+// A PermitAsk requests a permit to send one request to an endpoint.
 type PermitAsk struct {
-	Number     uint64 // comes back in the Permit
-	Endpoint   uint32 // balance.EndpointHash of its incarnation
-	DataCentre string // the endpoint's
-	Urgency    int    // of the request, below limit.Levels
+	Number     uint64 // returned in the answer
+	Endpoint   uint32 // balance.EndpointHash of the endpoint's incarnation
+	DataCentre string // of the endpoint
+	Urgency    int    // priority level of the request, below limit.Levels
 	Limit      balance.ToldLimit
 }
 
-// A Permit is the answer to a PermitAsk.
+// A Permit is the answer to a permit request.
 type Permit struct {
 	Number  uint64
 	Granted bool
-	Wait    time.Duration // otherwise: to ask again after that
-	Divider string        // the gossip address of who divides the limit, if that is another instance
+	Wait    time.Duration // if not granted: delay before the next request
+	Divider string        // gossip address of the instance that allocates the limit, if it isn't the sender
 	Limit   balance.ToldLimit
 }
 
-// The fields of a PermitAsk and a Permit, and of a limit that is told.
+// Field numbers of permit requests, their answers and limits.
 const (
 	fieldPermitNumber     protowire.Number = 1
 	fieldPermitEndpoint   protowire.Number = 2
@@ -42,7 +42,7 @@
 	fieldPermitDivider    protowire.Number = 8
 
 	fieldLimitNamed protowire.Number = 1
-	fieldLimitRate  protowire.Number = 2 // bits of a float64
+	fieldLimitRate  protowire.Number = 2 // as float64 bits
 	fieldLimitAge   protowire.Number = 3 // microseconds
 )
 
@@ -100,7 +100,7 @@
 	})
 }
 
-// appendLimit adds a limit as a field, if there is something to tell.
+// appendLimit appends a limit as a field, if it is known.
 func appendLimit(b []byte, n protowire.Number, t *balance.ToldLimit) []byte {
 	if !t.Known {
 		return b
@@ -111,7 +111,7 @@
 	return appendBytes(b, n, limit)
 }
 
-// decodeLimit reads a limit. A rate that is no finite number of zero or more is none.
+// decodeLimit decodes a limit. A negative or non-finite rate yields an unknown limit.
 func decodeLimit(b []byte) (balance.ToldLimit, error) {
 	t := balance.ToldLimit{Known: true}
 	err := eachField(b, func(f field) error {
@@ -131,8 +131,8 @@
 	return t, err
 }
 
-// toldLimit returns what is told of a limit at now.
-func toldLimit(w *limit.Word, now time.Time) balance.ToldLimit {
+// limitAt converts a limit to its wire form, with its age at now.
+func limitAt(w *limit.Word, now time.Time) balance.ToldLimit {
 	if !w.Known() {
 		return balance.ToldLimit{}
 	}
--- /dev/null
+++ b/gossip/placement.go
@@ -0,0 +1,270 @@
+package gossip
+
+// This file sends placement requests to schedulers, and answers those of other instances.
+
+import (
+	"context"
+	"net/netip"
+	"slices"
+	"time"
+
+	"go.uber.org/zap"
+
+	"ivyridge/balance"
+	"ivyridge/belief"
+	"ivyridge/quota"
+)
+
+const (
+	// requestTimeout is how long to wait for a scheduler. A request without an answer is placed
+	// by what this instance knows.
+	requestTimeout = 15 * time.Millisecond
+	// Backoff for a scheduler that didn't answer. It doubles with each timeout.
+	minBackoff = 300 * time.Millisecond
+	maxBackoff = 2 * time.Second
+)
+
+// A backoff is the pause in requests to a scheduler that didn't answer.
+type backoff struct {
+	until    time.Time
+	duration time.Duration
+}
+
+// Place chooses an endpoint for a request, or refuses it. The choice is made by a scheduler if
+// this instance uses one, and by this instance itself otherwise or if no scheduler answers in
+// time. Both results are nil if no endpoint may take the request.
+func (g *Gossip) Place(ctx context.Context, endpoints []*belief.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
+	p, refusal := g.placeWithPermits(ctx, endpoints, d)
+	if refusal == nil || refusal.Cause != balance.RetriesSpent || !g.borrow(ctx, d) {
+		return p, refusal
+	}
+	paid := *d
+	paid.Retry = balance.NoRetry
+	return g.placeWithPermits(ctx, endpoints, &paid)
+}
+
+// placeWithPermits is Place without borrowed retries. If the best endpoint is rate-limited it
+// requests a permit and chooses again; endpoints whose permit was denied are excluded for a
+// while.
+func (g *Gossip) placeWithPermits(ctx context.Context, endpoints []*belief.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
+	for range maxPermitRequests {
+		p, refusal, charged := g.choose(ctx, endpoints, d)
+		if refusal == nil || refusal.Cause != balance.PermitWanted {
+			return p, refusal
+		}
+		permit := g.requestPermit(ctx, refusal.Limited, refusal.Urgency)
+		if charged {
+			d = withoutCharges(d)
+		}
+		offered := *d
+		offered.Offered, offered.Permit = true, permit
+		d = &offered
+	}
+	final := *d
+	final.Permitted = true
+	p, refusal, _ := g.choose(ctx, endpoints, &final)
+	return p, refusal
+}
+
+// choose has a scheduler or this instance's balancer choose an endpoint. It reports whether a
+// scheduler has already charged the request.
+func (g *Gossip) choose(ctx context.Context, endpoints []*belief.Endpoint, d *balance.Demand) (p *balance.Placement, refusal *balance.Refusal, charged bool) {
+	if scheduler, choice, ok := g.askScheduler(ctx, d); ok {
+		if choice.Refusal != nil {
+			g.Count("granted-refusal")
+			choice.Refusal.Chooser = scheduler
+			return nil, choice.Refusal, true
+		}
+		p, permitRefusal := g.Balancer.Adopt(choice, endpoints, d)
+		if p != nil {
+			g.Count("granted")
+			p.Chooser = scheduler
+			return p, nil, true
+		}
+		if permitRefusal != nil {
+			g.Count("grant-needs-permit")
+			return nil, permitRefusal, true
+		}
+		g.Count("grant-not-used")
+		d, charged = withoutCharges(d), true
+	}
+	p, refusal = g.Balancer.Admit(endpoints, d)
+	return p, refusal, charged
+}
+
+// withoutCharges returns a copy of d for a request that a scheduler has already charged to, and
+// credited to, the retry budget.
+func withoutCharges(d *balance.Demand) *balance.Demand {
+	uncharged := *d
+	uncharged.Earns, uncharged.Retry = quota.EarnsNothing, balance.NoRetry
+	return &uncharged
+}
+
+// requiredProtocol returns the protocol version that a scheduler must support to place a request.
+func requiredProtocol(d *balance.Demand) int {
+	switch {
+	case d.Retry != balance.NoRetry:
+		return protocolRetries
+	case d.Homes.Bound():
+		return protocolHomes
+	}
+	return 0
+}
+
+// askScheduler sends a placement request to the first scheduler that is not in backoff, and
+// returns its address and choice.
+func (g *Gossip) askScheduler(ctx context.Context, d *balance.Demand) (string, balance.Choice, bool) {
+	g.mu.Lock()
+	scheduler := g.nextScheduler(g.Now())
+	supported := scheduler != "" && g.members.byAddress[scheduler].protocol >= requiredProtocol(d)
+	g.mu.Unlock()
+	if !supported {
+		return "", balance.Choice{}, false
+	}
+	choice, outcome := g.requestFrom(ctx, scheduler, g.newRequest(d), requestTimeout)
+	switch outcome {
+	case requestAnswered:
+		g.schedulerAnswered(scheduler)
+	case requestTimedOut:
+		g.schedulerTimedOut(scheduler)
+	}
+	return scheduler, choice, outcome == requestAnswered && (choice.Endpoint != 0 || choice.Refusal != nil)
+}
+
+// A requestOutcome is the outcome of a placement request.
+type requestOutcome uint8
+
+const (
+	requestNotSent  requestOutcome = iota // not sent, or the caller was cancelled
+	requestTimedOut                       // no answer in time
+	requestAnswered
+)
+
+// requestFrom sends a placement request to an address, and waits for the answer for the given
+// time.
+func (g *Gossip) requestFrom(ctx context.Context, address string, a *Ask, timeout time.Duration) (balance.Choice, requestOutcome) {
+	g.mu.Lock()
+	to, ok := g.resolve(address)
+	g.requestNumber++
+	a.Number = g.requestNumber
+	reply := make(chan balance.Choice, 1)
+	g.pending[a.Number] = reply
+	g.mu.Unlock()
+	defer g.dropPending(a.Number)
+	if !ok {
+		return balance.Choice{}, requestNotSent
+	}
+	m := Message{Sender: g.id, DataCentre: g.DataCentre, Ask: a}
+	if _, err := g.conn.WriteToUDPAddrPort(m.Append(make([]byte, 0, requestBytes)), to); err != nil {
+		g.Count("send-failed")
+		return balance.Choice{}, requestNotSent
+	}
+	g.Count("asked")
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case choice := <-reply:
+		return choice, requestAnswered
+	case <-timer.C:
+		return balance.Choice{}, requestTimedOut
+	case <-ctx.Done():
+	}
+	return balance.Choice{}, requestNotSent
+}
+
+// requestBytes is the buffer size that fits most requests and answers.
+const requestBytes = 256
+
+func (g *Gossip) newRequest(d *balance.Demand) *Ask {
+	return &Ask{
+		Service: d.Service.Name, Priority: d.Priority, Objective: d.Objective, Pause: d.Pause, Deadline: d.Deadline,
+		Prompt: d.Prompt, Output: d.Output, Parts: d.Parts, Sent: d.Sent,
+		Team: d.Team, Homes: d.Homes, Bytes: d.Bytes, Retry: d.Retry, Earns: d.Earns, Suspect: d.Suspect,
+		Avoid: slices.Concat(g.Balancer.Unreachable(), g.Balancer.Resting(d), d.Avoid),
+	}
+}
+
+func (g *Gossip) dropPending(number uint64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.pending, number)
+}
+
+// nextScheduler returns the address of the scheduler to send requests to, or "". The caller holds
+// g.mu.
+func (g *Gossip) nextScheduler(now time.Time) string {
+	for _, m := range g.members.currentRoles(now).schedulerOrder {
+		if s := g.backoffs[m.Address]; s == nil || !now.Before(s.until) {
+			return m.Address
+		}
+	}
+	return ""
+}
+
+func (g *Gossip) schedulerAnswered(scheduler string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.backoffs[scheduler] != nil {
+		delete(g.backoffs, scheduler)
+		g.Log.Info("scheduler answers again", zap.String("address", scheduler))
+	}
+}
+
+func (g *Gossip) schedulerTimedOut(scheduler string) {
+	g.Count("ask-unanswered")
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	s := g.backoffs[scheduler]
+	if s == nil {
+		s = new(backoff)
+		g.backoffs[scheduler] = s
+		g.Log.Warn("scheduler did not answer in time", zap.String("address", scheduler))
+	}
+	now := g.Now()
+	if now.Before(s.until) {
+		return // a concurrent request has already extended the backoff
+	}
+	s.duration = clamp(2*s.duration, minBackoff, maxBackoff)
+	s.until = now.Add(s.duration)
+}
+
+// answerRequest answers a placement request of another instance.
+func (g *Gossip) answerRequest(to netip.AddrPort, instance uint64, a *Ask) {
+	m := Message{Sender: g.id, DataCentre: g.DataCentre, Grant: &Grant{Number: a.Number}}
+	view := g.Beliefs.View()
+	if view.Catalog != nil {
+		service := view.Catalog.Service(a.Service)
+		switch {
+		case service == nil:
+		case a.Lend:
+			m.Grant.Choice.Lent = g.Balancer.PayRetry(a.Service, a.Retry)
+		default:
+			endpoints := view.Endpoints(a.Service)
+			d := &balance.Demand{
+				Service: service, Priority: a.Priority, Objective: a.Objective, Pause: a.Pause, Deadline: a.Deadline,
+				Prompt: a.Prompt, Output: a.Output, Parts: a.Parts, Avoid: a.Avoid, Sent: a.Sent,
+				Team: a.Team, Homes: a.Homes, Bytes: a.Bytes, Retry: a.Retry, Earns: a.Earns, Suspect: a.Suspect,
+			}
+			m.Grant.Choice = g.Balancer.Grant(instance, endpoints, d)
+		}
+	}
+	if _, err := g.conn.WriteToUDPAddrPort(m.Append(make([]byte, 0, requestBytes)), to); err != nil {
+		g.Count("send-failed")
+		return
+	}
+	g.Count("grants")
+}
+
+// deliverAnswer passes an answer to the request that waits for it.
+func (g *Gossip) deliverAnswer(m *Grant) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if reply := g.pending[m.Number]; reply != nil {
+		select {
+		case reply <- m.Choice:
+		default: // duplicate answer
+		}
+		return
+	}
+	g.Count("grant-late")
+}
--- a/gossip/ask.go
+++ b/gossip/placement_message.go
@@ -1,6 +1,6 @@
 package gossip
 
-// This file holds what an instance asks of a scheduler, and the answer.
+// This file encodes placement requests, which instances send to schedulers, and their answers.
 
 import (
 	"math"
@@ -13,9 +13,9 @@
 	"ivyridge/quota"
 )
 
-// An Ask describes a request that an endpoint is to be chosen for.
+// An Ask requests the choice of an endpoint for a request.
 type Ask struct {
-	Number    uint64 // comes back in the Grant
+	Number    uint64 // returned in the answer
 	Service   string
 	Priority  int
 	Objective time.Duration
@@ -24,24 +24,24 @@
 	Prompt    int
 	Output    int
 	Parts     []balance.Part
-	Avoid     []uint32 // hashes of endpoints that have had the request, or can't be reached by the sender
-	Sent      bool     // the request is not refused any more
+	Avoid     []uint32 // hashes of endpoints that were already tried or are unreachable from the sender
+	Sent      bool     // the request was already sent once, so it must not be refused by admission control
 	Team      uint32   // balance.TeamHash
 	Homes     catalog.Homes
-	Bytes     int           // of the body
-	Retry     balance.Retry // one of the fleet's is asked for
-	Earns     quota.Earning // of its service's retries for the receiver
-	Suspect   bool          // an endpoint ended that had the same request in hand
-	Lend      bool          // no endpoint is to be chosen: the receiver is to pay for the retry only
+	Bytes     int           // of the request body
+	Retry     balance.Retry // kind of retry to charge to the fleet's budget
+	Earns     quota.Earning // what the request adds to the retry budget of the receiver
+	Suspect   bool          // an endpoint crashed while it served an identical request
+	Lend      bool          // only charge a retry; choose no endpoint
 }
 
-// A Grant is the answer to an Ask.
+// A Grant is the answer to a placement request.
 type Grant struct {
 	Number uint64
 	Choice balance.Choice
 }
 
-// The fields of an Ask and a Grant. Times travel in microseconds.
+// Field numbers of placement requests and answers. Durations are in microseconds unless noted.
 const (
 	fieldNumber     protowire.Number = 1
 	fieldAskParts   protowire.Number = 6 // as in a notice
@@ -55,7 +55,7 @@
 	fieldDeadline   protowire.Number = 14
 	fieldSent       protowire.Number = 15
 	fieldTeam       protowire.Number = 16
-	fieldHomes      protowire.Number = 17 // a byte string of fieldHome; left out if all regions are allowed
+	fieldHomes      protowire.Number = 17 // byte string of fieldHome; absent if all regions are allowed
 	fieldBytes      protowire.Number = 18
 	fieldRetry      protowire.Number = 19
 	fieldEarns      protowire.Number = 29
@@ -64,24 +64,24 @@
 	fieldHome       protowire.Number = 1 // of homes
 
 	fieldChosen  protowire.Number = 2
-	fieldCost    protowire.Number = 3 // bits of a float64, as the two below
+	fieldCost    protowire.Number = 3 // float64 bits, like the next two
 	fieldFailing protowire.Number = 4
 	fieldExcess  protowire.Number = 5
 	fieldCached  protowire.Number = 6
 	fieldBacklog protowire.Number = 7
 	fieldAhead   protowire.Number = 8
-	fieldRead    protowire.Number = 9 // this and the two below in nanoseconds
+	fieldRead    protowire.Number = 9 // nanoseconds, like the next two
 	fieldStep    protowire.Number = 10
 	fieldPace    protowire.Number = 11
 
 	fieldRefusal    protowire.Number = 12
 	fieldWaits      protowire.Number = 13 // nanoseconds
-	fieldMoved      protowire.Number = 14 // tokens to fetch
+	fieldMoved      protowire.Number = 14 // tokens to transfer from the donor
 	fieldDonor      protowire.Number = 15
 	fieldSpare      protowire.Number = 29
 	fieldLent       protowire.Number = 30
 	fieldWait       protowire.Number = 1 // of a refusal
-	fieldPressure   protowire.Number = 2 // of a refusal, bits of a float64
+	fieldPressure   protowire.Number = 2 // of a refusal, float64 bits
 	fieldRetryAfter protowire.Number = 3 // of a refusal
 	fieldCause      protowire.Number = 4 // of a refusal
 )
@@ -92,7 +92,7 @@
 	return time.Duration(min(v, math.MaxInt64/uint64(time.Microsecond))) * time.Microsecond
 }
 
-// nanosecond is the step in which times per token travel, in ms.
+// nanosecond is the encoding resolution of times per token, in milliseconds.
 const nanosecond = 1e-6
 
 func nanoseconds(ms float64) uint64 { return uint64(max(0, math.Round(ms/nanosecond))) }
@@ -135,7 +135,7 @@
 	return appendBytes(b, fieldHomes, regions)
 }
 
-// decodeHomes reads homes that bind. What it can't read allows nothing.
+// decodeHomes decodes a restriction to home regions. Undecodable input allows no region.
 func decodeHomes(b []byte) (catalog.Homes, error) {
 	var regions []string
 	err := eachField(b, func(f field) error {
--- a/gossip/schedule_test.go
+++ b/gossip/placement_test.go
@@ -14,28 +14,26 @@
 	"ivyridge/catalog"
 )
 
-// A dataCentre holds a scheduler and an instance that asks it, over real
-// datagrams on this machine.
+// A dataCentre has a scheduler and an instance that sends requests to it, over real UDP sockets.
 type dataCentre struct {
-	scheduler, asker *Gossip
-	endpoints        []*belief.Endpoint
-	demand           *balance.Demand
+	scheduler, client *Gossip
+	endpoints         []*belief.Endpoint
+	demand            *balance.Demand
 }
 
 func newDataCentre(t *testing.T) *dataCentre {
 	t.Helper()
-	d := &dataCentre{scheduler: listen(t, 1), asker: listen(t, 9)}
-	// Two more schedulers that are silent for good stand behind the first, so
-	// that the second instance is none.
+	d := &dataCentre{scheduler: listen(t, 1), client: listen(t, 9)}
+	// Add further schedulers that never answer, so that the second instance isn't a scheduler.
 	now := time.Now()
 	m := &Message{Sender: 1, DataCentre: "z", Cores: 3, Warm: true, Next: time.Minute}
-	d.asker.members.heard(now, d.scheduler.conn.(*net.UDPConn).LocalAddr().String(), m, time.Time{})
-	for id := uint64(2); id < 2+schedulersKept; id++ {
+	d.client.members.observe(now, d.scheduler.conn.(*net.UDPConn).LocalAddr().String(), m, time.Time{})
+	for id := uint64(2); id < 2+schedulersPerDataCentre; id++ {
 		silent := listen(t, id)
 		m := &Message{Sender: id, DataCentre: "z", Cores: 2, Warm: true, Next: time.Minute}
-		d.asker.members.heard(now, silent.conn.(*net.UDPConn).LocalAddr().String(), m, time.Time{})
+		d.client.members.observe(now, silent.conn.(*net.UDPConn).LocalAddr().String(), m, time.Time{})
 	}
-	d.endpoints = d.asker.Beliefs.View().Endpoints("s")
+	d.endpoints = d.client.Beliefs.View().Endpoints("s")
 	d.demand = &balance.Demand{Service: &catalog.Service{Name: "s"}}
 	return d
 }
@@ -64,60 +62,59 @@
 func TestSchedulerChooses(t *testing.T) {
 	d := newDataCentre(t)
 	go d.scheduler.receive()
-	go d.asker.receive()
-	asked := make(map[string]int)
+	go d.client.receive()
+	placed := make(map[string]int)
 	for range 8 {
-		p, _ := d.asker.Place(context.Background(), d.endpoints, d.demand)
+		p, _ := d.client.Place(context.Background(), d.endpoints, d.demand)
 		if p == nil {
-			t.Fatal("no placement")
+			t.Fatal("request not placed")
 		}
-		asked[p.Endpoint.ID]++
+		placed[p.Endpoint.ID]++
 	}
-	for id, n := range asked {
+	for id, n := range placed {
 		if n != 2 {
-			t.Errorf("%d of 8 requests at endpoint %s: %v", n, id, asked)
+			t.Errorf("%d of 8 requests at endpoint %s, want 2: %v", n, id, placed)
 		}
 	}
 	if _, upTo := d.scheduler.Balancer.Reports(false, 0); upTo != 0 {
-		t.Error("the scheduler counts what it granted as its own")
+		t.Error("scheduler reports granted requests as its own load")
 	}
 }
 
-// A scheduler that keeps silent costs one short wait; then the next ones are
-// asked, and at last the instance decides alone.
-func TestSilentSchedulersAreLeftAlone(t *testing.T) {
+// A silent scheduler delays one request by a short timeout. Then the next ones are asked, and at
+// last the instance chooses by itself.
+func TestSilentSchedulerBackoff(t *testing.T) {
 	d := newDataCentre(t)
-	go d.asker.receive()
-	for range schedulersKept {
-		if p, _ := d.asker.Place(context.Background(), d.endpoints, d.demand); p == nil {
-			t.Fatal("no placement")
+	go d.client.receive()
+	for range schedulersPerDataCentre {
+		if p, _ := d.client.Place(context.Background(), d.endpoints, d.demand); p == nil {
+			t.Fatal("request not placed")
 		}
 	}
-	if got := d.asker.scheduler(time.Now()); got != "" {
-		t.Fatalf("%s would be asked, and all are silent", got)
+	if got := d.client.nextScheduler(time.Now()); got != "" {
+		t.Fatalf("next scheduler is %s, want none: all are silent", got)
 	}
-	if got := d.asker.scheduler(time.Now().Add(silentLeftMost)); got == "" {
-		t.Fatal("silent schedulers are left alone for good")
+	if got := d.client.nextScheduler(time.Now().Add(maxBackoff)); got == "" {
+		t.Fatal("silent schedulers not retried after the backoff")
 	}
 }
 
-// A scheduler that has no configuration grants nothing, and the instance
-// decides alone.
+// A scheduler without a configuration grants nothing, and the instance chooses by itself.
 func TestSchedulerWithoutConfiguration(t *testing.T) {
 	d := newDataCentre(t)
 	d.scheduler.Beliefs = belief.NewTable(time.Now)
 	go d.scheduler.receive()
-	go d.asker.receive()
-	if p, _ := d.asker.Place(context.Background(), d.endpoints, d.demand); p == nil {
-		t.Fatal("no placement")
+	go d.client.receive()
+	if p, _ := d.client.Place(context.Background(), d.endpoints, d.demand); p == nil {
+		t.Fatal("request not placed")
 	}
-	if len(d.asker.silences) != 0 {
-		t.Error("a scheduler that answers is taken for silent")
+	if len(d.client.backoffs) != 0 {
+		t.Error("scheduler that answers is in backoff")
 	}
 }
 
-// A scheduler's refusal is the answer: the instance does not place the request
-// by what little it knows itself.
+// A scheduler's refusal is final: the instance must not place the request by its own limited
+// knowledge.
 func TestSchedulerRefuses(t *testing.T) {
 	d := newDataCentre(t)
 	engine := &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 2, MemoryTokens: 100_000}}
@@ -130,9 +127,9 @@
 		d.scheduler.Balancer.Place(d.endpoints, d.demand)
 	}
 	go d.scheduler.receive()
-	go d.asker.receive()
-	p, refusal := d.asker.Place(context.Background(), d.endpoints, d.demand)
+	go d.client.receive()
+	p, refusal := d.client.Place(context.Background(), d.endpoints, d.demand)
 	if p != nil || refusal == nil || refusal.RetryAfter <= 0 || refusal.Wait <= 0 {
-		t.Fatalf("got %+v, %+v, want a refusal with a time to come back", p, refusal)
+		t.Fatalf("got %+v, %+v, want a refusal with a retry delay", p, refusal)
 	}
 }
--- a/gossip/region_message.go
+++ b/gossip/region_message.go
@@ -1,6 +1,6 @@
 package gossip
 
-// This file encodes what is told between regions.
+// This file encodes the cross-region part of messages.
 
 import (
 	"time"
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// The fields of a Message for regions.
+// Field numbers of the cross-region part of a Message.
 const (
 	fieldRegionOf  protowire.Number = 25
 	fieldHearsHome protowire.Number = 26
@@ -16,16 +16,17 @@
 	fieldStays     protowire.Number = 27
 )
 
-// A RegionMessage is the part of a Message for regions.
+// A RegionMessage is the cross-region part of a Message.
 type RegionMessage struct {
-	// RegionOf is set where Sums and Notices are those of all instances of a region. An
-	// instance that does not know it passes over such sums, which name no data centre.
+	// RegionOf is set if Sums and Notices aggregate a whole region. Older versions ignore such
+	// sums because they name no data centre.
 	RegionOf string
-	// HearsHome is how many instances of its own region the sender hears, itself among them.
+	// HearsHome is the number of live instances of the sender's region that it receives from,
+	// itself included.
 	HearsHome int
-	// Held is how long the sender has held the token that it echoes; zero: not told.
+	// Held is how long the sender has held the token that it echoes; zero: not sent.
 	Held time.Duration
-	// Stays is set where parts of the message's notices may not be told in other regions.
+	// Stays is set if prompt parts in the notices must not leave the region.
 	Stays bool
 }
 
@@ -50,8 +51,7 @@
 	}
 }
 
-// appendHeld adds for how long the echoed token was held, which differs from receiver to
-// receiver as the echo does.
+// appendHeld appends how long the echoed token was held, which differs between receivers.
 func appendHeld(b []byte, held time.Duration) []byte {
 	return appendUint(b, fieldHeld, microseconds(held))
 }
--- a/gossip/regions.go
+++ b/gossip/regions.go
@@ -1,23 +1,22 @@
 package gossip
 
-// This file tells other regions what the instances of this one run and place.
+// This file exchanges load reports and placement notices with other regions.
 //
-// The link between two regions is narrow, and requests pass there too. Were all to tell all, as
-// within a region, a placement would cross nine times and a data centre's sum three times, of 70
-// instances in six data centres: 719 KB/s at 600 requests a second, against 59. So one
-// instance of each region, its gateway, collects both, adds up the sums of all data
-// centres, and tells one instance of each other region, which passes them on to the first
-// schedulers of its data centres, and these to the others: everything crosses once. The
-// gateway is the first of its region's first schedulers, worked out by each instance from whom
-// it hears, as all roles are; whoever is told passes on, also one that does not take itself for
-// the gateway. When the gateway is lost the next first scheduler takes its place as soon as its
-// region has noticed, and begins with everything.
+// Links between regions are narrow and also carry requests. If all schedulers sent to all others,
+// as they do within a region, each notice and each aggregate would cross a link several times. So
+// one instance of each region, its gateway, collects the notices and the aggregates of its data
+// centres and sends them to the gateway of each other region. That one forwards them to the first
+// schedulers of its data centres, and these to the other schedulers, so that everything crosses a
+// link once. The gateway is the highest-ranked of the region's first schedulers; like all roles
+// it is computed by each instance from the members it sees. A receiver forwards also if it
+// doesn't see itself as the gateway. If a gateway is lost the next first scheduler replaces it
+// once the region has noticed, and starts with complete reports.
 //
-// Ordinary instances of two regions don't speak to each other. They are counted by what
-// schedulers say of their own region.
+// Ordinary instances of different regions don't exchange messages. Their number is taken from
+// what schedulers report of their own region.
 //
-// Where a scheduler is of a version that does not pass on, or settings name no second region,
-// all tell all as within a region.
+// If a scheduler runs a version that doesn't forward, or only one region is configured, all
+// schedulers exchange messages directly.
 
 import (
 	"time"
@@ -29,94 +28,93 @@
 )
 
 const (
-	// beyondLeast is the least pause between what one region tells another: twice that between
-	// schedulers at home, since a region seldom places by the load of another. Not tuned.
-	beyondLeast = 200 * time.Millisecond
-	// abroadEvery is the pause between heartbeats of schedulers to those of other regions:
-	// they are there to take over, and to be found again after a cut.
-	abroadEvery = time.Second
-	// heldBeyond bounds the placements that wait to be told to other regions: 0.2 s of 1,800 a
-	// second, several times over.
-	heldBeyond = 2048
+	// minRegionInterval is the minimum pause between messages to other regions. It is longer than
+	// within a region, since requests are seldom placed by the load of another region.
+	minRegionInterval = 200 * time.Millisecond
+	// remoteHeartbeatInterval is the pause between heartbeats of schedulers to those of other
+	// regions, which keep them known for a gateway failover and for rejoining after a partition.
+	remoteHeartbeatInterval = time.Second
+	// maxHeldNotices bounds the notices that wait to be sent to other regions.
+	maxHeldNotices = 2048
 )
 
-// regional are the roles of instances towards other regions.
-type regional struct {
-	divided     bool      // regions are told through their gateways
-	gateway     bool      // this instance is the gateway of its region
-	homeGateway *Member   // that of its region; nil: none is heard
-	others      []*Member // the gateways of other regions
-	home        []*Member // the schedulers of the own region, without this instance
-	abroad      []*Member // the others
-	homeFirsts  []*Member // the first schedulers of the region's other data centres
-	homeFar     []*Member // the ordinary instances of the region's other data centres
-	homeBeyond  []*Member // the schedulers of the region's other data centres
-	dataCentres map[string]bool
+// regionRoles are the roles of instances in cross-region exchange.
+type regionRoles struct {
+	useGateways            bool      // regions exchange messages through gateways
+	isGateway              bool      // this instance is the gateway of its region
+	regionGateway          *Member   // gateway of this region; nil: none is live
+	otherGateways          []*Member // gateways of the other regions
+	regionSchedulers       []*Member // schedulers of this region, without this instance
+	otherRegionSchedulers  []*Member // schedulers of other regions
+	regionFirsts           []*Member // first schedulers of the region's other data centres
+	regionPeers            []*Member // ordinary instances of the region's other data centres
+	regionRemoteSchedulers []*Member // schedulers of the region's other data centres
+	regionDataCentres      map[string]bool
 }
 
-// divide works out the roles towards other regions, where there are several.
-func (s *members) divide(r *roles) {
+// assignRegionRoles computes the cross-region roles if there are several regions.
+func (s *members) assignRegionRoles(r *roles) {
 	self, regions := &s.self, s.regions
-	r.home, r.homeFirsts, r.homeFar, r.homeBeyond = r.schedulers, r.gateways, r.far, r.beyond
+	r.regionSchedulers, r.regionFirsts, r.regionPeers, r.regionRemoteSchedulers = r.schedulers, r.remoteFirsts, r.remotePeers, r.remoteSchedulers
 	own := regions[self.DataCentre]
-	away := func(m *Member) bool { return regions[m.DataCentre] != own }
-	r.divided = s.several
+	isRemote := func(m *Member) bool { return regions[m.DataCentre] != own }
+	r.useGateways = s.multiRegion
 	for _, m := range r.schedulers {
-		r.divided = r.divided && m.level >= levelRegions
+		r.useGateways = r.useGateways && m.protocol >= protocolRegions
 	}
-	if !r.divided {
+	if !r.useGateways {
 		return
 	}
-	r.home, r.abroad = part(r.schedulers, away)
-	r.homeFirsts, _ = part(r.gateways, away)
-	r.homeFar, _ = part(r.far, away)
-	r.homeBeyond, _ = part(r.beyond, away)
-	r.known = append(r.home[:len(r.home):len(r.home)], r.near...)
-	r.dataCentres = map[string]bool{self.DataCentre: true}
-	for _, m := range r.homeFirsts {
-		r.dataCentres[m.DataCentre] = true
-	}
-	firsts := r.firsts(self, regions)
-	r.homeGateway = firsts[own]
-	r.gateway = firsts[own] == self
+	r.regionSchedulers, r.otherRegionSchedulers = partition(r.schedulers, isRemote)
+	r.regionFirsts, _ = partition(r.remoteFirsts, isRemote)
+	r.regionPeers, _ = partition(r.remotePeers, isRemote)
+	r.regionRemoteSchedulers, _ = partition(r.remoteSchedulers, isRemote)
+	r.localContacts = append(r.regionSchedulers[:len(r.regionSchedulers):len(r.regionSchedulers)], r.localPeers...)
+	r.regionDataCentres = map[string]bool{self.DataCentre: true}
+	for _, m := range r.regionFirsts {
+		r.regionDataCentres[m.DataCentre] = true
+	}
+	firsts := r.regionFirstSchedulers(self, regions)
+	r.regionGateway = firsts[own]
+	r.isGateway = firsts[own] == self
 	for region, m := range firsts {
 		if region != own {
-			r.others = append(r.others, m)
+			r.otherGateways = append(r.otherGateways, m)
 		}
 	}
 }
 
-// firsts returns the first of the first schedulers of each region.
-func (r *roles) firsts(self *Member, regions balance.Regions) map[string]*Member {
+// regionFirstSchedulers returns the highest-ranked first scheduler of each region.
+func (r *roles) regionFirstSchedulers(self *Member, regions balance.Regions) map[string]*Member {
 	out := make(map[string]*Member)
 	consider := func(m *Member) {
 		region := regions[m.DataCentre]
-		if out[region] == nil || goesBefore(m, out[region]) {
+		if out[region] == nil || precedes(m, out[region]) {
 			out[region] = m
 		}
 	}
 	switch {
-	case r.first:
+	case r.isFirst:
 		consider(self)
-	case len(r.ahead) > 0:
-		consider(r.ahead[0])
+	case len(r.predecessors) > 0:
+		consider(r.predecessors[0])
 	}
-	for _, m := range r.gateways {
+	for _, m := range r.remoteFirsts {
 		consider(m)
 	}
 	return out
 }
 
-// setRegions tells the region of each data centre.
+// setRegions sets the region of each data centre.
 func (s *members) setRegions(regions balance.Regions) {
 	s.regions = regions
 	for a := range regions {
-		s.several = s.several || regions.Between(a, s.self.DataCentre) == balance.Beyond
+		s.multiRegion = s.multiRegion || regions.Between(a, s.self.DataCentre) == balance.Beyond
 	}
 }
 
-// named reports whether the settings name a region: what a message calls one is kept only then.
-func (g *Gossip) named(region string) bool {
+// knownRegion reports whether a region is configured. State of unknown regions is not kept.
+func (g *Gossip) knownRegion(region string) bool {
 	for _, r := range g.Regions {
 		if r == region {
 			return true
@@ -125,60 +123,61 @@
 	return false
 }
 
-// part divides members into those that are not away and those that are.
-func part(all []*Member, away func(*Member) bool) (home, abroad []*Member) {
+// partition splits members into those for which away is false and those for which it is true.
+func partition(all []*Member, isRemote func(*Member) bool) (local, remote []*Member) {
 	for _, m := range all {
-		if away(m) {
-			abroad = append(abroad, m)
+		if isRemote(m) {
+			remote = append(remote, m)
 		} else {
-			home = append(home, m)
+			local = append(local, m)
 		}
 	}
-	return home, abroad
+	return local, remote
 }
 
-// beyond is what waits to be told to other regions.
-type beyond struct {
-	notices  []balance.Notice
-	told     audience
-	ownSince uint64 // the last change of what this instance runs itself that was told
-	abroad   audience
+// crossRegion is the state of the exchange with other regions.
+type crossRegion struct {
+	notices     []balance.Notice
+	gateways    receiverGroup
+	ownSentUpTo uint64 // change counter of this instance's own load reports sent so far
+	schedulers  receiverGroup
 
-	gateway string // of the own region, by its address, as last logged
-	regions int    // others that were heard then
+	loggedGateway string // address of this region's gateway, as last logged
+	loggedRegions int    // number of other regions' gateways, as last logged
 }
 
-// holdBeyond keeps notices for other regions, if this instance is to tell them. The caller
+// holdForGateways queues notices for other regions if this instance is the gateway. The caller
 // holds g.mu.
-func (g *Gossip) holdBeyond(r *roles, notices []balance.Notice) {
-	if !r.gateway || len(r.others) == 0 {
-		g.beyond.notices = nil
+func (g *Gossip) holdForGateways(r *roles, notices []balance.Notice) {
+	if !r.isGateway || len(r.otherGateways) == 0 {
+		g.crossRegion.notices = nil
 		return
 	}
-	room := heldBeyond - len(g.beyond.notices)
+	room := maxHeldNotices - len(g.crossRegion.notices)
 	if room < len(notices) {
 		g.Count("notices-beyond-dropped")
 		notices = notices[:max(0, room)]
 	}
-	g.beyond.notices = append(g.beyond.notices, notices...)
+	g.crossRegion.notices = append(g.crossRegion.notices, notices...)
 }
 
-// collect keeps what an instance of the own region placed for other regions. One of an older
-// version does not say which parts may not be told there. The caller holds g.mu.
-func (g *Gossip) collect(now time.Time, m *Message) {
-	r := g.members.current(now)
-	if !r.gateway || m.Level < levelRegions || m.RegionOf != "" || len(m.Notices) == 0 || g.Regions[m.DataCentre] != g.Regions[g.DataCentre] {
+// collectNotices queues the notices of another instance of this region for other regions. Those
+// of older versions are skipped, since they don't mark the parts that must not leave the region.
+// The caller holds g.mu.
+func (g *Gossip) collectNotices(now time.Time, m *Message) {
+	r := g.members.currentRoles(now)
+	if !r.isGateway || m.Level < protocolRegions || m.RegionOf != "" || len(m.Notices) == 0 || g.Regions[m.DataCentre] != g.Regions[g.DataCentre] {
 		return
 	}
 	notices := m.Notices
 	if m.Stays {
-		notices = bind(notices, g.Regions[g.DataCentre])
+		notices = bindToRegion(notices, g.Regions[g.DataCentre])
 	}
-	g.holdBeyond(r, notices)
+	g.holdForGateways(r, notices)
 }
 
-// bind returns notices whose parts may be told in one region only.
-func bind(notices []balance.Notice, region string) []balance.Notice {
+// bindToRegion returns a copy of notices whose parts may only be sent within one region.
+func bindToRegion(notices []balance.Notice, region string) []balance.Notice {
 	out := append([]balance.Notice(nil), notices...)
 	for i := range out {
 		out[i].Homes = catalog.NewHomes([]string{region})
@@ -186,158 +185,160 @@
 	return out
 }
 
-// tellBeyond tells the gateways of other regions what the instances of this one run and have
-// placed, if this is its gateway and a pause has passed. The caller holds g.mu.
-func (g *Gossip) tellBeyond(now time.Time, r *roles) {
+// sendToGateways sends the load and the notices of this region to the gateways of other regions,
+// if this instance is the gateway and the interval has passed. The caller holds g.mu.
+func (g *Gossip) sendToGateways(now time.Time, r *roles) {
 	g.logRegions(r)
-	a := &g.beyond.told
-	if !r.gateway || len(r.others) == 0 {
-		*a, g.beyond.notices = audience{}, nil
+	group := &g.crossRegion.gateways
+	if !r.isGateway || len(r.otherGateways) == 0 {
+		*group, g.crossRegion.notices = receiverGroup{}, nil
 		return
 	}
-	if now.Sub(a.last) < beyondEvery(g.count)-beatSlack {
+	if now.Sub(group.lastSent) < regionInterval(g.fleetSize)-tickSlack {
 		return
 	}
-	whole := now.Sub(a.lastWhole) >= wholeSums
-	sums, upTo, ownUpTo := g.Balancer.SumsWithOwn(g.ofRegion(r), whole, a.since, g.beyond.ownSince)
-	a.since, g.beyond.ownSince = upTo, ownUpTo
-	notices := g.beyond.notices
-	g.beyond.notices = nil
-	if len(sums) == 0 && len(notices) == 0 && !whole && now.Sub(a.last) < quietFor {
+	full := now.Sub(group.lastFull) >= fullAggregateInterval
+	sums, upTo, ownUpTo := g.Balancer.SumsWithOwn(g.inRegion(r), full, group.sentUpTo, g.crossRegion.ownSentUpTo)
+	group.sentUpTo, g.crossRegion.ownSentUpTo = upTo, ownUpTo
+	notices := g.crossRegion.notices
+	g.crossRegion.notices = nil
+	if len(sums) == 0 && len(notices) == 0 && !full && now.Sub(group.lastSent) < maxQuiet {
 		return
 	}
-	a.last = now
-	if whole {
-		a.lastWhole = now
+	group.lastSent = now
+	if full {
+		group.lastFull = now
 	}
-	for _, other := range r.others {
-		told := balance.Withhold(notices, g.Regions[other.DataCentre])
-		g.sendRegion(now, g.Regions[g.DataCentre], sums, whole, told, []*Member{other})
+	for _, other := range r.otherGateways {
+		allowed := balance.Withhold(notices, g.Regions[other.DataCentre])
+		g.sendRegionState(now, g.Regions[g.DataCentre], sums, full, allowed, []*Member{other})
 	}
 }
 
-// logRegions logs a change of the own region's gateway, and regions that are lost or found. The
-// caller holds g.mu.
+// logRegions logs changes of this region's gateway and of the number of other regions. The caller
+// holds g.mu.
 func (g *Gossip) logRegions(r *roles) {
-	if !r.schedules || r.homeGateway == nil {
+	if !r.isScheduler || r.regionGateway == nil {
 		return
 	}
-	if r.homeGateway.Address == g.beyond.gateway && len(r.others) == g.beyond.regions {
+	if r.regionGateway.Address == g.crossRegion.loggedGateway && len(r.otherGateways) == g.crossRegion.loggedRegions {
 		return
 	}
-	g.beyond.gateway, g.beyond.regions = r.homeGateway.Address, len(r.others)
+	g.crossRegion.loggedGateway, g.crossRegion.loggedRegions = r.regionGateway.Address, len(r.otherGateways)
 	var others []string
-	for _, m := range r.others {
+	for _, m := range r.otherGateways {
 		others = append(others, g.Regions[m.DataCentre]+"="+m.Address)
 	}
-	g.Log.Info("gateways of regions", zap.String("own", r.homeGateway.Address), zap.Bool("here", r.gateway), zap.Strings("others", others))
+	g.Log.Info("region gateways changed", zap.String("own", r.regionGateway.Address), zap.Bool("here", r.isGateway), zap.Strings("others", others))
 }
 
-// beyondEvery is the pause between what one region tells another, in a fleet of n.
-func beyondEvery(n int) time.Duration { return max(beyondLeast, balance.ReportEvery(n)) }
+// regionInterval returns the pause between messages to another region in a fleet of n instances.
+func regionInterval(n int) time.Duration { return max(minRegionInterval, balance.ReportEvery(n)) }
 
-// ofRegion returns whether what an instance, or a data centre's sum, tells is of this region.
-func (g *Gossip) ofRegion(r *roles) func(uint64) bool {
+// inRegion returns a function that reports whether an ID stands for an instance or an aggregate
+// of this region.
+func (g *Gossip) inRegion(r *roles) func(uint64) bool {
 	ids := make(map[uint64]bool)
-	for _, m := range r.home {
+	for _, m := range r.regionSchedulers {
 		ids[m.ID] = true
 	}
-	for _, m := range r.near {
+	for _, m := range r.localPeers {
 		ids[m.ID] = true
 	}
-	for dataCentre := range r.dataCentres {
+	for dataCentre := range r.regionDataCentres {
 		if dataCentre != g.DataCentre {
-			ids[sumsKey(dataCentre)] = true
+			ids[aggregateKey(dataCentre)] = true
 		}
 	}
 	return func(id uint64) bool { return ids[id] }
 }
 
-// sendRegion sends what a region runs and has placed, in as many datagrams as that needs.
-func (g *Gossip) sendRegion(now time.Time, region string, sums []balance.Report, whole bool, notices []balance.Notice, to []*Member) {
+// sendRegionState sends the load and the notices of a region in as many datagrams as needed.
+func (g *Gossip) sendRegionState(now time.Time, region string, sums []balance.Report, full bool, notices []balance.Notice, to []*Member) {
 	for first := true; first || len(sums) > 0 || len(notices) > 0; first = false {
-		m := g.message(now)
-		m.Next = quietFor
-		m.RegionOf, m.SumsWhole = region, whole
-		n := min((maxDatagram-headBytes)/sumBytes, len(sums))
+		m := g.newMessage(now)
+		m.Next = maxQuiet
+		m.RegionOf, m.SumsWhole = region, full
+		n := min((maxDatagram-headerBytes)/aggregateBytes, len(sums))
 		m.Sums, sums = sums[:n], sums[n:]
-		n = min((maxDatagram-headBytes-n*sumBytes)/noticeBytes, len(notices))
+		n = min((maxDatagram-headerBytes-n*aggregateBytes)/noticeBytes, len(notices))
 		m.Notices, notices = notices[:n], notices[n:]
 		g.send(m, addresses(to))
-		whole = false
+		full = false
 	}
 }
 
-// takeRegion takes up what a region runs, and passes it on: from another region to the
-// schedulers of the own data centre and the first ones of the region's others, from another
-// data centre to those of the own. The caller holds g.mu.
-func (g *Gossip) takeRegion(now time.Time, m *Message) {
+// handleRegionState processes the load of a region and forwards it: from another region to the
+// other schedulers of this data centre and the first schedulers of the region's other data
+// centres, and from another data centre to the other schedulers of this one. The caller holds
+// g.mu.
+func (g *Gossip) handleRegionState(now time.Time, m *Message) {
 	own := g.Regions[g.DataCentre]
-	if m.RegionOf == "" || m.RegionOf == own || !g.named(m.RegionOf) {
+	if m.RegionOf == "" || m.RegionOf == own || !g.knownRegion(m.RegionOf) {
 		return
 	}
 	g.Balancer.Merge(regionKey(m.RegionOf), nil, m.Sums, m.SumsWhole)
-	r := g.members.current(now)
-	if m.DataCentre == g.DataCentre || !r.schedules {
+	r := g.members.currentRoles(now)
+	if m.DataCentre == g.DataCentre || !r.isScheduler {
 		return
 	}
-	to := r.nearby[:len(r.nearby):len(r.nearby)]
+	to := r.localSchedulers[:len(r.localSchedulers):len(r.localSchedulers)]
 	if g.Regions[m.DataCentre] != own {
-		to = append(to, r.homeFirsts...)
+		to = append(to, r.regionFirsts...)
 	}
 	if len(to) > 0 {
-		g.sendRegion(now, m.RegionOf, m.Sums, m.SumsWhole, m.Notices, to)
+		g.sendRegionState(now, m.RegionOf, m.Sums, m.SumsWhole, m.Notices, to)
 	}
 }
 
-// regionKey is what stands for the instances of a region in place of an ID.
-func regionKey(region string) uint64 { return sumsKey("region " + region) }
+// regionKey returns the key of a region's aggregate, which takes the place of an instance ID.
+func regionKey(region string) uint64 { return aggregateKey("region " + region) }
 
-// hearsHome returns how many instances of the own region are heard, and how many others
-// schedulers of other regions say that theirs have.
-func (s *members) hearsHome(now time.Time) (home, abroad int) {
-	home = 1
+// countByRegion returns the number of live instances of this region, and the number that
+// schedulers of other regions report for theirs.
+func (s *members) countByRegion(now time.Time) (local, remote int) {
+	local = 1
 	own := s.regions[s.self.DataCentre]
-	told := make(map[string]int)
-	s.live(now, func(m *Member) {
+	reported := make(map[string]int)
+	s.eachLive(now, func(m *Member) {
 		region := s.regions[m.DataCentre]
 		if region == own {
-			home++
+			local++
 			return
 		}
-		told[region] = max(told[region], m.hearsHome)
+		reported[region] = max(reported[region], m.regionSize)
 	})
-	for _, n := range told {
-		abroad += n
+	for _, n := range reported {
+		remote += n
 	}
-	return home, abroad
+	return local, remote
 }
 
-// sendStaying sends the notices that may not be told in other regions, in datagrams that say
-// so, and returns the others. All receivers are of the own region.
-func (g *Gossip) sendStaying(m *Message, notices []balance.Notice, to []*Member) (others []balance.Notice) {
-	var staying []balance.Notice
+// sendBoundNotices sends the notices whose prompt parts must not leave the region in datagrams
+// marked as such, and returns the others. All receivers must be in this region.
+func (g *Gossip) sendBoundNotices(m *Message, notices []balance.Notice, to []*Member) (others []balance.Notice) {
+	var bound []balance.Notice
 	for _, n := range notices {
 		if len(n.Parts) > 0 && n.Homes.Bound() {
-			staying = append(staying, n)
+			bound = append(bound, n)
 		} else {
 			others = append(others, n)
 		}
 	}
-	if len(staying) > 0 {
-		apart := *m
-		apart.Reports, apart.Whole, apart.Peers, apart.Stays = nil, false, nil, true
-		g.sendParts(&apart, staying, to)
+	if len(bound) > 0 {
+		boundMessage := *m
+		boundMessage.Reports, boundMessage.Whole, boundMessage.Peers, boundMessage.Stays = nil, false, nil, true
+		g.sendNoticeDatagrams(&boundMessage, bound, to)
 	}
 	return others
 }
 
-// Kinds of messages, for counts of bytes.
+// Kinds of messages, for byte counts.
 const (
 	kindHeartbeat = "heartbeat"
-	kindLoad      = "load"   // what an instance runs and places
-	kindSums      = "sums"   // what a data centre runs
-	kindRegion    = "region" // what a region runs and places
+	kindLoad      = "load"   // load reports and notices of an instance
+	kindSums      = "sums"   // aggregate of a data centre
+	kindRegion    = "region" // aggregate and notices of a region
 )
 
 func (m *Message) kind() string {
@@ -352,11 +353,10 @@
 	return kindHeartbeat
 }
 
-// countBeyond counts what is sent to another region. An address that is not heard yet is
-// of no region that is known.
-func (g *Gossip) countBeyond(m *Message, receiver string, bytes int) {
-	member := g.members.all[receiver]
-	if g.Beyond == nil || member == nil || member.heard.IsZero() || g.Regions[member.DataCentre] == g.Regions[g.DataCentre] {
+// countCrossRegion counts bytes sent to a live member of another region.
+func (g *Gossip) countCrossRegion(m *Message, receiver string, bytes int) {
+	member := g.members.byAddress[receiver]
+	if g.Beyond == nil || member == nil || member.lastHeard.IsZero() || g.Regions[member.DataCentre] == g.Regions[g.DataCentre] {
 		return
 	}
 	g.Beyond(m.kind(), bytes)
--- a/gossip/regions_test.go
+++ b/gossip/regions_test.go
@@ -12,42 +12,42 @@
 	"ivyridge/catalog"
 )
 
-// drawRegion leaves out Held, which is added for each receiver.
+// drawRegion omits Held, which is appended for each receiver.
 func drawRegion(t *rapid.T) RegionMessage {
 	return RegionMessage{
 		RegionOf:  rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "region"),
-		HearsHome: rapid.IntRange(0, 1000).Draw(t, "hears at home"),
+		HearsHome: rapid.IntRange(0, 1000).Draw(t, "region size"),
 		Stays:     rapid.Bool().Draw(t, "stays"),
 	}
 }
 
-// While a scheduler of an older version is heard, which does not pass on, all are told as within
-// a region.
-func TestOlderSchedulersAreToldAll(t *testing.T) {
-	for _, level := range []int{levelHomes, levelRegions} {
+// While a scheduler of a version that doesn't forward is live, all schedulers are sent to
+// directly.
+func TestGatewaysUnusedWithOldSchedulers(t *testing.T) {
+	for _, level := range []int{protocolHomes, protocolRegions} {
 		s := newMembers(Member{Address: "10.0.0.1:1", ID: 1, DataCentre: "dc0"}, nil)
-		s.setRegions(oneEach)
+		s.setRegions(twoByOne)
 		now := time.Unix(1000, 0)
 		for i := range 3 {
-			m := &Message{Sender: uint64(i + 2), DataCentre: "dc1", Level: levelRegions, Next: time.Second}
+			m := &Message{Sender: uint64(i + 2), DataCentre: "dc1", Level: protocolRegions, Next: time.Second}
 			if i == 1 {
 				m.Level = level
 			}
-			s.heard(now, fmt.Sprint("10.0.1.", i, ":1"), m, time.Time{})
+			s.observe(now, fmt.Sprint("10.0.1.", i, ":1"), m, time.Time{})
 		}
-		r := s.current(now)
-		divided := level >= levelRegions
-		told := 3 // schedulers told directly
-		if divided {
-			told = 0
+		r := s.currentRoles(now)
+		useGateways := level >= protocolRegions
+		direct := 3 // schedulers sent to directly
+		if useGateways {
+			direct = 0
 		}
-		if r.divided != divided || r.gateway != divided || len(r.home) != told {
-			t.Errorf("level %d: divided %v, gateway %v, %d schedulers told directly, want %v, %v, %d", level, r.divided, r.gateway, len(r.home), divided, divided, told)
+		if r.useGateways != useGateways || r.isGateway != useGateways || len(r.regionSchedulers) != direct {
+			t.Errorf("version %d: gateways used %v, is gateway %v, %d schedulers sent to directly, want %v, %v, %d", level, r.useGateways, r.isGateway, len(r.regionSchedulers), useGateways, useGateways, direct)
 		}
 	}
 }
 
-func (w *world) countLink(data []byte) {
+func (w *simulation) countCrossRegionBytes(data []byte) {
 	m, err := Decode(data)
 	if err != nil {
 		w.t.Fatal(err)
@@ -55,8 +55,8 @@
 	w.linkBytes[m.kind()] += len(data)
 }
 
-// linkSum returns all bytes that crossed regions, and forgets them.
-func (w *world) linkSum() (sum int, byKind string) {
+// takeLinkBytes returns the bytes that crossed regions since the last call.
+func (w *simulation) takeLinkBytes() (sum int, byKind string) {
 	byKind = fmt.Sprint(w.linkBytes)
 	for kind, bytes := range w.linkBytes {
 		sum += bytes
@@ -65,21 +65,21 @@
 	return sum, byKind
 }
 
-// Layouts of data centres in regions.
+// Assignments of data centres to regions.
 var (
-	twoAlike  = map[string]string{"dc0": "a", "dc1": "b", "dc2": "a", "dc3": "b", "dc4": "a", "dc5": "b"}
-	oneThree  = map[string]string{"dc0": "a", "dc1": "b", "dc2": "b", "dc3": "b"}
-	three     = map[string]string{"dc0": "a", "dc1": "b", "dc2": "c", "dc3": "a", "dc4": "b", "dc5": "c"}
-	oneEach   = map[string]string{"dc0": "a", "dc1": "b"}
-	allByName = []struct {
+	twoByThree    = map[string]string{"dc0": "a", "dc1": "b", "dc2": "a", "dc3": "b", "dc4": "a", "dc5": "b"}
+	oneAndThree   = map[string]string{"dc0": "a", "dc1": "b", "dc2": "b", "dc3": "b"}
+	threeByTwo    = map[string]string{"dc0": "a", "dc1": "b", "dc2": "c", "dc3": "a", "dc4": "b", "dc5": "c"}
+	twoByOne      = map[string]string{"dc0": "a", "dc1": "b"}
+	regionLayouts = []struct {
 		name    string
 		regions map[string]string
-	}{{"two alike", twoAlike}, {"one to three", oneThree}, {"three", three}, {"a data centre each", oneEach}}
+	}{{"two regions of three", twoByThree}, {"one and three", oneAndThree}, {"three regions of two", threeByTwo}, {"two regions of one", twoByOne}}
 )
 
-// wantRegionsAgree fails the test unless each region has one gateway, which knows those of the
-// others, and all instances count all, and schedulers know all schedulers.
-func (w *world) wantRegionsAgree(when string) {
+// wantGatewaysAgree fails the test unless each region has one gateway, which knows those of the
+// other regions, all instances count all instances, and schedulers know all schedulers.
+func (w *simulation) wantGatewaysAgree(when string) {
 	w.t.Helper()
 	live, schedulers := 0, 0
 	gateways := make(map[string]int)
@@ -90,11 +90,11 @@
 		}
 		live++
 		names[w.regions[n.DataCentre]] = true
-		r := n.members.current(w.now)
-		if r.schedules {
+		r := n.members.currentRoles(w.now)
+		if r.isScheduler {
 			schedulers++
 		}
-		if r.gateway {
+		if r.isGateway {
 			gateways[w.regions[n.DataCentre]]++
 		}
 	}
@@ -104,95 +104,95 @@
 		}
 	}
 	for i, n := range w.nodes {
-		r := n.members.current(w.now)
+		r := n.members.currentRoles(w.now)
 		switch {
 		case n.dead:
 			continue
-		case n.count != live:
-			w.t.Errorf("%s: instance %d counts %d instances, want %d", when, i, n.count, live)
-		case r.schedules && len(r.schedulers) != schedulers-1:
+		case n.fleetSize != live:
+			w.t.Errorf("%s: instance %d counts %d instances, want %d", when, i, n.fleetSize, live)
+		case r.isScheduler && len(r.schedulers) != schedulers-1:
 			w.t.Errorf("%s: scheduler %d knows %d schedulers, want %d", when, i, len(r.schedulers), schedulers-1)
-		case r.gateway && len(r.others) != len(names)-1:
-			w.t.Errorf("%s: gateway %d knows %d others, want %d", when, i, len(r.others), len(names)-1)
+		case r.isGateway && len(r.otherGateways) != len(names)-1:
+			w.t.Errorf("%s: gateway %d knows %d others, want %d", when, i, len(r.otherGateways), len(names)-1)
 		}
 	}
 }
 
-// apart returns whether two instances are in different regions.
-func (w *world) apart(a, b *node) bool { return w.regions[a.DataCentre] != w.regions[b.DataCentre] }
+// apart reports whether two instances are in different regions.
+func (w *simulation) apart(a, b *node) bool {
+	return w.regions[a.DataCentre] != w.regions[b.DataCentre]
+}
 
-// Regions agree on their gateways after the start, and again within 5 s after they lost each
-// other for 20 s, in both directions or in one, without a storm: what crosses in these 5 s
-// is at most three times what crosses otherwise.
-func TestRegionsFindEachOtherAgain(t *testing.T) {
+// Regions agree on their gateways after the start, and again within 5 s after a 20 s partition in
+// one or both directions. The traffic in these 5 s is at most three times the usual rate.
+func TestRegionsRejoinAfterPartition(t *testing.T) {
 	t.Parallel()
-	for _, c := range allByName {
+	for _, c := range regionLayouts {
 		for _, oneWay := range []bool{false, true} {
 			t.Run(fmt.Sprint(c.name, ", one way: ", oneWay), func(t *testing.T) {
 				t.Parallel()
-				w := newRegionsWorld(t, 36, len(c.regions), c.regions, true)
+				w := newRegionSimulation(t, 36, len(c.regions), c.regions, true)
 				w.run(15 * time.Second)
-				w.wantRegionsAgree("started")
-				w.linkSum()
+				w.wantGatewaysAgree("started")
+				w.takeLinkBytes()
 				w.run(10 * time.Second)
-				calm, kinds := w.linkSum()
-				w.cut = func(from, to *node) bool {
+				usual, usualKinds := w.takeLinkBytes()
+				w.lost = func(from, to *node) bool {
 					return w.apart(from, to) && (!oneWay || w.regions[from.DataCentre] == "a")
 				}
 				w.run(20 * time.Second)
-				w.linkSum()
-				w.cut = nil
+				w.takeLinkBytes()
+				w.lost = nil
 				w.run(5 * time.Second)
-				healed, healedKinds := w.linkSum()
-				w.wantRegionsAgree("5 s after the cut")
-				t.Logf("calm %d B/s %s, after the cut %d B/s %s", calm/10, kinds, healed/5, healedKinds)
-				if healed/5 > 3*calm/10 {
-					t.Errorf("%d B/s cross after the cut (%s), want at most three times the usual %d (%s)", healed/5, healedKinds, calm/10, kinds)
+				rejoin, rejoinKinds := w.takeLinkBytes()
+				w.wantGatewaysAgree("5 s after the partition")
+				t.Logf("before %d B/s %s, after the partition %d B/s %s", usual/10, usualKinds, rejoin/5, rejoinKinds)
+				if rejoin/5 > 3*usual/10 {
+					t.Errorf("%d B/s between regions after the partition (%s), want at most three times the usual %d (%s)", rejoin/5, rejoinKinds, usual/10, usualKinds)
 				}
 			})
 		}
 	}
 }
 
-// A region's gateway is lost: the next one takes over, and what the region runs is known
-// beyond it.
-func TestGatewayIsReplaced(t *testing.T) {
+// If a region's gateway is lost the next one takes over.
+func TestGatewayFailover(t *testing.T) {
 	t.Parallel()
-	w := newRegionsWorld(t, 60, 6, twoAlike, true)
+	w := newRegionSimulation(t, 60, 6, twoByThree, true)
 	w.run(15 * time.Second)
 	for _, n := range w.nodes {
-		if n.members.current(w.now).gateway {
+		if n.members.currentRoles(w.now).isGateway {
 			n.dead = true
 		}
 	}
 	w.run(6 * time.Second)
-	w.wantRegionsAgree("after the loss of both gateways")
+	w.wantGatewaysAgree("after the loss of both gateways")
 }
 
-// requests plays traffic: each step, some instances have a request placed by a scheduler of
-// their data centre, and end it after a second.
-type requests struct {
-	w         *world
+// trafficGenerator generates load: at each step, some instances have a request placed by a
+// scheduler of their data centre, which ends after about a second.
+type trafficGenerator struct {
+	w         *simulation
 	endpoints []*belief.Endpoint
 	service   *catalog.Service
 	open      []*balance.Placement
 	placed    int
 }
 
-func (w *world) newRequests(endpoints int) *requests {
-	q := &requests{w: w, service: &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 64, MemoryTokens: 300_000}}}
+func (w *simulation) newTraffic(endpoints int) *trafficGenerator {
+	q := &trafficGenerator{w: w, service: &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 64, MemoryTokens: 300_000}}}
 	for i := range endpoints {
 		q.endpoints = append(q.endpoints, &belief.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprint("e", i), DataCentre: fmt.Sprint("dc", i%len(w.regions))}})
 	}
 	for _, n := range w.nodes {
 		n.Balancer.SetRegions(n.Regions)
-		n.Balancer.Place(q.endpoints, q.demand()).Done(balance.Served) // all know the endpoints
+		n.Balancer.Place(q.endpoints, q.demand()).Done(balance.Served) // makes the endpoints known to all instances
 		n.Balancer.Placed()
 	}
 	return q
 }
 
-func (q *requests) demand() *balance.Demand {
+func (q *trafficGenerator) demand() *balance.Demand {
 	q.placed++
 	return &balance.Demand{
 		Service: q.service, Priority: q.placed % 3, Objective: 2 * time.Second, Prompt: 9000, Output: 100, Bytes: 9000,
@@ -200,10 +200,10 @@
 	}
 }
 
-// run lets time pass with so many requests a second.
-func (q *requests) run(d time.Duration, rate int) {
-	each := rate * int(worldStep) / int(time.Second)
-	for range d / worldStep {
+// run advances time with the given number of requests per second.
+func (q *trafficGenerator) run(d time.Duration, rate int) {
+	each := rate * int(simulationStep) / int(time.Second)
+	for range d / simulationStep {
 		for range each {
 			q.request(q.w.nodes[q.placed%len(q.w.nodes)])
 		}
@@ -213,19 +213,19 @@
 			}
 			q.open = q.open[len(q.open)-most:]
 		}
-		q.w.run(worldStep)
+		q.w.run(simulationStep)
 	}
 }
 
-func (q *requests) request(n *node) {
+func (q *trafficGenerator) request(n *node) {
 	d := q.demand()
-	asked := n.members.current(q.w.now).asked
-	if len(asked) == 0 {
+	schedulers := n.members.currentRoles(q.w.now).schedulerOrder
+	if len(schedulers) == 0 {
 		q.open = append(q.open, n.Balancer.Place(q.endpoints, d))
 		return
 	}
 	for _, other := range q.w.nodes {
-		if other.Address == asked[0].Address && !other.dead {
+		if other.Address == schedulers[0].Address && !other.dead {
 			if p, _ := n.Balancer.Adopt(other.Balancer.Grant(n.id, q.endpoints, d), q.endpoints, d); p != nil {
 				q.open = append(q.open, p)
 			}
@@ -234,66 +234,66 @@
 	}
 }
 
-// What schedulers tell each other crosses the link between two regions once: see the figures
-// logged, by kind, for instances that don't know regions and for those that do.
-func TestControlCrossesRegionsOnce(t *testing.T) {
+// Control traffic crosses the link between two regions once instead of once per scheduler.
+// Traffic by kind is logged.
+func TestControlTrafficCrossesRegionsOnce(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ instances, endpoints, rate int }{{70, 140, 600}, {300, 140, 600}} {
 		if testing.Short() && c.instances > 100 {
 			continue
 		}
 		var sum [2]int
-		for i, divided := range []bool{false, true} {
-			w := newRegionsWorld(t, c.instances, 6, twoAlike, divided)
-			q := w.newRequests(c.endpoints)
+		for i, useGateways := range []bool{false, true} {
+			w := newRegionSimulation(t, c.instances, 6, twoByThree, useGateways)
+			q := w.newTraffic(c.endpoints)
 			w.run(10 * time.Second)
 			q.run(time.Second, c.rate)
-			w.linkSum()
+			w.takeLinkBytes()
 			q.run(2*time.Second, c.rate)
 			var kinds string
-			sum[i], kinds = w.linkSum()
-			t.Logf("%d instances, regions known: %v: %d KB/s cross, %s", c.instances, divided, sum[i]/2000, kinds)
+			sum[i], kinds = w.takeLinkBytes()
+			t.Logf("%d instances, gateways %v: %d KB/s between regions, %s", c.instances, useGateways, sum[i]/2000, kinds)
 		}
 		if 4*sum[1] > sum[0] {
-			t.Errorf("%d instances: %d bytes cross between regions, want less than a quarter of %d", c.instances, sum[1], sum[0])
+			t.Errorf("%d instances: %d bytes between regions, want less than a quarter of %d", c.instances, sum[1], sum[0])
 		}
 	}
 }
 
-// The parts of cold endpoints' rates are one whole at most while regions have lost each other,
-// in both directions or one, and when they find each other again.
-func TestColdPartsWhileRegionsAreApart(t *testing.T) {
+// The shares of a cold endpoint's rate sum to at most one while regions are partitioned in one or
+// both directions, and while they rejoin.
+func TestColdSharesDuringRegionPartition(t *testing.T) {
 	t.Parallel()
-	for _, c := range allByName {
+	for _, c := range regionLayouts {
 		for _, oneWay := range []bool{false, true} {
-			w := newRegionsWorld(t, 24, len(c.regions), c.regions, true)
+			w := newRegionSimulation(t, 24, len(c.regions), c.regions, true)
 			w.run(12 * time.Second)
-			if sum, _ := w.coldParts(); sum < 0.99 {
-				t.Errorf("%s: parts of %.2f once settled, want one whole", c.name, sum)
+			if sum, _ := w.coldShares(); sum < 0.99 {
+				t.Errorf("%s: shares sum to %.2f once settled, want 1", c.name, sum)
 			}
-			w.cut = func(from, to *node) bool {
+			w.lost = func(from, to *node) bool {
 				return w.apart(from, to) && (!oneWay || w.regions[from.DataCentre] == "a")
 			}
-			w.coldPartsNever(1, 15*time.Second)
-			if sum, _ := w.coldParts(); sum < 0.99 {
-				t.Errorf("%s: parts of %.2f while regions are apart, want both to serve on", c.name, sum)
+			w.coldSharesNeverExceed(1, 15*time.Second)
+			if sum, _ := w.coldShares(); sum < 0.99 {
+				t.Errorf("%s: shares sum to %.2f during the partition, want both regions to keep theirs", c.name, sum)
 			}
-			w.cut = nil
-			w.coldPartsNever(1, 8*time.Second)
+			w.lost = nil
+			w.coldSharesNeverExceed(1, 8*time.Second)
 		}
 	}
 }
 
-// Parts of a prompt that may be known in one region only are not passed on to another; others
-// are known to all schedulers there.
-func TestBoundPartsStayInTheirRegion(t *testing.T) {
+// Prompt parts that are bound to a region are not forwarded to another one; others reach all its
+// schedulers.
+func TestBoundPromptPartsStayInRegion(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		homes []string // nil: not bound
 		known bool
 	}{{nil, true}, {[]string{"a"}, false}} {
-		w := newRegionsWorld(t, 36, 6, twoAlike, true)
-		q := w.newRequests(6)
+		w := newRegionSimulation(t, 36, 6, twoByThree, true)
+		q := w.newTraffic(6)
 		w.run(10 * time.Second)
 		d := &balance.Demand{Service: q.service, Objective: time.Second, Prompt: 9000, Parts: []balance.Part{{ID: 1 << 50, Tokens: 6300}, {ID: 1 << 51, Tokens: 2700}}}
 		if c.homes != nil {
@@ -301,111 +301,111 @@
 		}
 		placed := 0
 		for _, n := range w.nodes {
-			// The gateway's own placements and those of another scheduler of its region.
-			if r := n.members.current(w.now); n.DataCentre == "dc0" && r.schedules && n.Balancer.Place(q.endpoints[:1], d) != nil {
+			// Place from the gateway and from another scheduler of its region.
+			if r := n.members.currentRoles(w.now); n.DataCentre == "dc0" && r.isScheduler && n.Balancer.Place(q.endpoints[:1], d) != nil {
 				placed++
 			}
 		}
 		w.run(time.Second)
 		d.Homes = catalog.Homes{}
 		for i, n := range w.nodes {
-			if r := n.members.current(w.now); !r.schedules {
+			if r := n.members.currentRoles(w.now); !r.isScheduler {
 				continue
 			}
 			home := w.regions[n.DataCentre] == "a"
 			cached := n.Balancer.Place(q.endpoints[:1], d).Cached
 			if want := home || c.known; (cached > 0) != want || placed != 3 {
-				t.Errorf("homes %v: scheduler %d of %s knows %d tokens, want some: %v", c.homes, i, n.DataCentre, cached, want)
+				t.Errorf("homes %v: scheduler %d of %s knows %d cached tokens, want some: %v", c.homes, i, n.DataCentre, cached, want)
 			}
 		}
 	}
 }
 
-// A gateway passes on nothing of an instance that may not say which parts have to stay, nor parts
-// of which one says so.
-func TestGatewayKeepsWhatMayBeBound(t *testing.T) {
-	w := newRegionsWorld(t, 12, 2, oneEach, true)
+// A gateway doesn't forward notices of a version that can't mark bound parts, nor parts that are
+// marked as bound.
+func TestGatewayWithholdsBoundParts(t *testing.T) {
+	w := newRegionSimulation(t, 12, 2, twoByOne, true)
 	w.run(10 * time.Second)
 	for _, n := range w.nodes {
-		if !n.members.current(w.now).gateway {
+		if !n.members.currentRoles(w.now).isGateway {
 			continue
 		}
 		for _, c := range []struct {
 			level       int
 			stays       bool
 			kept, bound int
-		}{{levelHomes, false, 0, 0}, {levelRegions, false, 1, 0}, {levelRegions, true, 1, 1}} {
-			n.beyond.notices = nil
-			n.collect(w.now, &Message{
+		}{{protocolHomes, false, 0, 0}, {protocolRegions, false, 1, 0}, {protocolRegions, true, 1, 1}} {
+			n.crossRegion.notices = nil
+			n.collectNotices(w.now, &Message{
 				DataCentre: n.DataCentre, Level: c.level, RegionMessage: RegionMessage{Stays: c.stays},
 				Notices: []balance.Notice{{Endpoint: 1, Parts: []balance.Part{{ID: 2, Tokens: 3}}}},
 			})
 			bound := 0
-			for _, told := range balance.Withhold(n.beyond.notices, "elsewhere") {
-				if told.Parts == nil {
+			for _, notice := range balance.Withhold(n.crossRegion.notices, "elsewhere") {
+				if notice.Parts == nil {
 					bound++
 				}
 			}
-			if len(n.beyond.notices) != c.kept || bound != c.bound {
-				t.Errorf("level %d, stays %v: %d kept, %d without parts elsewhere, want %d and %d", c.level, c.stays, len(n.beyond.notices), bound, c.kept, c.bound)
+			if len(n.crossRegion.notices) != c.kept || bound != c.bound {
+				t.Errorf("version %d, bound %v: %d queued, %d without parts elsewhere, want %d and %d", c.level, c.stays, len(n.crossRegion.notices), bound, c.kept, c.bound)
 			}
 		}
 	}
 }
 
-// What the only instance of a region places and runs is known in the other, and that it leaves.
-func TestLoneInstanceOfARegionIsHeard(t *testing.T) {
+// The load of the only instance of a region is known in the other region, and that it is leaving.
+func TestSingleInstanceRegionIsVisible(t *testing.T) {
 	t.Parallel()
-	w := newRegionsWorld(t, 4, 2, oneEach, true)
+	w := newRegionSimulation(t, 4, 2, twoByOne, true)
 	w.nodes[3].dead = true
-	q := w.newRequests(2)
+	q := w.newTraffic(2)
 	w.run(10 * time.Second)
 	lone, other := w.nodes[1], w.nodes[0]
 	d := q.demand()
 	lone.Balancer.Place(q.endpoints[1:], d)
 	w.run(500 * time.Millisecond)
 	if p := other.Balancer.Place(q.endpoints[1:], d); p.Cached != 9000 {
-		t.Errorf("%d tokens of a prompt that the other region read are known, want 9000", p.Cached)
+		t.Errorf("%d cached tokens known of a prompt that ran in the other region, want 9000", p.Cached)
 	}
 	sums, _ := other.Balancer.Sums(func(id uint64) bool { return id == regionKey("b") }, true, 0)
 	if len(sums) != 1 || sums[0].Requests != 1 {
-		t.Errorf("the other region is thought to run %+v, want one request", sums)
+		t.Errorf("load known of the other region: %+v, want one request", sums)
 	}
 	lone.Leave()
-	w.run(2 * worldStep)
+	w.run(2 * simulationStep)
 	for _, m := range other.Members() {
 		if m.ID == lone.id && !m.Leaving {
-			t.Errorf("that an instance of the other region leaves is not known")
+			t.Errorf("instance of the other region not known to be leaving")
 		}
 	}
 }
 
-// Schedulers measure the way to other regions, whose ends hold tokens for up to a second, and
-// what waits there: here two steps of virtual time, and later four more.
-func TestLinkIsMeasured(t *testing.T) {
+// Schedulers measure propagation and queueing delay to other regions although receivers hold
+// tokens for up to a second.
+func TestLinkMeasurement(t *testing.T) {
 	t.Parallel()
-	w := newRegionsWorld(t, 24, 6, twoAlike, true)
+	w := newRegionSimulation(t, 24, 6, twoByThree, true)
 	w.run(15 * time.Second)
 	check := func(want time.Duration) {
 		t.Helper()
 		for i, n := range w.nodes {
-			if r := n.members.current(w.now); r.schedules {
-				if way, queue := n.link.add(w.now, time.Hour); way.Round(time.Millisecond) != 2*worldStep || queue.Round(time.Millisecond) != want {
-					t.Errorf("scheduler %d measures a way of %v and a queue of %v, want %v and %v", i, way, queue, 2*worldStep, want)
+			if r := n.members.currentRoles(w.now); r.isScheduler {
+				if propagation, queueing := n.link.add(w.now, time.Hour); propagation.Round(time.Millisecond) != 2*simulationStep || queueing.Round(time.Millisecond) != want {
+					t.Errorf("scheduler %d measured propagation %v and queueing %v, want %v and %v", i, propagation, queueing, 2*simulationStep, want)
 				}
 			}
 		}
 	}
 	check(0)
-	w.slow = func(from, to *node) int {
+	w.delay = func(from, to *node) int {
 		if w.apart(from, to) {
 			return 2
 		}
 		return 0
 	}
 	w.run(3 * time.Second)
-	check(4 * worldStep)
-	w.slow = nil
+	check(4 * simulationStep)
+	w.delay = nil
 	w.run(3 * time.Second)
 	check(0)
 }
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -1,6 +1,7 @@
 package gossip
 
-// This file passes beliefs on to instances that can't read the store.
+// This file serves state to, and fetches it from, other instances over HTTP, for those that don't
+// read the store.
 
 import (
 	"context"
@@ -18,36 +19,36 @@
 	"ivyridge/internal/fetch"
 )
 
-// BeliefsPath is where an instance tells its beliefs.
+// BeliefsPath is the HTTP path at which an instance serves its state.
 const BeliefsPath = "/v2/beliefs"
 
-// maxBeliefs bounds an answer, in bytes.
-const maxBeliefs = 16 << 20
+// maxResponse bounds the size of a response, in bytes.
+const maxResponse = 16 << 20
 
-// What an instance that asks for beliefs says of its own.
+// Query parameters of a request for state.
 const (
-	queryAfter   = "after"   // revision
-	queryVersion = "version" // of the configuration
-	queryWait    = "wait_ms" // for a revision after that one
-	queryPartial = "partial" // "1": it takes what changed after its revision in place of everything
+	queryAfter   = "after"   // revision that the caller has
+	queryVersion = "version" // version of the configuration that the caller has
+	queryWait    = "wait_ms" // how long to wait for a later revision
+	queryPartial = "partial" // "1": the caller accepts changes since its revision instead of everything
 )
 
-// Times of a call.
+// Timeouts.
 const (
-	mostWait     = 30 * time.Second       // for a change
-	answerWithin = 400 * time.Millisecond // an answer that need not wait begins
+	maxWait       = 30 * time.Second       // longest wait for a change
+	answerTimeout = 400 * time.Millisecond // for a response without a wait to begin
 )
 
-// beliefs is what an instance tells another that asks for its beliefs.
-type beliefs struct {
+// stateResponse is the response to a request for state.
+type stateResponse struct {
 	Revision  int64  `json:"revision"`
-	AgeMS     int64  `json:"age_ms"` // of the proof; negative: not proved
+	AgeMS     int64  `json:"age_ms"` // since the state was confirmed; negative: never confirmed
 	Unchanged bool   `json:"unchanged,omitempty"`
-	Config    []byte `json:"config,omitempty"`  // a packed catalog.Document, if it is newer than the asker's
-	Present   []byte `json:"present,omitempty"` // packed []belief.Record
+	Config    []byte `json:"config,omitempty"`  // compressed catalog.Document, if it is newer than the caller's
+	Present   []byte `json:"present,omitempty"` // compressed []belief.Record
 
-	// Partial is set if the endpoints told are those that changed after the asker's revision: the
-	// ones that are there in Changed, a JSON []belief.Record, the others in Gone.
+	// Partial is set if the endpoints are only those that changed since the caller's revision:
+	// added and updated ones in Changed, a JSON []belief.Record, and removed ones in Gone.
 	Partial bool               `json:"partial,omitempty"`
 	Changed json.RawMessage    `json:"changed,omitempty"`
 	Gone    []belief.Departure `json:"gone,omitempty"`
@@ -55,20 +56,20 @@
 
 	Evacuations []belief.Evacuation `json:"evacuations,omitempty"`
 
-	Schema uint64 `json:"schema,omitempty"` // of the sender; zero: a former build's, which tells none
+	Schema uint64 `json:"schema,omitempty"` // field schema hash of the sender; zero: an old build that doesn't send it
 }
 
-// BeliefsHandler answers other instances with what t holds, at once or when
-// it holds more than they do.
+// BeliefsHandler serves the state in t to other instances. It responds at once, or waits until t
+// has a later revision than the caller.
 func BeliefsHandler(t *belief.Table, log *zap.Logger) http.HandlerFunc {
 	p := &packer{table: t}
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
-		after := number(query, queryAfter)
-		await(r.Context(), t, after, min(time.Duration(number(query, queryWait))*time.Millisecond, mostWait))
-		b, err := p.told(after, number(query, queryVersion), query.Get(queryPartial) == "1")
+		after := queryInt(query, queryAfter)
+		waitForRevision(r.Context(), t, after, min(time.Duration(queryInt(query, queryWait))*time.Millisecond, maxWait))
+		b, err := p.respond(after, queryInt(query, queryVersion), query.Get(queryPartial) == "1")
 		if err != nil {
-			log.Error("beliefs not told", zap.String("error", err.Error()))
+			log.Error("encoding state for another instance failed", zap.String("error", err.Error()))
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
@@ -77,8 +78,8 @@
 	}
 }
 
-// number reads a whole number of a query; what is none is zero.
-func number(query url.Values, name string) int64 {
+// queryInt parses a non-negative integer parameter. Invalid and negative values yield zero.
+func queryInt(query url.Values, name string) int64 {
 	n, err := strconv.ParseInt(query.Get(name), 10, 64)
 	if err != nil {
 		return 0
@@ -86,8 +87,8 @@
 	return max(0, n)
 }
 
-// await returns when t holds more than the revision after, or wait has passed.
-func await(ctx context.Context, t *belief.Table, after int64, wait time.Duration) {
+// waitForRevision returns when t has a later revision than after, or when wait has passed.
+func waitForRevision(ctx context.Context, t *belief.Table, after int64, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
@@ -103,87 +104,86 @@
 	}
 }
 
-// told returns what is told to an instance that has beliefs of a revision and a
-// configuration of a version, and may take what changed only. Its age is taken first: the proof
-// is one of what is told, or of less.
-func (p *packer) told(after, version int64, partial bool) (*beliefs, error) {
-	age, proved := p.table.Age()
-	b := &beliefs{AgeMS: -1}
-	if proved {
+// respond returns the response to a caller that has state of a revision and a configuration of a
+// version, and accepts changes if partial is set. The age is read before the state, so that it is
+// never too small for the state that is sent.
+func (p *packer) respond(after, version int64, partial bool) (*stateResponse, error) {
+	age, confirmed := p.table.Age()
+	b := &stateResponse{AgeMS: -1}
+	if confirmed {
 		b.AgeMS = age.Milliseconds() + 1
 	}
 	if v := p.table.View(); after > 0 && v.Revision <= after {
 		b.Revision, b.Unchanged = v.Revision, true
 		return b, nil
 	}
-	now, err := p.pack(after, partial)
+	state, err := p.pack(after, partial)
 	if err != nil {
 		return nil, err
 	}
-	b.Revision, b.Digest = now.revision, now.digest
+	b.Revision, b.Digest = state.revision, state.digest
 	b.Schema = schema()
-	b.Present, b.Partial, b.Changed, b.Gone = now.present, now.partial, now.changed, now.gone
-	b.Evacuations = now.evacuations
-	if now.document != nil && now.document.Version > version {
-		b.Config, err = p.packConfig(now.document)
+	b.Present, b.Partial, b.Changed, b.Gone = state.present, state.partial, state.changed, state.removed
+	b.Evacuations = state.evacuations
+	if state.document != nil && state.document.Version > version {
+		b.Config, err = p.packConfig(state.document)
 	}
 	return b, err
 }
 
-// A Relay reads the beliefs of another instance. It implements belief.Source.
+// A Relay fetches the state of another instance. It implements belief.Source.
 type Relay struct {
-	Address string // IP:port of its peers' listener
+	Address string // IP:port of the HTTP listener for other instances
 	HTTP    *http.Client
 	Now     func() time.Time
-	Version func() int64 // of the configuration that the reader has
-	Failed  func(error)  // is told why beliefs could not be used; nil: nobody is
+	Version func() int64 // of the configuration that the caller has
+	Failed  func(error)  // called if a response can't be used; may be nil
 }
 
 var _ belief.Source = (*Relay)(nil)
 
-// Load implements belief.Source. Where nothing is published yet, the update has
-// no configuration: a fleet that starts before its operator has published one would
-// ask the store all at once otherwise.
+// Load implements belief.Source. Before a configuration is published, the update has none;
+// failing instead would make all instances of a new fleet read the store at once.
 func (r *Relay) Load(ctx context.Context) (*belief.Update, error) {
-	u, err := r.read(ctx, url.Values{}, fetch.Wait{Begin: answerWithin})
+	u, err := r.read(ctx, url.Values{}, fetch.Wait{Begin: answerTimeout})
 	if err == nil && u.Revision == 0 {
-		return nil, errors.Errorf("relay: %s has no beliefs", r.Address)
+		return nil, errors.Errorf("relay: %s has no state yet", r.Address)
 	}
 	return u, err
 }
 
-// Watch implements belief.Source. What it returns is whole if anything has changed and the
-// other instance doesn't know what, or is of a build that tells everything.
+// Watch implements belief.Source. It returns everything, rather than the changes, if the other
+// instance doesn't know the changes or runs a build that only sends everything.
 func (r *Relay) Watch(ctx context.Context, q belief.Query) (*belief.Update, error) {
 	return r.read(ctx, url.Values{
 		queryAfter:   {strconv.FormatInt(q.After, 10)},
 		queryVersion: {strconv.FormatInt(r.Version(), 10)},
 		queryWait:    {strconv.FormatInt(q.Wait.Milliseconds(), 10)},
 		queryPartial: {"1"},
-	}, fetch.Wait{Begin: q.Wait + answerWithin, Abandon: q.Overtaken})
+	}, fetch.Wait{Begin: q.Wait + answerTimeout, Abandon: q.Overtaken})
 }
 
-// read asks for beliefs. The proof is dated by the sending of the request,
-// less its age at the answer.
+// read fetches state. The state is dated by the time at which the request was sent, less its age
+// in the response.
 func (r *Relay) read(ctx context.Context, query url.Values, wait fetch.Wait) (*belief.Update, error) {
 	sent := r.Now()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.Address+BeliefsPath+"?"+query.Encode(), nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "relay")
 	}
-	a, err := fetch.Do(r.HTTP, req, maxBeliefs, wait)
+	a, err := fetch.Do(r.HTTP, req, maxResponse, wait)
 	if err != nil {
 		return nil, errors.Wrap(err, "relay")
 	}
 	if a.Status != http.StatusOK {
 		return nil, errors.Errorf("relay: %s answered %d", r.Address, a.Status)
 	}
-	var b beliefs
+	var b stateResponse
 	if err := json.Unmarshal(a.Body, &b); err != nil {
 		return nil, errors.Wrap(err, "relay")
 	}
 	if b.AgeMS < 0 {
-		return nil, errors.Errorf("relay: %s has no proved beliefs", r.Address)
+		return nil, errors.Errorf("relay: %s has no confirmed state", r.Address)
 	}
 	u := &belief.Update{
 		Revision: b.Revision, Whole: !b.Unchanged && !b.Partial, Digest: b.Digest,
@@ -199,8 +199,8 @@
 	return u, nil
 }
 
-// unpack decodes the packed parts of b into u.
-func (b *beliefs) unpack(u *belief.Update) error {
+// unpack decodes the parts of b into u.
+func (b *stateResponse) unpack(u *belief.Update) error {
 	u.Evacuations, u.Gone = b.Evacuations, b.Gone
 	if b.Config != nil {
 		if err := b.unpackPart(b.Config, &u.Config); err != nil {
@@ -216,8 +216,8 @@
 	return b.unpackPart(b.Present, &u.Present)
 }
 
-// unpackPart decodes a packed part into v.
-func (b *beliefs) unpackPart(part []byte, v any) error {
+// unpackPart decompresses and decodes a part into v.
+func (b *stateResponse) unpackPart(part []byte, v any) error {
 	data, err := decompress(part)
 	if err != nil {
 		return err
@@ -225,10 +225,11 @@
 	return b.decodePart(data, v)
 }
 
-// decodePart decodes the JSON of a part into v, if its sender knows all fields of that.
-func (b *beliefs) decodePart(data []byte, v any) error {
+// decodePart decodes a JSON part into v. It returns an error if the sender doesn't know all
+// fields of v.
+func (b *stateResponse) decodePart(data []byte, v any) error {
 	if b.Schema != schema() {
-		if err := complete(data, reflect.TypeOf(v)); err != nil {
+		if err := checkComplete(data, reflect.TypeOf(v)); err != nil {
 			return err
 		}
 	}
