--- a/gossip/change_bench_test.go
+++ b/gossip/relay_bench_test.go
@@ -16,9 +16,7 @@
 	"ivyridge/catalog"
 )
 
-// BenchmarkChange is one change of ten endpoints, from a scheduler that has it to a follower that
-// has taken it up. With all 6,000 endpoints told at each change it took 58 ms, allocated
-// 14.7 MB and sent 135 KB; with the change alone 0.31 ms, 0.14 MB and 1.8 KB.
+// BenchmarkChange measures a change of ten endpoints from the serving table to the following one.
 func BenchmarkChange(bench *testing.B) {
 	for _, n := range []int{690, 6000, 12000} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
@@ -41,12 +39,12 @@
 					change.Present = append(change.Present, listedRecord((int(revision)*10+i)%n, revision))
 				}
 				_ = source.Apply(change)
-				told, err := relay.Watch(context.Background(), belief.Query{After: revision - 1})
+				update, err := relay.Watch(context.Background(), belief.Query{After: revision - 1})
 				if err != nil {
 					bench.Fatal(err)
 				}
-				bytes += told.Bytes
-				_ = follower.Apply(told)
+				bytes += update.Bytes
+				_ = follower.Apply(update)
 			}
 			bench.ReportMetric(float64(bytes)/float64(bench.N), "wire-B/op")
 		})
@@ -60,7 +58,7 @@
 	}}
 }
 
-// inMemory is a transport to a handler without a socket.
+// inMemory is an http.RoundTripper that calls a handler without a socket.
 type inMemory struct{ handler http.Handler }
 
 func (m inMemory) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -69,8 +67,8 @@
 	return w.Result(), nil
 }
 
-// What is told of a change does not grow with the list.
-func TestAChangeIsToldAlone(t *testing.T) {
+// The size of a partial update must not depend on the number of endpoints.
+func TestPartialUpdateSizeIndependentOfList(t *testing.T) {
 	sizes := make(map[int]int)
 	for _, n := range []int{1000, 4000} {
 		source := belief.NewTable(time.Now)
@@ -80,17 +78,17 @@
 		}
 		_ = source.Apply(u)
 		_ = source.Apply(&belief.Update{Revision: 2, Proved: time.Now(), Present: []belief.Record{listedRecord(5, 2)}, Gone: []belief.Departure{{ID: listedRecord(6, 0).ID, Revision: 2}}})
-		b, err := (&packer{table: source}).told(1, 1, true)
+		b, err := (&packer{table: source}).respond(1, 1, true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		data, _ := json.Marshal(b)
 		sizes[n] = len(data)
 		if !strings.Contains(string(data), listedRecord(5, 0).ID) || len(b.Gone) != 1 {
-			t.Errorf("told %s", data)
+			t.Errorf("response %s", data)
 		}
 	}
 	if sizes[4000] > sizes[1000]*11/10 {
-		t.Errorf("a change is %d bytes among 1,000 endpoints and %d among 4,000", sizes[1000], sizes[4000])
+		t.Errorf("partial update has %d bytes with 1,000 endpoints and %d with 4,000", sizes[1000], sizes[4000])
 	}
 }
--- a/gossip/relay_test.go
+++ b/gossip/relay_test.go
@@ -14,8 +14,8 @@
 	"ivyridge/catalog"
 )
 
-// relayTo returns a Relay to an instance with beliefs of revision 5 and a
-// configuration of version 3, and those beliefs.
+// relayTo returns a Relay to an instance with state of revision 5 and configuration version 3,
+// for a reader with the given configuration version, and the instance's table.
 func relayTo(t *testing.T, version int64) (*Relay, *belief.Table) {
 	t.Helper()
 	table := belief.NewTable(time.Now)
@@ -28,8 +28,8 @@
 	return relayOf(t, table, version)
 }
 
-// relayOf returns a Relay to an instance with a table, for a reader that has a
-// version of the configuration.
+// relayOf returns a Relay to an instance with the given table, for a reader with the given
+// configuration version.
 func relayOf(t *testing.T, table *belief.Table, version int64) (*Relay, *belief.Table) {
 	t.Helper()
 	server := httptest.NewServer(BeliefsHandler(table, zap.NewNop()))
@@ -40,7 +40,7 @@
 	}, table
 }
 
-func TestRelayTellsEverything(t *testing.T) {
+func TestRelayLoad(t *testing.T) {
 	r, _ := relayTo(t, 0)
 	u, err := r.Load(context.Background())
 	if err != nil || u.Revision != 5 || !u.Whole || u.Config == nil || len(u.Present) != 1 {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestRelayWaitsForChanges(t *testing.T) {
+func TestRelayWatch(t *testing.T) {
 	r, table := relayTo(t, 3)
 	u, err := r.Watch(context.Background(), belief.Query{After: 5, Wait: 50 * time.Millisecond})
 	if err != nil || u.Revision != 5 || u.Whole || len(u.Present) != 0 {
@@ -63,9 +63,9 @@
 	}
 }
 
-// An instance that knows less than the reader has nothing to tell, and takes
-// nothing away.
-func TestRelayThatIsBehind(t *testing.T) {
+// An instance with an older revision than the reader must not remove anything from the reader's
+// state.
+func TestRelayBehindReader(t *testing.T) {
 	r, _ := relayTo(t, 3)
 	u, err := r.Watch(context.Background(), belief.Query{After: 9, Wait: 0})
 	if err != nil || u.Whole || u.Revision != 5 {
@@ -73,24 +73,24 @@
 	}
 }
 
-// A wait does not make a proof younger.
-func TestRelayedProofIsDatedByItsRequest(t *testing.T) {
+// Waiting for a change must not make the state look newer.
+func TestRelayStateDatedByRequest(t *testing.T) {
 	r, table := relayTo(t, 3)
 	before, _ := table.Age()
-	proved := time.Now().Add(-before)
+	confirmedAt := time.Now().Add(-before)
 	u, err := r.Watch(context.Background(), belief.Query{After: 5, Wait: 100 * time.Millisecond})
-	if err != nil || u.Proved.After(proved) {
-		t.Fatalf("dated %v, proved at %v: %v", u.Proved, proved, err)
+	if err != nil || u.Proved.After(confirmedAt) {
+		t.Fatalf("state dated %v, want at most %v: %v", u.Proved, confirmedAt, err)
 	}
 }
 
-// Before the operator has published a configuration, an instance tells what it
-// knows all the same: 289 of 295 instances that started then asked the store too.
-func TestRelayBeforeAConfiguration(t *testing.T) {
+// Before a configuration is published, an instance serves what it knows; otherwise all others
+// would read the store too.
+func TestRelayWithoutConfiguration(t *testing.T) {
 	table := belief.NewTable(time.Now)
 	r, _ := relayOf(t, table, 0)
 	if u, err := r.Load(context.Background()); err == nil {
-		t.Fatalf("an instance that knows nothing told %+v", u)
+		t.Fatalf("instance without state served %+v", u)
 	}
 	_ = table.Apply(&belief.Update{Revision: 5, Whole: true, Proved: time.Now()})
 	u, err := r.Load(context.Background())
--- a/gossip/report.go
+++ b/gossip/report.go
@@ -1,6 +1,7 @@
 package gossip
 
-// This file encodes what an instance runs at an endpoint, and what it saw there.
+// This file encodes load reports: what an instance runs at an endpoint and the outcomes that it
+// saw there.
 
 import (
 	"math"
@@ -13,13 +14,13 @@
 	"ivyridge/speed"
 )
 
-// The fields of a Report, and of the samples in it.
+// Field numbers of a Report and of the samples in it.
 const (
 	fieldRequests protowire.Number = 2
 	fieldMemory   protowire.Number = 3
-	fieldExposure protowire.Number = 4 // in exposureUnit
-	fieldEnded    protowire.Number = 7 // in outcomeUnit
-	fieldFailed   protowire.Number = 8 // in outcomeUnit
+	fieldExposure protowire.Number = 4 // in units of exposureUnit
+	fieldEnded    protowire.Number = 7 // in units of outcomeUnit
+	fieldFailed   protowire.Number = 8 // in units of outcomeUnit
 	fieldReading  protowire.Number = 9
 	fieldStepping protowire.Number = 10
 	fieldUnread   protowire.Number = 11
@@ -29,19 +30,19 @@
 	fieldRest     protowire.Number = 16 // milliseconds
 	fieldLeaves   protowire.Number = 17
 	fieldLimit    protowire.Number = 18
-	fieldUnreadBy protowire.Number = 15 // a byte string of varints, from the second level on
+	fieldUnreadBy protowire.Number = 15 // byte string of varints, without the most urgent level
 
-	fieldWeight protowire.Number = 1 // of samples, in outcomeUnit
-	fieldMean   protowire.Number = 2 // of samples: their mean logarithm in logUnit, zigzag
+	fieldWeight protowire.Number = 1 // of samples, in units of outcomeUnit
+	fieldMean   protowire.Number = 2 // of samples: mean logarithm in units of logUnit, zigzag
 )
 
-// exposureUnit is the step in which exposures travel.
+// exposureUnit is the encoding resolution of exposures.
 const exposureUnit = 1e-15
 
-// outcomeUnit is the step in which counts of outcomes travel.
+// outcomeUnit is the encoding resolution of outcome counts.
 const outcomeUnit = 1.0 / 16
 
-// logUnit is the step in which logarithms of times travel.
+// logUnit is the encoding resolution of logarithms of times.
 const logUnit = 1.0 / 256
 
 func appendReport(b []byte, r *balance.Report) []byte {
@@ -63,22 +64,21 @@
 	return appendSamples(b, fieldStepping, r.Stepping)
 }
 
-// appendLevels adds counts of requests by urgency, if there are any.
+// appendLevels appends the request counts by priority level, unless all are zero.
 func appendLevels(b []byte, r *balance.Report) []byte {
 	var counts []byte
-	some := false
+	nonZero := false
 	for _, n := range r.ByLevel {
 		counts = protowire.AppendVarint(counts, uint64(max(0, n)))
-		some = some || n > 0
+		nonZero = nonZero || n > 0
 	}
-	if !some {
+	if !nonZero {
 		return b
 	}
 	return appendBytes(b, fieldLevels, counts)
 }
 
-// decodeLevels reads counts by urgency; those of levels that are not known here
-// are passed over.
+// decodeLevels decodes request counts by priority level and ignores unknown levels.
 func decodeLevels(b []byte, r *balance.Report) error {
 	for level := range r.ByLevel {
 		if len(b) == 0 {
@@ -94,22 +94,23 @@
 	return nil
 }
 
-// appendUnreadBy adds what is unread of all levels but the most urgent, if there is any.
+// appendUnreadBy appends the unread tokens of all levels but the most urgent, unless all are
+// zero.
 func appendUnreadBy(b []byte, r *balance.Report) []byte {
 	var tokens []byte
-	some := false
+	nonZero := false
 	for _, n := range r.UnreadBy[1:] {
 		tokens = protowire.AppendVarint(tokens, uint64(max(0, n)))
-		some = some || n > 0
+		nonZero = nonZero || n > 0
 	}
-	if !some {
+	if !nonZero {
 		return b
 	}
 	return appendBytes(b, fieldUnreadBy, tokens)
 }
 
-// decodeUnreadBy reads what is unread by urgency. What no level is told of, or which does
-// not sum up, is taken for the most urgent: nobody goes ahead of that.
+// decodeUnreadBy decodes unread tokens by priority level. Tokens that no level accounts for are
+// attributed to the most urgent one, the conservative choice: no request is placed ahead of them.
 func decodeUnreadBy(b []byte, r *balance.Report) error {
 	rest := r.Unread
 	for level := 1; level < len(r.UnreadBy) && len(b) > 0; level++ {
--- a/gossip/retries_test.go
+++ b/gossip/retries_test.go
@@ -1,7 +1,7 @@
 package gossip
 
-// This file plays fleets that send as many requests again as they may, and checks that no
-// window brings a service more of these than the bound allows.
+// This file simulates fleets that retry as often as they may, and checks that the retries of a
+// service within any window stay within the bound.
 
 import (
 	"context"
@@ -21,51 +21,50 @@
 
 const (
 	retryWindow = 10 * time.Second
-	spendEvery  = 100 * time.Millisecond
+	retryStep   = 100 * time.Millisecond
 )
 
 var retryBound = quota.Retries{Ratio: 0.2, Extra: 180}
 
-// A spender is a fleet in which requests come to all instances, and which sends them again
-// where it can.
-type spender struct {
-	*world
-	service   *catalog.Service
-	endpoints []*belief.Endpoint
-	own       map[*node]*quota.Earned
-	most      map[*node]int // the most that each heard
-	paused    map[*node]bool
-	counts    []spent // of each spendEvery
-	granted   int
+// A retryFleet is a fleet in which all instances receive requests, and retry where they can.
+type retryFleet struct {
+	*simulation
+	service    *catalog.Service
+	endpoints  []*belief.Endpoint
+	ownBuckets map[*node]*quota.Earned
+	maxSeen    map[*node]int // largest fleet size that each instance saw
+	paused     map[*node]bool
+	counts     []stepCounts // one per retryStep
+	granted    int
 }
 
-// A spent counts what came within a time.
-type spent struct{ requests, retries int }
+// stepCounts counts requests and retries within a step.
+type stepCounts struct{ requests, retries int }
 
-func newSpender(t testing.TB, n, dataCentres int) *spender {
-	s := &spender{
-		world: newWorld(t, n, dataCentres), service: &catalog.Service{Name: "s"},
-		own: make(map[*node]*quota.Earned), most: make(map[*node]int), paused: make(map[*node]bool),
+func newRetryFleet(t testing.TB, n, dataCentres int) *retryFleet {
+	s := &retryFleet{
+		simulation: newSimulation(t, n, dataCentres), service: &catalog.Service{Name: "s"},
+		ownBuckets: make(map[*node]*quota.Earned), maxSeen: make(map[*node]int), paused: make(map[*node]bool),
 	}
 	s.endpoints = []*belief.Endpoint{{Endpoint: catalog.Endpoint{ID: "e", DataCentre: "dc0"}}}
 	for _, n := range s.nodes {
-		s.equip(n, dataCentres)
+		s.configure(n, dataCentres)
 	}
 	return s
 }
 
-// equip gives an instance that starts its settings.
-func (s *spender) equip(n *node, dataCentres int) {
+// configure applies the settings to an instance that starts.
+func (s *retryFleet) configure(n *node, dataCentres int) {
 	n.DataCentres = dataCentres
 	n.Instances = n.Balancer.SetInstances
 	n.Balancer.SetRetries(retryBound)
-	s.own[n] = new(quota.Earned)
+	s.ownBuckets[n] = new(quota.Earned)
 }
 
-// chooser returns the instance that places a request of n, or nil if that is out of reach.
-func (s *spender) chooser(n *node) *node {
+// chooser returns the instance that places a request of n, or nil if it is unreachable.
+func (s *retryFleet) chooser(n *node) *node {
 	n.mu.Lock()
-	address := n.scheduler(s.now)
+	address := n.nextScheduler(s.now)
 	n.mu.Unlock()
 	if address == "" {
 		return n
@@ -74,7 +73,7 @@
 		if other.address.String() != address {
 			continue
 		}
-		if other.dead || s.paused[other] || s.cut != nil && (s.cut(n, other) || s.cut(other, n)) {
+		if other.dead || s.paused[other] || s.lost != nil && (s.lost(n, other) || s.lost(other, n)) {
 			return nil
 		}
 		return other
@@ -82,18 +81,19 @@
 	return nil
 }
 
-// ownBucket returns what a request earns n itself, and what its own bucket holds at most.
-func (s *spender) ownBucket(n *node) (earns, most float64) {
+// ownBucket returns what a request adds to n's own retry bucket, and the capacity of that.
+func (s *retryFleet) ownBucket(n *node) (earns, most float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.count > 1 {
-		s.most[n] = max(s.most[n], n.count)
+	if n.fleetSize > 1 {
+		s.maxSeen[n] = max(s.maxSeen[n], n.fleetSize)
 	}
-	return retryBound.Own(s.most[n])
+	return retryBound.Own(s.maxSeen[n])
 }
 
-// spend takes up some requests of an instance, and sends as many again as it may.
-func (s *spender) spend(n *node, requests int, all bool) {
+// spend processes requests at an instance, and if retriesAllowed is set, sends all retries that
+// it may.
+func (s *retryFleet) spend(n *node, requests int, retriesAllowed bool) {
 	now := &s.counts[len(s.counts)-1]
 	earns, most := s.ownBucket(n)
 	chooser := s.chooser(n)
@@ -111,33 +111,33 @@
 		now.requests++
 		d := &balance.Demand{Service: s.service, Earns: quota.EarnsWhole}
 		if most > 0 {
-			s.own[n].Earn(earns, most, s.now)
+			s.ownBuckets[n].Earn(earns, most, s.now)
 			d.Earns = quota.EarnsRest
 		}
 		place(d)
 	}
-	for all && s.own[n].Has(most, 0, s.now) {
-		s.own[n].Spend(most, s.now)
+	for retriesAllowed && s.ownBuckets[n].Has(most, 0, s.now) {
+		s.ownBuckets[n].Spend(most, s.now)
 		now.retries++
 	}
-	for all && place(&balance.Demand{Service: s.service, Retry: balance.RetryInTime}) {
+	for retriesAllowed && place(&balance.Demand{Service: s.service, Retry: balance.RetryInTime}) {
 		now.retries++
 		s.granted++
 	}
-	for _, lender := range s.nodes { // all that hold a part and that it reaches
-		for all && !lender.dead && !s.paused[lender] && (s.cut == nil || !s.cut(n, lender)) && lender.Balancer.PayRetry("s", balance.RetryInTime) {
+	for _, lender := range s.nodes { // all live share holders that n reaches
+		for retriesAllowed && !lender.dead && !s.paused[lender] && (s.lost == nil || !s.lost(n, lender)) && lender.Balancer.PayRetry("s", balance.RetryInTime) {
 			now.retries++
 			s.granted++
 		}
 	}
 }
 
-// live plays d, with so many requests to each instance each spendEvery.
-func (s *spender) live(d time.Duration, requests int, all func() bool) {
+// play advances time, with the given number of requests per instance in each step.
+func (s *retryFleet) play(d time.Duration, requests int, retriesAllowed func() bool) {
 	for end := s.now.Add(d); s.now.Before(end); {
-		s.run(spendEvery)
-		s.counts = append(s.counts, spent{})
-		spends := all()
+		s.run(retryStep)
+		s.counts = append(s.counts, stepCounts{})
+		spends := retriesAllowed()
 		for _, n := range s.nodes {
 			if !n.dead && !s.paused[n] {
 				s.spend(n, requests, spends)
@@ -146,12 +146,12 @@
 	}
 }
 
-// excess returns by how much the window that is worst for it is above the bound. The requests
-// are those of the window or, if it has more, of the one before.
-func (s *spender) excess() float64 {
+// excess returns the largest excess over the bound of any window. The requests counted are the
+// larger number of the window and the one before.
+func (s *retryFleet) excess() float64 {
 	worst := -retryBound.Extra
-	n := int(retryWindow / spendEvery)
-	sum := func(from, to int) (sum spent) {
+	n := int(retryWindow / retryStep)
+	sum := func(from, to int) (sum stepCounts) {
 		for _, c := range s.counts[max(0, from):max(0, to)] {
 			sum.requests += c.requests
 			sum.retries += c.retries
@@ -165,89 +165,88 @@
 	return worst
 }
 
-// Over drawn deaths, restarts, cuts, pauses and splits in halves, however requests and
-// retries fall, no window brings more retries than the bound. More fleets by hand:
-// -rapid.checks=400.
-func TestRetriesOverTroubles(t *testing.T) {
+// With random crashes, restarts, partitions and pauses, the retries within any window stay within
+// the bound. Run more cases with -rapid.checks=400.
+func TestRetryBoundUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
 		dataCentres := rapid.IntRange(2, 5).Draw(rt, "data centres")
-		s := newSpender(t, dataCentres*rapid.IntRange(2, 5).Draw(rt, "each"), dataCentres)
-		lossy := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
-		any := func(what string) *node { return s.nodes[rapid.IntRange(0, s.size-1).Draw(rt, what)] }
+		s := newRetryFleet(t, dataCentres*rapid.IntRange(2, 5).Draw(rt, "each"), dataCentres)
+		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
+		randomNode := func(what string) *node { return s.nodes[rapid.IntRange(0, s.size-1).Draw(rt, what)] }
 		requests := rapid.IntRange(1, 12).Draw(rt, "requests")
-		rarely := func() bool { return lossy.IntN(40) == 0 }
-		s.live(9*time.Second, requests, rarely)
+		retries := func() bool { return rng.IntN(40) == 0 }
+		s.play(9*time.Second, requests, retries)
 		for range 3 {
 			switch rapid.IntRange(0, 5).Draw(rt, "trouble") {
 			case 0:
 				for range rapid.IntRange(1, s.size/2).Draw(rt, "deaths") {
-					any("dies").dead = true
+					randomNode("dies").dead = true
 				}
 			case 1:
-				s.restart(lossy.Uint64, dataCentres)
+				s.restart(rng.Uint64, dataCentres)
 			case 2:
 				cut := map[*node]bool{}
 				for range rapid.IntRange(1, s.size/2).Draw(rt, "cuts") {
-					cut[any("cut off")] = true
+					cut[randomNode("cut off")] = true
 				}
-				s.cut = func(a, b *node) bool { return cut[a] || cut[b] || lossy.IntN(50) == 0 }
+				s.lost = func(a, b *node) bool { return cut[a] || cut[b] || rng.IntN(50) == 0 }
 			case 3:
 				half := rapid.Uint64().Draw(rt, "half")
-				s.cut = func(a, b *node) bool { return half>>(a.id%64)&1 != half>>(b.id%64)&1 }
+				s.lost = func(a, b *node) bool { return half>>(a.id%64)&1 != half>>(b.id%64)&1 }
 			case 4:
-				half := rapid.IntRange(1, dataCentres-1).Draw(rt, "data centres apart")
-				s.cut = func(a, b *node) bool {
+				half := rapid.IntRange(1, dataCentres-1).Draw(rt, "data centres cut off")
+				s.lost = func(a, b *node) bool {
 					return int(a.DataCentre[2]-'0') < half != (int(b.DataCentre[2]-'0') < half)
 				}
 			case 5:
-				n := any("pauses")
+				n := randomNode("pauses")
 				n.dead, s.paused[n] = true, true
 			}
-			s.live(time.Duration(rapid.IntRange(1, 6).Draw(rt, "s"))*time.Second, requests, rarely)
-			for n := range s.paused { // those that were paused go on
+			s.play(time.Duration(rapid.IntRange(1, 6).Draw(rt, "s"))*time.Second, requests, retries)
+			for n := range s.paused { // resume paused instances
 				n.dead = false
 				delete(s.paused, n)
 			}
 		}
 		if over := s.excess(); over > 0 {
-			rt.Fatalf("%.1f retries more than the bound within a window", over)
+			rt.Fatalf("%.1f retries over the bound within a window", over)
 		}
 	})
 }
 
-// restart starts those that are dead again.
-func (s *spender) restart(id func() uint64, dataCentres int) {
+// restart restarts crashed instances.
+func (s *retryFleet) restart(id func() uint64, dataCentres int) {
 	for i, n := range s.nodes {
 		if n.dead && !s.paused[n] {
 			s.start(i, id()|1, n.DataCentre, n.Cores)
-			s.equip(s.nodes[i], dataCentres)
+			s.configure(s.nodes[i], dataCentres)
 		}
 	}
 }
 
-// A fleet that has settled grants most of what the bound allows beyond the share, wherever
-// the requests that need it came in.
-func TestRetriesGoWhereTheyAreNeeded(t *testing.T) {
+// A settled fleet grants most of the retry budget wherever the requests that need it arrive.
+func TestRetriesAvailableWhereNeeded(t *testing.T) {
 	t.Parallel()
-	s := newSpender(t, 70, 6)
-	s.live(30*time.Second, 2, func() bool { return false })
-	s.counts = append(s.counts, spent{})
+	s := newRetryFleet(t, 70, 6)
+	s.play(30*time.Second, 2, func() bool { return false })
+	s.counts = append(s.counts, stepCounts{})
 	for _, n := range s.nodes {
 		if n.DataCentre == "dc3" {
 			s.spend(n, 0, true)
 		}
 	}
 	if got := s.counts[len(s.counts)-1].retries; got < 90 {
-		t.Errorf("the instances of one data centre were granted %d retries at once, want half of 180", got)
+		t.Errorf("instances of one data centre were granted %d retries at once, want at least half of 180", got)
 	}
 	if over := s.excess(); over > 0 {
-		t.Errorf("%.1f retries more than the bound", over)
+		t.Errorf("%.1f retries over the bound", over)
 	}
 }
 
-// hold gives an instance the whole of 40 retries, of which it has earned what it may hold.
-func hold(g *Gossip, earned int) {
+// setEarnedRetries gives an instance the whole share of a budget of 40 retries, and the given
+// number of requests that earn retries.
+func setEarnedRetries(g *Gossip, earned int) {
 	g.Balancer.SetRetries(quota.Retries{Ratio: 1, Extra: 40})
 	g.Balancer.SetRetryPart(1, 1)
 	for range earned {
@@ -255,31 +254,30 @@
 	}
 }
 
-func granted(g *Gossip) int64 { return g.Balancer.Holdings().Retries["s"].Granted }
+func grantedRetries(g *Gossip) int64 { return g.Balancer.Holdings().Retries["s"].Granted }
 
-// A chargedCase is who has retries, and who is to pay for one.
-type chargedCase struct {
-	name             string
-	level            int // of the scheduler
-	earned, lent     int
-	unknown          bool  // the endpoint, to the scheduler
-	atHome, atLender int64 // retries that are charged
+// A retryChargeCase describes who has retries and who is expected to pay.
+type retryChargeCase struct {
+	name                            string
+	level                           int // of the scheduler
+	schedulerEarned, lenderEarned   int
+	unknownEndpoint                 bool  // the scheduler doesn't know the endpoint
+	chargedLocally, chargedAtLender int64 // expected retries charged
 }
 
-// A retry is asked for with its placement, and charged once: by a scheduler that knows how
-// to, also where the instance can't use what the scheduler chose; or by one of another data
-// centre where the own one has none.
-func TestRetryIsChargedOnce(t *testing.T) {
-	for _, c := range []chargedCase{
-		{name: "a scheduler that does not know retries", level: levelHomes, earned: 20},
-		{name: "a scheduler that has some", level: levelRetries, earned: 20, atHome: 1},
-		{name: "a choice that can't be used", level: levelRetries, earned: 20, unknown: true, atHome: 1},
-		{name: "a scheduler that has none", level: levelRetries},
-		{name: "another data centre that has some", level: levelRetries, lent: 20, atLender: 1},
-		{name: "a scheduler that does not know retries, and another data centre", level: levelHomes, earned: 20, lent: 20, atLender: 1},
+// A retry is requested together with its placement and charged exactly once: by a scheduler whose
+// version supports it, also if its choice can't be used, or by a scheduler of another data centre
+// if there is none left locally.
+func TestRetryChargedOnce(t *testing.T) {
+	for _, c := range []retryChargeCase{
+		{name: "scheduler without retry support", level: protocolHomes, schedulerEarned: 20},
+		{name: "scheduler with retries", level: protocolRetries, schedulerEarned: 20, chargedLocally: 1},
+		{name: "unusable choice", level: protocolRetries, schedulerEarned: 20, unknownEndpoint: true, chargedLocally: 1},
+		{name: "scheduler without retries", level: protocolRetries},
+		{name: "other data centre with retries", level: protocolRetries, lenderEarned: 20, chargedAtLender: 1},
+		{name: "scheduler without retry support, other data centre with retries", level: protocolHomes, schedulerEarned: 20, lenderEarned: 20, chargedAtLender: 1},
 	} {
-		// An answer that comes later than it is waited for costs the retry; what is looked at is
-		// who pays where answers come in time.
+		// A late answer costs the retry. Repeat until the answers are in time.
 		late := true
 		for range 5 {
 			if late = c.run(t); !late {
@@ -287,45 +285,45 @@
 			}
 		}
 		if late {
-			t.Errorf("%s: no answer came in time in five tries", c.name)
+			t.Errorf("%s: no answer in time in five attempts", c.name)
 		}
 	}
 }
 
-// run has a request placed that asks for a retry, and reports whether an answer came too late.
-func (c *chargedCase) run(t *testing.T) (late bool) {
+// run places a request that asks for a retry, and reports whether an answer was late.
+func (c *retryChargeCase) run(t *testing.T) (late bool) {
 	d := newDataCentre(t)
 	var unanswered atomic.Int64
 	count := func(event string) {
-		if event == "ask-unanswered" || event == "grant-late" || event == "retry-not-borrowed" && c.atLender > 0 {
+		if event == "ask-unanswered" || event == "grant-late" || event == "retry-not-borrowed" && c.chargedAtLender > 0 {
 			unanswered.Add(1)
 		}
 	}
-	d.asker.Count = count
-	d.asker.members.all[d.scheduler.conn.(*net.UDPConn).LocalAddr().String()].level = c.level
+	d.client.Count = count
+	d.client.members.byAddress[d.scheduler.conn.(*net.UDPConn).LocalAddr().String()].protocol = c.level
 	lender := listen(t, 77)
-	m := &Message{Sender: 77, DataCentre: "y", Next: time.Minute, Level: levelRetries, Part: 1}
-	d.asker.members.heard(time.Now(), lender.conn.(*net.UDPConn).LocalAddr().String(), m, time.Time{})
-	hold(d.scheduler, c.earned)
-	hold(lender, c.lent)
-	for _, g := range []*Gossip{d.scheduler, d.asker, lender} {
+	m := &Message{Sender: 77, DataCentre: "y", Next: time.Minute, Level: protocolRetries, Part: 1}
+	d.client.members.observe(time.Now(), lender.conn.(*net.UDPConn).LocalAddr().String(), m, time.Time{})
+	setEarnedRetries(d.scheduler, c.schedulerEarned)
+	setEarnedRetries(lender, c.lenderEarned)
+	for _, g := range []*Gossip{d.scheduler, d.client, lender} {
 		go g.receive()
 	}
 	endpoints := d.endpoints
-	if c.unknown {
+	if c.unknownEndpoint {
 		endpoints = []*belief.Endpoint{{Endpoint: catalog.Endpoint{ID: "unknown to the scheduler"}}}
 	}
 	d.demand.Retry, d.demand.Sent = balance.RetryInTime, true
-	p, refusal := d.asker.Place(context.Background(), endpoints, d.demand)
-	got, lent := granted(d.scheduler), granted(lender)
-	if unanswered.Load() > 0 && got <= c.atHome && lent <= c.atLender {
+	p, refusal := d.client.Place(context.Background(), endpoints, d.demand)
+	got, lent := grantedRetries(d.scheduler), grantedRetries(lender)
+	if unanswered.Load() > 0 && got <= c.chargedLocally && lent <= c.chargedAtLender {
 		return true
 	}
-	if c.atHome+c.atLender == 0 && (refusal == nil || refusal.Cause != balance.RetriesSpent) || c.atHome+c.atLender == 1 && p == nil {
+	if c.chargedLocally+c.chargedAtLender == 0 && (refusal == nil || refusal.Cause != balance.RetriesSpent) || c.chargedLocally+c.chargedAtLender == 1 && p == nil {
 		t.Errorf("%s: got %+v, %+v", c.name, p, refusal)
 	}
-	if got != c.atHome || lent != c.atLender {
-		t.Errorf("%s: %d retries are charged at home and %d elsewhere, want %d and %d", c.name, got, lent, c.atHome, c.atLender)
+	if got != c.chargedLocally || lent != c.chargedAtLender {
+		t.Errorf("%s: %d retries charged locally and %d at the lender, want %d and %d", c.name, got, lent, c.chargedLocally, c.chargedAtLender)
 	}
 	return false
 }
--- a/gossip/roles.go
+++ b/gossip/roles.go
@@ -1,16 +1,15 @@
 package gossip
 
-// This file decides which instances choose endpoints for others. It does no
-// I/O.
+// This file determines which instances choose endpoints for others. It does no I/O.
 //
-// The first few instances of each data centre are its schedulers: all tell
-// them what they run, and they tell each other what they place, often. The
-// others of the data centre ask the first of them for each request. Schedulers
-// hear all instances; the others hear those of their data centre and all
-// schedulers: on 295 of them, heartbeats of all to all were two thirds of the bytes
-// of control that crossed data centres, 3.7 MB/s. Nothing is agreed on: each instance works the roles out from whom it hears, and where
-// two differ for a moment, or a scheduler keeps silent, a request is placed by
-// what its own instance knows. A small fleet consists of schedulers alone.
+// The first few instances of each data centre are its schedulers. All instances of the data
+// centre send them load reports, and schedulers frequently exchange placement notices. The other
+// instances of the data centre send a placement request to one of the schedulers for each
+// request. Schedulers receive from all instances; the others only receive from their data centre
+// and from all schedulers, since heartbeats between all pairs would dominate the traffic between
+// data centres. There is no consensus: each instance computes the roles from the members it sees.
+// While two instances disagree, or a scheduler doesn't answer, a request is placed by what its
+// own instance knows. A small fleet consists of schedulers only.
 
 import (
 	"sort"
@@ -20,50 +19,48 @@
 )
 
 const (
-	// schedulersKept is how many instances of a data centre are schedulers:
-	// one that is asked, and others that know as much should it be lost.
-	schedulersKept = 3
-	// askedEach is how many instances of a data centre one scheduler decides
-	// for; from there on several are asked.
-	askedEach = 48
-	// warmAfter is how long a scheduler has been told everything before it
-	// goes before others.
-	warmAfter = 5 * time.Second
-	rolesHold = 200 * time.Millisecond
+	// schedulersPerDataCentre is the number of schedulers of a data centre: one that others send
+	// requests to, and spares with the same knowledge.
+	schedulersPerDataCentre = 3
+	// instancesPerScheduler is the size of a data centre for which one active scheduler suffices.
+	instancesPerScheduler = 48
+	// warmupPeriod is how long a scheduler receives all load reports before it ranks ahead of
+	// others.
+	warmupPeriod = 5 * time.Second
+	rolesTTL     = 200 * time.Millisecond
 )
 
-// Times of beats. What an instance receives hardly grows with the fleet: only
-// schedulers are many to one, and the others beat the more seldom the more
-// there are.
+// Tick and heartbeat timing. Only schedulers receive from many instances; ordinary instances send
+// less often in larger fleets, so that the receive rate hardly grows with the fleet.
 const (
-	beatLeast        = 40 * time.Millisecond
-	beatMost         = time.Second
-	beatPerScheduler = 6 * time.Millisecond
-	heartbeatEach    = 18 * time.Millisecond // for each instance
-	heartbeatMost    = 8 * time.Second
-	wholeBeats       = 4 // every so many beats tell everything, and not sooner than quietFor
+	minTick              = 40 * time.Millisecond
+	maxTick              = time.Second
+	tickPerScheduler     = 6 * time.Millisecond
+	heartbeatPerInstance = 18 * time.Millisecond // per instance of the fleet
+	maxHeartbeat         = 8 * time.Second
+	fullReportTicks      = 4 // ticks between complete reports, which are at least maxQuiet apart
 )
 
-// roles are the parts that instances take, as this one sees it.
+// roles are the roles of the instances as seen by this one.
 type roles struct {
-	schedules  bool      // this instance is a scheduler
-	schedulers []*Member // without this instance
-	first      bool      // this instance is the first scheduler of its data centre
-	nearby     []*Member // the schedulers of the own data centre, without this instance
-	beyond     []*Member // those of other data centres
-	gateways   []*Member // the first of these of each data centre
-	asked      []*Member // of the own data centre, in the order in which to ask
-	ahead      []*Member // the schedulers of the own data centre that go before this one
-	readers    int       // instances that follow the store itself: the first scheduler of each data centre
-	near       []*Member // the other instances of the own data centre
-	far        []*Member // those of other data centres
-	known      []*Member // the schedulers and the near: who may be named within the data centre
-	regional
+	isScheduler      bool      // this instance is a scheduler
+	schedulers       []*Member // without this instance
+	isFirst          bool      // this instance is the first scheduler of its data centre
+	localSchedulers  []*Member // schedulers of this data centre, without this instance
+	remoteSchedulers []*Member // schedulers of other data centres
+	remoteFirsts     []*Member // first schedulers of other data centres
+	schedulerOrder   []*Member // schedulers of this data centre in the order in which to send requests
+	predecessors     []*Member // schedulers of this data centre that rank ahead of this one
+	storeReaders     int       // instances that read the store: the first scheduler of each data centre
+	localPeers       []*Member // ordinary instances of this data centre, without this one
+	remotePeers      []*Member // ordinary instances of other data centres
+	localContacts    []*Member // schedulers and localPeers, whose addresses are shared within the data centre
+	regionRoles
 }
 
-// before orders the instances of a data centre: those that have scheduled for
-// some time first, then the larger machines.
-func before(a, b *Member) bool {
+// outranks orders the instances of a data centre: warmed-up schedulers first, then larger
+// machines.
+func outranks(a, b *Member) bool {
 	if a.Warm != b.Warm {
 		return a.Warm
 	}
@@ -73,116 +70,116 @@
 	return a.ID < b.ID
 }
 
-// goesBefore is before, with those that leave last.
-func goesBefore(a, b *Member) bool {
+// precedes is outranks, with instances that are shutting down last.
+func precedes(a, b *Member) bool {
 	if a.Leaving != b.Leaving {
 		return b.Leaving
 	}
-	return before(a, b)
+	return outranks(a, b)
 }
 
-// current returns the roles at now, which hold for rolesHold unless members change.
-func (s *members) current(now time.Time) *roles {
-	if !s.rolesAt.IsZero() && now.Sub(s.rolesAt) < rolesHold {
+// currentRoles returns the roles at now. They are cached for rolesTTL unless members change.
+func (s *members) currentRoles(now time.Time) *roles {
+	if !s.rolesComputedAt.IsZero() && now.Sub(s.rolesComputedAt) < rolesTTL {
 		return &s.roles
 	}
-	s.roles = s.compute(now)
-	s.rolesAt = now
+	s.roles = s.computeRoles(now)
+	s.rolesComputedAt = now
 	switch {
-	case !s.roles.schedules:
-		s.since = time.Time{}
-	case s.since.IsZero():
-		s.since = now
+	case !s.roles.isScheduler:
+		s.schedulerSince = time.Time{}
+	case s.schedulerSince.IsZero():
+		s.schedulerSince = now
 	}
-	s.self.Warm = s.roles.schedules && now.Sub(s.since) >= warmAfter
+	s.self.Warm = s.roles.isScheduler && now.Sub(s.schedulerSince) >= warmupPeriod
 	return &s.roles
 }
 
-// compute returns the roles among the members that are heard at now.
-func (s *members) compute(now time.Time) roles {
+// computeRoles computes the roles from the members that are live at now.
+func (s *members) computeRoles(now time.Time) roles {
 	dataCentres := map[string][]*Member{s.self.DataCentre: {&s.self}}
-	s.live(now, func(m *Member) { dataCentres[m.DataCentre] = append(dataCentres[m.DataCentre], m) })
+	s.eachLive(now, func(m *Member) { dataCentres[m.DataCentre] = append(dataCentres[m.DataCentre], m) })
 	var r roles
 	for dataCentre, all := range dataCentres {
-		sort.Slice(all, func(i, j int) bool { return goesBefore(all[i], all[j]) })
-		kept := min(len(all), schedulersKept)
-		r.readers++
+		sort.Slice(all, func(i, j int) bool { return precedes(all[i], all[j]) })
+		schedulerCount := min(len(all), schedulersPerDataCentre)
+		r.storeReaders++
 		for i, m := range all {
 			switch {
-			case i < kept && m == &s.self:
-				r.schedules = true
-				r.first = i == 0
-				r.ahead = all[:i:i]
-			case i < kept:
+			case i < schedulerCount && m == &s.self:
+				r.isScheduler = true
+				r.isFirst = i == 0
+				r.predecessors = all[:i:i]
+			case i < schedulerCount:
 				r.addScheduler(m, dataCentre == s.self.DataCentre, i == 0)
 			case m == &s.self:
 			case dataCentre == s.self.DataCentre:
-				r.near = append(r.near, m)
+				r.localPeers = append(r.localPeers, m)
 			default:
-				r.far = append(r.far, m)
+				r.remotePeers = append(r.remotePeers, m)
 			}
 		}
-		if dataCentre == s.self.DataCentre && !r.schedules {
-			r.asked = askOrder(all[:kept], s.self.ID, len(all))
+		if dataCentre == s.self.DataCentre && !r.isScheduler {
+			r.schedulerOrder = orderSchedulers(all[:schedulerCount], s.self.ID, len(all))
 		}
 	}
-	r.known = append(r.schedulers[:len(r.schedulers):len(r.schedulers)], r.near...)
-	s.divide(&r)
+	r.localContacts = append(r.schedulers[:len(r.schedulers):len(r.schedulers)], r.localPeers...)
+	s.assignRegionRoles(&r)
 	return r
 }
 
-func (r *roles) addScheduler(m *Member, near, first bool) {
+func (r *roles) addScheduler(m *Member, local, isFirst bool) {
 	r.schedulers = append(r.schedulers, m)
-	if near {
-		r.nearby = append(r.nearby, m)
+	if local {
+		r.localSchedulers = append(r.localSchedulers, m)
 		return
 	}
-	r.beyond = append(r.beyond, m)
-	if first {
-		r.gateways = append(r.gateways, m)
+	r.remoteSchedulers = append(r.remoteSchedulers, m)
+	if isFirst {
+		r.remoteFirsts = append(r.remoteFirsts, m)
 	}
 }
 
-// dataCentreSize returns how many instances of the own data centre are heard, this
-// one among them.
-func (r *roles) dataCentreSize() int { return 1 + len(r.near) + len(r.nearby) }
+// dataCentreSize returns the number of live instances of this data centre, this one included.
+func (r *roles) dataCentreSize() int { return 1 + len(r.localPeers) + len(r.localSchedulers) }
 
-// told returns within which time schedulers know what an instance runs, in a fleet of
-// n: at once a report later, and a sum later if it is one of another data centre.
-func (r *roles) told(n int) time.Duration {
-	told := balance.ReportEvery(n)
-	if len(r.near) > 0 {
-		told += balance.ReportEvery(r.dataCentreSize())
+// propagationDelay returns the time within which load changes reach all schedulers in a fleet of
+// n instances.
+func (r *roles) propagationDelay(n int) time.Duration {
+	delay := balance.ReportEvery(n)
+	if len(r.localPeers) > 0 {
+		delay += balance.ReportEvery(r.dataCentreSize())
 	}
-	if r.divided {
-		told += beyondEvery(n)
+	if r.useGateways {
+		delay += regionInterval(n)
 	}
-	return told
+	return delay
 }
 
-// asked returns how many schedulers of a data centre of n instances are asked.
-func asked(n int) int { return 1 + n/askedEach }
+// activeSchedulerCount returns how many schedulers of a data centre of n instances receive
+// requests.
+func activeSchedulerCount(n int) int { return 1 + n/instancesPerScheduler }
 
-// askOrder returns schedulers in the order in which the instance id asks them,
-// in a data centre of n instances.
-func askOrder(schedulers []*Member, id uint64, n int) []*Member {
-	first := int(id % uint64(min(asked(n), len(schedulers))))
+// orderSchedulers returns schedulers in the order in which the instance with the given ID sends
+// requests to them, in a data centre of n instances.
+func orderSchedulers(schedulers []*Member, id uint64, n int) []*Member {
+	first := int(id % uint64(min(activeSchedulerCount(n), len(schedulers))))
 	out := append([]*Member(nil), schedulers[first:]...)
 	return append(out, schedulers[:first]...)
 }
 
-// interval is the pause between beats of this instance.
-func (r *roles) interval() time.Duration {
-	if !r.schedules {
-		return beatLeast
+// tickInterval returns the pause between ticks of this instance.
+func (r *roles) tickInterval() time.Duration {
+	if !r.isScheduler {
+		return minTick
 	}
-	return bounded(time.Duration(len(r.schedulers)+1)*beatPerScheduler, beatLeast, beatMost)
+	return clamp(time.Duration(len(r.schedulers)+1)*tickPerScheduler, minTick, maxTick)
 }
 
-// heartbeatEvery is the pause between heartbeats to those who need nothing
-// else, in a fleet of n.
-func heartbeatEvery(n int) time.Duration {
-	return bounded(time.Duration(n)*heartbeatEach, quietFor, heartbeatMost)
+// heartbeatInterval returns the pause between messages to members that only need heartbeats, in a
+// fleet of n instances.
+func heartbeatInterval(n int) time.Duration {
+	return clamp(time.Duration(n)*heartbeatPerInstance, maxQuiet, maxHeartbeat)
 }
 
-func bounded(d, least, most time.Duration) time.Duration { return min(max(d, least), most) }
+func clamp(d, lo, hi time.Duration) time.Duration { return min(max(d, lo), hi) }
--- a/gossip/roles_test.go
+++ b/gossip/roles_test.go
@@ -8,9 +8,9 @@
 	"ivyridge/balance"
 )
 
-// fleet returns the pictures of n instances in so many data centres, in which
-// each hears all others.
-func fleet(now time.Time, n, dataCentres int, change func(i int, m *Message)) []*members {
+// newFleetViews returns the member tables of n instances in the given number of data centres,
+// each of which has received from all others.
+func newFleetViews(now time.Time, n, dataCentres int, change func(i int, m *Message)) []*members {
 	all := make([]*members, n)
 	for i := range all {
 		all[i] = newMembers(Member{ID: uint64(i + 1), Address: fmt.Sprint(i), DataCentre: fmt.Sprint(i % dataCentres), Cores: 0.2}, nil)
@@ -20,32 +20,32 @@
 			if i == j {
 				continue
 			}
-			m := &Message{Sender: uint64(j + 1), DataCentre: fmt.Sprint(j % dataCentres), Cores: 0.2, Next: quietFor, Hears: n}
+			m := &Message{Sender: uint64(j + 1), DataCentre: fmt.Sprint(j % dataCentres), Cores: 0.2, Next: maxQuiet, Hears: n}
 			change(j, m)
-			s.heard(now, fmt.Sprint(j), m, time.Time{})
+			s.observe(now, fmt.Sprint(j), m, time.Time{})
 		}
-		own := &Message{Cores: 0.2}
-		change(i, own)
-		s.self.Cores, s.self.Leaving, s.self.Warm = own.Cores, own.Leaving, own.Warm
+		ownMessage := &Message{Cores: 0.2}
+		change(i, ownMessage)
+		s.self.Cores, s.self.Leaving, s.self.Warm = ownMessage.Cores, ownMessage.Leaving, ownMessage.Warm
 	}
 	return all
 }
 
-func same(int, *Message) {}
+func unchanged(int, *Message) {}
 
-func TestSmallFleetsScheduleThemselves(t *testing.T) {
+func TestSmallFleetHasOnlySchedulers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	for _, s := range fleet(now, 7, 3, same) {
-		r := s.current(now)
-		if !r.schedules || len(r.schedulers) != 6 || len(r.asked)+len(r.near)+len(r.far) != 0 {
+	for _, s := range newFleetViews(now, 7, 3, unchanged) {
+		r := s.currentRoles(now)
+		if !r.isScheduler || len(r.schedulers) != 6 || len(r.schedulerOrder)+len(r.localPeers)+len(r.remotePeers) != 0 {
 			t.Fatalf("instance %d: %+v", s.self.ID, r)
 		}
 	}
 }
 
-// All who hear the same see the same roles, and ask a scheduler of their own
-// data centre.
-func TestInstancesAgreeOnRoles(t *testing.T) {
+// Instances with the same members compute the same roles, and send requests to a scheduler of
+// their own data centre.
+func TestRolesAgree(t *testing.T) {
 	now := time.Unix(1000, 0)
 	large := func(i int, m *Message) {
 		if i >= 40 && i < 46 {
@@ -53,29 +53,28 @@
 		}
 	}
 	schedulers := 0
-	asked := make(map[string]bool)
-	for i, s := range fleet(now, 80, 3, large) {
-		r := s.current(now)
-		if r.schedules {
+	receivers := make(map[string]bool)
+	for i, s := range newFleetViews(now, 80, 3, large) {
+		r := s.currentRoles(now)
+		if r.isScheduler {
 			schedulers++
 			continue
 		}
-		if len(r.schedulers) != 3*schedulersKept {
-			t.Fatalf("instance %d tells %d schedulers", i, len(r.schedulers))
+		if len(r.schedulers) != 3*schedulersPerDataCentre {
+			t.Fatalf("instance %d knows %d schedulers", i, len(r.schedulers))
 		}
-		if r.asked[0].DataCentre != s.self.DataCentre || r.asked[0].Cores != 0.8 {
-			t.Fatalf("instance %d of %s asks %+v", i, s.self.DataCentre, r.asked[0])
+		if r.schedulerOrder[0].DataCentre != s.self.DataCentre || r.schedulerOrder[0].Cores != 0.8 {
+			t.Fatalf("instance %d of %s sends requests to %+v", i, s.self.DataCentre, r.schedulerOrder[0])
 		}
-		asked[r.asked[0].Address] = true
+		receivers[r.schedulerOrder[0].Address] = true
 	}
-	if schedulers != 3*schedulersKept || len(asked) != 3 {
-		t.Fatalf("%d schedulers, %d are asked", schedulers, len(asked))
+	if schedulers != 3*schedulersPerDataCentre || len(receivers) != 3 {
+		t.Fatalf("%d schedulers, %d receive requests", schedulers, len(receivers))
 	}
 }
 
-// A scheduler that was started again knows little; those that know more keep
-// their place.
-func TestWarmSchedulersStay(t *testing.T) {
+// A restarted scheduler has little knowledge, so warmed-up ones rank ahead of it.
+func TestWarmSchedulersPreferred(t *testing.T) {
 	now := time.Unix(1000, 0)
 	change := func(i int, m *Message) {
 		m.Warm = i >= 10 && i < 13
@@ -83,80 +82,82 @@
 			m.Cores = 0.8
 		}
 	}
-	s := fleet(now, 30, 1, change)[20]
-	for _, m := range s.current(now).asked {
+	s := newFleetViews(now, 30, 1, change)[20]
+	for _, m := range s.currentRoles(now).schedulerOrder {
 		if !m.Warm {
-			t.Fatalf("asks %s, which is not warm", m.Address)
+			t.Fatalf("sends requests to %s, which is not warmed up", m.Address)
 		}
 	}
-	leaves := func(i int, m *Message) {
+	leaving := func(i int, m *Message) {
 		change(i, m)
 		m.Leaving = i == 10
 	}
-	s = fleet(now, 30, 1, leaves)[20]
-	if first := s.current(now).asked[0]; first.Address != "11" {
-		t.Fatalf("asks %s, want the next one that is warm", first.Address)
+	s = newFleetViews(now, 30, 1, leaving)[20]
+	if first := s.currentRoles(now).schedulerOrder[0]; first.Address != "11" {
+		t.Fatalf("sends requests to %s, want the next one that is warmed up", first.Address)
 	}
 }
 
-func TestSchedulersGetWarm(t *testing.T) {
+func TestSchedulerWarmup(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newMembers(Member{ID: 1, Address: "own", DataCentre: "z"}, nil)
-	s.current(now)
+	s.currentRoles(now)
 	if s.self.Warm {
-		t.Fatal("warm at the start")
+		t.Fatal("warmed up at the start")
 	}
-	s.current(now.Add(warmAfter))
+	s.currentRoles(now.Add(warmupPeriod))
 	if !s.self.Warm {
-		t.Fatalf("not warm after %v", warmAfter)
+		t.Fatalf("not warmed up after %v", warmupPeriod)
 	}
 }
 
-// What an instance sends grows little with the fleet.
-func TestBeatsGrowSeldomer(t *testing.T) {
+// The send rate of an instance hardly grows with the fleet.
+func TestSendRateBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct{ instances, dataCentres, most int }{{7, 3, 150}, {80, 3, 80}, {390, 6, 40}} {
-		s := fleet(now, c.instances, c.dataCentres, same)[c.instances-1]
-		r := s.current(now)
-		perSecond := func(n int, every time.Duration) float64 { return float64(n) * float64(time.Second) / float64(every) }
-		rate := perSecond(len(r.nearby), balance.ReportEvery(r.dataCentreSize())) +
-			perSecond(len(r.near)+len(r.beyond), heartbeatEvery(c.instances))
-		if r.schedules {
-			rate = perSecond(len(r.schedulers), r.interval())
+		s := newFleetViews(now, c.instances, c.dataCentres, unchanged)[c.instances-1]
+		r := s.currentRoles(now)
+		perSecond := func(n int, interval time.Duration) float64 {
+			return float64(n) * float64(time.Second) / float64(interval)
+		}
+		rate := perSecond(len(r.localSchedulers), balance.ReportEvery(r.dataCentreSize())) +
+			perSecond(len(r.localPeers)+len(r.remoteSchedulers), heartbeatInterval(c.instances))
+		if r.isScheduler {
+			rate = perSecond(len(r.schedulers), r.tickInterval())
 		}
 		if rate > float64(c.most) {
-			t.Errorf("one of %d instances sends %.0f datagrams a second, want %d at most", c.instances, rate, c.most)
+			t.Errorf("one of %d instances sends %.0f datagrams per second, want at most %d", c.instances, rate, c.most)
 		}
 	}
 }
 
-func TestLargeDataCentresAskSeveral(t *testing.T) {
+func TestLargeDataCentreUsesSeveralSchedulers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	asked := make(map[string]int)
-	for _, s := range fleet(now, 100, 1, same) {
-		if r := s.current(now); !r.schedules {
-			asked[r.asked[0].Address]++
+	receivers := make(map[string]int)
+	for _, s := range newFleetViews(now, 100, 1, unchanged) {
+		if r := s.currentRoles(now); !r.isScheduler {
+			receivers[r.schedulerOrder[0].Address]++
 		}
 	}
-	if len(asked) != 3 {
-		t.Fatalf("100 instances ask %v", asked)
+	if len(receivers) != 3 {
+		t.Fatalf("schedulers of 100 instances: %v", receivers)
 	}
 }
 
-// One instance in each data centre reads the store; the others follow it.
-func TestOneReaderInEachDataCentre(t *testing.T) {
+// One instance per data centre reads the store; the others follow it.
+func TestOneStoreReaderPerDataCentre(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, n := range []int{7, 80} {
 		readers := make(map[string]int)
-		for _, s := range fleet(now, n, 3, same) {
-			r := s.current(now)
-			if r.schedules && len(r.ahead) == 0 {
+		for _, s := range newFleetViews(now, n, 3, unchanged) {
+			r := s.currentRoles(now)
+			if r.isScheduler && len(r.predecessors) == 0 {
 				readers[s.self.DataCentre]++
 			}
-			if r.readers != 3 {
-				t.Errorf("one of %d instances counts %d readers", n, r.readers)
+			if r.storeReaders != 3 {
+				t.Errorf("one of %d instances counts %d readers", n, r.storeReaders)
 			}
-			for _, m := range r.ahead {
+			for _, m := range r.predecessors {
 				if m.DataCentre != s.self.DataCentre {
 					t.Errorf("one of %d instances follows another data centre", n)
 				}
--- a/gossip/schema.go
+++ b/gossip/schema.go
@@ -1,11 +1,10 @@
 package gossip
 
-// This file tells beliefs of an instance that doesn't know all that this one does.
+// This file detects state from an instance whose build lacks fields that this build knows.
 //
-// Beliefs are passed on as the sender's build understands them. A field that it doesn't know is
-// left out, which is not the same as a field that says "none": a route without home regions may
-// be served anywhere. JSON of this repository's builds writes each field that it knows, also empty
-// ones, so that a missing name tells.
+// Instances forward state as their build decodes it, and drop unknown fields. A dropped field
+// differs from an empty one: a route without home regions may be served anywhere. Since the JSON
+// encoding writes empty fields too, a missing name shows that the sender doesn't know the field.
 
 import (
 	"bytes"
@@ -22,11 +21,12 @@
 	"ivyridge/catalog"
 )
 
-// ErrOlder says that another instance is of a build that doesn't know a field of what this one
-// believes: it has nothing to tell here.
-var ErrOlder = errors.New("an instance of an older build")
+// ErrOlder is returned if state comes from an instance whose build lacks a field that this build
+// knows. Such state must not be used.
+var ErrOlder = errors.New("sender runs an older build")
 
-// schema names the fields that this build knows. Beliefs of a sender with the same need no look.
+// schema returns a hash of the field names that this build knows. State of a sender with the same
+// hash needs no check.
 var schema = sync.OnceValue(func() uint64 {
 	var names []string
 	listFields(reflect.TypeFor[catalog.Document](), "", &names)
@@ -35,9 +35,9 @@
 	return xxhash.Sum64String(strings.Join(names, " "))
 })
 
-// listFields appends the paths of a type's fields.
+// listFields appends the paths of a type's exported fields to names.
 func listFields(t reflect.Type, path string, names *[]string) {
-	if t = element(t); t.Kind() != reflect.Struct {
+	if t = elementType(t); t.Kind() != reflect.Struct {
 		return
 	}
 	for _, f := range reflect.VisibleFields(t) {
@@ -49,19 +49,19 @@
 	}
 }
 
-// element returns what a pointer or a slice is of.
-func element(t reflect.Type) reflect.Type {
+// elementType strips pointers and slices from t.
+func elementType(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
 	}
 	return t
 }
 
-// complete returns ErrOlder, with the field, if data lacks a field of t. Of a list the first
-// element is looked at: one build has written all.
-func complete(data []byte, t reflect.Type) error {
-	data = first(data)
-	if t = element(t); t.Kind() != reflect.Struct || data == nil || data[0] != '{' {
+// checkComplete returns ErrOlder, wrapped with the field name, if data lacks a field of t. Of a
+// list only the first element is checked, since one build has written them all.
+func checkComplete(data []byte, t reflect.Type) error {
+	data = firstElement(data)
+	if t = elementType(t); t.Kind() != reflect.Struct || data == nil || data[0] != '{' {
 		return nil
 	}
 	var fields map[string]json.RawMessage
@@ -72,19 +72,20 @@
 		if f.Anonymous || !f.IsExported() {
 			continue
 		}
-		value, told := fields[f.Name]
-		if !told {
-			return errors.Wrapf(ErrOlder, "%s.%s is not known there", t.Name(), f.Name)
+		value, present := fields[f.Name]
+		if !present {
+			return errors.Wrapf(ErrOlder, "field %s.%s is missing", t.Name(), f.Name)
 		}
-		if err := complete(value, f.Type); err != nil {
+		if err := checkComplete(value, f.Type); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// first returns the first element of a list, nil if it is empty, and data if it is none.
-func first(data []byte) []byte {
+// firstElement returns the first element of a JSON array, nil if it is empty, and data itself if
+// it isn't an array.
+func firstElement(data []byte) []byte {
 	data = bytes.TrimSpace(data)
 	if len(data) == 0 {
 		return nil
--- /dev/null
+++ b/gossip/shares.go
@@ -0,0 +1,77 @@
+package gossip
+
+// This file computes this instance's share of budgets that are divided among the active
+// schedulers of the fleet. It does no I/O.
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"ivyridge/quota"
+)
+
+// coldShare returns the share of a cold endpoint's request rate that this instance may send,
+// given the configured number of data centres.
+func (s *members) coldShare(now time.Time, r *roles, dataCentres int) float64 {
+	view := s.quotaView(r, dataCentres)
+	view.Chooses = view.Chooses && s.self.Warm
+	return s.coldClaim.Part(view, now)
+}
+
+// retryShare returns the share of the retry budget that this instance may grant. No warm-up is
+// required: an instance grants only what was earned by requests that it placed itself, and the
+// share is available sooner after a restart of the whole fleet.
+func (s *members) retryShare(now time.Time, r *roles, dataCentres int) float64 {
+	return s.retryClaim.Part(s.quotaView(r, dataCentres), now)
+}
+
+// quotaView returns what this instance knows of the instances that divide a budget.
+func (s *members) quotaView(r *roles, dataCentres int) quota.Sight {
+	return quota.Sight{
+		Heard:       r.dataCentreSize(),
+		Alone:       s.isolated(r),
+		Chooses:     r.isScheduler && len(r.predecessors) < r.activeSchedulers(),
+		Choosers:    r.activeSchedulers(),
+		DataCentres: r.quotaDataCentres(dataCentres),
+	}
+}
+
+// quotaDataCentres returns the number of data centres that divide a budget, given the configured
+// number.
+func (r *roles) quotaDataCentres(dataCentres int) int { return max(dataCentres, r.storeReaders, 1) }
+
+// updateShares passes the current shares of this instance to the balancer. The caller holds g.mu.
+func (g *Gossip) updateShares(now time.Time, r *roles) {
+	g.Balancer.SetColdPart(g.members.coldShare(now, r, g.DataCentres))
+	share := g.members.retryShare(now, r, g.DataCentres)
+	if (share > 0) != (g.retryShare > 0) {
+		g.Log.Info("retry share changed", zap.Float64("part", share), zap.Int("data_centres", r.quotaDataCentres(g.DataCentres)), zap.Int("choosers", r.activeSchedulers()))
+	}
+	g.retryShare = share
+	g.updateLimitShare(now, r)
+	g.Balancer.SetRetryPart(share, r.quotaDataCentres(g.DataCentres))
+}
+
+// isolated reports whether other seeds are configured and no member is live.
+func (s *members) isolated(r *roles) bool {
+	if len(r.schedulers) > 0 || len(r.localContacts) > 0 || len(r.remotePeers) > 0 {
+		return false
+	}
+	for _, seed := range s.seeds {
+		if seed != s.self.Address {
+			return true
+		}
+	}
+	return false
+}
+
+// activeSchedulers returns how many instances of this data centre normally choose endpoints: the
+// schedulers that others send requests to, or all if there are no others.
+func (r *roles) activeSchedulers() int {
+	schedulers := 1 + len(r.localSchedulers)
+	if len(r.localPeers) == 0 {
+		return schedulers
+	}
+	return min(schedulers, activeSchedulerCount(r.dataCentreSize()))
+}
--- a/gossip/suspects.go
+++ b/gossip/suspects.go
@@ -1,17 +1,15 @@
 package gossip
 
-// This file tells the other instances of requests that end endpoints.
+// This file exchanges the requests suspected of crashing endpoints.
 //
-// What is new is told at once: an instance tells the schedulers of its data centre, and a
-// scheduler to which it is news tells it on, to its data centre, to the other schedulers of its
-// region and to the gateways of other regions. What is no news to anybody ends there. A datagram
-// may be lost, regions may be apart, and an instance may have started since; so each message
-// carries a digest of what its sender holds, and who hears another digest than its own for
-// some time asks that instance for all it holds, over TCP. Tables are merged in any order
-// (package poison), so that two sides that were apart sum up when they join.
-//
-// A digest alone, without telling, was weighed: heartbeats between ordinary instances come
-// seconds apart, in which the next endpoint is lost.
+// New entries are sent at once: an instance sends them to the schedulers of its data centre. A
+// scheduler to which they are new forwards them to its data centre, the other schedulers of its
+// region and the gateways of other regions. Since datagrams get lost, regions may be partitioned
+// and instances restart, each message also carries a digest of the sender's suspect table. An
+// instance that sees a different digest for some time fetches the whole table of that sender over
+// TCP. Tables can be merged in any order (package poison), so both sides of a healed partition
+// end up with the union. Digests alone are not enough: heartbeats between ordinary instances are
+// seconds apart, in which another endpoint may crash.
 
 import (
 	"encoding/binary"
@@ -25,85 +23,86 @@
 	"ivyridge/poison"
 )
 
-// SuspectsPath is where an instance tells all suspects that it holds.
+// SuspectsPath is the HTTP path at which an instance serves its suspect table.
 const SuspectsPath = "/v2/suspects"
 
 const (
-	// differsFor is how long digests have to differ before all is asked for: what was told
-	// a moment ago is on the way to everybody.
-	differsFor = 400 * time.Millisecond
-	// pullEvery is the least pause between two such questions.
-	pullEvery = time.Second
-	// MaxSuspects bounds an answer to them, in bytes: 2,048 suspects of 300 bytes.
+	// digestGrace is how long a digest must differ before the table is fetched, so that news in
+	// flight can arrive.
+	digestGrace = 400 * time.Millisecond
+	// pullInterval is the minimum pause between fetches.
+	pullInterval = time.Second
+	// MaxSuspects bounds the size of an encoded table, in bytes.
 	MaxSuspects = 1 << 20
-	// maxInstant bounds how long ago something may have been, as another instance tells.
-	maxInstant = 24 * time.Hour
+	// maxAge bounds the ages accepted from other instances.
+	maxAge = 24 * time.Hour
 )
 
-// The fields of a suspect, and of a strike in it.
+// Field numbers of a suspect, and of a strike in it.
 const (
-	fieldSuspects     protowire.Number = 32 // of a Message
-	fieldDigest       protowire.Number = 33 // of a Message
-	fieldSame         protowire.Number = 1
-	fieldOutline      protowire.Number = 2
-	fieldSuspectOf    protowire.Number = 3 // the service
-	fieldSuspectRoute protowire.Number = 4
-	fieldSuspectTeam  protowire.Number = 5
-	fieldStrikes      protowire.Number = 6
-	fieldKnown        protowire.Number = 7
-	fieldCame         protowire.Number = 8 // milliseconds ago, plus one; left out: it has not come
-	fieldStruck       protowire.Number = 2 // milliseconds ago
-	fieldThere        protowire.Number = 3 // milliseconds before the strike that the request was sent
-	fieldVoid         protowire.Number = 4
-	fieldOf           protowire.Number = 5
-	fieldAmong        protowire.Number = 6
-	fieldSpread       protowire.Number = 7 // in partUnit
+	fieldSuspects       protowire.Number = 32 // of a Message
+	fieldDigest         protowire.Number = 33 // of a Message
+	fieldSuspectID      protowire.Number = 1
+	fieldOutline        protowire.Number = 2
+	fieldSuspectService protowire.Number = 3 // the service
+	fieldSuspectRoute   protowire.Number = 4
+	fieldSuspectTeam    protowire.Number = 5
+	fieldStrikes        protowire.Number = 6
+	fieldKnown          protowire.Number = 7
+	fieldCame           protowire.Number = 8 // age in milliseconds plus one; absent: not seen
+	fieldStrikeAge      protowire.Number = 2 // age in milliseconds
+	fieldStrikeInFlight protowire.Number = 3 // milliseconds between sending the request and the strike
+	fieldVoid           protowire.Number = 4
+	fieldOf             protowire.Number = 5
+	fieldAmong          protowire.Number = 6
+	fieldSpread         protowire.Number = 7 // in units of shareUnit
 )
 
-// ago returns how many milliseconds before now an instant was.
-func ago(now, at time.Time) uint64 { return uint64(max(0, now.Sub(at).Milliseconds())) }
+// msBefore returns how many milliseconds at was before now.
+func msBefore(now, at time.Time) uint64 { return uint64(max(0, now.Sub(at).Milliseconds())) }
 
-// AppendSuspect appends the encoding of a suspect, whose instants are told by their age.
+// AppendSuspect appends the encoding of a suspect to b. Times are encoded as ages at now.
 func AppendSuspect(b []byte, now time.Time, e *poison.Entry) []byte {
-	b = appendBytes(b, fieldSame, e.ID[:])
+	b = appendBytes(b, fieldSuspectID, e.ID[:])
 	b = protowire.AppendTag(b, fieldOutline, protowire.Fixed64Type)
 	b = protowire.AppendFixed64(b, uint64(e.Outline))
-	b = appendBytes(b, fieldSuspectOf, []byte(e.Service))
+	b = appendBytes(b, fieldSuspectService, []byte(e.Service))
 	b = appendBytes(b, fieldSuspectRoute, []byte(e.Route))
 	b = appendBytes(b, fieldSuspectTeam, []byte(e.Team))
 	b = appendUint(b, fieldKnown, protowire.EncodeBool(e.Known))
 	if !e.Came.IsZero() {
-		b = appendUint(b, fieldCame, ago(now, e.Came)+1)
+		b = appendUint(b, fieldCame, msBefore(now, e.Came)+1)
 	}
 	for _, s := range e.Strikes {
 		strike := appendFixed(nil, fieldEndpoint, s.Endpoint)
-		strike = appendUint(strike, fieldStruck, ago(now, s.At))
-		strike = appendUint(strike, fieldThere, ago(s.At, s.Began))
+		strike = appendUint(strike, fieldStrikeAge, msBefore(now, s.At))
+		strike = appendUint(strike, fieldStrikeInFlight, msBefore(s.At, s.Began))
 		strike = appendUint(strike, fieldVoid, protowire.EncodeBool(s.Void))
 		strike = appendUint(strike, fieldOf, uint64(max(0, s.Of)))
 		strike = appendUint(strike, fieldAmong, uint64(max(0, s.Among)))
-		strike = appendUint(strike, fieldSpread, uint64(max(0, s.Spread/partUnit+0.5)))
+		strike = appendUint(strike, fieldSpread, uint64(max(0, s.Spread/shareUnit+0.5)))
 		b = appendBytes(b, fieldStrikes, strike)
 	}
 	return b
 }
 
-// instant returns the instant that was so many milliseconds before another.
-func instant(at time.Time, ms uint64) time.Time {
-	return at.Add(-time.Duration(min(ms, uint64(maxInstant.Milliseconds()))) * time.Millisecond)
+// timeBefore returns the time ms milliseconds before at, limited to maxAge.
+func timeBefore(at time.Time, ms uint64) time.Time {
+	return at.Add(-time.Duration(min(ms, uint64(maxAge.Milliseconds()))) * time.Millisecond)
 }
 
-// DecodeSuspect reads a suspect, as of now.
+// DecodeSuspect decodes a suspect. Ages are taken relative to now. It returns an error if b is
+// malformed or has no valid ID.
 func DecodeSuspect(now time.Time, b []byte) (e poison.Entry, err error) {
-	named := false
+	hasID := false
 	err = eachField(b, func(f field) error {
 		switch f.number {
-		case fieldSame:
-			named = len(f.bytes) == len(e.ID)
+		case fieldSuspectID:
+			hasID = len(f.bytes) == len(e.ID)
 			copy(e.ID[:], f.bytes)
 		case fieldOutline:
 			e.Outline = poison.Outline(f.value)
-		case fieldSuspectOf:
+		case fieldSuspectService:
 			e.Service = string(f.bytes)
 		case fieldSuspectRoute:
 			e.Route = string(f.bytes)
@@ -113,7 +112,7 @@
 			e.Known = f.value != 0
 		case fieldCame:
 			if f.value > 0 {
-				e.Came = instant(now, f.value-1)
+				e.Came = timeBefore(now, f.value-1)
 			}
 		case fieldStrikes:
 			s, err := decodeStrike(now, f.bytes)
@@ -124,59 +123,59 @@
 		}
 		return nil
 	})
-	if err == nil && !named {
-		err = errors.New("gossip: a suspect without a name")
+	if err == nil && !hasID {
+		err = errors.New("gossip: suspect has no valid ID")
 	}
 	return e, err
 }
 
 func decodeStrike(now time.Time, b []byte) (s poison.Strike, err error) {
-	var there uint64
+	var inFlight uint64
 	s.At = now
 	err = eachField(b, func(f field) error {
 		switch f.number {
 		case fieldEndpoint:
 			s.Endpoint = uint32(f.value)
-		case fieldStruck:
-			s.At = instant(now, f.value)
-		case fieldThere:
-			there = f.value
+		case fieldStrikeAge:
+			s.At = timeBefore(now, f.value)
+		case fieldStrikeInFlight:
+			inFlight = f.value
 		case fieldVoid:
 			s.Void = f.value != 0
 		case fieldOf:
 			s.Of = boundedCount(f.value)
 		case fieldSpread:
-			s.Spread = float64(boundedCount(f.value)) * partUnit
+			s.Spread = float64(boundedCount(f.value)) * shareUnit
 		case fieldAmong:
 			s.Among = boundedCount(f.value)
 		}
 		return nil
 	})
-	s.Began = instant(s.At, there)
+	s.Began = timeBefore(s.At, inFlight)
 	return s, err
 }
 
-// TellSuspects tells the others what is new of suspects.
+// TellSuspects sends suspects that are new at this instance to the others.
 func (g *Gossip) TellSuspects(entries []poison.Entry) {
 	if len(entries) == 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.spreadSuspects(g.Now(), entries, "")
+	g.forwardSuspects(g.Now(), entries, "")
 }
 
-// spreadSuspects sends suspects to all that are to hear them, in as many datagrams as that
-// needs, but not to the instance at an address. The caller holds g.mu.
-func (g *Gossip) spreadSuspects(now time.Time, entries []poison.Entry, but string) {
-	r := g.members.current(now)
-	to := r.nearby
-	if r.schedules {
-		to = append(r.known[:len(r.known):len(r.known)], r.others...)
+// forwardSuspects sends suspects to their receivers, except the one at an address, in as many
+// datagrams as needed. The caller holds g.mu.
+func (g *Gossip) forwardSuspects(now time.Time, entries []poison.Entry, except string) {
+	r := g.members.currentRoles(now)
+	to := r.localSchedulers
+	if r.isScheduler {
+		to = append(r.localContacts[:len(r.localContacts):len(r.localContacts)], r.otherGateways...)
 	}
 	var receivers []string
 	for _, m := range to {
-		if m.Address != but {
+		if m.Address != except {
 			receivers = append(receivers, m.Address)
 		}
 	}
@@ -184,13 +183,13 @@
 		return
 	}
 	var packed [][]byte
-	room := maxDatagram - headBytes
+	room := maxDatagram - headerBytes
 	send := func() {
-		m := g.message(now)
-		m.Next = quietFor
+		m := g.newMessage(now)
+		m.Next = maxQuiet
 		m.Suspects = packed
 		g.send(m, receivers)
-		packed, room = nil, maxDatagram-headBytes
+		packed, room = nil, maxDatagram-headerBytes
 	}
 	for i := range entries {
 		data := AppendSuspect(nil, now, &entries[i])
@@ -202,101 +201,101 @@
 	send()
 }
 
-// takeSuspects takes up what a message tells of suspects. The caller holds g.mu.
-func (g *Gossip) takeSuspects(now time.Time, from string, m *Message) {
+// handleSuspects processes the suspects and the digest of a message. The caller holds g.mu.
+func (g *Gossip) handleSuspects(now time.Time, from string, m *Message) {
 	if g.Suspects == nil {
 		return
 	}
-	var told []poison.Entry
+	var received []poison.Entry
 	for _, data := range m.Suspects {
 		e, err := DecodeSuspect(now, data)
 		if err != nil {
 			g.Count("unreadable-suspect")
 			continue
 		}
-		told = append(told, e)
+		received = append(received, e)
 	}
-	if len(told) > 0 {
-		g.mergeSuspects(now, from, told)
+	if len(received) > 0 {
+		g.mergeSuspects(now, from, received)
 	}
 	g.compareSuspects(now, from, m.Digest)
 }
 
-// mergeSuspects takes up suspects that another instance told, and tells on what is new. The
-// caller holds g.mu.
-func (g *Gossip) mergeSuspects(now time.Time, from string, told []poison.Entry) {
-	news := g.Suspects.Merge(now, told)
+// mergeSuspects merges suspects of another instance, and forwards what is new. The caller holds
+// g.mu.
+func (g *Gossip) mergeSuspects(now time.Time, from string, received []poison.Entry) {
+	news := g.Suspects.Merge(now, received)
 	if len(news) == 0 {
 		return
 	}
 	if g.SuspectNews != nil {
 		g.SuspectNews(news)
 	}
-	if g.members.current(now).schedules {
-		g.spreadSuspects(now, news, from)
+	if g.members.currentRoles(now).isScheduler {
+		g.forwardSuspects(now, news, from)
 	}
 }
 
-// A suspectsPull is what is known of digests that differ from the own one.
-type suspectsPull struct {
-	own   uint64               // since which digest the rest holds
-	since map[uint64]time.Time // when others were heard first
-	last  time.Time            // all suspects were asked for
-	busy  bool
-	vain  map[uint64]bool // digests of instances that were asked, and told nothing new
+// A suspectSync tracks digests that differ from the local one.
+type suspectSync struct {
+	localDigest uint64               // the other fields are valid while the local digest is this one
+	firstSeen   map[uint64]time.Time // when each digest was first seen
+	lastPull    time.Time            // time of the last fetch
+	busy        bool
+	redundant   map[uint64]bool // digests whose table had nothing new
 }
 
-// mostDigests bounds the digests that are told apart; beyond it, all are looked at anew.
-const mostDigests = 256
+// maxDigests bounds the digests tracked; when it is reached, tracking restarts.
+const maxDigests = 256
 
-// heard returns for how long a digest has been heard, while the own one was the same.
-func (p *suspectsPull) heard(now time.Time, own, digest uint64) time.Duration {
-	if own != p.own || p.since == nil || len(p.since) >= mostDigests {
-		p.own, p.since, p.vain = own, make(map[uint64]time.Time), make(map[uint64]bool)
+// seenFor returns for how long a digest has been seen while the local one was unchanged.
+func (p *suspectSync) seenFor(now time.Time, localDigest, digest uint64) time.Duration {
+	if localDigest != p.localDigest || p.firstSeen == nil || len(p.firstSeen) >= maxDigests {
+		p.localDigest, p.firstSeen, p.redundant = localDigest, make(map[uint64]time.Time), make(map[uint64]bool)
 	}
-	if _, ok := p.since[digest]; !ok {
-		p.since[digest] = now
+	if _, ok := p.firstSeen[digest]; !ok {
+		p.firstSeen[digest] = now
 	}
-	return now.Sub(p.since[digest])
+	return now.Sub(p.firstSeen[digest])
 }
 
-// compareSuspects asks an instance whose digest differs for what it holds, if that has been so
-// for some time. One that has just started, and holds nothing, asks at once. The caller holds g.mu.
+// compareSuspects fetches the table of an instance whose digest has differed for some time. An
+// instance that has just started, with an empty table, fetches at once. The caller holds g.mu.
 func (g *Gossip) compareSuspects(now time.Time, from string, digest uint64) {
-	p, own := &g.pull, g.Suspects.Digest()
-	if digest == own || digest == 0 || g.PullSuspects == nil {
+	p, localDigest := &g.suspectSync, g.Suspects.Digest()
+	if digest == localDigest || digest == 0 || g.PullSuspects == nil {
 		return
 	}
-	differs := p.heard(now, own, digest)
-	started := own == 0 && now.Sub(g.began) < earlyFor
-	if p.busy || p.vain[digest] || !started && (differs < differsFor || now.Sub(p.last) < pullEvery) {
+	differsFor := p.seenFor(now, localDigest, digest)
+	justStarted := localDigest == 0 && now.Sub(g.startedAt) < startupPeriod
+	if p.busy || p.redundant[digest] || !justStarted && (differsFor < digestGrace || now.Sub(p.lastPull) < pullInterval) {
 		return
 	}
-	p.busy, p.last = true, now
+	p.busy, p.lastPull = true, now
 	g.background(func() { g.pullSuspects(from, digest) })
 }
 
-// pullSuspects asks an instance for all suspects that it holds.
+// pullSuspects fetches and merges the suspect table of another instance.
 func (g *Gossip) pullSuspects(from string, digest uint64) {
-	asked := g.Now()
+	requestedAt := g.Now()
 	data, err := g.PullSuspects(from)
-	var told []poison.Entry
+	var received []poison.Entry
 	if err == nil {
-		told, err = DecodeSuspects(asked, data)
+		received, err = DecodeSuspects(requestedAt, data)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pull.busy = false
+	g.suspectSync.busy = false
 	if err != nil {
 		g.Count("suspects-not-told")
-		g.Log.Info("suspects not told", zap.String("by", from), zap.String("error", err.Error()))
+		g.Log.Info("fetching suspects failed", zap.String("by", from), zap.String("error", err.Error()))
 		return
 	}
 	g.Count("suspects-asked")
 	before := g.Suspects.Digest()
-	g.mergeSuspects(g.Now(), from, told)
-	if own := g.Suspects.Digest(); own == before && own == g.pull.own {
-		g.pull.vain[digest] = true
+	g.mergeSuspects(g.Now(), from, received)
+	if localDigest := g.Suspects.Digest(); localDigest == before && localDigest == g.suspectSync.localDigest {
+		g.suspectSync.redundant[digest] = true
 	}
 }
 
@@ -309,7 +308,8 @@
 	return out
 }
 
-// DecodeSuspects reads what EncodeSuspects returned.
+// DecodeSuspects decodes the output of EncodeSuspects. It returns at most poison.MostSuspects
+// entries.
 func DecodeSuspects(now time.Time, data []byte) (out []poison.Entry, err error) {
 	err = eachField(data, func(f field) error {
 		if f.number != fieldSuspects || len(out) >= poison.MostSuspects {
@@ -322,7 +322,7 @@
 	return out, err
 }
 
-// SuspectsHandler tells another instance all suspects of a table.
+// SuspectsHandler serves the suspect table t to other instances.
 func SuspectsHandler(t *poison.Table, now func() time.Time) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/octet-stream")
--- a/gossip/teams.go
+++ b/gossip/teams.go
@@ -1,11 +1,11 @@
 package gossip
 
-// This file tells schedulers which teams use much of what is scarce.
+// This file exchanges the teams' use of scarce services between schedulers.
 //
-// Each scheduler tells the others of its region the teams whose requests it chose for, in a datagram of
-// its own, while a service is short or near it; otherwise nothing is said. The teams are
-// bounded in number, so that a message grows with neither teams nor instances. A message
-// that is lost makes a team's use look smaller for a moment.
+// While a service is at or near its capacity, each scheduler sends the other schedulers of its
+// region the use of the teams that it placed requests for, in separate datagrams. The number of
+// teams is bounded, so the size of a message doesn't depend on the size of the fleet. A lost
+// message makes a team's use look smaller for a moment.
 
 import (
 	"fmt"
@@ -21,72 +21,72 @@
 )
 
 const (
-	// teamsLeast is the least pause between messages on teams, a fifth of the time over which
-	// use is counted, and teamsEach what each scheduler that hears them adds: 18 of them, twelve
-	// of which choose for others, hear 17 KB/s each while six services are all short.
-	teamsLeast = 200 * time.Millisecond
-	teamsEach  = 25 * time.Millisecond
-	// teamsLogged is the pause between looks for teams that begin or end to be limited.
-	teamsLogged = 500 * time.Millisecond
-	// teamUseMost bounds the uses in a message.
-	teamUseMost = 64
+	// minTeamsInterval is the minimum pause between team messages, a fifth of the window over
+	// which use is counted. teamsIntervalPerScheduler is added per scheduler to bound the receive
+	// rate.
+	minTeamsInterval          = 200 * time.Millisecond
+	teamsIntervalPerScheduler = 25 * time.Millisecond
+	// teamsLogInterval is the pause between checks for teams that start or stop being limited.
+	teamsLogInterval = 500 * time.Millisecond
+	// maxTeamUses bounds the uses in a message.
+	maxTeamUses = 64
 )
 
-// rateUnit is the step in which rates travel: a thousandth of a slot, or a microsecond of an
-// engine, a second.
+// rateUnit is the encoding resolution of rates: a thousandth of a slot, or a microsecond of
+// engine time, per second.
 const rateUnit = 1e-3
 
-// The fields of what a message says of the teams of one service at one level.
+// Field numbers of the use of teams for one service and priority level.
 const (
 	fieldTeamService protowire.Number = 1
 	fieldTeamLevel   protowire.Number = 2
-	fieldTeamRates   protowire.Number = 3 // hashes of teams, each with its rate as a varint
+	fieldTeamRates   protowire.Number = 3 // hash of each team, followed by its rate as a varint
 )
 
-// hashBytes is the size of a team's hash.
+// hashBytes is the encoded size of a team's hash.
 const hashBytes = 4
 
-// tellTeams tells the other schedulers which teams use much, if a pause has passed. The
-// caller holds g.mu.
-func (g *Gossip) tellTeams(now time.Time, r *roles) {
-	a := &g.told.teams
-	every := max(teamsLeast, time.Duration(len(r.home)+1)*teamsEach)
-	if now.Sub(a.last) < every-beatSlack || len(r.home) == 0 {
+// sendTeams sends the teams' use to the other schedulers, if the interval has passed. The caller
+// holds g.mu.
+func (g *Gossip) sendTeams(now time.Time, r *roles) {
+	group := &g.groups.teams
+	interval := max(minTeamsInterval, time.Duration(len(r.regionSchedulers)+1)*teamsIntervalPerScheduler)
+	if now.Sub(group.lastSent) < interval-tickSlack || len(r.regionSchedulers) == 0 {
 		return
 	}
-	a.last = now
+	group.lastSent = now
 	uses := g.Balancer.TeamUses()
 	if len(uses) == 0 {
 		return
 	}
 	for len(uses) > 0 {
-		m := g.message(now)
-		m.Next = max(quietFor, r.interval())
-		m.Teams, uses = cutTeams(uses)
-		g.send(m, addresses(r.home))
+		m := g.newMessage(now)
+		m.Next = max(maxQuiet, r.tickInterval())
+		m.Teams, uses = splitTeams(uses)
+		g.send(m, addresses(r.regionSchedulers))
 		g.Count("teams-told")
 	}
 }
 
-// cutTeams cuts off as many uses as fit a message: whole services, since what is told of a
-// service replaces what was told before.
-func cutTeams(uses []balance.TeamUse) (first, rest []balance.TeamUse) {
-	n := min(len(uses), teamUseMost)
+// splitTeams cuts off as many uses as fit a message. It keeps the uses of a service together,
+// since a message replaces what was sent for the service before.
+func splitTeams(uses []balance.TeamUse) (first, rest []balance.TeamUse) {
+	n := min(len(uses), maxTeamUses)
 	for n < len(uses) && n > 0 && uses[n].Service == uses[n-1].Service {
 		n--
 	}
 	if n == 0 {
-		n = min(len(uses), teamUseMost)
+		n = min(len(uses), maxTeamUses)
 	}
 	return uses[:n], uses[n:]
 }
 
-// logTeams says which teams begin and end to be limited here. The caller holds g.mu.
+// logTeams logs which teams start and stop being limited at this instance. The caller holds g.mu.
 func (g *Gossip) logTeams(now time.Time) {
-	if now.Sub(g.teamsLogged) < teamsLogged {
+	if now.Sub(g.lastTeamsLog) < teamsLogInterval {
 		return
 	}
-	g.teamsLogged = now
+	g.lastTeamsLog = now
 	for _, c := range g.Balancer.TeamChanges() {
 		fields := []zap.Field{zap.String("service", c.Service), zap.Int("level", c.Level), zap.String("team", g.teamName(c.Team))}
 		if c.Ended {
@@ -97,7 +97,7 @@
 	}
 }
 
-// teamName returns the name of a team, or its hash if no team is known by it.
+// teamName returns the name of a team, or its hash if the name is unknown.
 func (g *Gossip) teamName(hash uint32) string {
 	var known []catalog.Team
 	if c := g.Beliefs.View().Catalog; c != nil {
@@ -127,8 +127,7 @@
 	return b
 }
 
-// decodeTeams reads the teams of one service and level. What is of a level that is not known
-// here is passed over.
+// decodeTeams decodes the use of teams for one service and level. Unknown levels are ignored.
 func decodeTeams(b []byte, uses *[]balance.TeamUse) error {
 	var group balance.TeamUse
 	var rates []byte
@@ -149,14 +148,14 @@
 	for len(rates) > 0 {
 		team, n := protowire.ConsumeFixed32(rates)
 		if n < 0 {
-			return errors.Wrap(protowire.ParseError(n), "gossip: a team")
+			return errors.Wrap(protowire.ParseError(n), "gossip: team hash")
 		}
 		rate, k := protowire.ConsumeVarint(rates[hashBytes:])
 		if k < 0 {
-			return errors.Wrap(protowire.ParseError(k), "gossip: a team's rate")
+			return errors.Wrap(protowire.ParseError(k), "gossip: team rate")
 		}
 		rates = rates[hashBytes+k:]
-		if len(*uses) == teamUseMost {
+		if len(*uses) == maxTeamUses {
 			return nil
 		}
 		use := group
--- a/gossip/teams_test.go
+++ b/gossip/teams_test.go
@@ -11,7 +11,7 @@
 	"ivyridge/fair"
 )
 
-func TestTeamsTravel(t *testing.T) {
+func TestTeamUsesRoundTrip(t *testing.T) {
 	uses := []balance.TeamUse{
 		{Service: 7, Use: fair.Use{Level: 0, Team: 1, Rate: 12.5}},
 		{Service: 7, Use: fair.Use{Level: 2, Team: 1, Rate: 3}},
@@ -27,8 +27,8 @@
 	}
 }
 
-// A message that is cut off in its teams, or of a level that is not known, harms nothing.
-func TestBadTeams(t *testing.T) {
+// Truncated team uses return an error, and unknown levels are ignored.
+func TestMalformedTeamUses(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		rates []byte
@@ -47,8 +47,9 @@
 	}
 }
 
-// Messages on teams replace what was told of a service, so that one's uses stay together.
-func TestTeamsOfAServiceStayTogether(t *testing.T) {
+// A team message replaces what was sent for a service before, so the uses of a service must be in
+// one message.
+func TestTeamUsesSplitByService(t *testing.T) {
 	var uses []balance.TeamUse
 	for service := range uint32(7) {
 		for team := range uint32(15) {
@@ -58,8 +59,8 @@
 	seen := make(map[uint32]bool)
 	for sent := 0; len(uses) > 0; sent++ {
 		var first []balance.TeamUse
-		first, uses = cutTeams(uses)
-		if len(first) == 0 || len(first) > teamUseMost || seen[first[0].Service] {
+		first, uses = splitTeams(uses)
+		if len(first) == 0 || len(first) > maxTeamUses || seen[first[0].Service] {
 			t.Fatalf("message %d has %d uses, from service %d on", sent, len(first), first[0].Service)
 		}
 		for _, u := range first {
@@ -68,51 +69,51 @@
 	}
 }
 
-// While a plain service is short, its schedulers know what a team asks for at the others;
-// a while after the rush nothing is told any more.
-func TestSchedulersKnowTeamsOfOthers(t *testing.T) {
+// While a service is short of capacity, its schedulers know the demand of teams at the others.
+// Nothing is sent once the rush is over.
+func TestTeamUsesReachOtherSchedulers(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, 30, 2)
+	w := newSimulation(t, 30, 2)
 	w.run(10 * time.Second)
 	service := &catalog.Service{Name: "p"}
 	endpoints := []*belief.Endpoint{{Endpoint: catalog.Endpoint{ID: "e", DataCentre: "dc0", Slots: 6}}}
-	told := 0
+	messages := 0
 	for _, n := range w.nodes {
 		n.Count = func(event string) {
 			if event == "teams-told" {
-				told++
+				messages++
 			}
 		}
 	}
 	heavy, small := balance.TeamHash("heavy"), balance.TeamHash("small")
-	ask := func(n *node, times int, team uint32) {
+	place := func(n *node, times int, team uint32) {
 		for range times {
 			n.Balancer.Grant(99, endpoints, &balance.Demand{Service: service, Team: team})
 		}
 	}
 	for range 20 {
 		for _, n := range w.nodes[:2] { // the first schedulers of both data centres
-			ask(n, 10, heavy)
-			ask(n, 1, small)
+			place(n, 10, heavy)
+			place(n, 1, small)
 		}
 		w.run(100 * time.Millisecond)
 	}
 	for i, n := range w.nodes[:2] {
 		shares := n.Balancer.Shares()
 		if len(shares) != 1 || len(shares[0].Levels) != 1 {
-			t.Fatalf("scheduler %d holds %+v", i, shares)
+			t.Fatalf("scheduler %d has shares %+v", i, shares)
 		}
 		if s := shares[0].Levels[0].Teams[0]; s.Team != heavy || s.Others < s.Asked/2 {
-			t.Errorf("scheduler %d knows %+v of the team that asks for most", i, s)
+			t.Errorf("scheduler %d knows %+v of the team with the highest demand", i, s)
 		}
 	}
-	if told == 0 {
-		t.Error("nothing was told of teams during a rush")
+	if messages == 0 {
+		t.Error("no team messages sent during the rush")
 	}
 	w.run(5 * time.Second)
-	told = 0
+	messages = 0
 	w.run(5 * time.Second)
-	if told > 0 {
-		t.Errorf("%d messages on teams after the rush", told)
+	if messages > 0 {
+		t.Errorf("%d team messages sent after the rush", messages)
 	}
 }
