--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -62,13 +62,14 @@
 	// Suspects holds requests suspected of crashing endpoints; nil disables exchanging them.
 	Suspects *poison.Table
 	// SuspectNews, if set, is called with entries received from other instances that changed
-	// Suspects. It is called with internal locks held and must not call into the Gossip.
+	// Suspects.
 	SuspectNews func([]poison.Entry)
 	// PullSuspects fetches the whole suspect table of the instance with the given gossip address,
 	// as SuspectsHandler serves it; nil disables pulling.
 	PullSuspects func(address string) ([]byte, error)
 	// Instances is called when the number of live instances (this one included) changes, with the
-	// time within which load reports reach all schedulers.
+	// time within which load reports reach all schedulers. It must be set. Like Beyond and
+	// SuspectNews, it is called with internal locks held and must not call into the Gossip.
 	Instances func(n int, delay time.Duration)
 }
 
@@ -225,8 +226,9 @@
 	return g.members.currentRoles(g.Now()).storeReaders
 }
 
-// Crowd returns the number of instances that aren't schedulers. It returns one if no scheduler of
-// this data centre has been heard from recently, since the instance may then be isolated.
+// Crowd returns the number of instances that aren't schedulers. It returns one on a scheduler, and
+// if no scheduler of this data centre has been heard from recently, since the instance may then be
+// isolated.
 func (g *Gossip) Crowd() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -195,7 +195,7 @@
 // State must never look newer than it is, however messages are delayed, lost and reordered, and
 // however long either instance is paused.
 func TestStateAgeNeverUnderestimated(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { checkProofs(t, (*Gossip).confirmationTime) })
+	rapid.Check(t, func(t *rapid.T) { checkStateAges(t, (*Gossip).confirmationTime) })
 }
 
 // The check must detect an implementation that dates state by the arrival of the message.
@@ -208,23 +208,23 @@
 
 // findsFault plays one schedule of the property: a message in flight while its receiver is
 // paused.
-func findsFault(dated func(*Gossip, *Message) time.Time) bool {
-	a, b := newTestInstance(failing{}, 0, 1), newTestInstance(failing{}, time.Hour, 2)
-	proved := a.clock
+func findsFault(confirmationTime func(*Gossip, *Message) time.Time) bool {
+	a, b := newTestInstance(ignoreFatal{}, 0, 1), newTestInstance(ignoreFatal{}, time.Hour, 2)
+	confirmedAt := a.clock
 	_ = a.table.Apply(&belief.Update{Revision: 5, Config: document(), Proved: a.clock})
 	_ = b.table.Apply(&belief.Update{Revision: 5, Config: document(), Proved: b.clock.Add(-time.Minute)})
 	m := a.g.newMessage(a.clock)
 	a.clock, b.clock = a.clock.Add(3*time.Second), b.clock.Add(3*time.Second)
-	b.table.Confirm(m.Revision, dated(b.g, m))
+	b.table.Confirm(m.Revision, confirmationTime(b.g, m))
 	age, ok := b.table.Age()
-	return ok && age < a.clock.Sub(proved)
+	return ok && age < a.clock.Sub(confirmedAt)
 }
 
-type failing struct{}
+type ignoreFatal struct{}
 
-func (failing) Fatal(...any) {}
+func (ignoreFatal) Fatal(...any) {}
 
-func checkProofs(t *rapid.T, dated func(*Gossip, *Message) time.Time) {
+func checkStateAges(t *rapid.T, confirmationTime func(*Gossip, *Message) time.Time) {
 	var lastRead time.Duration // when the store was last read, in true time
 	var now time.Duration
 	a, b := newTestInstance(t, 0, 1), newTestInstance(t, time.Hour, 2)
@@ -253,7 +253,7 @@
 			}
 		case 4:
 			if m := deliver(t, &toB); m != nil {
-				if proved := dated(b.g, m); !proved.IsZero() {
+				if proved := confirmationTime(b.g, m); !proved.IsZero() {
 					b.table.Confirm(m.Revision, proved)
 				}
 			}
--- a/gossip/inventory.go
+++ b/gossip/inventory.go
@@ -2,9 +2,9 @@
 
 // This file announces the build and settings of this instance, and records those of others.
 //
-// A version mark is sent with heartbeats and complete reports, and only if it has changed or
-// markInterval has passed, to save bandwidth between data centres. Changed settings and rejected
-// settings files are announced at once.
+// A version mark (inventory.Mark) is sent with heartbeats and complete reports, and only if it
+// has changed or markInterval has passed, to save bandwidth between data centres. Changed
+// settings and rejected settings files are announced at once.
 
 import (
 	"time"
--- a/gossip/late_permit_test.go
+++ b/gossip/late_permit_test.go
@@ -21,12 +21,12 @@
 	for _, e := range d.endpoints[1:] {
 		e.Draining = true
 	}
-	endpoint, known, ok := d.client.Balancer.WantPermit(p.Endpoint, 0)
+	endpoint, rateLimit, ok := d.client.Balancer.WantPermit(p.Endpoint, 0)
 	if !ok {
 		t.Fatal("no permit needed")
 	}
 	requestedAt := d.client.Now()
-	request := &PermitAsk{Endpoint: endpoint, Limit: limitAt(&known, requestedAt)}
+	request := &PermitAsk{Endpoint: endpoint, Limit: limitAt(&rateLimit, requestedAt)}
 	if _, answered := d.client.requestPermitFrom(context.Background(), address, request); answered {
 		t.Fatal("an allocator that doesn't receive answered")
 	}
--- a/gossip/limit_allocation.go
+++ b/gossip/limit_allocation.go
@@ -41,8 +41,8 @@
 	region := g.Regions[g.DataCentre]
 	if s.multiRegion {
 		direct, reported, side.Named = s.regionSize, s.regionSize, 0
-		for _, of := range g.Regions {
-			if of == region {
+		for _, other := range g.Regions {
+			if other == region {
 				side.Named++
 			}
 		}
--- a/gossip/members.go
+++ b/gossip/members.go
@@ -37,7 +37,7 @@
 	Part       float64 // of the retry budget
 	Divides    bool    // it may allocate endpoint rate limits
 	Revision   int64
-	Proved     time.Time // earliest time, on this instance's clock, up to which its state may have been current; zero: not known
+	Proved     time.Time // lower bound, on this instance's clock, of when its state was last current; zero: not known
 
 	lastHeard  time.Time // zero if it was only named by others
 	lastNamed  time.Time
--- a/gossip/permit.go
+++ b/gossip/permit.go
@@ -33,7 +33,7 @@
 // requestPermit requests a permit for an endpoint and passes the answer to the balancer. It
 // returns the hash of the endpoint if the permit was granted, and zero otherwise.
 func (g *Gossip) requestPermit(ctx context.Context, e *belief.Endpoint, urgency int) uint32 {
-	endpoint, known, ok := g.Balancer.WantPermit(e, urgency)
+	endpoint, rateLimit, ok := g.Balancer.WantPermit(e, urgency)
 	if !ok {
 		return 0
 	}
@@ -41,7 +41,7 @@
 	g.mu.Lock()
 	allocator := g.limitAllocator(requestedAt, endpoint, e.DataCentre)
 	g.mu.Unlock()
-	request := &PermitAsk{Endpoint: endpoint, DataCentre: e.DataCentre, Urgency: urgency, Limit: limitAt(&known, requestedAt)}
+	request := &PermitAsk{Endpoint: endpoint, DataCentre: e.DataCentre, Urgency: urgency, Limit: limitAt(&rateLimit, requestedAt)}
 	answer := limit.Answer{Wait: limit.NoPart}
 	for range maxPermitHops {
 		if allocator == "" {
@@ -58,7 +58,7 @@
 			g.Count("permit-unanswered")
 			break
 		}
-		answer = limit.Answer{Granted: p.Granted, Wait: p.Wait, Word: known}
+		answer = limit.Answer{Granted: p.Granted, Wait: p.Wait, Word: rateLimit}
 		if p.Limit.Known {
 			answer.Word = p.Limit.Word(g.Now())
 		}
@@ -147,16 +147,16 @@
 // instance.
 func (g *Gossip) allocate(a *PermitAsk) (answer limit.Answer, allocator string) {
 	now := g.Now()
-	known := a.Limit.Word(now)
-	known.Merge(g.Balancer.Word(a.Endpoint))
+	rateLimit := a.Limit.Word(now)
+	rateLimit.Merge(g.Balancer.Word(a.Endpoint))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	allocator = g.limitAllocator(now, a.Endpoint, a.DataCentre)
 	if allocator != g.Address {
-		return limit.Answer{Wait: limit.NoPart, Word: known}, allocator
+		return limit.Answer{Wait: limit.NoPart, Word: rateLimit}, allocator
 	}
 	share := g.limitShare(now, a.DataCentre)
-	return g.limits.allocator.Ask(a.Endpoint, known, share, a.Urgency, now, rand.Float64()), ""
+	return g.limits.allocator.Ask(a.Endpoint, rateLimit, share, a.Urgency, now, rand.Float64()), ""
 }
 
 // answerPermitRequest answers a permit request of another instance.
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -59,8 +59,8 @@
 	Schema uint64 `json:"schema,omitempty"` // field schema hash of the sender; zero: an old build that doesn't send it
 }
 
-// BeliefsHandler serves the state in t to other instances. It responds at once, or waits until t
-// has a later revision than the caller.
+// BeliefsHandler serves the state in t to other instances. It responds at once, or waits for as
+// long as the caller asks, up to maxWait, until t has a later revision than the caller.
 func BeliefsHandler(t *belief.Table, log *zap.Logger) http.HandlerFunc {
 	p := &packer{table: t}
 	return func(w http.ResponseWriter, r *http.Request) {
--- a/gossip/roles.go
+++ b/gossip/roles.go
@@ -5,11 +5,11 @@
 // The first few instances of each data centre are its schedulers. All instances of the data
 // centre send them load reports, and schedulers frequently exchange placement notices. The other
 // instances of the data centre send a placement request to one of the schedulers for each
-// request. Schedulers receive from all instances; the others only receive from their data centre
-// and from all schedulers, since heartbeats between all pairs would dominate the traffic between
-// data centres. There is no consensus: each instance computes the roles from the members it sees.
-// While two instances disagree, or a scheduler doesn't answer, a request is placed by what its
-// own instance knows. A small fleet consists of schedulers only.
+// request. Schedulers receive from all instances of their region; the others only receive from
+// their data centre and from all schedulers, since heartbeats between all pairs would dominate
+// the traffic between data centres. There is no consensus: each instance computes the roles from
+// the members it sees. While two instances disagree, or a scheduler doesn't answer, a request is
+// placed by what its own instance knows. A small fleet consists of schedulers only.
 
 import (
 	"sort"
--- a/gossip/shares.go
+++ b/gossip/shares.go
@@ -46,7 +46,7 @@
 	g.Balancer.SetColdPart(g.members.coldShare(now, r, g.DataCentres))
 	share := g.members.retryShare(now, r, g.DataCentres)
 	if (share > 0) != (g.retryShare > 0) {
-		g.Log.Info("retry share changed", zap.Float64("part", share), zap.Int("data_centres", r.quotaDataCentres(g.DataCentres)), zap.Int("choosers", r.activeSchedulers()))
+		g.Log.Info("retry share gained or lost", zap.Float64("part", share), zap.Int("data_centres", r.quotaDataCentres(g.DataCentres)), zap.Int("choosers", r.activeSchedulers()))
 	}
 	g.retryShare = share
 	g.updateLimitShare(now, r)
