--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli holds what the project's commands share: their version, their
-// exit codes, and how they tell of errors.
+// Package cli holds what the project's commands share: the version, the exit codes, and argument
+// parsing with error output.
 package cli
 
 import (
@@ -9,17 +9,17 @@
 	"github.com/integrii/flaggy"
 )
 
-// Version is set when a release is built.
+// Version is set at build time for releases.
 var Version = "0.1.0-dev"
 
 // The exit codes of all commands.
 const (
 	OK       = 0
-	Failed   = 1 // the work failed, or a check found faults
-	BadUsage = 2 // bad flags, settings or files; nothing was started
+	Failed   = 1 // the operation failed, or a check found errors
+	BadUsage = 2 // invalid flags, settings or files; nothing was started
 )
 
-// Parser returns a flaggy parser that describes a command.
+// Parser returns a flaggy parser for a command.
 func Parser(name, description string) *flaggy.Parser {
 	p := flaggy.NewParser(name)
 	p.Description = description
@@ -28,14 +28,14 @@
 	return p
 }
 
-// Parse reads the command line, or ends the process.
+// Parse parses the command line. On an error it exits with BadUsage.
 func Parse(p *flaggy.Parser) {
 	if err := p.ParseArgs(os.Args[1:]); err != nil {
 		Exit(BadUsage, err)
 	}
 }
 
-// Exit prints err, if any, and ends the process.
+// Exit prints err to standard error, if it is not nil, and exits with code.
 func Exit(code int, err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/fetch/fetch.go
+++ b/internal/fetch/fetch.go
@@ -1,6 +1,6 @@
-// Package fetch makes HTTP calls whose answers are read whole. A call is given
-// up when its source keeps silent, not when its answer is long. Of an answer
-// that did not come whole it tells how far it came.
+// Package fetch makes HTTP calls that read the complete response. A call is aborted when the
+// source stops sending, not when the response is long. The error of an incomplete response tells
+// how much of it arrived.
 package fetch
 
 import (
@@ -14,38 +14,38 @@
 	"github.com/pkg/errors"
 )
 
-// Times of an answer that has begun. They bound what a source that stops or
-// trickles costs; none grows or shrinks with the answer.
+// Timeouts of a response whose header has arrived. They bound the cost of a source that stops or
+// trickles, and do not depend on the size of the response.
 const (
-	// silentMost is the longest pause between bytes: twice the half second for
-	// which a full link delays packets at most while it still passes them.
-	silentMost = time.Second
-	// arriveMost is for all of it: 12 MB over a link of 10 Mbit/s.
-	arriveMost = 10 * time.Second
+	// silenceTimeout is the longest pause between bytes: twice the half second by which a
+	// saturated link delays the packets that it still forwards.
+	silenceTimeout = time.Second
+	// arrivalTimeout bounds the transfer of a response. It suffices for 12 MB at 10 Mbit/s.
+	arrivalTimeout = 10 * time.Second
 )
 
-// What ends a call before its answer's end.
+// Reasons for which Do aborts a call.
 var (
-	ErrTooLong   = errors.New("the answer is too long")
-	ErrSilent    = errors.New("the source keeps silent")
-	ErrTrickling = errors.New("the answer takes too long to arrive")
-	ErrAbandoned = errors.New("the wait for an answer was abandoned")
+	ErrTooLong   = errors.New("response too long")
+	ErrSilent    = errors.New("source stopped sending")
+	ErrTrickling = errors.New("response took too long to arrive")
+	ErrAbandoned = errors.New("wait for the response was abandoned")
 )
 
-// Times of connections. One that goes silent without a reset is told by its probes,
-// within three seconds.
+// Timeouts of connections. Keep-alive probes detect a connection that died without a reset within
+// three seconds.
 const (
-	dialWithin = 600 * time.Millisecond
-	probeAfter = time.Second // a connection that waits is probed so often
-	probes     = 2
+	dialTimeout   = 600 * time.Millisecond
+	probeInterval = time.Second // idle time before the first keep-alive probe, and between probes
+	probeCount    = 2
 )
 
-// NewClient returns a client that keeps so many connections to a source at rest, for
-// so long, and follows no redirects.
+// NewClient returns a client that keeps up to kept idle connections per host for up to rest, and
+// follows no redirects. It detects a dead connection by keep-alive probes.
 func NewClient(kept int, rest time.Duration) *http.Client {
 	dialer := &net.Dialer{
-		Timeout:         dialWithin,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeAfter, Count: probes},
+		Timeout:         dialTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount},
 	}
 	return &http.Client{
 		Transport: &http.Transport{
@@ -60,44 +60,44 @@
 	}
 }
 
-// A Wait bounds the wait for an answer to begin.
+// A Wait bounds the wait for the response header.
 type Wait struct {
-	Begin time.Duration // until its head
-	// Abandon, once closed, ends the wait; nil: nothing does. An answer that
-	// has begun is read to its end all the same.
+	Begin time.Duration // until the header arrives
+	// Abandon, once closed, ends the wait for the header; nil: never. A response whose header has
+	// arrived is still read to its end.
 	Abandon <-chan struct{}
-	// Begun, if set, is called once the head has come.
+	// Begun, if set, is called when the header has arrived.
 	Begun func()
 }
 
-// An Answer is the whole answer to a call.
+// An Answer is a complete response.
 type Answer struct {
 	Status int
 	Body   []byte
-	First  time.Duration // from the call to the answer's head
-	Took   time.Duration // from the call to the answer's end
+	First  time.Duration // from the call to the header
+	Took   time.Duration // from the call to the end of the body
 }
 
-// A CutError is the error of a call whose answer did not come whole.
+// A CutError is the error of a call without a complete response.
 type CutError struct {
-	Begun bool          // the answer's head came
-	Bytes int           // of the body that came
-	First time.Duration // from the call to the head, if it came
-	Took  time.Duration // from the call to its failure
+	Begun bool          // the header arrived
+	Bytes int           // of the body that arrived
+	First time.Duration // from the call to the header; zero if it did not arrive
+	Took  time.Duration // from the call to the error
 	Err   error
 }
 
 func (e *CutError) Error() string {
 	if !e.Begun {
-		return fmt.Sprintf("no answer in %v: %v", e.Took.Round(time.Millisecond), e.Err)
+		return fmt.Sprintf("no response header within %v: %v", e.Took.Round(time.Millisecond), e.Err)
 	}
-	return fmt.Sprintf("answer cut after %d bytes and %v: %v", e.Bytes, e.Took.Round(time.Millisecond), e.Err)
+	return fmt.Sprintf("response truncated after %d bytes and %v: %v", e.Bytes, e.Took.Round(time.Millisecond), e.Err)
 }
 
-// Unwrap returns what ended the call.
+// Unwrap returns the reason of the failure.
 func (e *CutError) Unwrap() error { return e.Err }
 
-// Do makes a call and reads its answer, whose body may have most bytes. Each
+// Do makes a call and reads its complete response, whose body may have up to most bytes. Every
 // error is a *CutError.
 func Do(client *http.Client, req *http.Request, most int64, w Wait) (*Answer, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
@@ -113,10 +113,10 @@
 	if w.Begun != nil {
 		w.Begun()
 	}
-	whole := time.AfterFunc(arriveMost, func() { cancel(ErrTrickling) })
+	whole := time.AfterFunc(arrivalTimeout, func() { cancel(ErrTrickling) })
 	defer whole.Stop()
 	a := &Answer{Status: res.StatusCode, First: time.Since(began)}
-	a.Body, err = io.ReadAll(io.LimitReader(&heard{res.Body, silence}, most+1))
+	a.Body, err = io.ReadAll(io.LimitReader(&idleReader{res.Body, silence}, most+1))
 	a.Took = time.Since(began)
 	if err == nil && int64(len(a.Body)) > most {
 		err = ErrTooLong
@@ -127,8 +127,8 @@
 	return a, nil
 }
 
-// head makes a call and returns once its answer has begun; until then, closing
-// abandon ends the call.
+// head makes a call and returns when the response header has arrived. Until then, closing abandon
+// aborts the call.
 func head(ctx context.Context, cancel context.CancelCauseFunc, client *http.Client, req *http.Request, abandon <-chan struct{}) (*http.Response, error) {
 	begun := make(chan struct{})
 	defer close(begun)
@@ -142,7 +142,7 @@
 	return client.Do(req.WithContext(ctx))
 }
 
-// cause returns what ended ctx, or else err.
+// cause returns the cause of ctx's end, or err if ctx has not ended.
 func cause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
@@ -150,13 +150,13 @@
 	return err
 }
 
-// A heard reader puts silence off with each byte that comes.
-type heard struct {
+// An idleReader postpones the silence timer with each read.
+type idleReader struct {
 	io.Reader
 	silence *time.Timer
 }
 
-func (h *heard) Read(p []byte) (int, error) {
-	h.silence.Reset(silentMost)
+func (h *idleReader) Read(p []byte) (int, error) {
+	h.silence.Reset(silenceTimeout)
 	return h.Reader.Read(p)
 }
--- a/internal/fetch/fetch_test.go
+++ b/internal/fetch/fetch_test.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-func request(ctx context.Context, t *testing.T, handler http.HandlerFunc) *http.Request {
+func newRequest(ctx context.Context, t *testing.T, handler http.HandlerFunc) *http.Request {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -21,8 +21,8 @@
 	return req
 }
 
-func TestWholeAnswer(t *testing.T) {
-	req := request(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) {
+func TestCompleteResponse(t *testing.T) {
+	req := newRequest(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusGone)
 		_, _ = w.Write([]byte("whole"))
 	})
@@ -32,10 +32,10 @@
 	}
 }
 
-func TestCutAnswerTellsHowFarItCame(t *testing.T) {
+func TestPartialResponseReportsBytes(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	req := request(ctx, t, func(w http.ResponseWriter, r *http.Request) {
+	req := newRequest(ctx, t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = w.Write([]byte("a part"))
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
@@ -47,10 +47,10 @@
 	}
 }
 
-func TestSilenceIsNoBegunAnswer(t *testing.T) {
+func TestTimeoutBeforeHeaderIsNotBegun(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	req := request(ctx, t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	req := newRequest(ctx, t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	_, err := Do(http.DefaultClient, req, 100, Wait{Begin: time.Second})
 	var cut *CutError
 	if !errors.As(err, &cut) || cut.Begun {
@@ -58,18 +58,18 @@
 	}
 }
 
-func TestTooLongAnswer(t *testing.T) {
-	req := request(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("123456")) })
+func TestOversizedResponse(t *testing.T) {
+	req := newRequest(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("123456")) })
 	if _, err := Do(http.DefaultClient, req, 5, Wait{Begin: time.Second}); !errors.Is(err, ErrTooLong) {
 		t.Fatalf("got %v", err)
 	}
 }
 
-// An answer that arrives steadily is read to its end, however long that takes
-// beside the wait for its beginning.
-func TestLongAnswerOutlastsTheWait(t *testing.T) {
+// A response that arrives steadily is read to its end, even if that takes longer than the wait for
+// its header or the wait is abandoned meanwhile.
+func TestSteadyResponseOutlastsHeaderTimeout(t *testing.T) {
 	const begin = 500 * time.Millisecond
-	req := request(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) {
+	req := newRequest(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) {
 		for range 6 {
 			_, _ = w.Write([]byte("a part"))
 			w.(http.Flusher).Flush()
@@ -84,10 +84,10 @@
 	}
 }
 
-func TestSilenceEndsACall(t *testing.T) {
-	for name, begin := range map[string]bool{"before the answer": false, "in the answer": true} {
+func TestIdleSourceEndsCall(t *testing.T) {
+	for name, begin := range map[string]bool{"before the header": false, "in the body": true} {
 		t.Run(name, func(t *testing.T) {
-			req := request(context.Background(), t, func(w http.ResponseWriter, r *http.Request) {
+			req := newRequest(context.Background(), t, func(w http.ResponseWriter, r *http.Request) {
 				if begin {
 					_, _ = w.Write([]byte("a part"))
 					w.(http.Flusher).Flush()
@@ -103,9 +103,9 @@
 	}
 }
 
-func TestAbandonedWait(t *testing.T) {
+func TestAbandonEndsWaitForHeader(t *testing.T) {
 	abandon := make(chan struct{})
-	req := request(context.Background(), t, func(_ http.ResponseWriter, r *http.Request) {
+	req := newRequest(context.Background(), t, func(_ http.ResponseWriter, r *http.Request) {
 		close(abandon)
 		<-r.Context().Done()
 	})
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,11 +1,9 @@
-// Package freeport finds ports for tests that must name them before they
-// listen.
+// Package freeport finds free ports for tests that must know them before they listen.
 //
-// A port that the system picked and that was closed again may be taken by any
-// connection that the system gives a port to in the meantime. So ports come
-// from below the range that the system picks from. Each process takes them in
-// turn from a block of its own, chosen by its ID, so that neither one test nor
-// tests of different packages are given the same port.
+// A port that the system picked and that was closed again may be assigned to any connection before
+// the test listens on it. So ports are taken from below the ephemeral range. Each process takes
+// them in turn from a block chosen by its process ID, which keeps tests of different packages
+// apart.
 package freeport
 
 import (
@@ -16,35 +14,35 @@
 	"testing"
 )
 
-// The range that ports come from. Systems pick theirs above it; what needs a port that
-// is fixed takes it from below.
+// The range that ports are taken from. It lies below the ephemeral range and above fixed ports.
 const (
 	Lowest  = 20000
 	Highest = 32000
 
-	block  = 500
-	blocks = (Highest - Lowest) / block
+	blockSize  = 500
+	blockCount = (Highest - Lowest) / blockSize
 )
 
-// next is how many ports of the block were looked at.
+// next counts the ports of the block that were tried.
 var next atomic.Int64
 
-// Find returns a port that is free for TCP and UDP on all addresses. A process
-// is given none twice until it has been given a whole block.
+// Find returns a port that is free for TCP and UDP on all addresses. It returns no port twice in a
+// process until the whole block was tried. It fails the test if no port of the block is free, and
+// may be called concurrently.
 func Find(t testing.TB) int {
 	t.Helper()
-	first := Lowest + os.Getpid()%blocks*block
-	for range block {
-		port := first + int(next.Add(1)-1)%block
-		if free(port) {
+	first := Lowest + os.Getpid()%blockCount*blockSize
+	for range blockSize {
+		port := first + int(next.Add(1)-1)%blockSize
+		if isFree(port) {
 			return port
 		}
 	}
-	t.Fatalf("no port is free from %d to %d", first, first+block-1)
+	t.Fatalf("no port is free from %d to %d", first, first+blockSize-1)
 	return 0
 }
 
-func free(port int) bool {
+func isFree(port int) bool {
 	address := ":" + strconv.Itoa(port)
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// echo starts a server that sends back what it gets, and a link to it.
-func echo(t *testing.T) (*TCP, net.Conn) {
+// startEcho starts an echo server and a link to it, and returns the link and a connection through
+// it.
+func startEcho(t *testing.T) (*TCP, net.Conn) {
 	t.Helper()
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +42,7 @@
 	return l, c
 }
 
-func say(t *testing.T, c net.Conn, line string) (string, error) {
+func roundTrip(t *testing.T, c net.Conn, line string) (string, error) {
 	t.Helper()
 	if _, err := c.Write([]byte(line)); err != nil {
 		return "", err
@@ -49,19 +50,19 @@
 	return bufio.NewReader(c).ReadString('\n')
 }
 
-func TestTCPPassesOn(t *testing.T) {
-	_, c := echo(t)
-	if got, err := say(t, c, "one\n"); got != "one\n" || err != nil {
+func TestTCPForwards(t *testing.T) {
+	_, c := startEcho(t)
+	if got, err := roundTrip(t, c, "one\n"); got != "one\n" || err != nil {
 		t.Fatalf("got %q, %v", got, err)
 	}
 }
 
 func TestTCPSilence(t *testing.T) {
-	l, c := echo(t)
+	l, c := startEcho(t)
 	l.Set(Weather{SilentOut: true})
 	_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-	if got, err := say(t, c, "one\n"); err == nil {
-		t.Fatalf("got %q through a silent link", got)
+	if got, err := roundTrip(t, c, "one\n"); err == nil {
+		t.Fatalf("got %q through a silent link, want a timeout", got)
 	}
 	l.Set(Weather{})
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -71,23 +72,23 @@
 }
 
 func TestTCPCutAndReset(t *testing.T) {
-	l, c := echo(t)
+	l, c := startEcho(t)
 	l.Set(Weather{Cut: 2})
-	if got, err := say(t, c, "one\n"); err == nil {
-		t.Fatalf("got %q through a link that cuts after 2 bytes", got)
+	if got, err := roundTrip(t, c, "one\n"); err == nil {
+		t.Fatalf("got %q through a link that cuts after 2 bytes, want an error", got)
 	}
-	l, c = echo(t)
-	if _, err := say(t, c, "one\n"); err != nil {
+	l, c = startEcho(t)
+	if _, err := roundTrip(t, c, "one\n"); err != nil {
 		t.Fatal(err)
 	}
 	l.Reset()
-	if got, err := say(t, c, "two\n"); err == nil {
-		t.Fatalf("got %q after a reset", got)
+	if got, err := roundTrip(t, c, "two\n"); err == nil {
+		t.Fatalf("got %q after a reset, want an error", got)
 	}
 }
 
 func TestTCPRate(t *testing.T) {
-	l, c := echo(t)
+	l, c := startEcho(t)
 	l.Set(Weather{Rate: 10_000})
 	began := time.Now()
 	go func() { _, _ = c.Write(make([]byte, 3000)) }()
@@ -95,12 +96,12 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(began); took < 250*time.Millisecond {
-		t.Fatalf("3,000 bytes at 10,000 a second took %v", took)
+		t.Fatalf("3,000 bytes at 10,000 bytes/s took %v, want at least 250 ms", took)
 	}
 }
 
-// Two processes know each other by their fronts only.
-func TestSwitch(t *testing.T) {
+// Datagrams are delivered with the sender's front as their source address.
+func TestSwitchForwardsBetweenFronts(t *testing.T) {
 	s := NewSwitch(1)
 	defer s.Close()
 	var own [2]*net.UDPConn
@@ -130,17 +131,17 @@
 	}
 	_, _ = own[0].WriteToUDP([]byte("hello"), fronts[1])
 	if got, from := receive(own[1], 5*time.Second); got != "hello" || from.String() != fronts[0].String() {
-		t.Fatalf("got %q from %v, want it from the front of its sender", got, from)
+		t.Fatalf("got %q from %v, want hello from the sender's front", got, from)
 	}
 	s.Set(func(from, to string) Sky { return Sky{Cut: from == "a", Double: 1} })
 	_, _ = own[0].WriteToUDP([]byte("lost"), fronts[1])
 	if got, _ := receive(own[1], 100*time.Millisecond); got != "" {
-		t.Fatalf("got %q over a link that is cut", got)
+		t.Fatalf("got %q over a cut link, want nothing", got)
 	}
 	_, _ = own[1].WriteToUDP([]byte("twice"), fronts[0])
 	for range 2 {
 		if got, _ := receive(own[0], 5*time.Second); got != "twice" {
-			t.Fatalf("got %q, want it twice", got)
+			t.Fatalf("got %q, want two copies of twice", got)
 		}
 	}
 }
--- a/internal/link/narrow.go
+++ b/internal/link/narrow.go
@@ -5,29 +5,32 @@
 	"time"
 )
 
-// A Narrow is a link of a bounded width that datagrams of many pairs share. What comes while it
-// is busy waits, up to a bound beyond which it is lost. It is safe for concurrent use.
+// A Narrow is a link of limited bandwidth that datagrams of many pairs share. Datagrams are queued
+// while it is busy, and dropped once the queueing delay exceeds a bound. It is safe for concurrent
+// use.
 type Narrow struct {
-	rate int           // bytes a second
-	most time.Duration // that a datagram waits
+	rate    int           // bytes per second
+	maxWait time.Duration // queueing delay above which datagrams are dropped
 
-	mu   sync.Mutex
-	busy time.Time // until when what was taken passes
+	mu        sync.Mutex
+	busyUntil time.Time // when the last accepted datagram has been sent
 }
 
-// NewNarrow returns a link that passes rate bytes a second and keeps what fits within most.
-func NewNarrow(rate int, most time.Duration) *Narrow { return &Narrow{rate: rate, most: most} }
+// NewNarrow returns a link that forwards rate bytes per second, and drops datagrams whose queueing
+// delay would exceed most.
+func NewNarrow(rate int, most time.Duration) *Narrow { return &Narrow{rate: rate, maxWait: most} }
 
-// take returns how long a datagram takes that comes now; false if it is lost.
-func (n *Narrow) take(size int, now time.Time) (time.Duration, bool) {
+// enqueue returns how long a datagram that arrives now takes to be queued and sent, or false if it
+// is dropped.
+func (n *Narrow) enqueue(size int, now time.Time) (time.Duration, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.busy.Before(now) {
-		n.busy = now
+	if n.busyUntil.Before(now) {
+		n.busyUntil = now
 	}
-	if n.busy.Sub(now) > n.most {
+	if n.busyUntil.Sub(now) > n.maxWait {
 		return 0, false
 	}
-	n.busy = n.busy.Add(time.Duration(size) * time.Second / time.Duration(n.rate))
-	return n.busy.Sub(now), true
+	n.busyUntil = n.busyUntil.Add(time.Duration(size) * time.Second / time.Duration(n.rate))
+	return n.busyUntil.Sub(now), true
 }
--- a/internal/link/narrow_test.go
+++ b/internal/link/narrow_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-func TestNarrowQueuesAndLoses(t *testing.T) {
+func TestNarrowQueuesAndDrops(t *testing.T) {
 	n, now := NewNarrow(1000, 250*time.Millisecond), time.Unix(1000, 0)
 	for i, want := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
-		if got, ok := n.take(100, now); !ok || got != want {
-			t.Errorf("datagram %d takes %v, %v, want %v", i, got, ok, want)
+		if got, ok := n.enqueue(100, now); !ok || got != want {
+			t.Errorf("datagram %d: got %v, %v, want %v", i, got, ok, want)
 		}
 	}
-	if _, ok := n.take(100, now); ok {
-		t.Error("more waits than may")
+	if _, ok := n.enqueue(100, now); ok {
+		t.Error("a datagram was accepted above the maximum queueing delay")
 	}
-	if got, ok := n.take(100, now.Add(time.Second)); !ok || got != 100*time.Millisecond {
-		t.Errorf("after the queue is empty one takes %v, %v", got, ok)
+	if got, ok := n.enqueue(100, now.Add(time.Second)); !ok || got != 100*time.Millisecond {
+		t.Errorf("empty queue: got %v, %v, want 100ms", got, ok)
 	}
 }
--- a/internal/link/tcp.go
+++ b/internal/link/tcp.go
@@ -1,6 +1,6 @@
-// Package link imitates the network between processes on loopback addresses:
-// TCP connections and datagrams are passed on, and delayed, slowed, cut, lost
-// or reset as a test wants.
+// Package link simulates a network between processes on loopback addresses. It forwards TCP
+// connections and datagrams, and delays, throttles, truncates, drops or resets them under a test's
+// control.
 package link
 
 import (
@@ -13,55 +13,54 @@
 	"github.com/pkg/errors"
 )
 
-// step is how often a bounded rate passes bytes on.
-const step = 10 * time.Millisecond
+// rateInterval is the time worth of data that a throttled connection forwards at once.
+const rateInterval = 10 * time.Millisecond
 
-// A Weather is what happens to a TCP link. The zero value passes everything
-// on at once.
+// Weather is the condition of a TCP link. The zero value forwards everything at once. Forward is
+// the direction from the connecting side to the target, back the opposite one.
 type Weather struct {
-	Rate      int           // bytes a second of what comes back, shared by all connections; zero: no bound
-	Delay     time.Duration // before each piece, each way
-	Silent    bool          // nothing passes there; what was sent waits
-	SilentOut bool          // nothing passes back
-	Cut       int           // each connection is reset after so many bytes of what comes back; zero: none is
+	Rate      int           // bytes per second back, shared by all connections; zero: unlimited
+	Delay     time.Duration // before each read chunk, each way
+	Silent    bool          // nothing passes forward; what was sent is kept
+	SilentOut bool          // nothing passes back; what was sent is kept
+	Cut       int           // each connection is reset when more than this many bytes have come back; zero: never
 }
 
-// A TCP link passes connections on to another address. It is safe for
-// concurrent use.
+// A TCP forwards connections to another address. It is safe for concurrent use.
 type TCP struct {
-	Address string
-	to      string
-	listen  net.Listener
+	Address  string
+	target   string
+	listener net.Listener
 
-	rate    sync.Mutex // held by the connection that is passing bytes on at a rate
-	mu      sync.Mutex
-	weather Weather
-	changed chan struct{}             // closed at each change of the weather
-	conns   map[net.Conn]*atomic.Bool // whether the connection is hushed
-	closed  bool
+	rateMu     sync.Mutex // held while a throttled connection forwards a chunk
+	mu         sync.Mutex
+	conditions Weather
+	changed    chan struct{}             // closed at each change of conditions
+	conns      map[net.Conn]*atomic.Bool // to whether the connection is silenced
+	closed     bool
 }
 
-// ListenTCP starts a link at an address, IP:port, to another one.
+// ListenTCP starts a link from an address, IP:port, to another one.
 func ListenTCP(address, to string) (*TCP, error) {
 	listen, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	l := &TCP{Address: listen.Addr().String(), to: to, listen: listen, conns: make(map[net.Conn]*atomic.Bool), changed: make(chan struct{})}
+	l := &TCP{Address: listen.Addr().String(), target: to, listener: listen, conns: make(map[net.Conn]*atomic.Bool), changed: make(chan struct{})}
 	go l.accept()
 	return l, nil
 }
 
-// Set changes the weather.
+// Set changes the link's condition, for open connections too.
 func (l *TCP) Set(w Weather) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.weather = w
+	l.conditions = w
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Reset resets all connections.
+// Reset resets all open connections.
 func (l *TCP) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,8 +69,8 @@
 	}
 }
 
-// Hush makes the connections that are open now silent for good, without a reset. New
-// ones work.
+// Hush silences the open connections for good: they forward nothing more and are not reset. New
+// connections are not affected.
 func (l *TCP) Hush() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,9 +79,9 @@
 	}
 }
 
-// Close ends the link and its connections.
+// Close closes the link and resets its connections.
 func (l *TCP) Close() {
-	_ = l.listen.Close()
+	_ = l.listener.Close()
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
@@ -90,7 +89,7 @@
 	l.Reset()
 }
 
-// reset closes c so that its other end sees a reset.
+// reset closes c with a TCP RST.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -100,7 +99,7 @@
 
 func (l *TCP) accept() {
 	for {
-		near, err := l.listen.Accept()
+		near, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -108,20 +107,20 @@
 	}
 }
 
-// connect passes a connection on, until either end closes.
+// connect forwards a connection in both directions until both have ended.
 func (l *TCP) connect(near net.Conn) {
-	far, err := net.Dial("tcp", l.to)
+	far, err := net.Dial("tcp", l.target)
 	if err != nil {
 		reset(near)
 		return
 	}
 	hushed := new(atomic.Bool)
-	if !l.hold(hushed, near, far) {
+	if !l.register(hushed, near, far) {
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { l.pass(far, near, false, hushed) })
-	both.Go(func() { l.pass(near, far, true, hushed) })
+	both.Go(func() { l.forward(far, near, false, hushed) })
+	both.Go(func() { l.forward(near, far, true, hushed) })
 	both.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,7 +130,9 @@
 	}
 }
 
-func (l *TCP) hold(hushed *atomic.Bool, conns ...net.Conn) bool {
+// register adds the two ends of a connection, or resets them and returns false if the link is
+// closed.
+func (l *TCP) register(hushed *atomic.Bool, conns ...net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range conns {
@@ -144,17 +145,16 @@
 	return !l.closed
 }
 
-// pass copies bytes as the weather wants, until either end closes. The end of
-// what comes is passed on as such.
-func (l *TCP) pass(to, from net.Conn, back bool, hushed *atomic.Bool) {
+// forward copies one direction under the link's conditions until it ends, and propagates its end.
+func (l *TCP) forward(to, from net.Conn, back bool, hushed *atomic.Bool) {
 	buf := make([]byte, 16<<10)
 	passed := 0
 	for {
-		n, err := from.Read(buf[:l.piece(back, len(buf))])
-		w := l.await(back)
+		n, err := from.Read(buf[:l.readSize(back, len(buf))])
+		w := l.awaitOpen(back)
 		if hushed.Load() {
 			if err != nil {
-				return // the other end is not told
+				return // the end of a silenced connection is not propagated
 			}
 			continue
 		}
@@ -172,15 +172,14 @@
 			}
 		}
 		if err != nil {
-			end(to, err)
+			closeWrite(to, err)
 			return
 		}
 	}
 }
 
-// end passes the end of one direction on: a close as a close, all else as a
-// reset.
-func end(to net.Conn, err error) {
+// closeWrite propagates the end of a direction: EOF as a half-close, any other error as a reset.
+func closeWrite(to net.Conn, err error) {
 	t, ok := to.(*net.TCPConn)
 	if !ok || !errors.Is(err, io.EOF) {
 		reset(to)
@@ -189,21 +188,21 @@
 	_ = t.CloseWrite()
 }
 
-// piece returns how many bytes are read at once.
-func (l *TCP) piece(back bool, most int) int {
+// readSize returns how many bytes to read at once.
+func (l *TCP) readSize(back bool, most int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !back || l.weather.Rate == 0 {
+	if !back || l.conditions.Rate == 0 {
 		return most
 	}
-	return min(most, max(1, l.weather.Rate*int(step/time.Millisecond)/1000))
+	return min(most, max(1, l.conditions.Rate*int(rateInterval/time.Millisecond)/1000))
 }
 
-// await returns the weather once it lets bytes through.
-func (l *TCP) await(back bool) Weather {
+// awaitOpen waits until the link lets a direction through, and returns its condition.
+func (l *TCP) awaitOpen(back bool) Weather {
 	for {
 		l.mu.Lock()
-		w, changed := l.weather, l.changed
+		w, changed := l.conditions, l.changed
 		l.mu.Unlock()
 		if !(w.Silent && !back || w.SilentOut && back) {
 			return w
@@ -212,11 +211,11 @@
 	}
 }
 
-// write writes at the weather's rate.
+// write writes data at the link's rate.
 func (l *TCP) write(to net.Conn, data []byte, w Weather, back bool) error {
 	if back && w.Rate > 0 {
-		l.rate.Lock()
-		defer l.rate.Unlock()
+		l.rateMu.Lock()
+		defer l.rateMu.Unlock()
 		time.Sleep(time.Second * time.Duration(len(data)) / time.Duration(w.Rate))
 	}
 	_, err := to.Write(data)
--- a/internal/link/udp.go
+++ b/internal/link/udp.go
@@ -10,53 +10,54 @@
 	"github.com/pkg/errors"
 )
 
-// maxDatagram is more than any datagram holds.
+// maxDatagram exceeds the size of any datagram.
 const maxDatagram = 64 << 10
 
-// A Sky is what happens to datagrams on their way from one process to another.
-// The zero value passes them on at once.
+// Sky is the condition of datagrams from one process to another. The zero value forwards them at
+// once.
 type Sky struct {
-	Lose    float64       // part of them that is lost
-	Double  float64       // part of them that comes twice
-	Late    time.Duration // each is delayed by up to so much, so that they overtake each other
-	Cut     bool          // all are lost
-	Delay   time.Duration // of each
-	Through *Narrow       // what they share with others on their way; nil: nothing
+	Lose    float64       // fraction that is dropped
+	Double  float64       // fraction that is duplicated
+	Late    time.Duration // each is delayed by a random time below this, which reorders them
+	Cut     bool          // all are dropped
+	Delay   time.Duration // fixed delay of each
+	Through *Narrow       // shared link that they pass; nil: none
 }
 
-// A Switch passes datagrams between processes. Each process is known to the
-// others by a front, an address of the Switch: what is sent to a front comes
-// to its process, from the front of the sender. It is safe for concurrent use.
+// A Switch forwards datagrams between processes. Other processes know each process by its front,
+// an address of the Switch: a datagram sent to a front is delivered to the process behind it, with
+// the sender's front as its source address. It is safe for concurrent use.
 type Switch struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	ports map[netip.AddrPort]*port // by the process's own address
-	sky   func(from, to string) Sky
+	mu         sync.Mutex
+	rng        *rand.Rand
+	ports      map[netip.AddrPort]*port // by the process's own address
+	conditions func(from, to string) Sky
 }
 
-// A port is one process at a Switch.
+// A port is a process attached to a Switch.
 type port struct {
 	name string
 	own  netip.AddrPort
-	conn *net.UDPConn // at its front
+	conn *net.UDPConn // bound to the front
 }
 
-// NewSwitch returns a Switch whose chances follow a seed.
+// NewSwitch returns a Switch whose random choices are seeded with seed.
 func NewSwitch(seed uint64) *Switch {
 	return &Switch{
 		rng: rand.New(rand.NewPCG(seed, 1)), ports: make(map[netip.AddrPort]*port),
-		sky: func(string, string) Sky { return Sky{} },
+		conditions: func(string, string) Sky { return Sky{} },
 	}
 }
 
-// Set changes what happens to datagrams between processes, by their names.
+// Set sets the function that returns the condition of datagrams between two processes, by name. It
+// is called while the Switch is locked, and must not call the Switch.
 func (s *Switch) Set(sky func(from, to string) Sky) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sky = sky
+	s.conditions = sky
 }
 
-// Join adds a process with its own address and its front, each IP:port.
+// Join attaches a process with its own address and its front, each IP:port.
 func (s *Switch) Join(name, own, front string) error {
 	address, err := netip.ParseAddrPort(own)
 	if err != nil {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// Close ends all fronts.
+// Close closes all fronts.
 func (s *Switch) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +88,7 @@
 	}
 }
 
-// serve passes on what is sent to the front of p.
+// serve forwards the datagrams that arrive at the front of p.
 func (s *Switch) serve(p *port) {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -96,22 +97,22 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // an answer to an earlier datagram that could not be delivered
+			continue // an ICMP error for an earlier datagram
 		}
-		s.pass(p, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), append([]byte(nil), buf[:n]...))
+		s.forward(p, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), append([]byte(nil), buf[:n]...))
 	}
 }
 
-// pass sends data to the process of p, if the sky lets it. What a process sends
-// to its own front is dropped.
-func (s *Switch) pass(p *port, from netip.AddrPort, data []byte) {
+// forward sends data to the process of p under the current conditions. Datagrams from unknown
+// senders, and from a process to its own front, are dropped.
+func (s *Switch) forward(p *port, from netip.AddrPort, data []byte) {
 	s.mu.Lock()
 	sender := s.ports[from]
 	if sender == nil || sender == p {
 		s.mu.Unlock()
 		return
 	}
-	sky := s.sky(sender.name, p.name)
+	sky := s.conditions(sender.name, p.name)
 	copies := 1
 	switch {
 	case sky.Cut || s.rng.Float64() < sky.Lose:
@@ -126,7 +127,7 @@
 			d += time.Duration(s.rng.Int64N(int64(sky.Late)))
 		}
 		if sky.Through != nil {
-			queued, fits := sky.Through.take(len(data), time.Now())
+			queued, fits := sky.Through.enqueue(len(data), time.Now())
 			if !fits {
 				continue
 			}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs makes the loggers of daemons: structured lines, bounded, and
-// never blocking.
+// Package logs creates the daemons' loggers. They write structured lines through a bounded queue
+// and never block the caller.
 package logs
 
 import (
@@ -12,72 +12,71 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// A Form is how lines are written.
+// A Form is an output format of log lines.
 type Form string
 
-// The forms of lines.
+// The output formats.
 const (
 	JSON    Form = "json"
 	Console Form = "console"
 )
 
-// linesWaiting is how many lines may wait to be written.
-const linesWaiting = 512
+// queueCapacity is the maximum number of lines waiting to be written.
+const queueCapacity = 512
 
-// syncWithin bounds how long Sync waits for a pipe that nobody reads.
-const syncWithin = 200 * time.Millisecond
+// syncTimeout bounds how long Sync waits for a blocked writer.
+const syncTimeout = 200 * time.Millisecond
 
-// A queued is a line that waits, or a question whether all before it are
-// written.
-type queued struct {
+// A queueItem is a line, or a marker that signals when all earlier lines are written.
+type queueItem struct {
 	line    []byte
-	written chan<- struct{} // closed in its turn; nil for a line
+	written chan<- struct{} // closed when the marker is reached; nil for a line
 }
 
-// A lineQueue hands lines to one writer. A line that finds the queue full is
-// dropped and counted, so that a full pipe holds nothing up.
+// A lineQueue passes lines to one writing goroutine. Lines that find the queue full are dropped
+// and counted, so that a blocked output does not block callers.
 type lineQueue struct {
-	waiting chan queued
+	items   chan queueItem
 	dropped *expvar.Int
 	out     io.Writer
 }
 
 func newLineQueue(out io.Writer, dropped *expvar.Int) *lineQueue {
-	q := &lineQueue{waiting: make(chan queued, linesWaiting), dropped: dropped, out: out}
-	go q.run()
+	q := &lineQueue{items: make(chan queueItem, queueCapacity), dropped: dropped, out: out}
+	go q.writeLoop()
 	return q
 }
 
-// Write implements io.Writer. It keeps no hold of line.
+// Write implements io.Writer. It copies line, and never blocks.
 func (q *lineQueue) Write(line []byte) (int, error) {
 	select {
-	case q.waiting <- queued{line: append([]byte(nil), line...)}:
+	case q.items <- queueItem{line: append([]byte(nil), line...)}:
 	default:
 		q.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Sync returns when the lines so far are written, or after a short while.
+// Sync waits until the lines so far are written. It returns an error after syncTimeout.
 func (q *lineQueue) Sync() error {
 	written := make(chan struct{})
-	timer := time.NewTimer(syncWithin)
+	timer := time.NewTimer(syncTimeout)
 	defer timer.Stop()
 	select {
-	case q.waiting <- queued{written: written}:
+	case q.items <- queueItem{written: written}:
 	case <-timer.C:
-		return errors.New("log: too many lines wait")
+		return errors.New("log: queue is full")
 	}
 	select {
 	case <-written:
 		return nil
 	case <-timer.C:
-		return errors.New("log: nobody reads the lines")
+		return errors.New("log: output is blocked")
 	}
 }
 
-func (q *lineQueue) run() {
-	for next := range q.waiting {
+func (q *lineQueue) writeLoop() {
+	for next := range q.items {
 		if next.written != nil {
 			close(next.written)
 			continue
@@ -86,8 +85,9 @@
 	}
 }
 
-// New returns a logger that writes lines of a level or above to out. Lines that
-// find too many waiting are dropped, and counted in dropped.
+// New returns a logger that writes lines of at least a level to out: debug, info, warn, error or
+// another level of zapcore. Lines are dropped and counted in dropped when too many wait to be
+// written.
 func New(level string, form Form, out io.Writer, dropped *expvar.Int) (*zap.Logger, error) {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -13,8 +13,8 @@
 	"ivyridge/internal/logs"
 )
 
-// A pipe that nobody reads holds no request up, and what is lost is counted.
-func TestFullPipeBlocksNothing(t *testing.T) {
+// Logging does not block on a pipe that nobody reads, and dropped lines are counted.
+func TestFullPipeDoesNotBlock(t *testing.T) {
 	_, w := io.Pipe()
 	dropped := new(expvar.Int)
 	log, err := logs.New("info", logs.JSON, w, dropped)
@@ -31,10 +31,10 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("logging blocks")
+		t.Fatal("logging blocked on a full pipe")
 	}
 	if dropped.Value() < 4000 {
-		t.Fatalf("%d lines are counted as dropped", dropped.Value())
+		t.Fatalf("%d lines counted as dropped, want at least 4000", dropped.Value())
 	}
 }
 
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log.Debug("left out")
+	log.Debug("below the level")
 	log.Info("request", zap.String("id", "r1"), zap.Duration("took", 1500*time.Millisecond))
 	var line struct {
 		Msg  string
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestSyncWaitsForTheLines(t *testing.T) {
+func TestSyncFlushesQueue(t *testing.T) {
 	out := new(strings.Builder)
 	log, err := logs.New("info", logs.JSON, out, new(expvar.Int))
 	if err != nil {
@@ -72,12 +72,12 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out.String(), "\n"); n != 100 {
-		t.Fatalf("%d lines are written, want 100", n)
+		t.Fatalf("%d lines written, want 100", n)
 	}
 }
 
 func TestUnknownLevel(t *testing.T) {
 	if _, err := logs.New("loud", logs.JSON, new(strings.Builder), new(expvar.Int)); err == nil {
-		t.Fatal("a level that is not known was taken")
+		t.Fatal("an unknown level was accepted")
 	}
 }
--- a/internal/mutate/mutate.go
+++ b/internal/mutate/mutate.go
@@ -1,34 +1,36 @@
-// Package mutate changes bytes by chance, for tests that are to meet the same bytes in every run;
-// what has not been met yet is for Go's fuzzing.
+// Package mutate generates random mutations of byte strings for tests that must use the same
+// inputs on every run. Finding new inputs is left to Go's fuzzing.
 package mutate
 
 import "math/rand/v2"
 
-// A Source makes bytes of some seeds. It is the same for the same number.
+// A Source generates mutations of its seeds. Equal numbers and seeds give equal sequences. It is
+// not safe for concurrent use.
 type Source struct {
 	rng   *rand.Rand
 	seeds [][]byte
 }
 
-// New returns a Source that begins with these seeds.
+// New returns a Source of mutations of seeds, of which there must be at least one. number seeds
+// its random choices.
 func New(number uint64, seeds ...[]byte) *Source {
 	return &Source{rng: rand.New(rand.NewPCG(number, 0)), seeds: seeds}
 }
 
-// mostChanges bounds the changes of one seed.
-const mostChanges = 6
+// maxChanges bounds the mutations of one result.
+const maxChanges = 6
 
-// Next returns a seed with some changes.
+// Next returns a copy of a random seed with 1 to maxChanges mutations.
 func (s *Source) Next() []byte {
 	out := append([]byte(nil), s.seeds[s.rng.IntN(len(s.seeds))]...)
-	for range 1 + s.rng.IntN(mostChanges) {
-		out = s.change(out)
+	for range 1 + s.rng.IntN(maxChanges) {
+		out = s.mutateOnce(out)
 	}
 	return out
 }
 
-// change changes one byte, takes some out, or puts some of another seed in.
-func (s *Source) change(data []byte) []byte {
+// mutateOnce replaces one byte, removes up to 7 bytes, or inserts up to 23 bytes of a seed.
+func (s *Source) mutateOnce(data []byte) []byte {
 	at := s.rng.IntN(len(data) + 1)
 	switch s.rng.IntN(3) {
 	case 0:
