--- a/chart/chart.go
+++ b/chart/chart.go
@@ -1,11 +1,9 @@
-// Package chart interprets state charts that are kept in files.
+// Package chart compiles and runs state charts.
 //
-// A chart names its events and states; every state answers every event,
-// either by moving or by ignoring it, and says which verdict a request
-// that ends there carries, where that applies. The files in charts/ are
-// compiled when the package is loaded; a Machine then steps through a table
-// without allocating. The package runs no actions: the code that owns a
-// Machine reads its state.
+// A chart file lists events and states. Every state handles every event, by a transition or by
+// ignoring it, unless it is final. A state may name the verdict of a request that ends in it. The
+// files in charts/ are compiled when the package is initialized; a Machine then steps through a
+// table without allocating. The package runs no actions: the owner of a Machine reads its state.
 package chart
 
 import (
@@ -21,7 +19,7 @@
 //go:embed charts/*.yaml
 var files embed.FS
 
-// The charts of the system.
+// The charts in charts/.
 var (
 	Request       = mustLoad("request")
 	Endpoint      = mustLoad("endpoint")
@@ -35,7 +33,7 @@
 // A State is an index into the states of one chart.
 type State int
 
-// A Chart is a compiled state chart. It is immutable.
+// A Chart is a compiled state chart. It is immutable and safe for concurrent use.
 type Chart struct {
 	Name    string
 	events  []string
@@ -59,14 +57,14 @@
 
 type stateFile struct {
 	Pos     yamlfile.Pos
-	Name    string     `yaml:"name"`
-	Verdict string     `yaml:"verdict"`
-	Final   bool       `yaml:"final"`
-	On      []moveFile `yaml:"on"`
-	Ignore  []string   `yaml:"ignore"`
+	Name    string           `yaml:"name"`
+	Verdict string           `yaml:"verdict"`
+	Final   bool             `yaml:"final"`
+	On      []transitionFile `yaml:"on"`
+	Ignore  []string         `yaml:"ignore"`
 }
 
-type moveFile struct {
+type transitionFile struct {
 	Pos   yamlfile.Pos
 	Event string `yaml:"event"`
 	To    string `yaml:"to"`
@@ -85,13 +83,13 @@
 	return c
 }
 
-// Parse compiles a chart. The error, if any, is a yamlfile.Errors.
+// Parse compiles a chart. A non-nil error is a yamlfile.Errors.
 func Parse(file string, data []byte) (*Chart, error) {
 	var f chartFile
 	if err := yamlfile.Decode(file, data, &f); err != nil {
 		return nil, err
 	}
-	p := &compiler{chart: &Chart{Name: f.Name, events: f.Events}, file: f, top: yamlfile.Pos{File: file, Line: 1, Col: 1}}
+	p := &compiler{chart: &Chart{Name: f.Name, events: f.Events}, file: f, fileStart: yamlfile.Pos{File: file, Line: 1, Col: 1}}
 	p.compile()
 	if err := p.errs.Err(); err != nil {
 		return nil, err
@@ -100,10 +98,10 @@
 }
 
 type compiler struct {
-	chart *Chart
-	file  chartFile
-	top   yamlfile.Pos
-	errs  yamlfile.Errors
+	chart     *Chart
+	file      chartFile
+	fileStart yamlfile.Pos
+	errs      yamlfile.Errors
 }
 
 func (p *compiler) compile() {
@@ -119,12 +117,13 @@
 	}
 	initial, ok := p.chart.lookupState(p.file.Initial)
 	if !ok {
-		p.errs.Add(p.top, "the initial state %q is not a state", p.file.Initial)
+		p.errs.Add(p.fileStart, "initial state %q is not defined", p.file.Initial)
 	}
 	p.chart.initial = initial
 }
 
-// row compiles the answers of s; an event without one is a fault.
+// row compiles the transitions of s. An event that a state does not handle is an error unless the
+// state is final.
 func (p *compiler) row(s stateFile) []State {
 	const none = State(-1)
 	row := make([]State, len(p.chart.events))
@@ -137,7 +136,7 @@
 		case !ok:
 			p.errs.Add(pos, "state %q: unknown event %q", s.Name, event)
 		case row[ev] != none:
-			p.errs.Add(pos, "state %q: event %q is answered twice", s.Name, event)
+			p.errs.Add(pos, "state %q: event %q is handled twice", s.Name, event)
 		default:
 			row[ev] = to
 		}
@@ -155,7 +154,7 @@
 	}
 	for ev, to := range row {
 		if to == none && !s.Final {
-			p.errs.Add(s.Pos, "state %q: event %q has no answer", s.Name, p.chart.events[ev])
+			p.errs.Add(s.Pos, "state %q: event %q is not handled", s.Name, p.chart.events[ev])
 		}
 		if to == none {
 			row[ev] = self
@@ -182,8 +181,8 @@
 	return 0, false
 }
 
-// Event returns the event called name. It panics if there is none: names
-// are written in code beside the chart and resolved when a program starts.
+// Event returns the event called name. It panics if there is none, so names should be resolved at
+// program start.
 func (c *Chart) Event(name string) Event {
 	ev, ok := c.lookupEvent(name)
 	if !ok {
@@ -201,13 +200,13 @@
 	return s
 }
 
-// Events returns the number of events, States that of states.
+// Events returns the number of events.
 func (c *Chart) Events() int { return len(c.events) }
 
 // States returns the number of states.
 func (c *Chart) States() int { return len(c.states) }
 
-// Initial returns the state a new Machine is in.
+// Initial returns the initial state.
 func (c *Chart) Initial() State { return c.initial }
 
 // Next returns the state that follows s on ev.
@@ -216,13 +215,15 @@
 // StateName returns the name of s.
 func (c *Chart) StateName(s State) string { return c.states[s].name }
 
-// Final reports whether s is final; it then answers no event by moving.
+// Final reports whether s is final. A final state that a file defines without transitions never
+// changes.
 func (c *Chart) Final(s State) bool { return c.states[s].final }
 
 // Verdict returns the verdict of a request that ends in s.
 func (c *Chart) Verdict(s State) verdict.Verdict { return c.states[s].verdict }
 
-// A Machine is in one state of a chart. Its zero value is not usable.
+// A Machine holds the current state of a chart. Its zero value is not usable. It is not safe for
+// concurrent use.
 type Machine struct {
 	chart *Chart
 	state State
--- a/chart/chart_test.go
+++ b/chart/chart_test.go
@@ -10,8 +10,8 @@
 
 var charts = []*chart.Chart{chart.Request, chart.Endpoint, chart.Instance, chart.Configuration}
 
-// explore returns the states that are reachable from s.
-func explore(c *chart.Chart, s chart.State) map[chart.State]bool {
+// reachable returns the states that are reachable from s, including s.
+func reachable(c *chart.Chart, s chart.State) map[chart.State]bool {
 	seen := map[chart.State]bool{s: true}
 	for todo := []chart.State{s}; len(todo) > 0; {
 		at := todo[len(todo)-1]
@@ -26,10 +26,10 @@
 	return seen
 }
 
-func TestEveryStateIsReached(t *testing.T) {
+func TestEveryStateIsReachable(t *testing.T) {
 	for _, c := range charts {
-		if n := len(explore(c, c.Initial())); n != c.States() {
-			t.Errorf("%s: %d of %d states are reached", c.Name, n, c.States())
+		if n := len(reachable(c, c.Initial())); n != c.States() {
+			t.Errorf("%s: %d of %d states are reachable", c.Name, n, c.States())
 		}
 	}
 }
@@ -38,21 +38,21 @@
 	for _, c := range charts {
 		for s := range c.States() {
 			at := chart.State(s)
-			if n := len(explore(c, at)); n == 1 && !c.Final(at) {
+			if n := len(reachable(c, at)); n == 1 && !c.Final(at) {
 				t.Errorf("%s: %s is a dead end", c.Name, c.StateName(at))
 			}
 			for ev := range c.Events() {
 				if c.Final(at) && c.Next(at, chart.Event(ev)) != at {
-					t.Errorf("%s: final state %s moves", c.Name, c.StateName(at))
+					t.Errorf("%s: final state %s has a transition", c.Name, c.StateName(at))
 				}
 			}
 		}
 	}
 }
 
-// Once bytes may have reached an endpoint, no path ends in "not run" but
-// through an event that proves it.
-func TestNotRunIsTrue(t *testing.T) {
+// After bytes may have reached an endpoint, a state with verdict "not run" is reached only through
+// an event that proves it.
+func TestNotRunRequiresProof(t *testing.T) {
 	c := chart.Request
 	proofs := map[chart.Event]bool{c.Event("unsent"): true, c.Event("refused_unrun"): true}
 	seen := map[chart.State]bool{}
@@ -63,7 +63,7 @@
 		}
 		seen[s] = true
 		if c.Verdict(s) == verdict.NotRun {
-			t.Errorf("%s is reached after sending without proof", c.StateName(s))
+			t.Errorf("%s is reachable after sending without proof", c.StateName(s))
 		}
 		for ev := range c.Events() {
 			if !proofs[chart.Event(ev)] {
@@ -74,21 +74,21 @@
 	walk(c.State("sent"))
 }
 
-// An endpoint that has left never serves again.
+// An endpoint that is leaving never serves again.
 func TestLeavingIsFinal(t *testing.T) {
 	c := chart.Endpoint
-	if n := len(explore(c, c.State("leaving"))); n != 1 {
-		t.Errorf("%d states follow leaving", n-1)
+	if n := len(reachable(c, c.State("leaving"))); n != 1 {
+		t.Errorf("%d states are reachable from leaving", n-1)
 	}
 }
 
-func TestParseFaults(t *testing.T) {
+func TestParseReportsErrors(t *testing.T) {
 	text := "chart: x\ninitial: nowhere\nevents: [go]\nstates:\n  - {name: a, verdict: perhaps, on: [{event: come, to: b}]}\n"
 	_, err := chart.Parse("x.yaml", []byte(text))
 	if err == nil {
-		t.Fatal("a faulty chart was accepted")
+		t.Fatal("an invalid chart was accepted")
 	}
-	for _, want := range []string{`x.yaml:5:5: state "a": unknown verdict "perhaps"`, `unknown event "come"`, `unknown state "b"`, `event "go" has no answer`, `initial state "nowhere"`} {
+	for _, want := range []string{`x.yaml:5:5: state "a": unknown verdict "perhaps"`, `unknown event "come"`, `unknown state "b"`, `event "go" is not handled`, `initial state "nowhere" is not defined`} {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("the error lacks %q:\n%v", want, err)
 		}
--- a/yamlfile/check.go
+++ b/yamlfile/check.go
@@ -1,17 +1,17 @@
 package yamlfile
 
-// This file holds checks that several kinds of settings need.
+// This file holds checks of fields that several kinds of files have.
 
 import "net"
 
-// Text adds a fault if value is empty.
+// Text adds an error if value is empty.
 func (es *Errors) Text(p Pos, field, value string) {
 	if value == "" {
 		es.Add(p, "%s is missing", field)
 	}
 }
 
-// Address adds a fault if value is no IP:port.
+// Address adds an error if value is not of the form IP:port.
 func (es *Errors) Address(p Pos, field, value string) {
 	host, _, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil {
@@ -19,11 +19,10 @@
 	}
 }
 
-// DefaultLogLevel is that of settings that name none.
+// DefaultLogLevel is the log level of settings without one.
 const DefaultLogLevel = "info"
 
-// LogLevel sets an empty level to DefaultLogLevel, and adds a fault if it is
-// none that the logs know.
+// LogLevel sets an empty level to DefaultLogLevel, and adds an error if the level is unknown.
 func (es *Errors) LogLevel(p Pos, level *string) {
 	switch *level {
 	case "":
--- a/yamlfile/check_test.go
+++ b/yamlfile/check_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-func TestChecks(t *testing.T) {
+func TestFieldChecks(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		check func(*Errors)
 		want  string
 	}{
 		{"text", func(es *Errors) { es.Text(Pos{"f", 1, 2}, "name", "n") }, ""},
-		{"no text", func(es *Errors) { es.Text(Pos{"f", 1, 2}, "name", "") }, "f:1:2: name is missing"},
+		{"empty text", func(es *Errors) { es.Text(Pos{"f", 1, 2}, "name", "") }, "f:1:2: name is missing"},
 		{"address", func(es *Errors) { es.Address(Pos{"f", 1, 2}, "store", "10.0.0.1:80") }, ""},
-		{"a name for an address", func(es *Errors) { es.Address(Pos{"f", 1, 2}, "store", "host:80") }, `f:1:2: store: want IP:port, got "host:80"`},
+		{"host name instead of IP", func(es *Errors) { es.Address(Pos{"f", 1, 2}, "store", "host:80") }, `f:1:2: store: want IP:port, got "host:80"`},
 		{"no port", func(es *Errors) { es.Address(Pos{"f", 1, 2}, "store", "10.0.0.1") }, `f:1:2: store: want IP:port, got "10.0.0.1"`},
 		{"level", func(es *Errors) { es.LogLevel(Pos{"f", 1, 2}, level("warn")) }, ""},
-		{"no such level", func(es *Errors) { es.LogLevel(Pos{"f", 1, 2}, level("loud")) }, `f:1:2: log.level: want debug, info, warn or error, got "loud"`},
+		{"unknown level", func(es *Errors) { es.LogLevel(Pos{"f", 1, 2}, level("loud")) }, `f:1:2: log.level: want debug, info, warn or error, got "loud"`},
 	} {
 		var es Errors
 		c.check(&es)
@@ -29,7 +29,7 @@
 	unset := ""
 	new(Errors).LogLevel(Pos{}, &unset)
 	if unset != DefaultLogLevel {
-		t.Errorf("a level that is not named becomes %q", unset)
+		t.Errorf("an empty level becomes %q", unset)
 	}
 }
 
--- a/yamlfile/flatten.go
+++ b/yamlfile/flatten.go
@@ -1,6 +1,6 @@
 package yamlfile
 
-// This file lists what a file says, so that two can be compared field by field.
+// This file flattens decoded files for comparison field by field.
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 )
 
 // Flatten returns the values of v, a struct that Decode fills or a pointer to one, as text by
-// the path of their field: "listen.gossip": "7020". Lists are one value; positions are left out.
+// field path, such as "listen.gossip": "7020". A list is one value. Positions are omitted.
 func Flatten(v any) map[string]string {
 	out := make(map[string]string)
 	flatten(reflect.Indirect(reflect.ValueOf(v)), "", out)
@@ -29,7 +29,7 @@
 	}
 }
 
-// text returns a value that is not a struct on its own.
+// text formats a value. A struct, as a list item, lists its fields in braces.
 func text(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Slice:
--- a/yamlfile/yamlfile.go
+++ b/yamlfile/yamlfile.go
@@ -1,12 +1,10 @@
-// Package yamlfile decodes YAML strictly and reports every error with its
-// position.
+// Package yamlfile decodes YAML strictly and reports every error with its position.
 //
-// Decode walks the document beside the Go type it fills. Unknown fields,
-// duplicate fields, wrong types and bad values are all collected, so that one
-// check shows an author everything there is to mend. Types are filled by
-// their `yaml` tags; a type with UnmarshalText reads a scalar by itself.
-// A struct field of type Pos named "Pos" receives the position of its node,
-// so that later checks can point at it.
+// Decode walks the document along with the Go type that it fills. Unknown fields, duplicate
+// fields, wrong types and invalid values are all collected, so that one check reports everything
+// there is to fix. Fields are matched by their `yaml` tags; a type with UnmarshalText decodes a
+// scalar itself. A struct field of type Pos named "Pos" receives the position of its node, for use
+// in later checks.
 package yamlfile
 
 import (
@@ -21,7 +19,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// A Pos is a place in a file; lines and columns count from one.
+// A Pos is a position in a file. Lines and columns count from one.
 type Pos struct {
 	File string
 	Line int
@@ -31,22 +29,22 @@
 // String returns file:line:col.
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col) }
 
-// An Error is one fault in a file.
+// An Error is an error in a file.
 type Error struct {
 	Pos Pos
 	Msg string
-	// Unreadable says that nothing of the file could be read, so that
-	// faults found later would mean nothing.
+	// Unreadable says that the file could not be parsed at all, so that later checks are
+	// pointless.
 	Unreadable bool
 }
 
 // Error returns the position and the message.
 func (e *Error) Error() string { return e.Pos.String() + ": " + e.Msg }
 
-// Errors are all faults of a file, in the order of their positions.
+// Errors is a list of errors in a file.
 type Errors []*Error
 
-// Error returns one fault a line.
+// Error returns one error per line.
 func (es Errors) Error() string {
 	lines := make([]string, len(es))
 	for i, e := range es {
@@ -55,15 +53,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// Add appends a fault.
+// Add appends an error.
 func (es *Errors) Add(p Pos, format string, args ...any) {
 	*es = append(*es, &Error{Pos: p, Msg: fmt.Sprintf(format, args...)})
 }
 
-// Unreadable reports whether the file could not be read at all.
+// Unreadable reports whether the file could not be parsed at all.
 func (es Errors) Unreadable() bool { return len(es) > 0 && es[0].Unreadable }
 
-// Err returns the faults sorted, or nil if there are none.
+// Err sorts the errors by position and returns them, or nil if there are none.
 func (es Errors) Err() error {
 	if len(es) == 0 {
 		return nil
@@ -78,8 +76,8 @@
 	return es
 }
 
-// Decode fills out, a pointer to a struct, from data. The error, if any, is
-// an Errors. Out is filled as far as possible even then.
+// Decode fills out, a pointer to a struct, from data. file is the name that errors give. A non-nil
+// error is an Errors; out is then filled as far as possible.
 func Decode(file string, data []byte, out any) error {
 	d := &decoder{file: file}
 	var root yaml.Node
@@ -93,8 +91,7 @@
 	return d.errs.Err()
 }
 
-// syntaxError digs the line out of a parser's error, which names it in its
-// text.
+// syntaxError converts a parser's error, which names the line in its text only.
 func syntaxError(file string, err error) *Error {
 	msg := strings.TrimPrefix(err.Error(), "yaml: ")
 	line := 1
@@ -110,16 +107,16 @@
 }
 
 var (
-	posType      = reflect.TypeFor[Pos]()
-	durationType = reflect.TypeFor[time.Duration]()
-	textType     = reflect.TypeFor[encoding.TextUnmarshaler]()
+	posType         = reflect.TypeFor[Pos]()
+	durationType    = reflect.TypeFor[time.Duration]()
+	unmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
 )
 
 func (d *decoder) pos(n *yaml.Node) Pos { return Pos{d.file, n.Line, n.Column} }
 
 func (d *decoder) value(n *yaml.Node, v reflect.Value) {
 	if n.Kind == yaml.AliasNode {
-		d.errs.Add(d.pos(n), "aliases are not accepted")
+		d.errs.Add(d.pos(n), "aliases are not supported")
 		return
 	}
 	switch {
@@ -128,7 +125,7 @@
 	case v.Kind() == reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
 		d.value(n, v.Elem())
-	case v.Addr().Type().Implements(textType):
+	case v.Addr().Type().Implements(unmarshalerType):
 		d.text(n, v)
 	case v.Kind() == reflect.Struct:
 		d.structure(n, v)
@@ -150,7 +147,7 @@
 
 func (d *decoder) text(n *yaml.Node, v reflect.Value) {
 	if n.Kind != yaml.ScalarNode {
-		d.errs.Add(d.pos(n), "want a word, got %s", describe(n))
+		d.errs.Add(d.pos(n), "want a string, got %s", describe(n))
 		return
 	}
 	err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(n.Value))
@@ -179,7 +176,7 @@
 
 func (d *decoder) structure(n *yaml.Node, v reflect.Value) {
 	if n.Kind != yaml.MappingNode {
-		d.errs.Add(d.pos(n), "want fields, got %s", describe(n))
+		d.errs.Add(d.pos(n), "want a mapping, got %s", describe(n))
 		return
 	}
 	fields := fieldsOf(v)
@@ -194,7 +191,7 @@
 		case !ok:
 			d.errs.Add(d.pos(key), "unknown field %q", key.Value)
 		case seen[key.Value]:
-			d.errs.Add(d.pos(key), "field %q stands twice", key.Value)
+			d.errs.Add(d.pos(key), "duplicate field %q", key.Value)
 		default:
 			d.value(n.Content[i+1], field)
 		}
@@ -215,7 +212,7 @@
 func describe(n *yaml.Node) string {
 	switch n.Kind {
 	case yaml.MappingNode:
-		return "fields"
+		return "a mapping"
 	case yaml.SequenceNode:
 		return "a list"
 	}
@@ -234,5 +231,5 @@
 	case reflect.Bool:
 		return "true or false"
 	}
-	return "a text"
+	return "a string"
 }
