--- a/cmd/ivyctl/blocked.go
+++ b/cmd/ivyctl/blocked.go
@@ -1,6 +1,6 @@
 package main
 
-// This file shows what an instance keeps from endpoints, and lets a request go.
+// This file implements "ivyctl blocked".
 
 import (
 	"context"
@@ -20,26 +20,26 @@
 // blocked runs "ivyctl blocked".
 func blocked(args []string) (int, error) {
 	addr, output, release := "", "table", ""
-	p := cli.Parser("ivyctl blocked", "Shows what an instance keeps from endpoints: requests that end them, teams that send such, endpoints that want none, entries that can't be used.")
+	p := cli.Parser("ivyctl blocked", "Shows what an instance blocks: requests that crash endpoints, teams that send such requests, endpoints that accept none, and invalid registry entries.")
 	p.String(&addr, "a", "address", "metrics address of an instance")
 	p.String(&output, "o", "output", "table or json")
-	p.String(&release, "r", "release", "name of a request (SAME AS) that is to be run again")
+	p.String(&release, "r", "release", "ID (SAME AS) of a blocked request to allow again")
 	if err := p.ParseArgs(args); err != nil {
 		return cli.BadUsage, err
 	}
 	switch {
 	case addr == "":
-		return cli.BadUsage, errors.New("ivyctl blocked: -a ADDR is needed; --help tells more")
+		return cli.BadUsage, errors.New("ivyctl blocked: -a ADDR is needed; see --help")
 	case output != "table" && output != "json":
 		return cli.BadUsage, errors.Errorf("ivyctl blocked: -o %s: want table or json", output)
 	}
-	client := inventory.Client{HTTP: fetch.NewClient(1, fleetRest), Wait: fleetWithin}
+	client := inventory.Client{HTTP: fetch.NewClient(1, idleConnTimeout), Wait: inventoryTimeout}
 	ctx := context.Background()
 	if release != "" {
 		if err := client.Release(ctx, addr, release); err != nil {
 			return cli.Failed, err
 		}
-		fmt.Printf("%s is let go; it is blocked again if it ends endpoints\n", release)
+		fmt.Printf("%s is released; it is blocked again if it crashes endpoints\n", release)
 		return cli.OK, nil
 	}
 	b, err := client.AskBlocked(ctx, addr)
@@ -53,7 +53,8 @@
 	return cli.OK, nil
 }
 
-// printBlocked prints a table of what is blocked, and the entries below it.
+// printBlocked prints a table of blocked requests and slowed teams, and then the endpoints and
+// entries.
 func printBlocked(b *inventory.Blocked) {
 	tw := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "STATE\tSAME AS\tTEAM\tROUTE\tENDS\tLAST\tFORGOTTEN IN\tENDPOINTS")
@@ -65,7 +66,7 @@
 		case r.Counted == 0:
 			state = "cleared"
 		}
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s ago\t%s\t%s\n", state, r.ID, dash(r.Team), r.Route, r.Counted,
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s ago\t%s\t%s\n", state, r.ID, orDash(r.Team), r.Route, r.Counted,
 			seconds(r.LastMS), seconds(r.ForMS), strings.Join(r.Endpoints, " "))
 	}
 	for _, t := range b.Teams {
@@ -87,10 +88,10 @@
 	}
 }
 
-// limitLine tells of an endpoint that names a limit, and who divides it.
+// limitLine describes an endpoint's announced limit and the instance that divides it.
 func limitLine(l *inventory.LimitedEndpoint) string {
 	line := fmt.Sprintf("endpoint names a limit: %s takes %v a second from all instances, as of %s ago; divided by %s",
-		l.ID, l.PerSecond, millis(l.AgeMS), dash(l.Divider))
+		l.ID, l.PerSecond, millis(l.AgeMS), orDash(l.Divider))
 	if l.Part > 0 {
 		line += fmt.Sprintf(" (this instance: %.2f of it, %d permits given out)", l.Part, l.Permits)
 	}
--- a/cmd/ivyctl/fleet.go
+++ b/cmd/ivyctl/fleet.go
@@ -1,6 +1,6 @@
 package main
 
-// This file shows what every instance of a fleet runs.
+// This file implements "ivyctl fleet".
 
 import (
 	"context"
@@ -21,12 +21,12 @@
 )
 
 const (
-	// fleetWithin is how long the asked instance is waited for: it may ask three schedulers.
-	fleetWithin = 2 * time.Second
-	// fleetAgain is the pause between questions of --wait.
-	fleetAgain = 500 * time.Millisecond
-	// fleetRest is how long a connection to the asked instance is kept.
-	fleetRest = 5 * time.Second
+	// inventoryTimeout bounds a request to an instance, which may query three schedulers.
+	inventoryTimeout = 2 * time.Second
+	// fleetPollInterval is the interval between the requests of --wait.
+	fleetPollInterval = 500 * time.Millisecond
+	// idleConnTimeout is how long an idle connection to the instance is kept.
+	idleConnTimeout = 5 * time.Second
 )
 
 type fleetOptions struct {
@@ -38,13 +38,13 @@
 // fleet runs "ivyctl fleet".
 func fleet(args []string) (int, error) {
 	o := fleetOptions{output: "table", within: 30 * time.Second}
-	o.client = inventory.Client{HTTP: fetch.NewClient(1, fleetRest), Wait: fleetWithin}
-	p := cli.Parser("ivyctl fleet", "Shows what every instance of a fleet runs, as any one of them knows it.")
+	o.client = inventory.Client{HTTP: fetch.NewClient(1, idleConnTimeout), Wait: inventoryTimeout}
+	p := cli.Parser("ivyctl fleet", "Shows what every instance of a fleet runs, as known to one of them.")
 	p.String(&o.addr, "a", "address", "metrics address of an instance")
 	p.String(&o.output, "o", "output", "table or json")
 	p.String(&o.wait, "w", "wait", "settings=HASH: wait until all instances run these settings")
 	p.Duration(&o.within, "f", "for", "how long to wait")
-	p.String(&o.diff, "d", "diff", "peers' address of an instance to compare with INSTANCE, setting by setting")
+	p.String(&o.diff, "d", "diff", "peers' address of an instance whose settings to compare with those of INSTANCE")
 	p.AddPositionalValue(&o.with, "INSTANCE", 1, false, "peers' address of the other instance, with --diff")
 	if err := p.ParseArgs(args); err != nil {
 		return cli.BadUsage, err
@@ -52,7 +52,7 @@
 	settings, waits := strings.CutPrefix(o.wait, "settings=")
 	switch {
 	case o.addr == "":
-		return cli.BadUsage, errors.New("ivyctl fleet: -a ADDR is needed; --help tells more")
+		return cli.BadUsage, errors.New("ivyctl fleet: -a ADDR is needed; see --help")
 	case o.output != "table" && o.output != "json":
 		return cli.BadUsage, errors.Errorf("ivyctl fleet: -o %s: want table or json", o.output)
 	case o.wait != "" && (!waits || settings == ""):
@@ -83,7 +83,7 @@
 		}{f, f.Groups(), f.Odd()})
 	}
 	o.print(os.Stdout, f)
-	o.explain(ctx, os.Stdout, f)
+	o.printDifferences(ctx, os.Stdout, f)
 	return cli.OK, nil
 }
 
@@ -93,7 +93,8 @@
 	return cli.OK, out.Encode(v)
 }
 
-// print prints what runs together, and what differs from the most of it.
+// print prints the groups of instances that run the same, and the instances that differ from the
+// largest group.
 func (o *fleetOptions) print(w io.Writer, f *inventory.Fleet) {
 	partial := ""
 	if f.Partial {
@@ -115,12 +116,12 @@
 	}
 	for _, r := range odd {
 		heard := (time.Duration(r.HeardMS) * time.Millisecond).Round(100 * time.Millisecond)
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s ago\n", r.Address, r.DataCentre, strings.Join(r.Differs, ", "), dash(r.Settings), r.Version, heard)
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s ago\n", r.Address, r.DataCentre, strings.Join(r.Differs, ", "), orDash(r.Settings), r.Version, heard)
 	}
 	_ = tw.Flush()
 }
 
-func dash(text string) string {
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
@@ -139,14 +140,15 @@
 	return strings.Join(names, ", ")
 }
 
-// explain prints, for each unlike hash of settings, which of them differ.
-func (o *fleetOptions) explain(ctx context.Context, w io.Writer, f *inventory.Fleet) {
+// printDifferences prints, for each hash of settings that differs from the largest group's, which
+// settings differ.
+func (o *fleetOptions) printDifferences(ctx context.Context, w io.Writer, f *inventory.Fleet) {
 	groups := f.Groups()
 	if len(groups) == 0 || !groups[0].Told {
 		return
 	}
 	seen := map[string]bool{"": true, groups[0].Settings: true}
-	common := first(f, groups[0].Settings)
+	common := addressRunning(f, groups[0].Settings)
 	for _, r := range f.Rows {
 		if r.Lost || seen[r.Settings] {
 			continue
@@ -161,8 +163,8 @@
 	}
 }
 
-// first returns the address of an instance that runs settings.
-func first(f *inventory.Fleet, settings string) string {
+// addressRunning returns the address of an instance that runs settings, or "" if there is none.
+func addressRunning(f *inventory.Fleet, settings string) string {
 	for _, r := range f.Rows {
 		if r.Settings == settings && !r.Lost {
 			return r.Address
@@ -171,7 +173,7 @@
 	return ""
 }
 
-// printDiff prints the settings that b has unlike a.
+// printDiff prints the settings in which a and b differ.
 func printDiff(w io.Writer, a, b *inventory.Detail) {
 	for _, d := range []*inventory.Detail{a, b} {
 		if d.Error != "" {
@@ -197,11 +199,11 @@
 	}
 }
 
-// compare prints the settings that two instances have unlike.
+// compare prints the settings in which two instances differ.
 func (o *fleetOptions) compare() (int, error) {
 	details, err := o.client.AskDetails(context.Background(), o.addr, o.diff, o.with)
 	if err == nil && len(details) != 2 {
-		err = errors.Errorf("ivyctl fleet: %s told of %d instances, not of two", o.addr, len(details))
+		err = errors.Errorf("ivyctl fleet: %s returned the settings of %d instances, want 2", o.addr, len(details))
 	}
 	if err != nil {
 		return cli.Failed, err
@@ -213,8 +215,7 @@
 	return cli.OK, nil
 }
 
-// await waits until all instances run settings, and prints those that lack them if they
-// don't in time.
+// await waits until all instances run settings. At the timeout it prints those that do not.
 func (o *fleetOptions) await(settings string) (int, error) {
 	end := time.Now().Add(o.within)
 	for {
@@ -227,18 +228,18 @@
 			fmt.Printf("all %d instances run settings %s\n", len(f.Rows), settings)
 			return cli.OK, nil
 		}
-		if time.Now().Add(fleetAgain).After(end) {
+		if time.Now().Add(fleetPollInterval).After(end) {
 			for _, r := range lacking {
-				fmt.Printf("%s\t%s\t%s\n", r.Address, r.DataCentre, dash(r.Settings))
+				fmt.Printf("%s\t%s\t%s\n", r.Address, r.DataCentre, orDash(r.Settings))
 			}
-			return cli.Failed, errors.Wrapf(orLacking(err, len(lacking)), "ivyctl fleet: not within %s", o.within)
+			return cli.Failed, errors.Wrapf(lackingError(err, len(lacking)), "ivyctl fleet: not within %s", o.within)
 		}
-		time.Sleep(fleetAgain)
+		time.Sleep(fleetPollInterval)
 	}
 }
 
-// orLacking returns err, or one that counts the instances that lack settings.
-func orLacking(err error, lacking int) error {
+// lackingError returns err, or else an error with the number of instances that lack the settings.
+func lackingError(err error, lacking int) error {
 	if err != nil {
 		return err
 	}
--- a/cmd/ivyctl/main.go
+++ b/cmd/ivyctl/main.go
@@ -1,4 +1,4 @@
-// Command ivyctl checks files, issues keys, and speaks to instances.
+// Command ivyctl checks files, issues keys, and queries and operates instances.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"ivyridge/settings"
 )
 
-// tokenVariable holds the operator's bearer token.
+// tokenVariable is the environment variable with the operator's bearer token.
 const tokenVariable = "IVYCTL_TOKEN"
 
 type options struct {
@@ -26,17 +26,17 @@
 
 func main() {
 	o := options{output: "table"}
-	p := cli.Parser("ivyctl", "Checks ivyridge's files, issues keys, and speaks to instances.\n"+
+	p := cli.Parser("ivyctl", "Checks ivyridge's files, issues keys, and queries and operates instances.\n"+
 		"  ivyctl check FILE...          check settings and declarations\n"+
-		"  ivyctl keys DIR NAME...       issue peer keys; makes the authority if DIR has none\n"+
-		"  ivyctl fleet -a ADDR          what every instance runs; --help tells more\n"+
-		"  ivyctl blocked -a ADDR        what an instance keeps from endpoints; --help tells more\n"+
-		"  ivyctl sets -a ADDR           which endpoints an instance chooses among; --help tells more\n"+
-		"  ivyctl -a ADDR 'STATEMENT'    send a statement; without one, read them from a prompt\n"+
-		"The operator's bearer token is taken from "+tokenVariable+".")
+		"  ivyctl keys DIR NAME...       issue peer keys; creates the authority if DIR has none\n"+
+		"  ivyctl fleet -a ADDR          what every instance runs; see --help\n"+
+		"  ivyctl blocked -a ADDR        requests, teams and endpoints that an instance blocks; see --help\n"+
+		"  ivyctl sets -a ADDR           the endpoints that an instance selects among; see --help\n"+
+		"  ivyctl -a ADDR 'STATEMENT'    send a statement; without one, prompt for statements\n"+
+		"The operator's bearer token is read from the environment variable "+tokenVariable+".")
 	p.String(&o.addr, "a", "address", "operators' address of an instance")
 	p.String(&o.output, "o", "output", "table or json")
-	p.AddPositionalValue(&o.statement, "STATEMENT", 1, false, "such as: show refused by class, reason over 30s")
+	p.AddPositionalValue(&o.statement, "STATEMENT", 1, false, "for example: show refused by class, reason over 30s")
 	if len(os.Args) > 1 && os.Args[1] == "fleet" {
 		cli.Exit(fleet(os.Args[2:]))
 	}
@@ -46,25 +46,25 @@
 	if len(os.Args) > 1 && os.Args[1] == "sets" {
 		cli.Exit(sets(os.Args[2:]))
 	}
-	// flaggy takes no words without end, so these two are read here.
+	// flaggy does not support a variable number of arguments, so these two commands are parsed here.
 	if len(os.Args) > 1 && (os.Args[1] == "check" || os.Args[1] == "keys") {
-		cli.Exit(withWords(os.Args[1], os.Args[2:]))
+		cli.Exit(runWithArgs(os.Args[1], os.Args[2:]))
 	}
 	cli.Parse(p)
-	cli.Exit(o.speak())
+	cli.Exit(o.runStatements())
 }
 
-func withWords(verb string, args []string) (int, error) {
+func runWithArgs(verb string, args []string) (int, error) {
 	if verb == "check" {
 		return checkAll(args)
 	}
 	return issueKeys(args)
 }
 
-// checkAll checks files and prints every fault.
+// checkAll checks files and prints every error.
 func checkAll(files []string) (int, error) {
 	if len(files) == 0 {
-		return cli.BadUsage, errors.New("ivyctl check: name a file")
+		return cli.BadUsage, errors.New("ivyctl check: no files given")
 	}
 	code := cli.OK
 	for _, file := range files {
@@ -76,7 +76,7 @@
 	return code, nil
 }
 
-// checkFile tells settings from declarations by their fields.
+// checkFile checks a settings or declarations file, which it distinguishes by the field "listen".
 func checkFile(file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -95,7 +95,7 @@
 
 func issueKeys(args []string) (int, error) {
 	if len(args) < 2 {
-		return cli.BadUsage, errors.New("ivyctl keys: name a directory and at least one instance")
+		return cli.BadUsage, errors.New("ivyctl keys: want a directory and at least one instance name")
 	}
 	dir := args[0]
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -114,10 +114,10 @@
 	return cli.OK, nil
 }
 
-// speak sends one statement, or those typed at a prompt.
-func (o *options) speak() (int, error) {
+// runStatements sends one statement, or prompts for statements until the end of the input.
+func (o *options) runStatements() (int, error) {
 	if o.addr == "" {
-		return cli.BadUsage, errors.New("ivyctl: -a ADDR is needed; --help tells more")
+		return cli.BadUsage, errors.New("ivyctl: -a ADDR is needed; see --help")
 	}
 	if o.output != "table" && o.output != "json" {
 		return cli.BadUsage, errors.Errorf("ivyctl: -o %s: want table or json", o.output)
--- a/cmd/ivyctl/sets.go
+++ b/cmd/ivyctl/sets.go
@@ -1,6 +1,6 @@
 package main
 
-// This file shows which endpoints an instance chooses among.
+// This file implements "ivyctl sets".
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 // sets runs "ivyctl sets".
 func sets(args []string) (int, error) {
 	addr, output := "", "table"
-	p := cli.Parser("ivyctl sets", "Shows the part of each service's endpoints that an instance chooses among, why it has its size, and endpoints that say they are slow.")
+	p := cli.Parser("ivyctl sets", "Shows each service's working set: the endpoints that an instance selects among, and the reason for their number; and endpoints that report that they are slow.")
 	p.String(&addr, "a", "address", "metrics address of an instance")
 	p.String(&output, "o", "output", "table or json")
 	if err := p.ParseArgs(args); err != nil {
@@ -26,11 +26,11 @@
 	}
 	switch {
 	case addr == "":
-		return cli.BadUsage, errors.New("ivyctl sets: -a ADDR is needed; --help tells more")
+		return cli.BadUsage, errors.New("ivyctl sets: -a ADDR is needed; see --help")
 	case output != "table" && output != "json":
 		return cli.BadUsage, errors.Errorf("ivyctl sets: -o %s: want table or json", output)
 	}
-	client := inventory.Client{HTTP: fetch.NewClient(1, fleetRest), Wait: fleetWithin}
+	client := inventory.Client{HTTP: fetch.NewClient(1, idleConnTimeout), Wait: inventoryTimeout}
 	s, err := client.AskSets(context.Background(), addr)
 	if err != nil {
 		return cli.Failed, err
@@ -42,12 +42,12 @@
 	return cli.OK, nil
 }
 
-// printSets prints a table of working sets, and slow endpoints below it.
+// printSets prints a table of working sets, and then the slow endpoints.
 func printSets(s *inventory.Sets) {
 	tw := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "SERVICE\tLISTED\tOPEN\tUSED\tNEEDED\tWHY")
 	for _, w := range s.Services {
-		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\t%s\n", w.Service, w.Listed, w.Open, w.Used, w.Needed, why(&w))
+		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\t%s\n", w.Service, w.Listed, w.Open, w.Used, w.Needed, sizeReason(&w))
 	}
 	_ = tw.Flush()
 	for _, e := range s.Slow {
@@ -55,8 +55,8 @@
 	}
 }
 
-// why says why a working set has its size.
-func why(w *inventory.WorkingSet) string {
+// sizeReason explains the size of a working set.
+func sizeReason(w *inventory.WorkingSet) string {
 	switch {
 	case w.Used >= w.Listed && w.GrownMS < 0:
 		return "few are listed"
--- a/cmd/ivyentry/main.go
+++ b/cmd/ivyentry/main.go
@@ -1,5 +1,4 @@
-// Command ivyentry is the daemon of one entry instance on the users'
-// platform.
+// Command ivyentry runs one instance on the users' platform.
 package main
 
 import (
@@ -18,31 +17,32 @@
 )
 
 const (
-	// gcPercent is how much the heap may grow between collections, in percent of what is
-	// in use. An ordinary instance has 1.5 MB in use; by default the runtime lets its heap
-	// grow to 4 MB before the first collection, of some 8 MB that the process takes.
+	// gcPercent is the heap growth between collections, in percent of the live heap. An ordinary
+	// instance has a live heap of 1.5 MB, but by default the runtime lets the heap grow to 4 MB
+	// before the first collection.
 	gcPercent = 50
-	// memoryPart is the part of the machine's memory from which the runtime collects more
-	// often instead of taking more.
-	memoryPart = 0.75
+	// memoryLimitFraction is the fraction of the machine's memory above which the runtime collects
+	// more often instead of using more memory.
+	memoryLimitFraction = 0.75
 )
 
-// boundMemory fits the runtime to the machine, unless its environment says otherwise.
-func boundMemory(s *instance.Settings) {
+// limitMemory sets the runtime's memory parameters for the machine, except those set by the
+// environment.
+func limitMemory(s *instance.Settings) {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
 	}
 	if s.Machine.MemoryMB > 0 && os.Getenv("GOMEMLIMIT") == "" {
-		debug.SetMemoryLimit(int64(memoryPart * float64(s.Machine.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.Machine.MemoryMB) * (1 << 20)))
 	}
 }
 
 func main() {
 	file := platform.SettingsFile()
-	p := cli.Parser("ivyentry", "The daemon of one ivyridge instance on the users' platform.")
+	p := cli.Parser("ivyentry", "Runs one ivyridge instance on the users' platform.")
 	check := false
-	p.String(&file, "c", "config", "settings file (YAML); by default the one that the platform names")
-	p.Bool(&check, "", "check", "check the settings and end")
+	p.String(&file, "c", "config", "settings file (YAML); the platform's by default")
+	p.Bool(&check, "", "check", "check the settings and exit")
 	cli.Parse(p)
 
 	s, err := instance.LoadSettings(file)
@@ -52,7 +52,7 @@
 	if check {
 		return
 	}
-	boundMemory(s)
+	limitMemory(s)
 	counters := expvar.NewMap("ivyridge")
 	dropped := new(expvar.Int)
 	counters.Set("log_lines_dropped", dropped)
--- a/cmd/ivyfake/main.go
+++ b/cmd/ivyfake/main.go
@@ -1,4 +1,4 @@
-// Command ivyfake runs the stand-ins: engines, services and the platform.
+// Command ivyfake runs stand-ins for engines, plain services and the platform.
 package main
 
 import (
--- a/cmd/ivyload/main.go
+++ b/cmd/ivyload/main.go
@@ -1,4 +1,5 @@
-// Command ivyload drives a load and reports what came of it.
+// Command ivyload sends generated load to instances, measures policies in simulation, and reports
+// the results.
 package main
 
 import (
@@ -35,34 +36,34 @@
 
 func main() {
 	o := options{sizes: "6,24,96", rig: rig.Params{Endpoints: 16, Pools: 1, Teams: 10, Claimed: 0.5, Hold: 2 * time.Second, Duration: 5 * time.Second}, out: "out", control: "127.0.0.1:7900", seed: 1, dir: "bench", policies: "full", seeds: 3}
-	p := cli.Parser("ivyload", "An open-loop load for ivyridge, with reports.")
+	p := cli.Parser("ivyload", "Open-loop load generator for ivyridge, with reports.")
 	run := flaggy.NewSubcommand("run")
 	run.Description = "send a workload and write a report"
 	run.String(&o.workload, "w", "workload", "workload file (YAML)")
 	run.String(&o.targets, "t", "targets", "callers' addresses of the instances, separated by commas")
 	run.String(&o.out, "o", "out", "directory for the report")
-	run.String(&o.control, "f", "fakes", "control address of the stand-ins, whose books are read")
-	run.UInt64(&o.seed, "s", "seed", "seed of the arrivals")
+	run.String(&o.control, "f", "fakes", "control address of the stand-ins, from which their request records are read")
+	run.UInt64(&o.seed, "s", "seed", "seed of the random arrivals")
 	run.Int(&o.mark, "k", "mark", "also print attainment in the 10 s before and after this second")
 	compare := flaggy.NewSubcommand("compare")
 	compare.Description = "print two reports side by side"
 	compare.AddPositionalValue(&o.a, "A", 1, true, "a report.json")
-	compare.AddPositionalValue(&o.b, "B", 2, true, "another")
+	compare.AddPositionalValue(&o.b, "B", 2, true, "another report.json")
 	policy := flaggy.NewSubcommand("policy")
-	policy.Description = "measure policies in virtual time"
-	policy.String(&o.dir, "d", "dir", "directory with the users' declarations and workloads")
+	policy.Description = "measure policies in simulated time"
+	policy.String(&o.dir, "d", "dir", "directory with declarations and workloads")
 	policy.String(&o.scenario, "m", "match", "run only scenarios whose name contains this")
 	policy.String(&o.policies, "p", "policies", "policies, separated by commas: full, fifo, strict")
 	policy.String(&o.without, "x", "without", "mechanisms to switch off, separated by commas")
 	policy.Int(&o.seeds, "n", "seeds", "number of seeds")
 	policy.Bool(&o.ablate, "a", "ablate", "run full with each mechanism switched off in turn")
 	capacity := flaggy.NewSubcommand("capacity")
-	capacity.Description = "measure what control costs an instance, on loopback"
+	capacity.Description = "measure an instance's control overhead, on loopback"
 	capacity.String(&o.sizes, "i", "instances", "numbers of instances, separated by commas")
 	capacity.Int(&o.rig.Endpoints, "e", "endpoints", "number of endpoints")
 	capacity.Int(&o.rig.Pools, "p", "pools", "number of models, among which the endpoints are divided")
 	capacity.Int(&o.rig.Teams, "m", "teams", "number of teams")
-	capacity.Float64(&o.rig.Rate, "r", "rate", "requests a second over the fleet")
+	capacity.Float64(&o.rig.Rate, "r", "rate", "requests per second over the fleet")
 	capacity.Duration(&o.rig.Hold, "l", "hold", "how long a granted request runs")
 	capacity.Duration(&o.rig.Duration, "d", "duration", "how long each size is measured")
 	p.AttachSubcommand(capacity, 1)
@@ -83,7 +84,7 @@
 	case policy.Used:
 		code, err = o.policy()
 	default:
-		code, err = cli.BadUsage, errors.New("ivyload: say run, compare or policy; --help tells more")
+		code, err = cli.BadUsage, errors.New("ivyload: want a subcommand: run, compare, policy or capacity; see --help")
 	}
 	cli.Exit(code, err)
 }
@@ -122,7 +123,7 @@
 	return cli.OK, r.WriteTable(os.Stdout)
 }
 
-// progress shows how far the run is, where someone may be watching.
+// progress prints the numbers of requests sent and answered while standard error is a terminal.
 func progress(ctx context.Context, c *load.Client, all int) {
 	if info, err := os.Stderr.Stat(); err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return
@@ -145,7 +146,7 @@
 	return cli.OK, load.Compare(os.Stdout, a, b)
 }
 
-// policy runs the policy experiments and prints their table.
+// policy runs the policy experiments and prints a table of the results.
 func (o *options) policy() (int, error) {
 	users, err := experiment.Users(o.dir)
 	if err != nil {
@@ -169,7 +170,7 @@
 	return cli.OK, experiment.Write(os.Stdout, rows)
 }
 
-// A variant is a policy to measure, and what to call it.
+// A variant is a policy to measure and its name in the table.
 type variant struct {
 	name   string
 	policy home.Policy
@@ -200,13 +201,13 @@
 	return out, nil
 }
 
-// capacity measures control at several sizes and prints a line for each.
+// capacity measures the control overhead for each number of instances and prints a line for each.
 func (o *options) capacity() (int, error) {
 	fmt.Println("instances  endpoints  pools  teams  requests/s  core %  KB/s  messages/s  heap MB  platform calls/min  spread ms")
 	for _, size := range strings.Split(o.sizes, ",") {
 		n, err := strconv.Atoi(size)
 		if err != nil || n < 1 {
-			return cli.BadUsage, errors.Errorf("ivyload capacity: %q is not a number of instances", size)
+			return cli.BadUsage, errors.Errorf("ivyload capacity: invalid number of instances %q", size)
 		}
 		p := o.rig
 		p.Instances = n
--- a/cmd/ivyrouted/main.go
+++ b/cmd/ivyrouted/main.go
@@ -1,4 +1,4 @@
-// Command ivyrouted is the daemon of one entry instance.
+// Command ivyrouted runs one ivyridge instance.
 package main
 
 import (
@@ -15,7 +15,7 @@
 
 func main() {
 	file := "settings.yaml"
-	p := cli.Parser("ivyrouted", "The daemon of one ivyridge instance: it stands between callers and endpoints.")
+	p := cli.Parser("ivyrouted", "Runs one ivyridge instance, which routes callers' requests to endpoints.")
 	p.String(&file, "c", "config", "settings file (YAML)")
 	cli.Parse(p)
 
@@ -34,9 +34,9 @@
 		cli.Exit(cli.Failed, err)
 	}
 	<-stop
-	signal.Stop(stop) // a second signal ends the process at once
+	signal.Stop(stop) // a second signal kills the process
 	if err := d.Leave(); err != nil {
-		log.Error("left unclean", zap.Error(err))
+		log.Error("shutdown incomplete", zap.Error(err))
 		_ = log.Sync()
 		cli.Exit(cli.Failed, nil)
 	}
--- a/cmd/ivysoak/main.go
+++ b/cmd/ivysoak/main.go
@@ -1,5 +1,5 @@
-// Command ivysoak runs real instances under faults that a seed draws, and
-// checks the promises by what callers, endpoints and the store saw.
+// Command ivysoak runs router instances under randomly drawn faults and checks the rules of
+// package soak against what callers, endpoints and the store observe.
 package main
 
 import (
@@ -23,22 +23,22 @@
 
 func main() {
 	binary, out, seed, lasts, instances, rate, net := "bin/ivyentry", "out/soak", uint64(1), 60*time.Second, 6, 80.0, 64
-	p := cli.Parser("ivysoak", "Real instances under faults; promises are checked by what callers and endpoints saw.")
-	p.String(&binary, "b", "binary", "the daemon")
-	p.String(&out, "o", "out", "folder of settings, logs and the report")
-	p.UInt64(&seed, "s", "seed", "what the faults are drawn from")
-	p.Duration(&lasts, "f", "for", "how long faults strike")
-	p.Int(&instances, "i", "instances", "how many instances run")
-	p.Float64(&rate, "r", "rate", "requests a second")
-	p.Int(&net, "n", "net", "second number of the loopback addresses, 1 to 254; soaks at the same time need different ones")
+	p := cli.Parser("ivysoak", "Runs instances under injected faults and checks what callers, endpoints and the store observe.")
+	p.String(&binary, "b", "binary", "path of the daemon")
+	p.String(&out, "o", "out", "directory for settings, logs and the report")
+	p.UInt64(&seed, "s", "seed", "seed of the random faults and requests")
+	p.Duration(&lasts, "f", "for", "how long faults are injected")
+	p.Int(&instances, "i", "instances", "number of instances")
+	p.Float64(&rate, "r", "rate", "requests per second")
+	p.Int(&net, "n", "net", "second octet of the loopback addresses, 1 to 254; concurrent soaks need different ones")
 	var kinds []string
 	list := false
 	var older soak.Older
-	p.String(&older.Binary, "p", "previous", "a daemon of an earlier build, which every second instance runs at first")
-	p.StringSlice(&older.Lacks, "x", "previous-lacks", "settings that it doesn't know")
-	p.StringSlice(&older.Rules, "u", "previous-breaks", "promises that it doesn't know, checked of the newer instances alone")
-	p.StringSlice(&kinds, "k", "kinds", "kinds of faults; by default all")
-	p.Bool(&list, "l", "list", "list the kinds of faults and the promises that are checked, and end")
+	p.String(&older.Binary, "p", "previous", "path of an earlier build of the daemon, which every second instance runs at first")
+	p.StringSlice(&older.Lacks, "x", "previous-lacks", "settings that the earlier build does not know")
+	p.StringSlice(&older.Rules, "u", "previous-breaks", "rules that the earlier build does not fulfil, checked for newer instances only")
+	p.StringSlice(&kinds, "k", "kinds", "kinds of faults; all by default")
+	p.Bool(&list, "l", "list", "list the kinds of faults and the rules, and exit")
 	cli.Parse(p)
 	if list {
 		fmt.Println(strings.Join(append(soak.Kinds(), soak.Rules()...), "\n"))
@@ -67,7 +67,7 @@
 	}
 }
 
-// play runs a soak, which a signal ends early.
+// play runs a soak, which SIGINT or SIGTERM ends early.
 func play(p soak.Params) (*soak.Result, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
