--- a/cmd/ivysoak/main.go
+++ b/cmd/ivysoak/main.go
@@ -22,12 +22,12 @@
 )
 
 func main() {
-	binary, out, seed, lasts, instances, rate, net := "bin/ivyentry", "out/soak", uint64(1), 60*time.Second, 6, 80.0, 64
+	binary, out, seed, duration, instances, rate, net := "bin/ivyentry", "out/soak", uint64(1), 60*time.Second, 6, 80.0, 64
 	p := cli.Parser("ivysoak", "Runs instances under injected faults and checks what callers, endpoints and the store observe.")
 	p.String(&binary, "b", "binary", "path of the daemon")
 	p.String(&out, "o", "out", "directory for settings, logs and the report")
 	p.UInt64(&seed, "s", "seed", "seed of the random faults and requests")
-	p.Duration(&lasts, "f", "for", "how long faults are injected")
+	p.Duration(&duration, "f", "for", "how long faults are injected")
 	p.Int(&instances, "i", "instances", "number of instances")
 	p.Float64(&rate, "r", "rate", "requests per second")
 	p.Int(&net, "n", "net", "second octet of the loopback addresses, 1 to 254; concurrent soaks need different ones")
@@ -53,7 +53,7 @@
 		cli.Exit(cli.Failed, errors.Wrap(err, "soak"))
 	}
 	result, err := play(soak.Params{
-		Seed: seed, For: lasts, Instances: instances, Rate: rate, Binary: binary, Dir: dir, Net: net, Kinds: kinds, Older: older,
+		Seed: seed, For: duration, Instances: instances, Rate: rate, Binary: binary, Dir: dir, Net: net, Kinds: kinds, Older: older,
 	})
 	if err != nil {
 		cli.Exit(cli.Failed, err)
--- a/internal/fetch/fetch.go
+++ b/internal/fetch/fetch.go
@@ -40,9 +40,9 @@
 	probeCount    = 2
 )
 
-// NewClient returns a client that keeps up to kept idle connections per host for up to rest, and
-// follows no redirects. It detects a dead connection by keep-alive probes.
-func NewClient(kept int, rest time.Duration) *http.Client {
+// NewClient returns a client that keeps up to maxIdle idle connections per host, each for up to
+// idleTimeout, and follows no redirects. It detects a dead connection by keep-alive probes.
+func NewClient(maxIdle int, idleTimeout time.Duration) *http.Client {
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount},
@@ -51,8 +51,8 @@
 		Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
 			DisableCompression:  true,
-			MaxIdleConnsPerHost: kept,
-			IdleConnTimeout:     rest,
+			MaxIdleConnsPerHost: maxIdle,
+			IdleConnTimeout:     idleTimeout,
 			ReadBufferSize:      4 << 10,
 			WriteBufferSize:     1 << 10,
 		},
@@ -97,9 +97,9 @@
 // Unwrap returns the reason of the failure.
 func (e *CutError) Unwrap() error { return e.Err }
 
-// Do makes a call and reads its complete response, whose body may have up to most bytes. Every
-// error is a *CutError.
-func Do(client *http.Client, req *http.Request, most int64, w Wait) (*Answer, error) {
+// Do makes a call and reads its complete response, whose body may have up to maxBytes. Every error
+// is a *CutError.
+func Do(client *http.Client, req *http.Request, maxBytes int64, w Wait) (*Answer, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
 	defer cancel(nil)
 	silence := time.AfterFunc(w.Begin, func() { cancel(ErrSilent) })
@@ -113,12 +113,12 @@
 	if w.Begun != nil {
 		w.Begun()
 	}
-	whole := time.AfterFunc(arrivalTimeout, func() { cancel(ErrTrickling) })
-	defer whole.Stop()
+	arrival := time.AfterFunc(arrivalTimeout, func() { cancel(ErrTrickling) })
+	defer arrival.Stop()
 	a := &Answer{Status: res.StatusCode, First: time.Since(began)}
-	a.Body, err = io.ReadAll(io.LimitReader(&idleReader{res.Body, silence}, most+1))
+	a.Body, err = io.ReadAll(io.LimitReader(&idleReader{res.Body, silence}, maxBytes+1))
 	a.Took = time.Since(began)
-	if err == nil && int64(len(a.Body)) > most {
+	if err == nil && int64(len(a.Body)) > maxBytes {
 		err = ErrTooLong
 	}
 	if err != nil {
@@ -156,7 +156,7 @@
 	silence *time.Timer
 }
 
-func (h *idleReader) Read(p []byte) (int, error) {
-	h.silence.Reset(silenceTimeout)
-	return h.Reader.Read(p)
+func (r *idleReader) Read(p []byte) (int, error) {
+	r.silence.Reset(silenceTimeout)
+	return r.Reader.Read(p)
 }
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -27,8 +27,8 @@
 var next atomic.Int64
 
 // Find returns a port that is free for TCP and UDP on all addresses. It returns no port twice in a
-// process until the whole block was tried. It fails the test if no port of the block is free, and
-// may be called concurrently.
+// process until the whole block was tried. It fails the test if no port of the block is free.
+// Concurrent tests may call it.
 func Find(t testing.TB) int {
 	t.Helper()
 	first := Lowest + os.Getpid()%blockCount*blockSize
--- a/internal/link/narrow.go
+++ b/internal/link/narrow.go
@@ -16,9 +16,9 @@
 	busyUntil time.Time // when the last accepted datagram has been sent
 }
 
-// NewNarrow returns a link that forwards rate bytes per second, and drops datagrams whose queueing
-// delay would exceed most.
-func NewNarrow(rate int, most time.Duration) *Narrow { return &Narrow{rate: rate, maxWait: most} }
+// NewNarrow returns a link that forwards rate bytes per second, and drops datagrams that would
+// wait longer than maxWait.
+func NewNarrow(rate int, maxWait time.Duration) *Narrow { return &Narrow{rate: rate, maxWait: maxWait} }
 
 // enqueue returns how long a datagram that arrives now takes to be queued and sent, or false if it
 // is dropped.
--- a/internal/link/tcp.go
+++ b/internal/link/tcp.go
@@ -40,13 +40,13 @@
 	closed     bool
 }
 
-// ListenTCP starts a link from an address, IP:port, to another one.
-func ListenTCP(address, to string) (*TCP, error) {
+// ListenTCP starts a link that listens on address, IP:port, and forwards to target.
+func ListenTCP(address, target string) (*TCP, error) {
 	listen, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	l := &TCP{Address: listen.Addr().String(), target: to, listener: listen, conns: make(map[net.Conn]*atomic.Bool), changed: make(chan struct{})}
+	l := &TCP{Address: listen.Addr().String(), target: target, listener: listen, conns: make(map[net.Conn]*atomic.Bool), changed: make(chan struct{})}
 	go l.accept()
 	return l, nil
 }
@@ -74,8 +74,8 @@
 func (l *TCP) Hush() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, hushed := range l.conns {
-		hushed.Store(true)
+	for _, silenced := range l.conns {
+		silenced.Store(true)
 	}
 }
 
@@ -99,32 +99,32 @@
 
 func (l *TCP) accept() {
 	for {
-		near, err := l.listener.Accept()
+		client, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.connect(near)
+		go l.connect(client)
 	}
 }
 
 // connect forwards a connection in both directions until both have ended.
-func (l *TCP) connect(near net.Conn) {
-	far, err := net.Dial("tcp", l.target)
+func (l *TCP) connect(client net.Conn) {
+	server, err := net.Dial("tcp", l.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	hushed := new(atomic.Bool)
-	if !l.register(hushed, near, far) {
+	silenced := new(atomic.Bool)
+	if !l.register(silenced, client, server) {
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { l.forward(far, near, false, hushed) })
-	both.Go(func() { l.forward(near, far, true, hushed) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { l.forward(server, client, false, silenced) })
+	directions.Go(func() { l.forward(client, server, true, silenced) })
+	directions.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, c := range []net.Conn{near, far} {
+	for _, c := range []net.Conn{client, server} {
 		delete(l.conns, c)
 		_ = c.Close()
 	}
@@ -132,7 +132,7 @@
 
 // register adds the two ends of a connection, or resets them and returns false if the link is
 // closed.
-func (l *TCP) register(hushed *atomic.Bool, conns ...net.Conn) bool {
+func (l *TCP) register(silenced *atomic.Bool, conns ...net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range conns {
@@ -140,19 +140,19 @@
 			reset(c)
 			continue
 		}
-		l.conns[c] = hushed
+		l.conns[c] = silenced
 	}
 	return !l.closed
 }
 
 // forward copies one direction under the link's conditions until it ends, and propagates its end.
-func (l *TCP) forward(to, from net.Conn, back bool, hushed *atomic.Bool) {
+func (l *TCP) forward(to, from net.Conn, back bool, silenced *atomic.Bool) {
 	buf := make([]byte, 16<<10)
-	passed := 0
+	forwarded := 0
 	for {
 		n, err := from.Read(buf[:l.readSize(back, len(buf))])
 		w := l.awaitOpen(back)
-		if hushed.Load() {
+		if silenced.Load() {
 			if err != nil {
 				return // the end of a silenced connection is not propagated
 			}
@@ -160,8 +160,8 @@
 		}
 		if n > 0 {
 			time.Sleep(w.Delay)
-			passed += n
-			if back && w.Cut > 0 && passed > w.Cut {
+			forwarded += n
+			if back && w.Cut > 0 && forwarded > w.Cut {
 				reset(to)
 				reset(from)
 				return
@@ -189,13 +189,13 @@
 }
 
 // readSize returns how many bytes to read at once.
-func (l *TCP) readSize(back bool, most int) int {
+func (l *TCP) readSize(back bool, limit int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !back || l.conditions.Rate == 0 {
-		return most
+		return limit
 	}
-	return min(most, max(1, l.conditions.Rate*int(rateInterval/time.Millisecond)/1000))
+	return min(limit, max(1, l.conditions.Rate*int(rateInterval/time.Millisecond)/1000))
 }
 
 // awaitOpen waits until the link lets a direction through, and returns its condition.
--- a/internal/link/udp.go
+++ b/internal/link/udp.go
@@ -51,10 +51,10 @@
 
 // Set sets the function that returns the condition of datagrams between two processes, by name. It
 // is called while the Switch is locked, and must not call the Switch.
-func (s *Switch) Set(sky func(from, to string) Sky) {
+func (s *Switch) Set(conditions func(from, to string) Sky) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.conditions = sky
+	s.conditions = conditions
 }
 
 // Join attaches a process with its own address and its front, each IP:port.
@@ -63,11 +63,11 @@
 	if err != nil {
 		return err
 	}
-	at, err := net.ResolveUDPAddr("udp4", front)
+	frontAddress, err := net.ResolveUDPAddr("udp4", front)
 	if err != nil {
 		return err
 	}
-	conn, err := net.ListenUDP("udp4", at)
+	conn, err := net.ListenUDP("udp4", frontAddress)
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 	case s.rng.Float64() < sky.Double:
 		copies = 2
 	}
-	var late []time.Duration
+	var delays []time.Duration
 	for range copies {
 		d := sky.Delay
 		if sky.Late > 0 {
@@ -133,10 +133,10 @@
 			}
 			d += queued
 		}
-		late = append(late, d)
+		delays = append(delays, d)
 	}
 	s.mu.Unlock()
-	for _, d := range late {
+	for _, d := range delays {
 		time.AfterFunc(d, func() { _, _ = sender.conn.WriteToUDPAddrPort(data, p.own) })
 	}
 }
--- a/soak/balancer.go
+++ b/soak/balancer.go
@@ -60,14 +60,14 @@
 	all := b.fleet.live()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var in []*instance
+	var eligible []*instance
 	for _, r := range all {
 		if b.misses[r] <= maxMisses {
-			in = append(in, r)
+			eligible = append(eligible, r)
 		}
 	}
-	if 2*len(in) < len(all) {
-		in = all
+	if 2*len(eligible) < len(all) {
+		eligible = all
 	}
-	return in[rng.IntN(len(in))]
+	return eligible[rng.IntN(len(eligible))]
 }
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -137,16 +137,16 @@
 
 // send sends q through its instance's link and records the response.
 func (c *callers) send(q *Request, client *http.Client, abandons bool) {
-	within := q.Deadline + callGrace
+	timeout := q.Deadline + callGrace
 	if abandons {
-		within = abandonAfter
+		timeout = abandonAfter
 	}
-	c.sendTo(c.fleet.callersAddress(q.Instance), q, client, within, abandons)
+	c.sendTo(c.fleet.callersAddress(q.Instance), q, client, timeout, abandons)
 }
 
-// sendTo sends q to an address, waits at most for within, and records the response.
-func (c *callers) sendTo(address string, q *Request, client *http.Client, within time.Duration, abandons bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// sendTo sends q to an address, waits at most for timeout, and records the response.
+func (c *callers) sendTo(address string, q *Request, client *http.Client, timeout time.Duration, abandons bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	q.Sent = time.Now()
 	reply := standin.Call(ctx, client, address, &q.Ask)
--- a/soak/check.go
+++ b/soak/check.go
@@ -109,7 +109,7 @@
 	maxMemoryMB    = 256
 )
 
-// each calls visit for all requests in order of their IDs.
+// each calls f for all requests in order of their IDs.
 func (b *Books) each(f func(*Request)) {
 	ids := make([]string, 0, len(b.Requests))
 	for id := range b.Requests {
@@ -147,6 +147,7 @@
 	return out
 }
 
+// hasEndpointAnswer reports whether q's response is that of an endpoint that executed q.
 func (b *Books) hasEndpointAnswer(q *Request) bool {
 	for _, r := range b.Runs[q.ID] {
 		if r.Ran && q.Text == standin.Answer(r.Endpoint, q.ID) {
@@ -226,7 +227,7 @@
 	possible := b.possibleVersions(q.Sent, q.Done)
 	for _, v := range possible {
 		_, routed := v.Routes[q.Route]
-		if _, held := v.Keys[q.Key]; !routed || !held || v.servedNowhere(q) {
+		if _, issued := v.Keys[q.Key]; !routed || !issued || v.servedNowhere(q) {
 			return false
 		}
 	}
@@ -336,13 +337,15 @@
 	return out
 }
 
+// everAllowed reports whether some version mapped q's route to service, and some version, not
+// necessarily the same, had q's key.
 func (b *Books) everAllowed(q *Request, service string) bool {
 	route, key := false, false
 	for i := range b.Versions {
 		v := &b.Versions[i]
 		route = route || v.Routes[q.Route].Service == service
-		_, held := v.Keys[q.Key]
-		key = key || held
+		_, issued := v.Keys[q.Key]
+		key = key || issued
 	}
 	return route && key
 }
@@ -400,13 +403,13 @@
 
 // keyRemoved returns when the version that removed a key for good was acknowledged.
 func (b *Books) keyRemoved(key string) (at time.Time, ok bool) {
-	held := false
+	issued := false
 	for i := range b.Versions {
 		v := &b.Versions[i]
 		switch _, has := v.Keys[key]; {
 		case has:
-			held, ok = true, false
-		case held && !ok && !v.Acked.IsZero():
+			issued, ok = true, false
+		case issued && !ok && !v.Acked.IsZero():
 			at, ok = v.Acked, true
 		}
 	}
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -87,9 +87,9 @@
 // breaks.
 func TestEachRuleDetectsItsViolation(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		want  []string
-		plant func(*Books)
+		name    string
+		want    []string
+		violate func(*Books)
 	}{
 		{"status 200 without a seal", []string{"MIXED"}, func(b *Books) { b.Requests[requestID(5)].Sealed = false }},
 		{"the response to another request", []string{"MIXED"}, func(b *Books) { b.Requests[requestID(5)].Text = standin.Answer("e-1", requestID(6)) }},
@@ -279,14 +279,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := faultlessBooks()
-			c.plant(b)
-			var broken []string
+			c.violate(b)
+			var violated []string
 			for _, breach := range Check(b) {
-				if !slices.Contains(broken, breach.Rule) {
-					broken = append(broken, breach.Rule)
+				if !slices.Contains(violated, breach.Rule) {
+					violated = append(violated, breach.Rule)
 				}
 			}
-			if !slices.Equal(broken, c.want) {
+			if !slices.Equal(violated, c.want) {
 				t.Errorf("got %v, want %v", Check(b), c.want)
 			}
 		})
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -197,11 +197,11 @@
 }
 
 // apply starts a fault, waits for its duration, ends it and records it.
-func (s *injection) apply(t Trouble, begin func(), last time.Duration, end func()) {
+func (s *injection) apply(t Trouble, begin func(), duration time.Duration, end func()) {
 	t.From = time.Now()
 	s.run.logFault(t)
 	begin()
-	s.run.wait(last)
+	s.run.wait(duration)
 	end()
 	t.To = time.Now()
 	s.site.recordFault(t)
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -95,8 +95,8 @@
 	return f
 }
 
-func (f *fleet) address(part, n, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", f.net, part, n, port)
+func (f *fleet) address(octet, n, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", f.net, octet, n, port)
 }
 
 // add creates an instance with its links and starts it.
@@ -107,8 +107,8 @@
 	f.mu.Unlock()
 	r := &instance{name: "router-" + strconv.Itoa(n), number: n, dataCentre: dataCentre, older: f.older.Binary != "" && n%2 == 0}
 	var err error
-	listen := func(part, port int, to string) *link.TCP {
-		l, e := link.ListenTCP(f.address(part, n, port), to)
+	listen := func(octet, port int, to string) *link.TCP {
+		l, e := link.ListenTCP(f.address(octet, n, port), to)
 		if e != nil {
 			err = e
 		}
@@ -233,9 +233,9 @@
 	go func() {
 		err := cmd.Wait()
 		r.mu.Lock()
-		wanted := r.expectedUp
+		expectedUp := r.expectedUp
 		r.mu.Unlock()
-		if wanted {
+		if expectedUp {
 			f.onExit(Exit{Instance: r.name, At: time.Now(), Error: fmt.Sprint(err)})
 		}
 		close(done)
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -56,7 +56,7 @@
 		affected = s.site.endpointsOf(e.server.Service)
 	}
 	normal := normalBehaviour[e.server.Service]
-	name := func(rate string) {
+	announce := func(rate string) {
 		b := normal
 		b.Limit = rate
 		for _, e := range affected {
@@ -65,9 +65,9 @@
 	}
 	rates := []string{first[s.rng.IntN(len(first))], second[s.rng.IntN(len(second))]}
 	s.apply(Trouble{Kind: kind, Endpoint: e.server.ID}, func() {
-		name(rates[0])
+		announce(rates[0])
 		s.run.wait(limitsDuration / 2)
-		name(rates[1])
+		announce(rates[1])
 	}, limitsDuration/2, func() {
 		for _, e := range affected {
 			e.server.Behave(normal)
@@ -90,8 +90,8 @@
 	}
 	for endpoint, runs := range byEndpoint {
 		slices.SortFunc(runs, func(x, y arrival) int { return x.At.Compare(y.At) })
-		for _, named := range limitSpans(runs) {
-			if what := b.limitExceeded(endpoint, named); what != "" {
+		for _, announced := range limitSpans(runs) {
+			if what := b.limitExceeded(endpoint, announced); what != "" {
 				out = append(out, what)
 			}
 		}
@@ -102,22 +102,22 @@
 // limitSpans splits the runs at an endpoint into sequences in which every response announced a
 // valid limit.
 func limitSpans(runs []arrival) (out [][]limitedRun) {
-	var named []limitedRun
+	var announced []limitedRun
 	for _, r := range runs {
 		limit, err := strconv.ParseFloat(r.Limit, 64)
 		if err != nil || math.IsNaN(limit) || math.IsInf(limit, 0) || limit < 0 {
-			out, named = append(out, named), nil
+			out, announced = append(out, announced), nil
 			continue
 		}
-		named = append(named, limitedRun{r, limit})
+		announced = append(announced, limitedRun{r, limit})
 	}
-	return append(out, named)
+	return append(out, announced)
 }
 
 // limitExceeded describes the first window in which an endpoint received too many requests; empty
 // if there is none. The highest limit announced since Bounds.Contact before the window applies.
-func (b *Books) limitExceeded(endpoint string, named []limitedRun) string {
-	counted := slices.DeleteFunc(slices.Clone(named), func(r limitedRun) bool { return !b.knewLimit(named, r.arrival) })
+func (b *Books) limitExceeded(endpoint string, announced []limitedRun) string {
+	counted := slices.DeleteFunc(slices.Clone(announced), func(r limitedRun) bool { return !b.knewLimit(announced, r.arrival) })
 	for i, first := range counted {
 		n, limit := 0, 0.0
 		for _, r := range counted[i:] {
@@ -125,7 +125,7 @@
 				n++
 			}
 		}
-		for _, r := range named {
+		for _, r := range announced {
 			if r.At.After(first.At.Add(-b.Bounds.Contact)) && r.At.Before(first.At.Add(limitSpan)) {
 				limit = max(limit, r.limit)
 			}
@@ -139,8 +139,8 @@
 
 // knewLimit reports whether a run's instance had forwarded a response that announced the limit,
 // and was not disturbed since.
-func (b *Books) knewLimit(named []limitedRun, run arrival) bool {
-	for _, r := range slices.Backward(named) {
+func (b *Books) knewLimit(announced []limitedRun, run arrival) bool {
+	for _, r := range slices.Backward(announced) {
 		if r.request.Instance == run.request.Instance && !r.Ended.IsZero() && !r.Ended.Add(limitKnownDelay).After(run.At) {
 			return !b.limitExcused(run.request.Instance, r.Ended, run.At)
 		}
--- a/soak/run.go
+++ b/soak/run.go
@@ -173,21 +173,21 @@
 // and returns when all have ended.
 func (r *run) injectFaults() {
 	rng := rand.New(rand.NewPCG(r.Seed, 3))
-	slots := make(chan struct{}, maxConcurrentFaults)
-	var open sync.WaitGroup
-	for end := time.Now().Add(r.For); time.Now().Before(end) && r.ctx.Err() == nil; {
+	semaphore := make(chan struct{}, maxConcurrentFaults)
+	var active sync.WaitGroup
+	for deadline := time.Now().Add(r.For); time.Now().Before(deadline) && r.ctx.Err() == nil; {
 		f := r.kinds[rng.IntN(len(r.kinds))]
 		s := &injection{rng: rand.New(rand.NewPCG(rng.Uint64(), 4)), duration: randomDuration(rng, maxFaultDuration), site: r.site, run: r}
 		gap := time.Duration(rng.ExpFloat64() * float64(meanFaultInterval))
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		r.Log.Info("drawn", zap.String("kind", f.name), zap.Duration("lasts", s.duration))
-		open.Go(func() {
+		active.Go(func() {
 			f.inject(s)
-			<-slots
+			<-semaphore
 		})
 		r.wait(gap)
 	}
-	open.Wait()
+	active.Wait()
 }
 
 // awaitRecovery waits until the site must have recovered, marks that time, and lets traffic go on
