--- a/cmd/ivyload/main.go
+++ b/cmd/ivyload/main.go
@@ -48,7 +48,7 @@
 	compare := flaggy.NewSubcommand("compare")
 	compare.Description = "print two reports side by side"
 	compare.AddPositionalValue(&o.a, "A", 1, true, "a report.json")
-	compare.AddPositionalValue(&o.b, "B", 2, true, "another report.json")
+	compare.AddPositionalValue(&o.b, "B", 2, true, "another")
 	policy := flaggy.NewSubcommand("policy")
 	policy.Description = "measure policies in simulated time"
 	policy.String(&o.dir, "d", "dir", "directory with declarations and workloads")
--- a/yamlfile/yamlfile.go
+++ b/yamlfile/yamlfile.go
@@ -176,7 +176,7 @@
 
 func (d *decoder) structure(n *yaml.Node, v reflect.Value) {
 	if n.Kind != yaml.MappingNode {
-		d.errs.Add(d.pos(n), "want a mapping, got %s", describe(n))
+		d.errs.Add(d.pos(n), "want fields, got %s", describe(n))
 		return
 	}
 	fields := fieldsOf(v)
@@ -212,7 +212,7 @@
 func describe(n *yaml.Node) string {
 	switch n.Kind {
 	case yaml.MappingNode:
-		return "a mapping"
+		return "fields"
 	case yaml.SequenceNode:
 		return "a list"
 	}
