--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings reads and checks the settings of one instance.
+// Package settings reads and validates the settings of one ivyrouted instance.
 //
-// Settings are what an instance must know before it can ask anyone: its own
-// name, addresses and data centre, where the platform is, its keys. All else
-// is declared and published. Parse reports every fault with its position,
-// and nothing is opened before a file has passed.
+// Settings hold what an instance needs before it can contact others: its name,
+// addresses and data centre, the platform's address and its keys. All other
+// configuration is published by the platform. Parse reports every fault with
+// its position.
 package settings
 
 import (
@@ -36,7 +36,7 @@
 	Peers     string `yaml:"peers"`
 }
 
-// Keys names the peer key files.
+// Keys names the PEM files for TLS between instances.
 type Keys struct {
 	Pos  yamlfile.Pos
 	Cert string `yaml:"cert"`
@@ -44,22 +44,22 @@
 	CA   string `yaml:"ca"`
 }
 
-// An Operator may query and command.
+// An Operator may run queries and, unless ReadOnly, commands.
 type Operator struct {
 	Pos       yamlfile.Pos
 	Name      string `yaml:"name"`
-	TokenHash string `yaml:"token_sha256"`
+	TokenHash string `yaml:"token_sha256"` // hex SHA-256 of the bearer token
 	ReadOnly  bool   `yaml:"read_only"`
 }
 
-// Log sets the form of the logs.
+// Log configures logging.
 type Log struct {
 	Pos   yamlfile.Pos
 	Level string `yaml:"level"`
-	Form  string `yaml:"form"`
+	Form  string `yaml:"form"` // "json" or "console"
 }
 
-// Limits bound what callers may send and hold.
+// Limits bounds caller requests.
 type Limits struct {
 	Pos       yamlfile.Pos
 	MaxBody   int           `yaml:"max_body_bytes"`
@@ -68,22 +68,22 @@
 	Waiting   int           `yaml:"max_open_requests"`
 }
 
-// Policy selects the decisions; see package home.
+// Policy selects the scheduling policy; see package home.
 type Policy struct {
 	Pos     yamlfile.Pos
 	Name    string   `yaml:"name"`
-	Without []string `yaml:"without"`
-	// Alone makes each instance its own home, as a baseline.
+	Without []string `yaml:"without"` // parts of the policy to disable
+	// Alone makes each instance schedule independently, as a baseline for comparison.
 	Alone bool `yaml:"alone"`
 }
 
-// Settings are those of one instance.
+// Settings are the settings of one instance.
 type Settings struct {
 	Pos        yamlfile.Pos
 	Name       string        `yaml:"name"`
 	DataCentre string        `yaml:"data_centre"`
 	Listen     Listen        `yaml:"listen"`
-	Advertise  string        `yaml:"advertise_peers"`
+	Advertise  string        `yaml:"advertise_peers"` // address for peers, if not Listen.Peers
 	Platform   string        `yaml:"platform"`
 	Seeds      []string      `yaml:"seeds"`
 	Keys       Keys          `yaml:"keys"`
@@ -91,17 +91,16 @@
 	Log        Log           `yaml:"log"`
 	Limits     Limits        `yaml:"limits"`
 	Policy     Policy        `yaml:"policy"`
-	Drain      time.Duration `yaml:"drain_within"`
-	// Quarantine is how long keys are refused where no instance can vouch
-	// for their records; see package owner.
+	Drain      time.Duration `yaml:"drain_within"` // limit of a graceful shutdown
+	// Quarantine is how long keys are refused if no instance can confirm their
+	// records; see package owner.
 	Quarantine *time.Duration `yaml:"key_quarantine"`
-	// ColdStart says that the whole fleet may be starting for the first
-	// time. Instances that all find each other fresh then need no
-	// quarantine.
+	// ColdStart declares that the fleet may be starting for the first time.
+	// No quarantine is then needed if all instances are new.
 	ColdStart bool `yaml:"cold_start"`
 }
 
-// Load reads and checks a file.
+// Load reads and validates a file.
 func Load(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -110,7 +109,7 @@
 	return Parse(file, data)
 }
 
-// Parse checks settings. The error, if any, is a yamlfile.Errors.
+// Parse validates settings and sets defaults. The error, if any, is a yamlfile.Errors.
 func Parse(file string, data []byte) (*Settings, error) {
 	s := new(Settings)
 	err := yamlfile.Decode(file, data, s)
@@ -213,7 +212,7 @@
 		c.errs.Add(l.Pos, "limits must be positive")
 	}
 	if l.MaxTime > DefaultMaxTime {
-		c.errs.Add(l.Pos, "limits.max_time is above %s, the longest that a key's record surely covers", DefaultMaxTime)
+		c.errs.Add(l.Pos, "limits.max_time must not exceed %s, so that the record of a key outlives its request", DefaultMaxTime)
 	}
 }
 
