--- a/operator/client.go
+++ b/operator/client.go
@@ -19,13 +19,13 @@
 	http       *http.Client
 }
 
-// NewClient returns a Client of the instance whose operators' address is
-// addr.
+// NewClient returns a Client for the instance whose operator listener is at addr.
 func NewClient(addr, token string) *Client {
 	return &Client{"http://" + addr + "/v1/statement", token, &http.Client{Timeout: clientTimeout}}
 }
 
-// Send sends a statement and returns the answer, also as it came.
+// Send runs a statement and returns the result, decoded and as raw JSON. The raw
+// response is also returned with the error if the instance rejects the statement.
 func (c *Client) Send(text string) (*Table, []byte, error) {
 	req, err := http.NewRequest(http.MethodPost, c.url, strings.NewReader(text))
 	if err != nil {
--- a/operator/lang.go
+++ b/operator/lang.go
@@ -1,13 +1,12 @@
-// Package operator is the query and command language of operators, and the
-// interface that serves it.
+// Package operator implements the query and command language for operators and
+// its HTTP interface.
 //
-// A statement is one line: `show` asks, the other verbs change something.
-// Parse returns errors with their position. Queries are evaluated by every
-// instance for itself (Local) and merged by the one that was asked, which
-// names the instances that did not reply. The language is described in
-// docs/query-language.md.
+// A statement is one line: show queries the fleet, other verbs change it. Each
+// instance evaluates queries for itself (Local). The instance that received the
+// statement merges the results and names the instances that did not reply. The
+// language is described in docs/query-language.md.
 //
-// The files: lang.go (grammar), table.go (answers), local.go (evaluation),
+// The files: lang.go (grammar), table.go (results), local.go (evaluation),
 // serve.go (the HTTP interface).
 package operator
 
@@ -22,7 +21,7 @@
 	"ivyridge/command"
 )
 
-var lex = lexer.MustSimple([]lexer.SimpleRule{
+var statementLexer = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "String", Pattern: `"[^"]*"`},
 	{Name: "Op", Pattern: `!=|=|,`},
 	{Name: "Word", Pattern: `[^\s,=!"]+`},
@@ -30,19 +29,19 @@
 })
 
 var parser = participle.MustBuild[Statement](
-	participle.Lexer(lex),
+	participle.Lexer(statementLexer),
 	participle.Unquote("String"),
 	participle.UseLookahead(2),
 )
 
-// A Statement is one line.
+// A Statement is a parsed query or command.
 type Statement struct {
 	Show     *Show     `parser:"( 'show' @@"`
 	SetClass *SetClass `parser:"| 'set' 'class' @@"`
 	Act      *Act      `parser:"| @@ )"`
 }
 
-// A Show asks.
+// A Show is a query.
 type Show struct {
 	Pos   lexer.Position
 	What  string   `parser:"@Word"`
@@ -53,7 +52,7 @@
 	window time.Duration
 }
 
-// A Cond keeps the rows whose field has, or has not, a value.
+// A Cond selects rows by comparing a field with a value.
 type Cond struct {
 	Pos   lexer.Position
 	Field string `parser:"@Word"`
@@ -61,14 +60,14 @@
 	Value string `parser:"@(Word | String)"`
 }
 
-// A SetClass changes a field of a class.
+// A SetClass sets a field of a class.
 type SetClass struct {
 	Name  string `parser:"@(Word | String)"`
 	Field string `parser:"@Word"`
 	Value string `parser:"@(Word | String)"`
 }
 
-// An Act drains an instance or stops an endpoint, or takes that back.
+// An Act drains an instance or stops an endpoint, or undoes that.
 type Act struct {
 	Pos    lexer.Position
 	Verb   string `parser:"@( 'drain' | 'undrain' | 'stop' | 'start' )"`
@@ -76,28 +75,27 @@
 	Target string `parser:"@(Word | String)"`
 }
 
-// A SyntaxError is a statement that cannot be understood.
+// A SyntaxError reports an invalid statement.
 type SyntaxError struct {
-	Col int // from one
+	Col int // 1-based
 	Msg string
 }
 
-// Error returns the column and the message.
+// Error returns the column and message.
 func (e *SyntaxError) Error() string { return errors.Errorf("column %d: %s", e.Col, e.Msg).Error() }
 
 const defaultWindow = time.Minute
 
-// subjects are what can be shown; true for those that are counted and so
-// can be grouped.
+// subjects are the subjects of show; true marks those that are counted and can be grouped.
 var subjects = map[string]bool{
 	"queued": true, "running": true, "served": true, "late": true, "refused": true, "failed": true,
 	"endpoints": false, "instances": false, "cells": false, "config": false, "classes": false, "commands": false,
 }
 
-// fieldNames are what counted rows can be grouped and filtered by.
-var fieldNames = []string{"class", "team", "endpoint", "reason", "data_centre", "instance"}
+// countedFields are the fields by which counted rows can be grouped and filtered.
+var countedFields = []string{"class", "team", "endpoint", "reason", "data_centre", "instance"}
 
-// Parse reads one statement. The error, if any, is a *SyntaxError.
+// Parse parses one statement. The error, if any, is a *SyntaxError.
 func Parse(text string) (*Statement, error) {
 	s, err := parser.ParseString("", text)
 	if err != nil {
@@ -129,16 +127,16 @@
 		return &SyntaxError{s.Pos.Column, s.What + " are not counted: by and over do not apply"}
 	}
 	for _, f := range s.By {
-		if !isField(f) {
-			return &SyntaxError{s.Pos.Column, "cannot group by " + f + "; want one of " + strings.Join(fieldNames, ", ")}
+		if !isCountedField(f) {
+			return &SyntaxError{s.Pos.Column, "cannot group by " + f + "; want one of " + strings.Join(countedFields, ", ")}
 		}
 	}
 	for _, c := range s.Where {
 		if c.Op != "=" && c.Op != "!=" {
 			return &SyntaxError{c.Pos.Column, "want = or !="}
 		}
-		if counted && !isField(c.Field) {
-			return &SyntaxError{c.Pos.Column, "no field " + c.Field + "; want one of " + strings.Join(fieldNames, ", ")}
+		if counted && !isCountedField(c.Field) {
+			return &SyntaxError{c.Pos.Column, "no field " + c.Field + "; want one of " + strings.Join(countedFields, ", ")}
 		}
 	}
 	s.window = defaultWindow
@@ -152,8 +150,8 @@
 	return nil
 }
 
-func isField(name string) bool {
-	for _, f := range fieldNames {
+func isCountedField(name string) bool {
+	for _, f := range countedFields {
 		if f == name {
 			return true
 		}
@@ -169,8 +167,8 @@
 	return nil
 }
 
-// Command returns the command of a statement that changes something, or
-// reports false.
+// Command returns the command of a statement that changes something. It returns false
+// for a query.
 func (s *Statement) Command() (command.Command, bool) {
 	switch {
 	case s.SetClass != nil:
--- a/operator/lang_test.go
+++ b/operator/lang_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestParseFaults(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		col  int
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestTablesAddUp(t *testing.T) {
+func TestTableMerge(t *testing.T) {
 	a := &Table{Columns: []string{"class", "count"}, Rows: [][]string{{"x", "2"}, {"y", "1"}}}
 	a.merge(&Table{Columns: []string{"class", "count"}, Rows: [][]string{{"x", "3"}}})
 	a.Missing = []string{"router-9: gone"}
--- a/operator/local.go
+++ b/operator/local.go
@@ -1,6 +1,6 @@
 package operator
 
-// This file evaluates queries for one instance.
+// This file evaluates queries on the local instance.
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 	"ivyridge/node"
 )
 
-// Local returns the function that answers a peer's query for this instance.
+// Local returns the handler of queries from peers. It evaluates them on n alone.
 func Local(n *node.Node) node.QueryFunc {
 	return func(text string) ([]byte, error) {
 		s, err := Parse(text)
@@ -23,47 +23,49 @@
 			return nil, err
 		}
 		if s.Show == nil {
-			return nil, errors.New("only queries are answered by peers")
+			return nil, errors.New("peers accept queries only, not commands")
 		}
-		t := (&local{n, s.Show}).eval()
+		t := (&evaluator{n, s.Show}).eval()
 		return json.Marshal(t)
 	}
 }
 
-type local struct {
-	n    *node.Node
+// An evaluator evaluates one query on the local instance.
+type evaluator struct {
+	node *node.Node
 	show *Show
 }
 
-func (l *local) eval() *Table {
-	switch l.show.What {
+func (ev *evaluator) eval() *Table {
+	switch ev.show.What {
 	case "queued":
-		return l.queued()
+		return ev.queued()
 	case "running":
-		return l.running()
+		return ev.running()
 	case "served", "late", "refused", "failed":
-		return l.ledger()
+		return ev.ledger()
 	case "endpoints":
-		return l.endpoints()
+		return ev.endpoints()
 	case "instances":
-		return l.instances()
+		return ev.instances()
 	case "cells":
-		return l.cells()
+		return ev.cells()
 	case "config":
-		return l.config()
+		return ev.config()
 	case "classes":
-		return l.classes()
+		return ev.classes()
 	}
-	return l.commands()
+	return ev.commands()
 }
 
-// counts builds a counted table out of rows of fields.
-func (l *local) counts(each func(add func(fields map[string]string, n int64))) *Table {
-	by := l.show.By
+// counts builds a counted table from the rows that each adds, grouped and filtered
+// as the query says.
+func (ev *evaluator) counts(each func(add func(fields map[string]string, n int64))) *Table {
+	by := ev.show.By
 	t := &Table{Columns: append(append([]string(nil), by...), countColumn), Rows: [][]string{}}
 	each(func(fields map[string]string, n int64) {
-		fields["instance"] = l.n.Name()
-		if n == 0 || !l.matches(fields) {
+		fields["instance"] = ev.node.Name()
+		if n == 0 || !ev.matches(fields) {
 			return
 		}
 		row := make([]string, 0, len(by)+1)
@@ -76,8 +78,8 @@
 	return t
 }
 
-func (l *local) matches(fields map[string]string) bool {
-	for _, c := range l.show.Where {
+func (ev *evaluator) matches(fields map[string]string) bool {
+	for _, c := range ev.show.Where {
 		if (fields[c.Field] == c.Value) != (c.Op == "=") {
 			return false
 		}
@@ -85,19 +87,19 @@
 	return true
 }
 
-func (l *local) queued() *Table {
-	return l.counts(func(add func(map[string]string, int64)) {
-		for _, c := range l.n.Cells() {
+func (ev *evaluator) queued() *Table {
+	return ev.counts(func(add func(map[string]string, int64)) {
+		for _, c := range ev.node.Cells() {
 			for class, k := range c.Waiting {
-				add(map[string]string{"class": class, "data_centre": l.n.DataCentre()}, int64(k))
+				add(map[string]string{"class": class, "data_centre": ev.node.DataCentre()}, int64(k))
 			}
 		}
 	})
 }
 
-func (l *local) running() *Table {
-	return l.counts(func(add func(map[string]string, int64)) {
-		for _, c := range l.n.Cells() {
+func (ev *evaluator) running() *Table {
+	return ev.counts(func(add func(map[string]string, int64)) {
+		for _, c := range ev.node.Cells() {
 			if c.Rank != 0 {
 				continue
 			}
@@ -108,11 +110,11 @@
 	})
 }
 
-func (l *local) ledger() *Table {
-	want := ledger.Outcome(l.show.What)
-	return l.counts(func(add func(map[string]string, int64)) {
-		for r, k := range l.n.Ledger().Sum(l.n.Now(), l.show.window) {
-			late := want == ledger.Served && r.Outcome == ledger.Late // late ones were served
+func (ev *evaluator) ledger() *Table {
+	want := ledger.Outcome(ev.show.What)
+	return ev.counts(func(add func(map[string]string, int64)) {
+		for r, k := range ev.node.Ledger().Sum(ev.node.Now(), ev.show.window) {
+			late := want == ledger.Served && r.Outcome == ledger.Late // late requests count as served
 			if r.Outcome != want && !late {
 				continue
 			}
@@ -124,29 +126,29 @@
 	})
 }
 
-// rows builds an uncounted table and applies the conditions to it.
-func (l *local) rows(columns string, each func(add func(cells ...string))) *Table {
+// rows builds a table that is not counted, filtered as the query says.
+func (ev *evaluator) rows(columns string, each func(add func(cells ...string))) *Table {
 	t := &Table{Columns: strings.Fields(columns), Rows: [][]string{}}
 	each(func(cells ...string) {
 		fields := make(map[string]string, len(cells))
 		for i, c := range cells {
 			fields[t.Columns[i]] = c
 		}
-		if l.matches(fields) {
+		if ev.matches(fields) {
 			t.Rows = append(t.Rows, cells)
 		}
 	})
 	return t
 }
 
-func (l *local) endpoints() *Table {
-	return l.rows("endpoint cell home state running limit others gap report_age", func(add func(...string)) {
-		for _, c := range l.n.Cells() {
+func (ev *evaluator) endpoints() *Table {
+	return ev.rows("endpoint cell home state running limit others gap report_age", func(add func(...string)) {
+		for _, c := range ev.node.Cells() {
 			if c.Rank != 0 {
 				continue
 			}
 			for _, e := range c.Endpoints {
-				add(e.Name, c.Name, l.n.Name(), e.State, strconv.Itoa(e.Running), fmt.Sprintf("%.0f", e.Limit),
+				add(e.Name, c.Name, ev.node.Name(), e.State, strconv.Itoa(e.Running), fmt.Sprintf("%.0f", e.Limit),
 					fmt.Sprintf("%.0f", e.Foreign), round(e.Gap, 100*time.Microsecond), round(e.Age, time.Millisecond))
 			}
 		}
@@ -155,58 +157,58 @@
 
 func round(d, to time.Duration) string { return d.Round(to).String() }
 
-func (l *local) instances() *Table {
-	return l.rows("seen_by instance data_centre state heard_ago config list ready", func(add func(...string)) {
-		for _, p := range l.n.Instances() {
-			add(l.n.Name(), p.Name, p.DataCentre, p.State, round(p.Age, time.Millisecond),
+func (ev *evaluator) instances() *Table {
+	return ev.rows("seen_by instance data_centre state heard_ago config list ready", func(add func(...string)) {
+		for _, p := range ev.node.Instances() {
+			add(ev.node.Name(), p.Name, p.DataCentre, p.State, round(p.Age, time.Millisecond),
 				strconv.FormatInt(p.ConfigRevision, 10), strconv.FormatInt(p.ListRevision, 10), strconv.FormatBool(p.Ready))
 		}
 	})
 }
 
-func (l *local) cells() *Table {
-	return l.rows("cell instance rank waiting running asked granted refused resynced lapsed", func(add func(...string)) {
-		for _, c := range l.n.Cells() {
+func (ev *evaluator) cells() *Table {
+	return ev.rows("cell instance rank waiting running asked granted refused resynced lapsed", func(add func(...string)) {
+		for _, c := range ev.node.Cells() {
 			waiting := 0
 			for _, k := range c.Waiting {
 				waiting += k
 			}
-			add(c.Name, l.n.Name(), strconv.Itoa(c.Rank), strconv.Itoa(waiting), strconv.Itoa(c.Running),
+			add(c.Name, ev.node.Name(), strconv.Itoa(c.Rank), strconv.Itoa(waiting), strconv.Itoa(c.Running),
 				strconv.FormatInt(c.Counts.Asked, 10), strconv.FormatInt(c.Counts.Granted, 10), strconv.FormatInt(c.Counts.Refused, 10),
 				strconv.FormatInt(c.Counts.Resynced, 10), strconv.FormatInt(c.Counts.Lapsed, 10))
 		}
 	})
 }
 
-func (l *local) config() *Table {
-	return l.rows("instance state revision list commands rejected platform_heard keys_settled records", func(add func(...string)) {
-		c := l.n.Config()
+func (ev *evaluator) config() *Table {
+	return ev.rows("instance state revision list commands rejected platform_heard keys_settled records", func(add func(...string)) {
+		c := ev.node.Config()
 		rejected := "none"
 		if c.Rejected > 0 {
 			first, _, _ := strings.Cut(c.Rejection, "\n")
 			rejected = fmt.Sprintf("%d (%s)", c.Rejected, first)
 		}
-		add(l.n.Name(), c.State, strconv.FormatInt(c.Revision, 10), strconv.FormatInt(c.ListRevision, 10),
+		add(ev.node.Name(), c.State, strconv.FormatInt(c.Revision, 10), strconv.FormatInt(c.ListRevision, 10),
 			strconv.FormatInt(c.Commands, 10), rejected, round(c.PlatformAge, time.Millisecond),
 			strconv.FormatBool(c.Settled), strconv.Itoa(c.Records))
 	})
 }
 
-func (l *local) classes() *Table {
-	return l.rows("instance class tier first_token whole token_gap repeatable share finish_late", func(add func(...string)) {
-		set, _ := l.n.Declarations()
+func (ev *evaluator) classes() *Table {
+	return ev.rows("instance class tier first_token whole token_gap repeatable share finish_late", func(add func(...string)) {
+		set, _ := ev.node.Declarations()
 		for i := range set.Classes {
 			c := &set.Classes[i]
-			add(l.n.Name(), c.Name, strconv.Itoa(c.Tier), c.FirstToken.String(), c.Whole.String(), c.TokenGap.String(),
+			add(ev.node.Name(), c.Name, strconv.Itoa(c.Tier), c.FirstToken.String(), c.Whole.String(), c.TokenGap.String(),
 				strconv.FormatBool(c.Repeatable), strconv.FormatFloat(c.Share, 'g', -1, 64), strconv.FormatBool(c.FinishLate))
 		}
 	})
 }
 
-func (l *local) commands() *Table {
-	return l.rows("instance version op target field value base who", func(add func(...string)) {
-		for _, c := range l.n.Commands() {
-			add(l.n.Name(), strconv.FormatInt(c.Version, 10), string(c.Op), c.Target, c.Field, c.Value, c.Base, c.Who)
+func (ev *evaluator) commands() *Table {
+	return ev.rows("instance version op target field value base who", func(add func(...string)) {
+		for _, c := range ev.node.Commands() {
+			add(ev.node.Name(), strconv.FormatInt(c.Version, 10), string(c.Op), c.Target, c.Field, c.Value, c.Base, c.Who)
 		}
 	})
 }
--- a/operator/serve.go
+++ b/operator/serve.go
@@ -1,6 +1,6 @@
 package operator
 
-// This file serves operators over HTTP, with the counters beside.
+// This file serves the operators' HTTP interface, including the counters.
 
 import (
 	"context"
@@ -21,16 +21,16 @@
 	"ivyridge/node"
 )
 
-const maxStatement = 4 << 10
+const maxStatementBytes = 4 << 10
 
-// An Account is an operator who may speak to the instance.
+// An Account is an operator who may access the instance.
 type Account struct {
 	Name      string
-	TokenHash string // hex SHA-256
+	TokenHash string // hex SHA-256 of the bearer token
 	ReadOnly  bool
 }
 
-// A Server answers operators.
+// A Server serves operators.
 type Server struct {
 	node     *node.Node
 	accounts []Account
@@ -43,18 +43,19 @@
 	return &Server{n, accounts, log, commands}
 }
 
-// Handler returns the handler of the operators' listener.
+// Handler returns the HTTP handler of the operator listener.
 func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Post("/v1/statement", s.statement)
-	r.Get("/debug/vars", s.vars)
+	r.Post("/v1/statement", s.handleStatement)
+	r.Get("/debug/vars", s.handleVars)
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	return r
 }
 
-// account returns who sent a request.
-func (s *Server) account(q *http.Request) (*Account, bool) {
-	token, ok := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
+// authenticate returns the account that the request's bearer token belongs to. It
+// checks all accounts in constant time.
+func (s *Server) authenticate(r *http.Request) (*Account, bool) {
+	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return nil, false
 	}
@@ -69,21 +70,21 @@
 	return found, found != nil
 }
 
-func (s *Server) vars(w http.ResponseWriter, q *http.Request) {
-	if _, ok := s.account(q); !ok {
-		s.fail(w, http.StatusUnauthorized, errors.New("an operator's bearer token is needed"))
+func (s *Server) handleVars(w http.ResponseWriter, r *http.Request) {
+	if _, ok := s.authenticate(r); !ok {
+		s.writeError(w, http.StatusUnauthorized, errors.New("an operator's bearer token is needed"))
 		return
 	}
-	expvar.Handler().ServeHTTP(w, q)
+	expvar.Handler().ServeHTTP(w, r)
 }
 
-// A Failure is the body of an answer that is not a table.
+// A Failure is the body of an error response.
 type Failure struct {
 	Error string `json:"error"`
 	Col   int    `json:"column,omitempty"`
 }
 
-func (s *Server) fail(w http.ResponseWriter, status int, err error) {
+func (s *Server) writeError(w http.ResponseWriter, status int, err error) {
 	f := Failure{Error: err.Error()}
 	var se *SyntaxError
 	if errors.As(err, &se) {
@@ -94,35 +95,35 @@
 	_ = json.NewEncoder(w).Encode(f)
 }
 
-func (s *Server) statement(w http.ResponseWriter, q *http.Request) {
-	who, ok := s.account(q)
+func (s *Server) handleStatement(w http.ResponseWriter, r *http.Request) {
+	who, ok := s.authenticate(r)
 	if !ok {
-		s.fail(w, http.StatusUnauthorized, errors.New("an operator's bearer token is needed"))
+		s.writeError(w, http.StatusUnauthorized, errors.New("an operator's bearer token is needed"))
 		return
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(w, q.Body, maxStatement))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxStatementBytes))
 	if err != nil {
-		s.fail(w, http.StatusRequestEntityTooLarge, err)
+		s.writeError(w, http.StatusRequestEntityTooLarge, err)
 		return
 	}
 	st, err := Parse(string(text))
 	if err != nil {
-		s.fail(w, http.StatusBadRequest, err)
+		s.writeError(w, http.StatusBadRequest, err)
 		return
 	}
 	if c, ok := st.Command(); ok {
-		s.command(w, q.Context(), who, c)
+		s.execute(w, r.Context(), who, c)
 		return
 	}
-	s.answer(w, s.query(q.Context(), string(text)))
+	s.writeTable(w, s.query(r.Context(), string(text)))
 }
 
-func (s *Server) answer(w http.ResponseWriter, t *Table) {
+func (s *Server) writeTable(w http.ResponseWriter, t *Table) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(t)
 }
 
-// query asks the whole fleet.
+// query evaluates a query on all instances and merges the results.
 func (s *Server) query(ctx context.Context, text string) *Table {
 	t := &Table{Rows: [][]string{}}
 	for _, a := range s.node.QueryAll(ctx, text) {
@@ -141,19 +142,19 @@
 	return t
 }
 
-// command puts a change in force, and logs who made it.
-func (s *Server) command(w http.ResponseWriter, ctx context.Context, who *Account, c command.Command) {
+// execute applies a command to all instances.
+func (s *Server) execute(w http.ResponseWriter, ctx context.Context, who *Account, c command.Command) {
 	c.Who = who.Name
 	if who.ReadOnly {
 		s.commands.Add("forbidden", 1)
-		s.fail(w, http.StatusForbidden, errors.Errorf("operator %q may only query", who.Name))
+		s.writeError(w, http.StatusForbidden, errors.Errorf("operator %q may only query", who.Name))
 		return
 	}
 	old, err := s.node.Command(ctx, c)
 	if err != nil {
 		s.commands.Add("refused", 1)
 		s.log.Warn("command refused", zap.String("who", c.Who), zap.String("op", string(c.Op)), zap.String("target", c.Target), zap.Error(err))
-		s.fail(w, http.StatusConflict, err)
+		s.writeError(w, http.StatusConflict, err)
 		return
 	}
 	s.commands.Add("accepted", 1)
@@ -161,5 +162,5 @@
 	if old.Version > 0 {
 		note += "; replaced " + string(old.Op) + " " + old.Value + " of " + old.Who
 	}
-	s.answer(w, &Table{Columns: []string{"op", "target", "field", "value"}, Rows: [][]string{{string(c.Op), c.Target, c.Field, c.Value}}, Note: note})
+	s.writeTable(w, &Table{Columns: []string{"op", "target", "field", "value"}, Rows: [][]string{{string(c.Op), c.Target, c.Field, c.Value}}, Note: note})
 }
--- a/operator/table.go
+++ b/operator/table.go
@@ -1,7 +1,6 @@
 package operator
 
-// This file defines the answers to queries, and how those of several
-// instances become one.
+// This file defines the results of queries and merges those of several instances.
 
 import (
 	"fmt"
@@ -12,11 +11,11 @@
 	"text/tabwriter"
 )
 
-// countColumn is the last column of a counted table.
+// countColumn is the name of the last column of a counted table.
 const countColumn = "count"
 
-// A Table is an answer. Missing names the instances that did not reply, with
-// the reason.
+// A Table is the result of a statement. Missing names the instances that did not
+// reply, with the reason.
 type Table struct {
 	Columns []string   `json:"columns"`
 	Rows    [][]string `json:"rows"`
@@ -24,7 +23,7 @@
 	Note    string     `json:"note,omitempty"`
 }
 
-// counted reports whether the rows are counts to be added up.
+// counted reports whether the rows are counts that can be summed.
 func (t *Table) counted() bool {
 	return len(t.Columns) > 0 && t.Columns[len(t.Columns)-1] == countColumn
 }
@@ -37,10 +36,10 @@
 	t.Rows = append(t.Rows, o.Rows...)
 }
 
-// finish sorts the rows, after adding up those that count the same.
+// finish sorts the rows and sums the counts of equal rows.
 func (t *Table) finish() {
 	if t.counted() {
-		t.addUp()
+		t.sumCounts()
 	}
 	sort.Strings(t.Missing)
 	sort.SliceStable(t.Rows, func(i, j int) bool {
@@ -48,7 +47,7 @@
 	})
 }
 
-func (t *Table) addUp() {
+func (t *Table) sumCounts() {
 	last := len(t.Columns) - 1
 	sums := make(map[string]int64)
 	first := make(map[string][]string)
@@ -70,7 +69,7 @@
 	}
 }
 
-// Write prints the table for people.
+// Write prints the table as aligned text.
 func (t *Table) Write(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if len(t.Columns) > 0 {
