--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon assembles one instance: its node, its listeners, its logs
-// and counters. cmd/ivyrouted is a thin main around it.
+// Package daemon assembles one ivyrouted instance: its node, listeners, logs and
+// counters. cmd/ivyrouted is a thin main around it.
 package daemon
 
 import (
@@ -27,20 +27,20 @@
 	"ivyridge/settings"
 )
 
-// grace is how long a leaving instance still takes requests, until the
-// balancer has seen that it is not ready.
-const grace = time.Second
+// readinessDelay is how long an instance that is shutting down accepts requests, for
+// the load balancer to see that it is not ready.
+const readinessDelay = time.Second
 
-// Bounds on slow callers.
+// Timeouts of connections.
 const (
-	headerWithin = 5 * time.Second
-	idleFor      = 2 * time.Minute
-	bodyWithin   = 30 * time.Second
+	headerTimeout = 5 * time.Second
+	idleTimeout   = 2 * time.Minute
+	bodyTimeout   = 30 * time.Second
 )
 
 // A Daemon is one running instance.
 type Daemon struct {
-	set       *settings.Settings
+	settings  *settings.Settings
 	log       *zap.Logger
 	node      *node.Node
 	api       *api.API
@@ -51,16 +51,16 @@
 	wg        sync.WaitGroup
 }
 
-// dropped counts the log lines that were left out since too many waited.
-var dropped = expvar.NewInt("log_lines_dropped")
+// droppedLogLines counts log lines discarded because the log's buffer was full.
+var droppedLogLines = expvar.NewInt("log_lines_dropped")
 
-// Logger returns the logger that settings ask for, on standard error.
+// Logger returns a logger with the given settings that writes to standard error.
 func Logger(l settings.Log) (*zap.Logger, error) {
-	return logs.New(l.Level, logs.Form(l.Form), os.Stderr, dropped)
+	return logs.New(l.Level, logs.Form(l.Form), os.Stderr, droppedLogLines)
 }
 
-// Start opens an instance's listeners and starts it. Counters go to the
-// process's expvar if publish is set; only one instance of a process may.
+// Start opens an instance's listeners and starts it. If publish is set, its counters
+// are published in the process's expvar, which only one instance of a process may do.
 func Start(s *settings.Settings, log *zap.Logger, publish bool) (*Daemon, error) {
 	keys, err := peer.LoadKeys(peer.KeyFiles{Cert: s.Keys.Cert, Key: s.Keys.Key, CA: s.Keys.CA})
 	if err != nil {
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{set: s, log: log.With(zap.String("instance", s.Name))}
+	d := &Daemon{settings: s, log: log.With(zap.String("instance", s.Name))}
 	if err := d.listen(); err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 }
 
 func (d *Daemon) listen() error {
-	for i, addr := range []string{d.set.Listen.Callers, d.set.Listen.Operators, d.set.Listen.Peers} {
+	for i, addr := range []string{d.settings.Listen.Callers, d.settings.Listen.Operators, d.settings.Listen.Peers} {
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
 			for _, open := range d.listeners[:i] {
@@ -97,14 +97,14 @@
 	return nil
 }
 
-func sub(m *expvar.Map, name string) *expvar.Map {
+func subMap(m *expvar.Map, name string) *expvar.Map {
 	s := new(expvar.Map).Init()
 	m.Set(name, s)
 	return s
 }
 
 func (d *Daemon) assemble(keys *peer.Keyring, policy home.Policy, counts *expvar.Map) {
-	s := d.set
+	s := d.settings
 	d.node = node.New(node.Options{
 		Name:       s.Name,
 		DataCentre: s.DataCentre,
@@ -119,29 +119,29 @@
 		Transport:  peer.NewTransport(keys),
 		Platform:   publish.NewClient(s.Platform),
 		Loads:      NewLoadClient(),
-		Counters:   sub(counts, "node"),
+		Counters:   subMap(counts, "node"),
 	})
 	d.peers = peer.NewServer(keys, d.node.Handler())
 	d.node.SetQuery(operator.Local(d.node))
-	disp := dispatch.New(d.node, sub(counts, "retries"))
+	disp := dispatch.New(d.node, subMap(counts, "retries"))
 	d.api = api.New(d.node, disp, api.Options{
 		MaxBody: int64(s.Limits.MaxBody),
 		MaxTime: s.Limits.MaxTime,
 		Open:    s.Limits.Waiting,
-	}, api.NewCounters(sub(counts, "callers")))
+	}, api.NewCounters(subMap(counts, "callers")))
 	d.callers = &http.Server{
 		Handler:           d.api.Handler(),
-		ReadHeaderTimeout: headerWithin,
-		ReadTimeout:       bodyWithin,
-		IdleTimeout:       idleFor,
+		ReadHeaderTimeout: headerTimeout,
+		ReadTimeout:       bodyTimeout,
+		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    s.Limits.MaxHeader,
 	}
 	accounts := make([]operator.Account, len(s.Operators))
 	for i, o := range s.Operators {
 		accounts[i] = operator.Account{Name: o.Name, TokenHash: o.TokenHash, ReadOnly: o.ReadOnly}
 	}
-	ops := operator.NewServer(d.node, accounts, d.log, sub(counts, "commands"))
-	d.operators = &http.Server{Handler: ops.Handler(), ReadHeaderTimeout: headerWithin, IdleTimeout: idleFor}
+	ops := operator.NewServer(d.node, accounts, d.log, subMap(counts, "commands"))
+	d.operators = &http.Server{Handler: ops.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
 func (d *Daemon) serve() {
@@ -150,21 +150,20 @@
 	go func() { defer d.wg.Done(); _ = d.peers.Serve(d.listeners[2]) }()
 	go func() { defer d.wg.Done(); _ = d.callers.Serve(d.listeners[0]) }()
 	go func() { defer d.wg.Done(); _ = d.operators.Serve(d.listeners[1]) }()
-	d.log.Info("started", zap.String("callers", d.set.Listen.Callers), zap.String("peers", d.set.Listen.Peers))
+	d.log.Info("started", zap.String("callers", d.settings.Listen.Callers), zap.String("peers", d.settings.Listen.Peers))
 }
 
-// Node returns the instance's node.
 func (d *Daemon) Node() *node.Node { return d.node }
 
-// Leave ends the instance as planned: it is no longer ready, takes requests
-// only until the balancer has noticed, finishes those in flight and queued,
-// hands its cells and keys over, and stops. It returns when all is done, or
-// when the settings' drain_within has passed.
+// Leave shuts the instance down gracefully. It reports not ready, accepts requests
+// until the load balancer has noticed, completes those in flight and queued, hands
+// its cells and keys over, and stops. It returns when all is done or the drain_within
+// setting has passed, with an error if requests were then still in flight.
 func (d *Daemon) Leave() error {
-	ctx, cancel := context.WithTimeout(context.Background(), d.set.Drain)
+	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Drain)
 	defer cancel()
 	d.node.Leave()
-	time.Sleep(grace)
+	time.Sleep(readinessDelay)
 	d.api.Stop()
 	err := d.api.Wait(ctx)
 	if e := d.callers.Shutdown(ctx); err == nil {
@@ -172,7 +171,7 @@
 	}
 	if err != nil {
 		_ = d.callers.Close()
-		err = errors.Wrap(err, "requests were still in flight")
+		err = errors.Wrap(err, "requests still in flight at the end of the drain")
 	}
 	d.node.AwaitHandOver(ctx)
 	_ = d.operators.Shutdown(ctx)
@@ -183,7 +182,7 @@
 	return err
 }
 
-// Kill ends the instance at once, as a crash would.
+// Kill stops the instance immediately, as a crash would.
 func (d *Daemon) Kill() {
 	_ = d.callers.Close()
 	_ = d.operators.Close()
@@ -192,15 +191,14 @@
 	d.wg.Wait()
 }
 
-// A LoadClient reads endpoints' load reports over HTTP.
+// A LoadClient reads endpoints' load reports over HTTP. It is safe for concurrent use.
 type LoadClient struct{ http *http.Client }
 
-// NewLoadClient returns a LoadClient.
 func NewLoadClient() *LoadClient {
 	return &LoadClient{&http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}}}
 }
 
-// loadReport is what endpoints publish at /load.
+// loadReport is the JSON document that endpoints serve at /load.
 type loadReport struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
@@ -219,7 +217,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return home.Load{}, errors.Errorf("load: %s answered %s", endpoint, res.Status)
+		return home.Load{}, errors.Errorf("load: endpoint %s answered %s", endpoint, res.Status)
 	}
 	var r loadReport
 	if err := json.NewDecoder(res.Body).Decode(&r); err != nil {
