--- a/command/command.go
+++ b/command/command.go
@@ -1,14 +1,13 @@
-// Package command holds operators' commands: changes that apply on top of
-// the published declarations until a publication overtakes them.
+// Package command implements operators' commands: changes to the published
+// declarations that stay effective until a newer publication overrides them.
 //
-// Nothing of the system may be written anywhere, so commands live in the
-// instances themselves. A command is accepted only after every listed
-// instance has promised to take it (Prepare); it is then in force everywhere
-// at once (Commit), spreads in heartbeats to whoever is new, and outlives
-// the replacement of the instances one by one. Versions are ordered because
-// every instance promises only versions above all it has seen.
+// The system has no writable storage, so the instances hold the commands. A
+// command is replicated in two phases: every listed instance must promise to
+// accept it (Prepare) before it takes effect (Commit). Heartbeats carry accepted
+// commands to new instances, so they survive a rolling replacement of the fleet.
+// An instance promises only versions above all it has seen, so versions are ordered.
 //
-// A Set is pure state and not safe for concurrent use.
+// A Set does no I/O and is not safe for concurrent use.
 package command
 
 import (
@@ -22,13 +21,13 @@
 	"ivyridge/decl"
 )
 
-// promiseFor is how long a promise binds without its commit.
-const promiseFor = 5 * time.Second
+// promiseTimeout is how long a promise is binding without its commit.
+const promiseTimeout = 5 * time.Second
 
 // An Op is a kind of command.
 type Op string
 
-// The kinds of command.
+// Kinds of command.
 const (
 	SetClass Op = "set-class"
 	Drain    Op = "drain-instance"
@@ -37,21 +36,21 @@
 	Start    Op = "start-endpoint"
 )
 
-// A Command is one operator's change.
+// A Command is a change made by an operator.
 type Command struct {
 	Op     Op     `json:"op"`
 	Target string `json:"target"`
 	Field  string `json:"field,omitempty"`
 	Value  string `json:"value,omitempty"`
-	// Base is the published value of the field when the command was given.
-	// A publication that says otherwise is newer, and goes first.
+	// Base is the published value of the field when the command was given. The
+	// command is overridden once the published value differs.
 	Base    string `json:"base,omitempty"`
 	Who     string `json:"who"`
-	Origin  string `json:"origin"` // the instance that the operator spoke to
+	Origin  string `json:"origin"` // instance that received the command
 	Version int64  `json:"version"`
 }
 
-// Slot names what a command changes; a later command for the same slot
+// Slot identifies what a command changes. A later command for the same slot
 // replaces an earlier one.
 func (c *Command) Slot() string {
 	switch c.Op {
@@ -63,7 +62,7 @@
 	return "endpoint/" + c.Target
 }
 
-// A Set is the commands an instance knows.
+// A Set holds the commands known to an instance.
 type Set struct {
 	accepted map[string]Command
 	promised map[string]promise
@@ -73,18 +72,17 @@
 type promise struct {
 	version int64
 	origin  string
-	at      time.Duration
+	madeAt  time.Duration
 }
 
-// NewSet returns an empty Set.
 func NewSet() *Set {
 	return &Set{accepted: make(map[string]Command), promised: make(map[string]promise)}
 }
 
-// Version is the highest version accepted.
+// Version returns the highest accepted version.
 func (s *Set) Version() int64 { return s.version }
 
-// NextVersion returns a version above all that were seen.
+// NextVersion returns a version above all accepted and promised ones.
 func (s *Set) NextVersion() int64 {
 	next := s.version
 	for _, p := range s.promised {
@@ -93,33 +91,34 @@
 	return next + 1
 }
 
-// Prepare promises to take c, or says why not.
+// Prepare promises to accept c, or returns an error if a newer command is effective
+// or a conflicting promise is binding.
 func (s *Set) Prepare(now time.Duration, c Command) error {
 	if c.Version <= s.version {
 		return errors.Errorf("a newer command (version %d) is in force", s.version)
 	}
 	for slot, p := range s.promised {
 		switch {
-		case now-p.at >= promiseFor:
+		case now-p.madeAt >= promiseTimeout:
 			delete(s.promised, slot)
 		case p.version == c.Version && p.origin == c.Origin:
 		case p.version >= c.Version || slot == c.Slot():
-			return errors.Errorf("another operator is changing %s", slot)
+			return errors.Errorf("another command for %s is in progress", slot)
 		}
 	}
 	s.promised[c.Slot()] = promise{c.Version, c.Origin, now}
 	return nil
 }
 
-// Abandon withdraws a promise whose command was not accepted.
+// Abandon withdraws the promise of a command that was not accepted by all instances.
 func (s *Set) Abandon(c Command) {
 	if p, ok := s.promised[c.Slot()]; ok && p.version == c.Version && p.origin == c.Origin {
 		delete(s.promised, c.Slot())
 	}
 }
 
-// Commit puts c in force and returns what it replaced. It reports false if
-// a later command is in force already.
+// Commit makes c effective and returns the command that it replaced, if any. ok is false
+// if the slot already has a command of this or a later version.
 func (s *Set) Commit(c Command) (old Command, ok bool) {
 	slot := c.Slot()
 	old = s.accepted[slot]
@@ -134,8 +133,7 @@
 	return old, true
 }
 
-// Merge takes in another instance's commands and reports whether any was
-// new.
+// Merge commits another instance's encoded commands and reports whether any was new.
 func (s *Set) Merge(data []byte) (bool, error) {
 	var all []Command
 	if err := json.Unmarshal(data, &all); err != nil {
@@ -149,16 +147,16 @@
 	return changed, nil
 }
 
-// Encode returns all accepted commands, for Merge.
+// Encode returns all accepted commands as JSON, for Merge.
 func (s *Set) Encode() []byte {
 	data, err := json.Marshal(s.All())
 	if err != nil {
-		panic(err) // a Command always encodes
+		panic(err) // can't happen: a Command has only strings and integers
 	}
 	return data
 }
 
-// All returns the accepted commands by version.
+// All returns the accepted commands ordered by version.
 func (s *Set) All() []Command {
 	out := make([]Command, 0, len(s.accepted))
 	for _, c := range s.accepted {
@@ -168,8 +166,7 @@
 	return out
 }
 
-// Drained and Stopped report whether a command drains an instance or stops
-// an endpoint.
+// Drained reports whether a command drains the instance.
 func (s *Set) Drained(instance string) bool {
 	return s.accepted["instance/"+instance].Op == Drain
 }
@@ -179,7 +176,7 @@
 	return s.accepted["endpoint/"+endpoint].Op == Stop
 }
 
-// Apply returns set with the class changes that no publication overtook.
+// Apply returns set with the class changes that no newer publication overrides.
 func (s *Set) Apply(set *decl.Set) *decl.Set {
 	for _, c := range s.All() {
 		if c.Op != SetClass {
@@ -197,8 +194,7 @@
 	return set
 }
 
-// CheckClass checks a class change against the published set, and fills in
-// its base.
+// CheckClass validates a class change against the published set and sets c.Base.
 func (c *Command) CheckClass(set *decl.Set) error {
 	class := set.Class(c.Target)
 	if class == nil {
@@ -214,12 +210,12 @@
 		return err
 	}
 	if copied.Target() <= 0 {
-		return errors.Errorf("class %q would be left without a target", c.Target)
+		return errors.Errorf("class %q would have no latency target", c.Target)
 	}
 	return nil
 }
 
-// A field is a part of a class that commands may set.
+// A field accesses a field of a class that commands may set.
 type field struct {
 	read  func(*decl.Class) string
 	write func(*decl.Class, string) error
