--- a/instance/holdings.go
+++ b/instance/holdings.go
@@ -13,8 +13,8 @@
 }
 
 // retryBudgetSharers returns how many instances share the per-instance part of the retry
-// budget if n are heard, this one included. It returns 0, for unknown, if the settings
-// name other seeds and none is heard.
+// budget if n instances are live, this one included. It returns 0, for unknown, if the
+// settings name other seeds and no other instance is live.
 func (i *Instance) retryBudgetSharers(n int) int {
 	if n > 1 {
 		return n
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -58,14 +58,14 @@
 	now              func() time.Time
 	refreshClock     func() // resynchronizes the clock behind now
 	log              *zap.Logger
-	beliefs          *belief.Table
+	discovery        *belief.Table
 	balancer         *balance.Balancer
 	pool             *upstream.Pool
 	account          *memory.Account
 	countAccepted    func(string) // counts caller connections by outcome
 	entry            *entry.Entry
 	follower         *belief.Follower
-	prover           *belief.Prover
+	validator        *belief.Prover
 	gossip           *gossip.Gossip
 	countGossip      func(string)
 	status           *status
@@ -134,7 +134,7 @@
 
 func (i *Instance) assemble(counters *expvar.Map) {
 	s := i.settings
-	i.beliefs = belief.NewTable(i.now)
+	i.discovery = belief.NewTable(i.now)
 	i.balancer = balance.New(s.DataCentre, i.now)
 	i.balancer.SetColdBounds(coldBounds(s))
 	i.balancer.SetRetries(retries(s))
@@ -148,7 +148,7 @@
 	requestWaiting := make(chan struct{})
 	i.entry = entry.New(entry.Options{
 		Awaited:  sync.OnceFunc(func() { close(requestWaiting) }),
-		Beliefs:  i.beliefs,
+		Beliefs:  i.discovery,
 		Placer:   placer{i},
 		Pool:     i.pool,
 		Memory:   i.account,
@@ -173,7 +173,7 @@
 	i.store.Count = counter(subMap(counters, "kept_out"))
 	store := belief.NamedSource{Name: "store", Origin: true, Source: i.store}
 	i.follower = &belief.Follower{
-		Table:    i.beliefs,
+		Table:    i.discovery,
 		Store:    store,
 		Upstream: i.upstream,
 		Peers:    i.newerPeers,
@@ -185,7 +185,7 @@
 		StartWithin: i.bootstrapWait(),
 		Hurry:       requestWaiting,
 	}
-	i.prover = &belief.Prover{Table: i.beliefs, Store: store, Turn: i.validationTurn, Arriving: i.follower.Arriving, Log: i.log, Count: count}
+	i.validator = &belief.Prover{Table: i.discovery, Store: store, Turn: i.validationTurn, Arriving: i.follower.Arriving, Log: i.log, Count: count}
 }
 
 func bounds(s *Settings) entry.Bounds {
@@ -201,7 +201,7 @@
 	}
 }
 
-// coldBounds returns the rate limits of cold endpoints. ColdOver defaults to 1.
+// coldBounds returns the limits on requests to cold endpoints. ColdOver defaults to 1.
 func coldBounds(s *Settings) balance.ColdBounds {
 	over := s.Promises.ColdOver
 	if over == 0 {
@@ -220,10 +220,10 @@
 }
 
 func (i *Instance) listen() error {
-	own := i.settings.Listen
-	addresses := []string{own.Callers, own.Ready, own.Peers}
-	if own.Metrics != 0 {
-		addresses = append(addresses, net.JoinHostPort(hostOf(own.Peers), strconv.Itoa(own.Metrics)))
+	cfg := i.settings.Listen
+	addresses := []string{cfg.Callers, cfg.Ready, cfg.Peers}
+	if cfg.Metrics != 0 {
+		addresses = append(addresses, net.JoinHostPort(hostOf(cfg.Peers), strconv.Itoa(cfg.Metrics)))
 	}
 	for _, address := range addresses {
 		l, err := net.Listen("tcp", address)
@@ -246,7 +246,7 @@
 		DataCentres: len(s.DataCentres),
 		Regions:     regions(s),
 
-		Beliefs:  i.beliefs,
+		Beliefs:  i.discovery,
 		Balancer: i.balancer,
 		Log:      i.log,
 		Count:    i.countGossip,
@@ -257,8 +257,8 @@
 		SuspectNews:  i.entry.HearPoison,
 		PullSuspects: i.fetchSuspects,
 
-		Instances: func(n int, told time.Duration) {
-			i.balancer.SetInstances(n, told)
+		Instances: func(n int, reportInterval time.Duration) {
+			i.balancer.SetInstances(n, reportInterval)
 			i.entry.SetInstances(i.retryBudgetSharers(n))
 		},
 	}
@@ -309,7 +309,7 @@
 		i.spawn(func() { _ = i.metricsServer.Serve(i.listeners[3]) })
 	}
 	i.spawn(func() { i.follower.Run(ctx) })
-	i.spawn(func() { i.prover.Run(ctx) })
+	i.spawn(func() { i.validator.Run(ctx) })
 	i.spawn(func() { i.maintain(ctx) })
 	i.spawn(func() { i.gossip.Run(ctx) })
 }
@@ -326,7 +326,7 @@
 
 // callerTimeouts returns the timeouts of the current configuration.
 func (i *Instance) callerTimeouts() callerTimeouts {
-	c := i.beliefs.View().Catalog
+	c := i.discovery.View().Catalog
 	if c == nil {
 		return callerTimeouts{}
 	}
@@ -378,8 +378,8 @@
 			now := i.now()
 			i.handleResume(s.check(now))
 			i.status.observe(i.version(), i.entry.Ready(), now)
-			i.balancer.Forget(i.beliefs.Lists)
-			i.pool.Sweep(now, i.beliefs.Lists)
+			i.balancer.Forget(i.discovery.Lists)
+			i.pool.Sweep(now, i.discovery.Lists)
 			i.suspects.Tidy(now)
 		}
 	}
--- a/instance/inventory.go
+++ b/instance/inventory.go
@@ -39,8 +39,8 @@
 // validationAge returns the time since the local data was last known to be current,
 // in ms, or -1 if it never was.
 func (i *Instance) validationAge() int64 {
-	age, proved := i.beliefs.Age()
-	if !proved {
+	age, validated := i.discovery.Age()
+	if !validated {
 		return -1
 	}
 	return age.Milliseconds()
@@ -50,7 +50,7 @@
 func (i *Instance) detail() *inventory.Detail {
 	d := &inventory.Detail{
 		Name: i.settings.Name, DataCentre: i.settings.DataCentre, Role: i.role(), Address: i.settings.Listen.Peers,
-		Version: i.version(), Revision: i.beliefs.View().Revision, ProofMS: i.validationAge(), Ready: i.entry.Ready(),
+		Version: i.version(), Revision: i.discovery.View().Revision, ProofMS: i.validationAge(), Ready: i.entry.Ready(),
 	}
 	if !d.Ready {
 		d.NotReady = i.notReadyReason()
@@ -66,7 +66,7 @@
 	switch {
 	case leaving:
 		return "instance is shutting down"
-	case i.beliefs.View().Catalog == nil:
+	case i.discovery.View().Catalog == nil:
 		return "no configuration received yet"
 	}
 	return "team keys were last validated too long ago"
@@ -177,7 +177,7 @@
 	r.Get(inventory.DetailsJSONPath, s.ServeDetails)
 }
 
-// fleetCounters returns counters of the fleet as heard by this instance.
+// fleetCounters returns counters of the fleet as known to this instance.
 func (i *Instance) fleetCounters() any {
 	f := i.localFleet()
 	oldest := int64(-1)
--- a/instance/peers.go
+++ b/instance/peers.go
@@ -81,8 +81,8 @@
 // bootstrapWait returns how long to wait for peers at the start. Seeds don't wait, since
 // other instances depend on them.
 func (i *Instance) bootstrapWait() time.Duration {
-	own := i.settings.Listen.Peers
-	if len(i.settings.Seeds) == 0 || slices.Contains(i.settings.Seeds, own) {
+	address := i.settings.Listen.Peers
+	if len(i.settings.Seeds) == 0 || slices.Contains(i.settings.Seeds, address) {
 		return 0
 	}
 	return bootstrapTimeout
@@ -91,7 +91,7 @@
 // newerPeers returns instances with a newer revision, those of the local data centre
 // first. The order is otherwise random to spread the load.
 func (i *Instance) newerPeers() []belief.NamedSource {
-	revision := i.beliefs.View().Revision
+	revision := i.discovery.View().Revision
 	var local, remote []belief.NamedSource
 	for _, m := range i.excludeOlderBuilds(i.gossip.Members()) {
 		if m.Revision <= revision {
@@ -124,7 +124,7 @@
 
 // version returns the version of the current configuration, or 0 if there is none.
 func (i *Instance) version() int64 {
-	if c := i.beliefs.View().Catalog; c != nil {
+	if c := i.discovery.View().Catalog; c != nil {
 		return c.Version()
 	}
 	return 0
@@ -138,7 +138,7 @@
 // peersHandler returns the HTTP handler for other instances.
 func (i *Instance) peersHandler() http.Handler {
 	r := chi.NewRouter()
-	r.Get(gossip.BeliefsPath, gossip.BeliefsHandler(i.beliefs, i.log))
+	r.Get(gossip.BeliefsPath, gossip.BeliefsHandler(i.discovery, i.log))
 	r.Get(gossip.SuspectsPath, gossip.SuspectsHandler(i.suspects, i.now))
 	s := i.inventorySource()
 	r.Get(inventory.DetailPath, s.ServeDetail)
--- a/instance/shares.go
+++ b/instance/shares.go
@@ -69,7 +69,7 @@
 
 // teams returns the configured teams.
 func (i *Instance) teams() []catalog.Team {
-	if c := i.beliefs.View().Catalog; c != nil {
+	if c := i.discovery.View().Catalog; c != nil {
 		return c.Teams()
 	}
 	return nil
--- a/instance/suspects.go
+++ b/instance/suspects.go
@@ -83,7 +83,7 @@
 // endpointNames maps the hashes of listed endpoints to their IDs.
 func (i *Instance) endpointNames() map[uint32]string {
 	names := make(map[uint32]string)
-	i.beliefs.View().Services(func(_ string, endpoints []*belief.Endpoint) {
+	i.discovery.View().Services(func(_ string, endpoints []*belief.Endpoint) {
 		for _, e := range endpoints {
 			names[balance.EndpointHash(e.ID)] = e.ID
 		}
--- a/instance/suspend.go
+++ b/instance/suspend.go
@@ -41,6 +41,6 @@
 		return
 	}
 	i.entry.Woke()
-	age, _ := i.beliefs.Age()
+	age, _ := i.discovery.Age()
 	i.log.Warn("machine was suspended", zap.Duration("for", d), zap.Duration("belief_age", age), zap.Int("in_hand", i.entry.Open()), zap.Bool("ready", i.entry.Ready()))
 }
