--- a/instance/accept.go
+++ b/instance/accept.go
@@ -99,9 +99,9 @@
 	return sc.SyscallConn()
 }
 
-// CloseWrite closes the sending side of the connection. net/http needs it to close a
-// connection whose request it has not read completely: without it, the caller may see
-// a reset before it has the response.
+// CloseWrite closes the sending side of the connection. net/http calls it before it closes
+// a connection whose request it has not read completely, so that the caller sees the end
+// of the response at once and can read it before a reset.
 func (c *callerConn) CloseWrite() error {
 	closer, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
--- a/instance/half_close_test.go
+++ b/instance/half_close_test.go
@@ -7,9 +7,9 @@
 	"ivyridge/memory"
 )
 
-// net/http calls CloseWrite when it closes a connection whose request body it has not read,
-// so that the caller receives the response before a reset. Wrapping the TCP connection
-// must not hide the method.
+// net/http half-closes a connection whose request body it has not read, so that the caller
+// sees the end of the response before a reset. Wrapping the TCP connection must not hide
+// its CloseWrite method.
 func TestCallerConnCloseWrite(t *testing.T) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,6 +28,6 @@
 	}
 	defer func() { _ = c.Close() }()
 	if _, ok := c.(interface{ CloseWrite() error }); !ok {
-		t.Errorf("%T has no CloseWrite: callers may see a reset before the response", c)
+		t.Errorf("%T has no CloseWrite: callers see the end of an early response half a second late", c)
 	}
 }
--- a/instance/older_builds.go
+++ b/instance/older_builds.go
@@ -1,6 +1,6 @@
 package instance
 
-// This file avoids fetching data from instances whose builds are too old to be compatible.
+// This file avoids fetching from instances with older builds, which drop fields that they don't know.
 
 import (
 	"sync"
@@ -59,7 +59,7 @@
 	return false
 }
 
-// noteOlderBuild records the instance at address if err says that its build is too old.
+// noteOlderBuild records the instance at address if err is gossip.ErrOlder.
 func (i *Instance) noteOlderBuild(address string, err error) {
 	if errors.Is(err, gossip.ErrOlder) && i.olderBuilds.add(address, i.now()) {
 		i.log.Info("instance runs an older build; not fetching from it", zap.String("address", address), zap.String("error", err.Error()))
--- a/instance/settings.go
+++ b/instance/settings.go
@@ -40,7 +40,7 @@
 	RetryExtra    int     `yaml:"retry_extra"`
 
 	// Limits on requests to a cold endpoint per second, over all instances: ColdOver times
-	// its rate plus ColdSlack requests. If both are 0, exactly its rate.
+	// its rate plus ColdSlack requests. A ColdOver of 0 means 1.
 	ColdOver  float64 `yaml:"cold_over"`
 	ColdSlack float64 `yaml:"cold_slack"`
 
