--- a/home/estimate.go
+++ b/home/estimate.go
@@ -1,7 +1,7 @@
 package home
 
-// This file estimates how long requests take and wait, and decides whether
-// to admit them. It stands alone because every figure here is learned.
+// This file predicts service and waiting times from observed runs and decides
+// admission.
 
 import (
 	"math"
@@ -14,135 +14,138 @@
 )
 
 const (
-	// keepChance is the part of a request's chance to be on time that
-	// waiting may leave for it to be admitted; giveUpChance is the part
-	// below which one that waits is refused after all.
-	keepChance   = 0.95
-	giveUpChance = 0.5
+	// A request is admitted if waiting leaves it at least admitRatio of its
+	// probability to be on time; a waiting request is refused once less than
+	// expireRatio of it is left.
+	admitRatio  = 0.95
+	expireRatio = 0.5
 
-	// servicePlanned percent of a service's target may be used up by a
-	// predicted wait, which is no more than a guess.
-	servicePlanned = 50
+	// A service request that has to wait must be expected to end within
+	// serviceWaitPercent of its target, since predicted waits are unreliable.
+	serviceWaitPercent = 50
 
-	// The predicted wait is corrected by what waits turned out to be.
-	biasKeep = 0.98
-	biasMin  = 0.5
-	biasMax  = 4.0
-	// biasFloor is a wait too short to learn from.
-	biasFloor = 50 * time.Millisecond
+	// The ratio of observed to predicted waits is a decaying average,
+	// clamped to the range biasMin to biasMax.
+	biasDecay = 0.98
+	biasMin   = 0.5
+	biasMax   = 4.0
+	// Predictions below biasMinWait do not update the bias.
+	biasMinWait = 50 * time.Millisecond
 
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 2 * time.Minute
 
-	// loadWindow is the time constant of a class's arriving work.
+	// loadWindow is the time constant of a class's admitted load.
 	loadWindow = 2 * time.Second
 
-	// drainWindow is the time constant of a class's granted work; a class
-	// that has had requests waiting for drainAfter is predicted by it.
-	drainWindow = 4 * time.Second
-	drainAfter  = 4 * time.Second
-	drainMargin = 1.1
+	// grantWindow is the time constant of a class's granted load. Once a class
+	// has had requests waiting for grantRateAfter, its waits are predicted from
+	// that load.
+	grantWindow     = 4 * time.Second
+	grantRateAfter  = 4 * time.Second
+	grantRateMargin = 1.1
 
-	unknownTokens = 200.0                  // before any answer ended
-	unknownStart  = 100 * time.Millisecond // before any first token
-	minimumCost   = 1e-3                   // slot-seconds
+	defaultTokens = 200.0                  // before any answer completed
+	defaultStart  = 100 * time.Millisecond // before any first token was observed
+	minCost       = 1e-3                   // slot-seconds
 )
 
-// classStats is what a Home learns of a class.
+// classStats are the observed statistics of a class.
 type classStats struct {
-	start    float64 // seconds to the first token, or whole time of a service
-	bias     float64 // waits as they were over waits as predicted
-	load     float64 // slot-seconds a second that were admitted lately
-	loadedAt time.Duration
-	drain    float64 // slot-seconds a second that were granted lately
-	drainAt  time.Duration
-	waited   time.Duration // instant since when some have always waited
-	started  bool
+	start            float64 // seconds to the first token, or total time for a service
+	bias             float64 // observed over predicted wait
+	load             float64 // recently admitted slot-seconds per second
+	loadUpdated      time.Duration
+	grantRate        float64 // recently granted slot-seconds per second
+	grantRateUpdated time.Duration
+	queuedSince      time.Duration // time since which requests have been waiting without a break
+	hasStart         bool
 }
 
-// arrived adds admitted work to the decaying rate.
-func (s *classStats) arrived(now time.Duration, cost float64) {
+// addAdmitted adds admitted work to the decaying load.
+func (s *classStats) addAdmitted(now time.Duration, cost float64) {
 	s.load = s.loadAt(now) + cost/loadWindow.Seconds()
-	s.loadedAt = now
+	s.loadUpdated = now
 }
 
-// drained adds granted work to the decaying rate.
-func (s *classStats) drained(now time.Duration, cost float64) {
-	s.drain = s.drain*math.Exp(-float64(now-s.drainAt)/float64(drainWindow)) + cost/drainWindow.Seconds()
-	s.drainAt = now
+// addGranted adds granted work to the decaying grant rate.
+func (s *classStats) addGranted(now time.Duration, cost float64) {
+	s.grantRate = s.grantRate*math.Exp(-float64(now-s.grantRateUpdated)/float64(grantWindow)) + cost/grantWindow.Seconds()
+	s.grantRateUpdated = now
 }
 
 func (s *classStats) loadAt(now time.Duration) float64 {
-	return s.load * math.Exp(-float64(now-s.loadedAt)/float64(loadWindow))
+	return s.load * math.Exp(-float64(now-s.loadUpdated)/float64(loadWindow))
 }
 
-// estimate fills r's cost and latest start.
+// estimate sets r's cost and latest start.
 func (h *Home) estimate(r *queue.Request, a *Ask) {
-	c := h.specs[r.Class]
-	start := h.startOf(r.Class)
+	c := h.classes[r.Class]
+	start := h.startSeconds(r.Class)
 	gap := h.meanGap()
-	r.Cost = max(start+h.meanTokens(a)*gap, minimumCost)
+	r.Cost = max(start+h.meanTokens(a)*gap, minCost)
 	latest := time.Duration(math.MaxInt64)
 	if c.FirstToken > 0 {
 		latest = r.Arrival + c.FirstToken - seconds(start)
 	}
 	if c.Whole > 0 {
-		hold := start + h.giveUpTokens(a, c.Whole.Seconds()-start, gap)*gap
+		hold := start + h.latestStartTokens(a, c.Whole.Seconds()-start, gap)*gap
 		latest = min(latest, r.Arrival+c.Whole-seconds(hold))
 	}
 	r.Latest = max(latest, r.Arrival)
 }
 
-// giveUpTokens returns the answer length for which time must be left when r
-// starts: a start that leaves less has too small a part of its chance.
-func (h *Home) giveUpTokens(a *Ask, room, gap float64) float64 {
+// latestStartTokens returns the answer length, in tokens, that must still fit
+// between r's start and its deadline: at a later start, r has less than
+// expireRatio of its probability to be on time.
+func (h *Home) latestStartTokens(a *Ask, room, gap float64) float64 {
 	d := h.dist(a)
 	if d == nil {
-		return 0 // nothing is known that speaks against a late start
+		return 0 // no lengths known, so no reason to refuse a late start
 	}
-	return d.Quantile(giveUpChance * d.Within(room/gap))
+	return d.Quantile(expireRatio * d.Within(room/gap))
 }
 
-// chance is the part of requests like r that would be on time if they
-// started after wait.
-func (h *Home) chance(r *queue.Request, a *Ask, wait time.Duration) float64 {
-	c := h.specs[r.Class]
-	left := wait + h.now - r.Arrival + seconds(h.startOf(r.Class))
-	if c.FirstToken > 0 && left > c.FirstToken {
+// onTimeProbability returns the fraction of requests like r that would be on
+// time if they started after wait.
+func (h *Home) onTimeProbability(r *queue.Request, a *Ask, wait time.Duration) float64 {
+	c := h.classes[r.Class]
+	elapsed := wait + h.now - r.Arrival + seconds(h.startSeconds(r.Class))
+	if c.FirstToken > 0 && elapsed > c.FirstToken {
 		return 0
 	}
 	if c.Whole == 0 {
 		return 1
 	}
-	if h.pool.Kind != decl.Model && wait > 0 && left > c.Whole*servicePlanned/100 {
+	if h.pool.Kind != decl.Model && wait > 0 && elapsed > c.Whole*serviceWaitPercent/100 {
 		return 0
 	}
-	room := (c.Whole - left).Seconds()
+	room := (c.Whole - elapsed).Seconds()
 	if room < 0 {
 		return 0
 	}
 	d := h.dist(a)
 	if d == nil {
-		return 1 // nothing is known that speaks against it
+		return 1 // no lengths known, so no reason to refuse
 	}
 	return d.Within(room / h.meanGap())
 }
 
-// dist returns the lengths to plan with, or nil if none are known.
+// dist returns the distribution of answer lengths, or nil if none is known.
 func (h *Home) dist(a *Ask) *length.Dist {
 	if h.pool.Kind != decl.Model || !h.policy.Lengths {
 		return nil
 	}
-	return h.book.Of(a.Class, a.Team)
+	return h.lengths.Of(a.Class, a.Team)
 }
 
-// meanTokens returns the mean length of answers like a's, at most the
-// caller's own limit. A service's answer counts no tokens.
+// meanTokens returns the mean answer length of requests like a, capped by the
+// caller's limit. It is zero for services.
 func (h *Home) meanTokens(a *Ask) float64 {
 	if h.pool.Kind != decl.Model {
 		return 0
 	}
-	n := unknownTokens
+	n := defaultTokens
 	if d := h.dist(a); d != nil {
 		n = d.Mean()
 	}
@@ -152,33 +155,33 @@
 	return n
 }
 
-func (h *Home) startOf(class int) float64 {
-	if s := &h.stats[class]; s.started {
+func (h *Home) startSeconds(class int) float64 {
+	if s := &h.stats[class]; s.hasStart {
 		return s.start
 	}
-	return unknownStart.Seconds()
+	return defaultStart.Seconds()
 }
 
-// admit returns why r is refused, or nil.
+// admit returns the refusal of r, or nil if r is admitted.
 func (h *Home) admit(r *queue.Request, a *Ask) *verdict.Error {
 	if h.slots(false) == 0 {
-		return verdict.Refuse(verdict.NoEndpoint, "no endpoint of pool %q takes work", h.pool.Name).After(time.Second)
+		return verdict.Refuse(verdict.NoEndpoint, "no endpoint of pool %q accepts requests", h.pool.Name).After(time.Second)
 	}
 	if t := h.set.Team(a.Team); t != nil && t.MaxWaiting > 0 && h.q.TeamLen(r.Class, a.Team) >= t.MaxWaiting {
-		return verdict.Refuse(verdict.TeamLimit, "team %q has %d requests waiting", a.Team, t.MaxWaiting).After(h.clearIn(r))
+		return verdict.Refuse(verdict.TeamLimit, "team %q has reached its limit of %d waiting requests", a.Team, t.MaxWaiting).After(h.retryAfter(r))
 	}
 	if !h.policy.Admit {
 		return nil
 	}
 	if h.q.Len() == 0 && h.placeable(r) {
-		return nil // it can start now
+		return nil // can start immediately
 	}
-	wait := h.wait(r)
-	now := h.chance(r, a, 0)
-	if now > 0 && h.chance(r, a, wait) >= keepChance*now {
+	wait := h.predictWait(r)
+	immediate := h.onTimeProbability(r, a, 0)
+	if immediate > 0 && h.onTimeProbability(r, a, wait) >= admitRatio*immediate {
 		return nil
 	}
-	e := verdict.Refuse(verdict.Overloaded, "class %q would wait %s", a.Class, wait.Round(time.Millisecond))
+	e := verdict.Refuse(verdict.Overloaded, "class %q: predicted wait of %s would miss the target", a.Class, wait.Round(time.Millisecond))
 	return e.After(clampRetry(wait))
 }
 
@@ -186,84 +189,84 @@
 	return max(minRetryAfter, min(d, maxRetryAfter))
 }
 
-// wait predicts how long r waits for a slot: the work ahead of it over what
-// the cell serves of it. Higher tiers that keep arriving leave less.
-func (h *Home) wait(r *queue.Request) time.Duration {
+// predictWait predicts how long r waits for a slot: the work ahead of it divided
+// by the capacity left to its class by higher tiers and guaranteed shares.
+func (h *Home) predictWait(r *queue.Request) time.Duration {
 	total, own := h.q.Ahead(r)
-	slots := h.slots(h.specs[r.Class].Tier > 0)
-	left := 1.0
-	for i, c := range h.specs {
+	slots := h.slots(h.classes[r.Class].Tier > 0)
+	available := 1.0
+	for i, c := range h.classes {
 		switch {
 		case i == r.Class:
-		case c.Tier < h.specs[r.Class].Tier:
-			left -= h.stats[i].loadAt(h.now) / slots
-		case c.Tier > h.specs[r.Class].Tier && h.policy.Shares && h.q.ClassLen(i) > 0:
-			left -= shareOf(c)
+		case c.Tier < h.classes[r.Class].Tier:
+			available -= h.stats[i].loadAt(h.now) / slots
+		case c.Tier > h.classes[r.Class].Tier && h.policy.Shares && h.q.ClassLen(i) > 0:
+			available -= shareOf(c)
 		}
 	}
-	share := max(shareOf(h.specs[r.Class]), defaultShare)
-	byTurn := total / (slots * max(left, share))
+	share := max(shareOf(h.classes[r.Class]), defaultShare)
+	byOrder := total / (slots * max(available, share))
 	byShare := own / (slots * share)
-	model := min(byTurn, byShare) * h.biasOf(r.Class)
+	modelled := min(byOrder, byShare) * h.waitBias(r.Class)
 	s := &h.stats[r.Class]
-	if !h.policy.Drain || h.q.ClassLen(r.Class) == 0 || h.now-s.waited < drainAfter || s.drain == 0 {
-		return seconds(model)
+	if !h.policy.Drain || h.q.ClassLen(r.Class) == 0 || h.now-s.queuedSince < grantRateAfter || s.grantRate == 0 {
+		return seconds(modelled)
 	}
-	// What the class was granted lately says more than a model of it.
-	return seconds(drainMargin * own / s.drain)
+	// The observed grant rate of the class is more accurate than the model.
+	return seconds(grantRateMargin * own / s.grantRate)
 }
 
-func (h *Home) biasOf(class int) float64 {
+func (h *Home) waitBias(class int) float64 {
 	if s := &h.stats[class]; h.policy.Bias && s.bias > 0 {
 		return s.bias
 	}
 	return 1
 }
 
-// learnWait corrects the prediction by what a wait turned out to be.
-func (h *Home) learnWait(r *queue.Request) {
+// updateBias updates the correction of predicted waits from r's actual wait.
+func (h *Home) updateBias(r *queue.Request) {
 	s := &h.stats[r.Class]
-	if r.Predicted < biasFloor {
+	if r.Predicted < biasMinWait {
 		return
 	}
 	if s.bias == 0 {
 		s.bias = 1
 	}
-	was := float64(h.now-r.Pushed) / float64(r.Predicted) * s.bias
-	s.bias = biasKeep*s.bias + (1-biasKeep)*max(biasMin, min(was, biasMax))
+	observed := float64(h.now-r.Pushed) / float64(r.Predicted) * s.bias
+	s.bias = biasDecay*s.bias + (1-biasDecay)*max(biasMin, min(observed, biasMax))
 }
 
-// clearIn predicts when a request like r would be admitted.
-func (h *Home) clearIn(r *queue.Request) time.Duration {
-	return clampRetry(h.wait(r) / 2)
+// retryAfter predicts when a request like r would be admitted.
+func (h *Home) retryAfter(r *queue.Request) time.Duration {
+	return clampRetry(h.predictWait(r) / 2)
 }
 
-// learn updates the estimates from a run that ended.
-func (h *Home) learn(r *run, rel *Release) {
+// observe updates the estimates from a completed run.
+func (h *Home) observe(r *run, rel *Release) {
 	s := &h.stats[r.class]
-	c := h.specs[r.class]
+	c := h.classes[r.class]
 	if rel.Failed {
-		r.at.failed()
+		r.endpoint.recordFailure()
 		return
 	}
-	r.at.recovered()
+	r.endpoint.resetFailures()
 	if rel.Busy {
-		r.at.refused(h.now)
+		r.endpoint.recordRefusal(h.now)
 	}
 	if !rel.Whole {
 		return
 	}
 	if h.pool.Kind == decl.Service {
-		h.adjustService(r.at, rel.Held)
+		h.adjustService(r.endpoint, rel.Held)
 	}
-	h.learnStart(s, rel)
+	h.observeStart(s, rel)
 	if rel.Tokens > 0 {
-		h.book.Observe(c.Name, rel.Team, rel.Tokens)
+		h.lengths.Observe(c.Name, rel.Team, rel.Tokens)
 	}
 }
 
-func (h *Home) learnStart(s *classStats, rel *Release) {
-	const keep = 0.95
+func (h *Home) observeStart(s *classStats, rel *Release) {
+	const decay = 0.95
 	start := rel.FirstToken.Seconds()
 	if h.pool.Kind != "model" {
 		start = rel.Held.Seconds()
@@ -271,14 +274,14 @@
 	if start <= 0 {
 		return
 	}
-	if !s.started {
-		s.start, s.started = start, true
+	if !s.hasStart {
+		s.start, s.hasStart = start, true
 		return
 	}
-	s.start = keep*s.start + (1-keep)*start
+	s.start = decay*s.start + (1-decay)*start
 }
 
 func seconds(s float64) time.Duration {
-	const most = float64(math.MaxInt64 / 4)
-	return time.Duration(min(s*float64(time.Second), most))
+	const limit = float64(math.MaxInt64 / 4)
+	return time.Duration(min(s*float64(time.Second), limit))
 }
--- a/home/fit.go
+++ b/home/fit.go
@@ -1,37 +1,37 @@
 package home
 
-// A fit learns how an endpoint's time between tokens grows with what it runs,
-// as a line through recent samples. It foresees how many requests would bring
-// the gap to a target, though the endpoint has not run as many lately.
-type fit struct {
+// A gapRegression is a decaying linear regression of an endpoint's inter-token
+// gap on its number of runs. It predicts how many runs bring the gap to a target,
+// also beyond the numbers seen recently.
+type gapRegression struct {
 	weight, n, gap, nn, ngap float64
 }
 
 const (
-	fitKeep     = 0.995 // of older samples, at each new one
-	fitSamples  = 20.0  // before a fit is used
-	fitVariance = 1.0   // of what ran, before a fit is used
+	fitDecay       = 0.995 // weight of older samples at each new one
+	fitMinSamples  = 20.0  // total weight before the regression is used
+	fitMinVariance = 1.0   // of the number of runs, before the regression is used
 )
 
-// add takes in that n requests ran with a gap in seconds.
-func (f *fit) add(n, gap float64) {
-	f.weight = fitKeep*f.weight + 1
-	f.n = fitKeep*f.n + n
-	f.gap = fitKeep*f.gap + gap
-	f.nn = fitKeep*f.nn + n*n
-	f.ngap = fitKeep*f.ngap + n*gap
+// observe adds a sample of n runs and a gap in seconds.
+func (f *gapRegression) observe(n, gap float64) {
+	f.weight = fitDecay*f.weight + 1
+	f.n = fitDecay*f.n + n
+	f.gap = fitDecay*f.gap + gap
+	f.nn = fitDecay*f.nn + n*n
+	f.ngap = fitDecay*f.ngap + n*gap
 }
 
-// at returns how many requests bring the gap to target, or false where the
-// samples do not tell.
-func (f *fit) at(target float64) (float64, bool) {
-	if f.weight < fitSamples {
+// solve returns the number of runs at which the gap reaches target, or false if
+// the samples do not determine it.
+func (f *gapRegression) solve(target float64) (float64, bool) {
+	if f.weight < fitMinSamples {
 		return 0, false
 	}
 	n, gap := f.n/f.weight, f.gap/f.weight
 	variance := f.nn/f.weight - n*n
 	slope := (f.ngap/f.weight - n*gap) / variance
-	if variance < fitVariance || slope <= 0 {
+	if variance < fitMinVariance || slope <= 0 {
 		return 0, false
 	}
 	return n + (target-gap)/slope, true
--- a/home/home.go
+++ b/home/home.go
@@ -1,18 +1,18 @@
-// Package home decides for one cell of endpoints: which requests to admit,
-// in what order and on which endpoint to run them, and which to refuse.
+// Package home implements admission control, ordering and placement of the
+// requests of one cell of endpoints.
 //
-// A cell is a bounded group of alike endpoints. The instance that is home of
-// a cell keeps its one queue, binds late, and grants a request only when an
-// endpoint has room for it. A Home is pure state: every method takes the
-// time and an event; Take returns the decisions that followed. It keeps
-// nothing that cannot be rebuilt from the entries within seconds: they hold
-// the requests, ask again elsewhere when a home is lost, and tell each home
-// what they are running.
+// A cell is a bounded group of identical endpoints. Its home instance holds the
+// cell's only queue and grants a request only when an endpoint has a free slot
+// for it. A Home does no I/O and reads no clock: every method takes the current
+// time and an event, and Take returns the resulting decisions. All its state is
+// soft and rebuilt within seconds from the entry instances: they hold the
+// requests, ask again elsewhere when a home is lost, and report what they run
+// to each home.
 //
-// The files: home.go (events and state), estimate.go (how long a request
-// takes, and admission), place.go (which endpoint), fill.go and fit.go (how
-// full), policy.go (switches and baselines). A Home is not safe for
-// concurrent use.
+// home.go handles events and state, estimate.go predicts service and waiting
+// times and decides admission, place.go selects endpoints, limits.go and fit.go
+// set the concurrency limits, and policy.go defines the policy switches. A Home
+// is not safe for concurrent use.
 package home
 
 import (
@@ -25,26 +25,26 @@
 	"ivyridge/verdict"
 )
 
-// Times that bound a Home's soft state.
+// Timeouts of a Home's soft state.
 const (
-	// RunLease is how long a run counts without its entry naming it again.
+	// RunLease is how long a run is counted after its entry last reported it.
 	RunLease = 3 * time.Second
-	// heardWithin is how old an endpoint's report may be when a Home begins
-	// to decide; trustAfter is how long one that does not answer is waited
-	// for.
-	heardWithin = time.Second
-	trustAfter  = 400 * time.Millisecond
-	// newRun is how long a grant may be unknown to its entry's Sync.
-	newRun = time.Second
+	// maxReportAge is the age above which an endpoint's load report is stale
+	// when a Home resumes deciding; reportTimeout is how long a Home waits
+	// for a new report before it uses the endpoint anyway.
+	maxReportAge  = time.Second
+	reportTimeout = 400 * time.Millisecond
+	// syncGrace is how long a new grant may be missing from its entry's Sync.
+	syncGrace = time.Second
 )
 
-// A Key names one attempt: the entry instance and its own sequence number.
+// A Key identifies one attempt by entry instance and sequence number.
 type Key struct {
 	Entry string
 	Seq   uint64
 }
 
-// An Ask is a request that wants to run.
+// An Ask is a request for an endpoint slot.
 type Ask struct {
 	Key
 	Class      string
@@ -52,12 +52,12 @@
 	DataCentre string
 	Prompt     int           // tokens, estimated by the entry
 	MaxTokens  int           // the caller's limit, zero if none
-	Age        time.Duration // since it arrived at its entry
-	Prefix     uint64        // hash of team and prompt start, zero if none
-	Avoid      string        // endpoint that failed the attempt before
+	Age        time.Duration // since arrival at its entry
+	Prefix     uint64        // hash of team and start of prompt, zero if none
+	Avoid      string        // endpoint on which the previous attempt failed
 }
 
-// A Decision answers an Ask: a grant of an endpoint, or a refusal.
+// A Decision answers an Ask with a granted endpoint or a refusal.
 type Decision struct {
 	Key
 	Endpoint string // empty if refused
@@ -65,153 +65,153 @@
 	Refusal  *verdict.Error
 }
 
-// A Release ends a run.
+// A Release reports the end of a run.
 type Release struct {
 	Key
 	Team       string
-	Failed     bool          // the endpoint could not be reached or broke
-	Busy       bool          // the endpoint refused it as too much
+	Failed     bool          // the endpoint was unreachable or failed
+	Busy       bool          // the endpoint rejected the request as overload
 	Tokens     int           // generated, zero if unknown
-	FirstToken time.Duration // from sending, zero if unknown
-	Held       time.Duration // from grant to end
+	FirstToken time.Duration // since sending, zero if unknown
+	Held       time.Duration // from grant to end of run
 	Late       bool          // the answer missed its target
-	Whole      bool          // the answer ended by itself
+	Whole      bool          // the answer completed normally
 }
 
-// A Running is one run that an entry names in a Sync.
+// A Running is one run that an entry reports in a Sync.
 type Running struct {
 	Seq      uint64
 	Endpoint string
 	Class    string
 }
 
-// An Endpoint is one published endpoint of the cell.
+// An Endpoint is a published endpoint of the cell.
 type Endpoint struct {
 	Name       string
 	Addr       string
 	DataCentre string
 	Leaving    bool
-	Stopped    bool // by an operator's command
+	Stopped    bool // by an operator command
 }
 
 type run struct {
-	key     Key
-	at      *endpoint
-	class   int
-	granted time.Duration
-	seen    time.Duration // last time its entry named it
+	key       Key
+	endpoint  *endpoint
+	class     int
+	granted   time.Duration
+	confirmed time.Duration // when its entry last reported it
 }
 
 // A Home is the state of one cell.
 type Home struct {
-	pool    decl.Pool
-	policy  Policy
-	specs   []*decl.Class
-	index   map[string]int
-	set     *decl.Set
-	q       *queue.Queue
-	book    *length.Book
-	stats   []classStats
-	waiting map[Key]*queue.Request
-	running map[Key]*run
-	byName  map[string]*endpoint
-	list    []*endpoint
-	turn    int     // round-robin position
-	share   float64 // part of every limit this instance may grant
-	out     []Decision
-	free    []*queue.Request
-	ended   []*run // reused
-	place   func(*queue.Request) bool
-	owed    func(*queue.Request) bool
-	byTier  [decl.MaxTier + 1]int // runs
-	now     time.Duration
-	Counts  Counts
-}
-
-// Counts are totals since the Home was made.
+	pool         decl.Pool
+	policy       Policy
+	classes      []*decl.Class
+	classIndex   map[string]int
+	set          *decl.Set
+	q            *queue.Queue
+	lengths      *length.Book
+	stats        []classStats
+	waiting      map[Key]*queue.Request
+	running      map[Key]*run
+	byName       map[string]*endpoint
+	list         []*endpoint
+	nextIndex    int     // next round-robin index
+	share        float64 // part of each concurrency limit that this instance may grant
+	decisions    []Decision
+	freeRequests []*queue.Request
+	freeRuns     []*run // for reuse
+	accept       func(*queue.Request) bool
+	acceptOwed   func(*queue.Request) bool
+	runsByTier   [decl.MaxTier + 1]int // number of runs
+	now          time.Duration
+	Counts       Counts
+}
+
+// Counts are totals since the Home was created.
 type Counts struct {
 	Asked, Granted, Refused, Released, Lapsed, Resynced, SlowSeen int64
 }
 
-// New returns the Home of a cell of pool under the given declarations.
+// New returns the Home of a cell of pool under the declarations in set.
 func New(set *decl.Set, pool *decl.Pool, policy Policy) *Home {
 	h := &Home{
 		policy:  policy,
-		book:    length.NewBook(),
+		lengths: length.NewBook(),
 		waiting: make(map[Key]*queue.Request),
 		running: make(map[Key]*run),
 		byName:  make(map[string]*endpoint),
 		share:   1,
 	}
-	h.place, h.owed = h.placeable, h.placeableOwed
+	h.accept, h.acceptOwed = h.placeable, h.placeableOwed
 	h.Configure(0, set, pool)
 	return h
 }
 
-// Configure puts declarations in force. Waiting requests keep their place;
-// those whose class is gone are refused.
+// Configure applies new declarations. Waiting requests keep their order;
+// those whose class no longer exists are refused.
 func (h *Home) Configure(now time.Duration, set *decl.Set, pool *decl.Pool) {
 	h.now = now
-	old, oldStats, oldIndex := h.specs, h.stats, h.index
+	oldClasses, oldStats, oldIndex := h.classes, h.stats, h.classIndex
 	h.set, h.pool = set, *pool
-	h.specs = make([]*decl.Class, len(set.Classes))
+	h.classes = make([]*decl.Class, len(set.Classes))
 	h.stats = make([]classStats, len(set.Classes))
-	h.index = make(map[string]int, len(set.Classes))
+	h.classIndex = make(map[string]int, len(set.Classes))
 	specs := make([]queue.Class, len(set.Classes))
 	for i := range set.Classes {
 		c := &set.Classes[i]
-		h.specs[i], h.index[c.Name] = c, i
+		h.classes[i], h.classIndex[c.Name] = c, i
 		specs[i] = queue.Class{Tier: c.Tier, Share: shareOf(c), Target: c.Target(), FinishLate: c.FinishLate}
 		if j, ok := oldIndex[c.Name]; ok {
 			h.stats[i] = oldStats[j]
 		}
 	}
 	h.q = queue.New(specs, h.policy.Order())
-	h.recount(old)
-	h.requeue(old)
-	h.pump()
+	h.reassignRuns(oldClasses)
+	h.requeue(oldClasses)
+	h.dispatch()
 }
 
-// recount gives the runs their class among the present ones. A run whose
-// class is gone counts under the first.
-func (h *Home) recount(old []*decl.Class) {
-	h.byTier = [decl.MaxTier + 1]int{}
+// reassignRuns maps the runs to the new class indexes. A run whose class no
+// longer exists is counted under the first class.
+func (h *Home) reassignRuns(oldClasses []*decl.Class) {
+	h.runsByTier = [decl.MaxTier + 1]int{}
 	for _, e := range h.byName {
-		e.running, e.byTier = 0, h.byTier
+		e.running, e.runsByTier = 0, h.runsByTier
 	}
 	for _, r := range h.running {
-		r.class = h.index[old[r.class].Name]
-		h.count(r, 1)
+		r.class = h.classIndex[oldClasses[r.class].Name]
+		h.countRun(r, 1)
 	}
 }
 
-// requeue moves the waiting requests into the present queue.
-func (h *Home) requeue(old []*decl.Class) {
+// requeue moves the waiting requests to the new queue.
+func (h *Home) requeue(oldClasses []*decl.Class) {
 	for key, r := range h.waiting {
 		a := r.Payload.(*Ask)
-		i, ok := h.index[old[r.Class].Name]
+		i, ok := h.classIndex[oldClasses[r.Class].Name]
 		if !ok {
 			delete(h.waiting, key)
 			h.decide(key, nil, verdict.Refuse(verdict.UnknownClass, "class %q is no longer declared", a.Class))
 			continue
 		}
-		fresh := &queue.Request{Class: i, Team: r.Team, Weight: r.Weight, Arrival: r.Arrival, Payload: a}
-		h.estimate(fresh, a)
-		h.waiting[key] = fresh
-		h.q.Push(fresh)
+		moved := &queue.Request{Class: i, Team: r.Team, Weight: r.Weight, Arrival: r.Arrival, Payload: a}
+		h.estimate(moved, a)
+		h.waiting[key] = moved
+		h.q.Push(moved)
 	}
 }
 
-// SetShare bounds the part of every endpoint's limit that this Home grants:
-// one for the home of the cell, less for an instance that stands in for it.
+// SetShare sets the part, 0 to 1, of every endpoint's limit that this Home may
+// grant: 1 for the home of the cell, less for an instance that stands in for it.
 func (h *Home) SetShare(now time.Duration, share float64) {
 	h.now = now
 	h.share = share
-	h.pump()
+	h.dispatch()
 }
 
-// SetEndpoints tells which endpoints the cell has. One that is leaving,
-// stopped or absent gets nothing from now on; its runs go on.
+// SetEndpoints sets the endpoints of the cell. An endpoint that is leaving,
+// stopped or absent receives no more requests; its runs continue.
 func (h *Home) SetEndpoints(now time.Duration, eps []Endpoint) {
 	h.now = now
 	listed := make(map[string]bool, len(eps))
@@ -220,7 +220,7 @@
 		x := h.byName[e.Name]
 		if x == nil || x.spec.Addr != e.Addr {
 			x = newEndpoint(e, &h.pool)
-			x.since = now
+			x.unheardSince = now
 			h.byName[e.Name] = x
 		}
 		x.update(e)
@@ -237,35 +237,35 @@
 	for _, e := range eps {
 		h.list = append(h.list, h.byName[e.Name])
 	}
-	h.pump()
+	h.dispatch()
 }
 
-// Distrust tells that this Home has not decided for a while: an endpoint that
-// has not reported lately may have begun to leave, and is to be heard again
-// before it is given work.
+// Distrust reports that this Home has not decided for some time. Endpoints
+// without a recent load report may have begun to leave meanwhile, so they get no
+// requests until they report again or reportTimeout passes.
 func (h *Home) Distrust(now time.Duration) {
 	h.now = now
 	for _, e := range h.list {
-		if now-e.reported > heardWithin {
+		if now-e.reported > maxReportAge {
 			e.machine.Step(evDistrust)
-			e.since = now
+			e.unheardSince = now
 		}
 	}
 }
 
-// Ask takes a request in: it is granted, refused or waits.
+// Ask submits a request, which is granted, refused or queued.
 func (h *Home) Ask(now time.Duration, a Ask) {
 	h.now = now
 	h.Counts.Asked++
-	class, ok := h.index[a.Class]
+	class, ok := h.classIndex[a.Class]
 	if !ok {
 		h.decide(a.Key, nil, verdict.Refuse(verdict.UnknownClass, "class %q is not declared", a.Class))
 		return
 	}
-	if _, twice := h.waiting[a.Key]; twice {
-		return // a repeated message
+	if _, duplicate := h.waiting[a.Key]; duplicate {
+		return // retransmitted message
 	}
-	if _, twice := h.running[a.Key]; twice {
+	if _, duplicate := h.running[a.Key]; duplicate {
 		return
 	}
 	r := h.newRequest()
@@ -275,23 +275,23 @@
 	h.estimate(r, ask)
 	if refusal := h.admit(r, ask); refusal != nil {
 		h.decide(a.Key, nil, refusal)
-		h.free = append(h.free, r)
+		h.freeRequests = append(h.freeRequests, r)
 		return
 	}
-	r.Pushed, r.Predicted = now, h.wait(r)
+	r.Pushed, r.Predicted = now, h.predictWait(r)
 	if h.q.ClassLen(class) == 0 {
-		h.stats[class].waited = now
+		h.stats[class].queuedSince = now
 	}
-	h.stats[class].arrived(now, r.Cost)
+	h.stats[class].addAdmitted(now, r.Cost)
 	h.waiting[a.Key] = r
 	h.q.Push(r)
-	h.pump()
+	h.dispatch()
 }
 
 func (h *Home) newRequest() *queue.Request {
-	if n := len(h.free); n > 0 {
-		r := h.free[n-1]
-		h.free = h.free[:n-1]
+	if n := len(h.freeRequests); n > 0 {
+		r := h.freeRequests[n-1]
+		h.freeRequests = h.freeRequests[:n-1]
 		return r
 	}
 	return &queue.Request{Payload: new(Ask)}
@@ -304,18 +304,18 @@
 	return 1
 }
 
-// Cancel withdraws a request that waits. One that was granted is unaffected:
+// Cancel removes a waiting request. A request already granted is unaffected;
 // its entry releases it.
 func (h *Home) Cancel(now time.Duration, key Key) {
 	h.now = now
 	if r, ok := h.waiting[key]; ok {
 		delete(h.waiting, key)
 		h.q.Remove(r)
-		h.free = append(h.free, r)
+		h.freeRequests = append(h.freeRequests, r)
 	}
 }
 
-// Done ends a run and learns from it.
+// Done ends a run and updates the estimates from it.
 func (h *Home) Done(now time.Duration, rel Release) {
 	h.now = now
 	r := h.running[rel.Key]
@@ -323,47 +323,47 @@
 		return
 	}
 	h.Counts.Released++
-	h.learn(r, &rel)
-	h.end(r)
-	h.pump()
+	h.observe(r, &rel)
+	h.endRun(r)
+	h.dispatch()
 }
 
-func (h *Home) end(r *run) {
+func (h *Home) endRun(r *run) {
 	delete(h.running, r.key)
-	h.count(r, -1)
-	h.ended = append(h.ended, r)
+	h.countRun(r, -1)
+	h.freeRuns = append(h.freeRuns, r)
 }
 
-// begin enters a run.
-func (h *Home) begin(x run) {
+// startRun records a run.
+func (h *Home) startRun(x run) {
 	var r *run
-	if n := len(h.ended); n > 0 {
-		r = h.ended[n-1]
-		h.ended = h.ended[:n-1]
+	if n := len(h.freeRuns); n > 0 {
+		r = h.freeRuns[n-1]
+		h.freeRuns = h.freeRuns[:n-1]
 	} else {
 		r = new(run)
 	}
 	*r = x
 	h.running[x.key] = r
-	h.count(r, 1)
+	h.countRun(r, 1)
 }
 
-// count adds a run to, or takes it from, what runs where.
-func (h *Home) count(r *run, d int) {
-	r.at.running += d
-	r.at.byTier[h.specs[r.class].Tier] += d
-	h.byTier[h.specs[r.class].Tier] += d
+// countRun adds delta to the run counts of r's endpoint and tier.
+func (h *Home) countRun(r *run, delta int) {
+	r.endpoint.running += delta
+	r.endpoint.runsByTier[h.classes[r.class].Tier] += delta
+	h.runsByTier[h.classes[r.class].Tier] += delta
 }
 
-// Sync tells all that entry runs in this cell. What the entry no longer
-// names has ended; what this Home did not know, it now counts. A new home
-// learns from it what runs in its cell.
+// Sync reports all runs of entry in this cell. Runs that the entry no longer
+// reports are ended, and unknown ones are added, which is how a new home learns
+// what runs in its cell.
 func (h *Home) Sync(now time.Duration, entry string, runs []Running) {
 	h.now = now
 	for _, x := range runs {
 		key := Key{entry, x.Seq}
 		if r := h.running[key]; r != nil {
-			r.seen = now
+			r.confirmed = now
 			continue
 		}
 		e := h.byName[x.Endpoint]
@@ -371,50 +371,50 @@
 			continue
 		}
 		h.Counts.Resynced++
-		h.begin(run{key: key, at: e, class: h.index[x.Class], granted: now, seen: now})
-		h.learnLimit(e)
+		h.startRun(run{key: key, endpoint: e, class: h.classIndex[x.Class], granted: now, confirmed: now})
+		h.raiseLimit(e)
 	}
 	for key, r := range h.running {
-		if key.Entry == entry && r.seen != now && now-r.granted > newRun {
-			h.end(r)
+		if key.Entry == entry && r.confirmed != now && now-r.granted > syncGrace {
+			h.endRun(r)
 		}
 	}
-	h.pump()
+	h.dispatch()
 }
 
-// Tick refuses what can no longer be on time and drops runs whose entry has
-// fallen silent. It is to be called about every 20 ms.
+// Tick refuses requests that can no longer meet their deadline and drops runs
+// whose entry stopped reporting. Call it about every 20 ms.
 func (h *Home) Tick(now time.Duration) {
 	h.now = now
 	if h.policy.Admit {
-		h.q.Expire(now, h.expired)
+		h.q.Expire(now, h.refuseExpired)
 	}
 	for _, e := range h.list {
-		if e.machine.State() == stUnheard && now-e.since > trustAfter {
+		if e.machine.State() == stUnheard && now-e.unheardSince > reportTimeout {
 			e.machine.Step(evTrust)
 		}
 	}
 	for _, r := range h.running {
-		if now-r.seen > RunLease {
+		if now-r.confirmed > RunLease {
 			h.Counts.Lapsed++
-			h.end(r)
+			h.endRun(r)
 		}
 	}
-	h.pump()
+	h.dispatch()
 }
 
-func (h *Home) expired(r *queue.Request) {
+func (h *Home) refuseExpired(r *queue.Request) {
 	a := r.Payload.(*Ask)
 	delete(h.waiting, a.Key)
-	e := verdict.Refuse(verdict.DeadlineMissed, "class %q can no longer be answered in time", a.Class)
-	h.decide(a.Key, nil, e.After(h.clearIn(r)))
-	h.free = append(h.free, r)
+	e := verdict.Refuse(verdict.DeadlineMissed, "class %q can no longer meet its target", a.Class)
+	h.decide(a.Key, nil, e.After(h.retryAfter(r)))
+	h.freeRequests = append(h.freeRequests, r)
 }
 
-// pump grants as long as there is room.
-func (h *Home) pump() {
+// dispatch grants queued requests while endpoints have free slots.
+func (h *Home) dispatch() {
 	for h.q.Len() > 0 {
-		r := h.q.Pop(h.place, h.owed)
+		r := h.q.Pop(h.accept, h.acceptOwed)
 		if r == nil {
 			return
 		}
@@ -425,13 +425,13 @@
 func (h *Home) grant(r *queue.Request) {
 	a := r.Payload.(*Ask)
 	e := h.choose(r, a, false)
-	h.learnWait(r)
-	h.stats[r.Class].drained(h.now, r.Cost)
+	h.updateBias(r)
+	h.stats[r.Class].addGranted(h.now, r.Cost)
 	delete(h.waiting, a.Key)
-	h.begin(run{key: a.Key, at: e, class: r.Class, granted: h.now, seen: h.now})
-	e.granted(h.now, a.Prefix)
+	h.startRun(run{key: a.Key, endpoint: e, class: r.Class, granted: h.now, confirmed: h.now})
+	e.recordGrant(h.now, a.Prefix)
 	h.decide(a.Key, e, nil)
-	h.free = append(h.free, r)
+	h.freeRequests = append(h.freeRequests, r)
 }
 
 func (h *Home) decide(k Key, e *endpoint, refusal *verdict.Error) {
@@ -442,33 +442,33 @@
 	} else {
 		h.Counts.Refused++
 	}
-	h.out = append(h.out, d)
+	h.decisions = append(h.decisions, d)
 }
 
-// Take returns the decisions since the last call. They are valid until the
+// Take returns the decisions since the last call. The slice is valid until the
 // next event.
 func (h *Home) Take() []Decision {
-	out := h.out
-	h.out = h.out[:0]
+	out := h.decisions
+	h.decisions = h.decisions[:0]
 	return out
 }
 
-// Now returns the instant of the last event.
+// Now returns the time of the last event.
 func (h *Home) Now() time.Duration { return h.now }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (h *Home) Waiting() int { return len(h.waiting) }
 
 // Running returns the number of runs in the cell.
 func (h *Home) Running() int { return len(h.running) }
 
-// An EndpointStatus is what operators are shown of an endpoint.
+// An EndpointStatus describes an endpoint to operators.
 type EndpointStatus struct {
 	Name    string
 	State   string
 	Running int
 	Limit   float64
-	Low     float64 // the limit for lower tiers
+	Low     float64 // limit for lower tiers
 	Foreign float64
 	Gap     time.Duration
 	Age     time.Duration // of the last load report
@@ -478,14 +478,14 @@
 func (h *Home) Endpoints(now time.Duration) []EndpointStatus {
 	out := make([]EndpointStatus, len(h.list))
 	for i, e := range h.list {
-		out[i] = EndpointStatus{e.spec.Name, e.machine.Name(), e.running, e.limit, e.low, e.foreign, e.gapNow(), now - e.reported}
+		out[i] = EndpointStatus{e.spec.Name, e.machine.Name(), e.running, e.limit, e.lowLimit, e.foreign, e.gapDuration(), now - e.reported}
 	}
 	return out
 }
 
-// WaitingByClass calls f for every class with the requests that wait.
+// WaitingByClass calls f with the number of waiting requests of every class.
 func (h *Home) WaitingByClass(f func(class string, n int)) {
-	for i, c := range h.specs {
+	for i, c := range h.classes {
 		f(c.Name, h.q.ClassLen(i))
 	}
 }
--- a/home/home_test.go
+++ b/home/home_test.go
@@ -31,19 +31,19 @@
 		t.Fatal(err)
 	}
 	h := home.New(set, set.Pool("m"), p)
-	h.SetEndpoints(0, list(endpoints))
-	heard(h, endpoints)
+	h.SetEndpoints(0, endpointList(endpoints))
+	reportAll(h, endpoints)
 	return h
 }
 
-// heard lets all endpoints report.
-func heard(h *home.Home, n int) {
+// reportAll sends a load report of each of n endpoints.
+func reportAll(h *home.Home, n int) {
 	for i := range n {
 		h.Report(0, home.Load{Endpoint: fmt.Sprintf("e%d", i)})
 	}
 }
 
-func list(n int) []home.Endpoint {
+func endpointList(n int) []home.Endpoint {
 	out := make([]home.Endpoint, n)
 	for i := range out {
 		out[i] = home.Endpoint{Name: fmt.Sprintf("e%d", i), Addr: "x", DataCentre: "d"}
@@ -55,21 +55,21 @@
 	return home.Ask{Key: home.Key{Entry: "n1", Seq: seq}, Class: class, Team: "a"}
 }
 
-func TestGrantsUpToTheLimit(t *testing.T) {
+func TestGrantsUpToLimit(t *testing.T) {
 	h := newHome(t, 2)
 	for i := range uint64(6) {
 		h.Ask(0, ask(i, "letter"))
 	}
 	if n := len(h.Take()); n != 4 {
-		t.Errorf("%d were decided on two endpoints of two slots", n)
+		t.Errorf("got %d decisions on two endpoints of two slots; want 4", n)
 	}
 	h.Done(time.Second, home.Release{Key: home.Key{Entry: "n1", Seq: 0}, Whole: true, Tokens: 10})
 	if n := len(h.Take()); n != 1 {
-		t.Errorf("%d were granted after one ended", n)
+		t.Errorf("got %d grants after one run ended; want 1", n)
 	}
 }
 
-func TestVerdictGoesBeforeLetters(t *testing.T) {
+func TestHigherTierFirst(t *testing.T) {
 	h := newHome(t, 1)
 	h.Ask(0, ask(1, "letter"))
 	h.Ask(0, ask(2, "letter"))
@@ -78,13 +78,13 @@
 	h.Take()
 	h.Done(2*time.Millisecond, home.Release{Key: home.Key{Entry: "n1", Seq: 1}, Whole: true, Tokens: 1})
 	if d := h.Take(); len(d) != 1 || d[0].Seq != 4 {
-		t.Errorf("after a slot came free: %+v; want the verdict's grant", d)
+		t.Errorf("after a run ended: got %+v; want a grant of the tier 0 request", d)
 	}
 }
 
-func TestLeavingEndpointGetsNothing(t *testing.T) {
+func TestLeavingEndpointNotGranted(t *testing.T) {
 	h := newHome(t, 2)
-	eps := list(2)
+	eps := endpointList(2)
 	eps[0].Leaving = true
 	h.SetEndpoints(0, eps)
 	for i := range uint64(2) {
@@ -92,30 +92,30 @@
 	}
 	for _, d := range h.Take() {
 		if d.Endpoint == "e0" {
-			t.Error("a leaving endpoint was granted")
+			t.Error("request granted on a leaving endpoint")
 		}
 	}
 	eps[0].Leaving = false
-	h.SetEndpoints(0, eps) // a list that went back
+	h.SetEndpoints(0, eps) // an outdated list
 	h.Ask(0, ask(9, "letter"))
 	for _, d := range h.Take() {
 		if d.Endpoint == "e0" {
-			t.Error("an endpoint that had left was granted again")
+			t.Error("request granted on an endpoint that had left")
 		}
 	}
 }
 
-func TestNoEndpointIsNotRun(t *testing.T) {
+func TestRefusalWithoutEndpoints(t *testing.T) {
 	h := newHome(t, 0)
 	h.Ask(0, ask(1, "verdict"))
 	d := h.Take()
 	if len(d) != 1 || d[0].Refusal == nil || d[0].Refusal.Verdict != verdict.NotRun || d[0].Refusal.RetryAfter == 0 {
-		t.Errorf("got %+v; want a refusal that says when to come back", d)
+		t.Errorf("got %+v; want a NotRun refusal with RetryAfter", d)
 	}
 }
 
-// A request that is given up gets its answer at once, not near its deadline.
-func TestGivenUpAtOnce(t *testing.T) {
+// A request that would miss its deadline is refused on arrival.
+func TestOverloadRefusedOnArrival(t *testing.T) {
 	h := newHome(t, 1)
 	for i := range uint64(80) {
 		h.Ask(0, ask(i, "verdict"))
@@ -127,40 +127,41 @@
 		}
 	}
 	if refused == 0 {
-		t.Error("none of 80 verdicts on two slots was refused at once")
+		t.Error("none of 80 requests on two slots was refused on arrival")
 	}
 }
 
-// A new home learns from the entries what runs, and does not fill it twice.
-func TestSyncRebuilds(t *testing.T) {
+// A new home learns the current runs from the entries and grants no slot twice.
+func TestSyncRestoresRuns(t *testing.T) {
 	h := newHome(t, 1)
 	h.Sync(0, "n1", []home.Running{{Seq: 1, Endpoint: "e0", Class: "verdict"}, {Seq: 2, Endpoint: "e0", Class: "letter"}})
 	h.Ask(0, ask(3, "letter"))
 	if d := h.Take(); len(d) != 0 {
-		t.Errorf("granted %+v though the endpoint is full", d)
+		t.Errorf("got %+v on a full endpoint; want no decision", d)
 	}
 	h.Sync(time.Millisecond, "n2", []home.Running{{Seq: 1, Endpoint: "e0", Class: "letter"}, {Seq: 2, Endpoint: "e0", Class: "letter"}})
 	if l := h.Endpoints(0)[0].Limit; l != 4 {
-		t.Errorf("the limit is %g though the home before had the endpoint run 4", l)
+		t.Errorf("limit = %g; want 4, the number of runs that the previous home granted", l)
 	}
 	h.Sync(5*time.Second, "n2", nil)
 	h.Sync(5*time.Second, "n1", nil)
 	if d := h.Take(); len(d) != 1 {
-		t.Errorf("%d decisions after the entry said that its runs had ended", len(d))
+		t.Errorf("got %d decisions after the entries reported no runs; want 1", len(d))
 	}
 }
 
-func TestSilentEntryLapses(t *testing.T) {
+func TestRunLeaseExpires(t *testing.T) {
 	h := newHome(t, 1)
 	h.Ask(0, ask(1, "letter"))
 	h.Tick(home.RunLease + time.Second)
 	if n := h.Running(); n != 0 {
-		t.Errorf("%d runs of an entry that fell silent", n)
+		t.Errorf("%d runs left after their lease expired; want 0", n)
 	}
 }
 
-// A slow endpoint is noticed from its tokens, though its reports say well.
-func TestSlowIsNoticed(t *testing.T) {
+// A slow endpoint is detected from its inter-token gaps although its load
+// reports are normal.
+func TestSlowEndpointDetected(t *testing.T) {
 	h := newHome(t, 3)
 	for i := range 30 {
 		now := time.Duration(i) * 100 * time.Millisecond
@@ -174,13 +175,13 @@
 		}
 	}
 	if s := h.Endpoints(3 * time.Second)[0].State; s != "slow" {
-		t.Errorf("the slow endpoint is %s", s)
+		t.Errorf("state of the slow endpoint = %s; want slow", s)
 	}
 }
 
 func TestUnknownMechanism(t *testing.T) {
 	if _, err := home.ParsePolicy(home.Full, "magic"); err == nil {
-		t.Error("an unknown mechanism was accepted")
+		t.Error("ParsePolicy accepted an unknown mechanism")
 	}
 }
 
@@ -190,8 +191,8 @@
 	}
 }
 
-// benchDecision measures one arrival and one end in a cell of 16 endpoints,
-// the most that a cell has, with letters waiting.
+// benchDecision measures one arrival and one release in a cell of 16 endpoints,
+// the maximum cell size, with the given number of requests waiting.
 func benchDecision(b *testing.B, waiting int) {
 	set, err := decl.Parse("d.yaml", []byte("classes:\n  - {name: verdict, tier: 0, whole: 4s, repeatable: false}\n  - {name: letter, tier: 2, whole: 10h, repeatable: true, finish_late: true}\npools:\n  - {name: m, kind: model, slots: 2, max_slots: 8}\n"))
 	if err != nil {
@@ -199,8 +200,8 @@
 	}
 	p, _ := home.ParsePolicy(home.Full)
 	h := home.New(set, set.Pool("m"), p)
-	h.SetEndpoints(0, list(16))
-	heard(h, 16)
+	h.SetEndpoints(0, endpointList(16))
+	reportAll(h, 16)
 	seq := uint64(0)
 	for range waiting + 32 {
 		seq++
@@ -234,21 +235,21 @@
 	}
 }
 
-// A new home asks an endpoint before it gives it work, since it may have begun
-// to leave; one that does not answer is tried after a moment.
-func TestUnheardIsAskedFirst(t *testing.T) {
+// A new home grants on an endpoint only after its load report, since it may be
+// leaving; an endpoint without a report is used after a timeout.
+func TestUnheardEndpointNotGranted(t *testing.T) {
 	h := newHome(t, 0)
-	h.SetEndpoints(0, list(2))
+	h.SetEndpoints(0, endpointList(2))
 	h.Ask(0, ask(1, "verdict"))
 	if d := h.Take(); len(d) != 0 {
-		t.Fatalf("decided %+v before any endpoint was heard", d)
+		t.Fatalf("got %+v before any load report; want no decision", d)
 	}
 	h.Report(time.Millisecond, home.Load{Endpoint: "e0", Leaving: true})
 	if d := h.Take(); len(d) != 0 {
-		t.Fatalf("decided %+v though the one that was heard is leaving", d)
+		t.Fatalf("got %+v though the only endpoint that reported is leaving; want no decision", d)
 	}
 	h.Tick(time.Second)
 	if d := h.Take(); len(d) != 1 || d[0].Endpoint != "e1" {
-		t.Errorf("decided %+v; want the silent endpoint", d)
+		t.Errorf("got %+v; want a grant on e1, which has not reported", d)
 	}
 }
--- a/home/policy.go
+++ b/home/policy.go
@@ -1,7 +1,6 @@
 package home
 
-// This file defines the switches of the policy and the baselines that the
-// product's policy is measured against.
+// This file defines the policy switches and the baseline policies.
 
 import (
 	"strings"
@@ -12,36 +11,35 @@
 	"ivyridge/queue"
 )
 
-// defaultShare keeps a class without a declared share from starving.
+// defaultShare keeps lower classes without a declared share from starvation.
 const defaultShare = 0.01
 
-// A Policy says which mechanisms are on. Each has been measured with it
-// switched off; see docs/design/policy.md.
+// A Policy selects the active mechanisms; see docs/design/policy.md.
 type Policy struct {
-	Tiers     bool // strict precedence of tiers
+	Tiers     bool // strict priority between tiers
 	Shares    bool // guaranteed shares
-	Deadlines bool // latest start first within a tier
-	Fair      bool // fair turns between teams
-	Admit     bool // refuse at once what would be late
+	Deadlines bool // earliest latest-start first within a tier
+	Fair      bool // fair queuing between teams
+	Admit     bool // refuse on arrival what would miss its deadline
 	Lengths   bool // learned distributions of answer lengths
-	Bias      bool // predicted waits corrected by what they were
-	Drain     bool // long waits predicted by what a class was granted lately
-	Fill      bool // endpoint limits found by feedback
-	Slow      bool // slow endpoints noticed from their tokens
-	Warm      bool // warm prefixes preferred
-	Counts    bool // least loaded by own counts; off, round robin
-	Protect   bool // lower tiers fill endpoints less than higher ones may
-	Reserve   bool // slots kept for what higher tiers are likely to need
-	Foreign   bool // runs of others inferred from load reports
+	Bias      bool // predicted waits corrected by observed ones
+	Drain     bool // long waits predicted from the class's grant rate
+	Fill      bool // concurrency limits adjusted by feedback
+	Slow      bool // slow endpoints detected from inter-token gaps
+	Warm      bool // endpoints with a cached prefix preferred
+	Counts    bool // least-loaded placement; round robin if off
+	Protect   bool // separate concurrency limit for lower tiers
+	Reserve   bool // slots reserved for higher tiers
+	Foreign   bool // runs not granted by the Home inferred from load reports
 }
 
-// A switchName ties a mechanism's name in settings to its field.
-type switchName struct {
+// A mechanism maps a mechanism's name in settings to its field.
+type mechanism struct {
 	name  string
 	field func(*Policy) *bool
 }
 
-var switchNames = []switchName{
+var mechanisms = []mechanism{
 	{"tiers", func(p *Policy) *bool { return &p.Tiers }},
 	{"shares", func(p *Policy) *bool { return &p.Shares }},
 	{"deadlines", func(p *Policy) *bool { return &p.Deadlines }},
@@ -59,29 +57,29 @@
 	{"foreign", func(p *Policy) *bool { return &p.Foreign }},
 }
 
-// Mechanisms returns the names that Without accepts.
+// Mechanisms returns the names accepted by ParsePolicy's without.
 func Mechanisms() []string {
-	names := make([]string, len(switchNames))
-	for i, s := range switchNames {
+	names := make([]string, len(mechanisms))
+	for i, s := range mechanisms {
 		names[i] = s.name
 	}
 	return names
 }
 
-// Names of the policies that can be set.
+// Policy names accepted by ParsePolicy.
 const (
 	Full   = "full"
-	FIFO   = "fifo"   // round robin, one first-in first-out line, no refusal
-	Strict = "strict" // least loaded, strict priorities, no refusal
+	FIFO   = "fifo"   // round robin, one FIFO queue, no admission control
+	Strict = "strict" // least loaded, strict priorities, no admission control
 )
 
-// ParsePolicy returns the policy called name with the named mechanisms
+// ParsePolicy returns the policy called name with the mechanisms in without
 // switched off.
 func ParsePolicy(name string, without ...string) (Policy, error) {
 	var p Policy
 	switch name {
 	case Full, "":
-		for _, s := range switchNames {
+		for _, s := range mechanisms {
 			*s.field(&p) = true
 		}
 	case FIFO:
@@ -91,15 +89,15 @@
 		return p, errors.Errorf("unknown policy %q; want %s, %s or %s", name, Full, FIFO, Strict)
 	}
 	for _, w := range without {
-		if !p.switchOff(w) {
+		if !p.disable(w) {
 			return p, errors.Errorf("unknown mechanism %q; want one of %s", w, strings.Join(Mechanisms(), ", "))
 		}
 	}
 	return p, nil
 }
 
-func (p *Policy) switchOff(name string) bool {
-	for _, s := range switchNames {
+func (p *Policy) disable(name string) bool {
+	for _, s := range mechanisms {
 		if s.name == name {
 			*s.field(p) = false
 			return true
@@ -108,13 +106,13 @@
 	return false
 }
 
-// Order returns the levels of the queue's order that p switches on.
+// Order returns the queue options that p selects.
 func (p Policy) Order() queue.Options {
 	return queue.Options{Tiers: p.Tiers, Shares: p.Shares, Deadlines: p.Deadlines, Fair: p.Fair}
 }
 
-// shareOf returns the guaranteed share of c. The highest tier needs none; a
-// lower one without a declared share gets a small one.
+// shareOf returns the guaranteed share of c, at least defaultShare for the lower
+// tiers.
 func shareOf(c *decl.Class) float64 {
 	if c.Tier == 0 {
 		return c.Share
