--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,13 +1,13 @@
-// Package queue orders the requests that wait for an endpoint.
+// Package queue orders the requests waiting for an endpoint.
 //
-// A Queue holds three levels: tiers by strict precedence, with a guaranteed
-// share for each class that has one; classes within a tier by the latest
+// A Queue orders on three levels: tiers by strict priority, with a guaranteed
+// share for each class that declares one; classes within a tier by the latest
 // start of their first request; and teams within a class by deficit round
-// robin on expected cost. Each level can be switched off, which gives the
-// baselines: with none, a Queue is one first-in first-out line.
+// robin on expected cost. Each level can be switched off, for use as a baseline:
+// with none, a Queue is a single FIFO queue.
 //
-// Times are instants on the owner's clock, as durations since its start.
-// Costs are expected slot-seconds. A Queue is not safe for concurrent use.
+// Times are durations since the start of the caller's clock. Costs are expected
+// slot-seconds. A Queue is not safe for concurrent use.
 package queue
 
 import (
@@ -15,50 +15,50 @@
 	"time"
 )
 
-// maxCredit bounds, in requests of a class, how much unused guaranteed share
-// it may save up.
+// maxCredit bounds the unused guaranteed share that a class may accumulate, in
+// requests.
 const maxCredit = 2.0
 
-// A Class is what the order needs to know of a class.
+// A Class holds the ordering parameters of a class.
 type Class struct {
 	Tier       int
-	Share      float64 // guaranteed part of the service, 0 to 1
+	Share      float64 // guaranteed fraction of the service, 0 to 1
 	Target     time.Duration
 	FinishLate bool // waiting requests are kept after their latest start
 }
 
-// Options switch the levels of the order.
+// Options enable the levels of the order.
 type Options struct {
-	Tiers     bool // strict precedence between tiers
+	Tiers     bool // strict priority between tiers
 	Shares    bool // guaranteed shares
-	Deadlines bool // latest start first within a tier, else arrival first
-	Fair      bool // deficit round robin between teams, else arrival first
+	Deadlines bool // earliest latest-start first within a tier, else by arrival
+	Fair      bool // deficit round robin between teams, else by arrival
 }
 
-// A Request waits in a Queue. The caller fills the exported fields and does
+// A Request is an entry of a Queue. The caller sets the exported fields and must
 // not change them while the request waits.
 type Request struct {
 	Class   int // index into the classes given to New
 	Team    string
 	Weight  float64
 	Arrival time.Duration
-	Latest  time.Duration // latest start that still makes the target
+	Latest  time.Duration // latest start that still meets the target
 	Cost    float64
-	// Pushed and Predicted are for the owner's own use: when the request
-	// began to wait, and for how long it was expected to.
+	// Pushed and Predicted are not used by Queue: the caller may store in them
+	// when the request began to wait and its predicted wait.
 	Pushed    time.Duration
 	Predicted time.Duration
-	Payload   any // the owner's, untouched
+	Payload   any // for the caller, not used by Queue
 
-	line       *line
+	queue      *teamQueue
 	prev, next *Request
 }
 
 // Waiting reports whether r is in a Queue.
-func (r *Request) Waiting() bool { return r.line != nil }
+func (r *Request) Waiting() bool { return r.queue != nil }
 
-// A line is the waiting requests of one team in one class, by arrival.
-type line struct {
+// A teamQueue holds the waiting requests of one team in one class, by arrival.
+type teamQueue struct {
 	class      *class
 	team       string
 	weight     float64
@@ -66,7 +66,7 @@
 	n          int
 	deficit    float64
 	head, tail *Request
-	prev, next *line // ring of the class
+	prev, next *teamQueue // ring of the class
 }
 
 type class struct {
@@ -75,21 +75,22 @@
 	work    float64
 	weights float64
 	credit  float64
-	lines   map[string]*line
-	current *line // ring position of the round robin, nil if empty
+	queues  map[string]*teamQueue
+	current *teamQueue // next in the round robin, nil if empty
 }
 
-// A Queue orders waiting requests. Push and Remove are O(1), Pop is linear
-// in classes and constant in waiting requests.
+// A Queue orders waiting requests. Push is O(1) for requests in order of
+// arrival and Remove is O(1); Pop is linear in the number of classes and
+// independent of the number of waiting requests.
 type Queue struct {
-	opt     Options
-	classes []*class
-	tiers   [][]*class
-	n       int
-	spare   *line // finished lines, reused
+	opt        Options
+	classes    []*class
+	tiers      [][]*class
+	n          int
+	freeQueues *teamQueue // for reuse
 }
 
-// New returns an empty Queue over the given classes.
+// New returns an empty Queue for the given classes.
 func New(specs []Class, opt Options) *Queue {
 	q := &Queue{opt: opt}
 	top := 0
@@ -98,7 +99,7 @@
 			s.Tier = 0
 		}
 		top = max(top, s.Tier)
-		q.classes = append(q.classes, &class{spec: s, lines: make(map[string]*line)})
+		q.classes = append(q.classes, &class{spec: s, queues: make(map[string]*teamQueue)})
 	}
 	q.tiers = make([][]*class, top+1)
 	for _, c := range q.classes {
@@ -115,27 +116,27 @@
 
 // TeamLen returns the number of waiting requests of a team in a class.
 func (q *Queue) TeamLen(class int, team string) int {
-	if l := q.classes[class].lines[q.lineKey(team)]; l != nil {
+	if l := q.classes[class].queues[q.queueKey(team)]; l != nil {
 		return l.n
 	}
 	return 0
 }
 
-func (q *Queue) lineKey(team string) string {
+func (q *Queue) queueKey(team string) string {
 	if q.opt.Fair {
 		return team
 	}
 	return ""
 }
 
-// Push adds r. Requests of one line stay in the order of their arrival, so
-// that one asked again after a fault regains its place.
+// Push adds r. Requests of one team are kept in order of arrival, so that one
+// asked again after a failure regains its position.
 func (q *Queue) Push(r *Request) {
 	c := q.classes[r.Class]
-	key := q.lineKey(r.Team)
-	l := c.lines[key]
+	key := q.queueKey(r.Team)
+	l := c.queues[key]
 	if l == nil {
-		l = q.newLine(c, key, r.Weight)
+		l = q.newTeamQueue(c, key, r.Weight)
 	}
 	l.insert(r)
 	l.work += r.Cost
@@ -145,31 +146,31 @@
 	q.n++
 }
 
-func (q *Queue) newLine(c *class, team string, weight float64) *line {
-	l := q.spare
+func (q *Queue) newTeamQueue(c *class, team string, weight float64) *teamQueue {
+	l := q.freeQueues
 	if l != nil {
-		q.spare = l.next
-		*l = line{}
+		q.freeQueues = l.next
+		*l = teamQueue{}
 	} else {
-		l = new(line)
+		l = new(teamQueue)
 	}
 	l.class, l.team, l.weight = c, team, max(weight, 1)
-	c.lines[team] = l
+	c.queues[team] = l
 	c.weights += l.weight
 	if c.current == nil {
 		l.prev, l.next = l, l
 		c.current = l
 		return l
 	}
-	at := c.current // behind all that wait for their turn
-	l.prev, l.next = at.prev, at
-	at.prev.next, at.prev = l, l
+	current := c.current // insert at the end of the round
+	l.prev, l.next = current.prev, current
+	current.prev.next, current.prev = l, l
 	return l
 }
 
-// insert places r behind the last request that arrived no later.
-func (l *line) insert(r *Request) {
-	r.line = l
+// insert places r after the last request that did not arrive later.
+func (l *teamQueue) insert(r *Request) {
+	r.queue = l
 	at := l.tail
 	for at != nil && at.Arrival > r.Arrival {
 		at = at.prev
@@ -189,9 +190,9 @@
 	}
 }
 
-// Remove takes r out and reports whether it was waiting.
+// Remove removes r and reports whether it was waiting.
 func (q *Queue) Remove(r *Request) bool {
-	l := r.line
+	l := r.queue
 	if l == nil {
 		return false
 	}
@@ -205,7 +206,7 @@
 	} else {
 		r.next.prev = r.prev
 	}
-	r.line, r.prev, r.next = nil, nil, nil
+	r.queue, r.prev, r.next = nil, nil, nil
 	c := l.class
 	l.work -= r.Cost
 	l.n--
@@ -213,15 +214,15 @@
 	c.n--
 	q.n--
 	if l.n == 0 {
-		q.drop(l)
+		q.removeQueue(l)
 	}
 	return true
 }
 
-// drop takes an empty line out of its class's ring.
-func (q *Queue) drop(l *line) {
+// removeQueue removes an empty queue from its class.
+func (q *Queue) removeQueue(l *teamQueue) {
 	c := l.class
-	delete(c.lines, l.team)
+	delete(c.queues, l.team)
 	c.weights -= l.weight
 	if l.next == l {
 		c.current, c.work, c.credit = nil, 0, 0
@@ -231,12 +232,12 @@
 			c.current = l.next
 		}
 	}
-	l.next = q.spare
-	q.spare = l
+	l.next = q.freeQueues
+	q.freeQueues = l
 }
 
-// peek returns the request that c serves next. Turning the ring is
-// idempotent: once a line's deficit covers its head it stays current.
+// peek returns the request that c serves next. It may advance the round robin,
+// but is idempotent: a queue whose deficit covers its head stays current.
 func (c *class) peek() *Request {
 	if c.current == nil {
 		return nil
@@ -245,8 +246,8 @@
 		return c.current.head
 	}
 	for c.current.deficit < c.current.head.Cost {
-		// A quantum that covers the head at least once in a round
-		// bounds the loop to two turns of the ring.
+		// A quantum that covers the head at least once per round bounds the
+		// loop to two rounds.
 		c.current.deficit += c.current.weight * c.quantum()
 		if c.current.deficit >= c.current.head.Cost {
 			break
@@ -256,35 +257,35 @@
 	return c.current.head
 }
 
-// quantum is the mean cost of a waiting request.
+// quantum returns the mean cost of the waiting requests.
 func (c *class) quantum() float64 { return max(c.work/float64(c.n), 1e-6) }
 
-// Pop removes and returns the request to serve next, or nil. Only requests
-// for which accept returns true may be served; a class whose next request is
-// not accepted is passed over. A class that is owed service by its guaranteed
-// share needs only owed to return true.
+// Pop removes and returns the next request to serve, or nil. Only requests for
+// which accept returns true are served; a class whose next request is not
+// accepted is skipped. For a class below its guaranteed share it is enough that
+// owed returns true.
 func (q *Queue) Pop(accept, owed func(*Request) bool) *Request {
 	if q.n == 0 {
 		return nil
 	}
-	r := q.owed(owed)
+	r := q.firstOwed(owed)
 	if r == nil {
-		r = q.first(accept)
+		r = q.firstByTier(accept)
 	}
 	if r == nil {
 		return nil
 	}
-	q.account(r)
-	l := r.line
+	q.updateCredits(r)
+	l := r.queue
 	l.charge(r)
 	q.Remove(r)
 	return r
 }
 
-// charge takes r, the head of l, from l's deficit and passes the turn on
-// when what is left does not cover the next request. A line that has its
-// class to itself runs up no debt.
-func (l *line) charge(r *Request) {
+// charge deducts the cost of r, the head of l, from l's deficit and passes the
+// turn on if the rest does not cover the next request. The only queue of a class
+// accumulates no debt.
+func (l *teamQueue) charge(r *Request) {
 	if l.next == l {
 		l.deficit = 0
 		return
@@ -295,38 +296,38 @@
 	}
 }
 
-// owed returns the next request of the class whose guaranteed share is the
-// furthest behind, if one is.
-func (q *Queue) owed(accept func(*Request) bool) *Request {
+// firstOwed returns the next request of the class furthest below its guaranteed
+// share, or nil if no class is owed a request that accept allows.
+func (q *Queue) firstOwed(accept func(*Request) bool) *Request {
 	if !q.opt.Shares {
 		return nil
 	}
 	var best *Request
-	most := 1.0
+	highest := 1.0
 	for _, c := range q.classes {
 		if c.spec.Share == 0 || c.n == 0 {
 			continue
 		}
 		r := c.peek()
-		if due := c.credit / r.Cost; due >= most && accept(r) {
-			best, most = r, due
+		if due := c.credit / r.Cost; due >= highest && accept(r) {
+			best, highest = r, due
 		}
 	}
 	return best
 }
 
-// first returns the next request by tier, then by latest start or arrival.
-func (q *Queue) first(accept func(*Request) bool) *Request {
+// firstByTier returns the next request by tier, then by latest start or arrival.
+func (q *Queue) firstByTier(accept func(*Request) bool) *Request {
 	for _, tier := range q.tiers {
 		var best *Request
-		at := time.Duration(math.MaxInt64)
+		lowest := time.Duration(math.MaxInt64)
 		for _, c := range tier {
 			r := c.peek()
 			if r == nil || !accept(r) {
 				continue
 			}
-			if key := q.key(r); best == nil || key < at {
-				best, at = r, key
+			if key := q.sortKey(r); best == nil || key < lowest {
+				best, lowest = r, key
 			}
 		}
 		if best != nil {
@@ -336,16 +337,16 @@
 	return nil
 }
 
-func (q *Queue) key(r *Request) time.Duration {
+func (q *Queue) sortKey(r *Request) time.Duration {
 	if q.opt.Deadlines {
 		return r.Latest
 	}
 	return r.Arrival
 }
 
-// account gives each waiting class its share of the service that r takes,
-// and takes r's cost from its own class's credit.
-func (q *Queue) account(r *Request) {
+// updateCredits credits each waiting class with its share of r's cost, and
+// deducts that cost from the credit of r's class.
+func (q *Queue) updateCredits(r *Request) {
 	if !q.opt.Shares {
 		return
 	}
@@ -354,20 +355,20 @@
 			c.credit = min(c.credit+c.spec.Share*r.Cost, maxCredit*max(c.quantum(), r.Cost))
 		}
 	}
-	own := r.line.class
+	own := r.queue.class
 	own.credit = max(0, own.credit-r.Cost)
 }
 
-// Expire removes the requests whose latest start has passed and hands each
-// to f. Classes that finish late keep theirs.
+// Expire removes the requests whose latest start has passed and calls f with
+// each. Classes with FinishLate keep theirs.
 func (q *Queue) Expire(now time.Duration, f func(*Request)) {
 	for _, c := range q.classes {
 		if c.n == 0 || c.spec.FinishLate {
 			continue
 		}
 		l := c.current
-		for range len(c.lines) {
-			next := l.next // Remove may drop l
+		for range len(c.queues) {
+			next := l.next // Remove may release l
 			for r := l.head; r != nil && r.Latest < now; r = l.head {
 				q.Remove(r)
 				f(r)
@@ -377,10 +378,10 @@
 	}
 }
 
-// Ahead returns the work, in slot-seconds, that would be served before r if
-// it were pushed now: all of the higher tiers, the part of the other classes
-// of its tier that is due earlier, and of its own class what fair turns let
-// go first. Own is the last part alone.
+// Ahead returns the work, in slot-seconds, that would be served before r if it
+// were pushed now: the work of higher tiers, the part of other classes in its
+// tier that is due earlier, and the part of its own class that round robin
+// serves first. Own is the last part alone.
 func (q *Queue) Ahead(r *Request) (total, own float64) {
 	c := q.classes[r.Class]
 	for _, other := range q.classes {
@@ -389,7 +390,7 @@
 		case other.spec.Tier < c.spec.Tier:
 			total += other.work
 		case other.spec.Tier == c.spec.Tier:
-			total += other.work * earlier(c, other)
+			total += other.work * earlierPart(c, other)
 		}
 	}
 	own = c.work
@@ -399,23 +400,23 @@
 	return total + own, own
 }
 
-// earlier estimates which part of other's work is due before a new request
-// of c: all of it if its target is the shorter one.
-func earlier(c, other *class) float64 {
+// earlierPart estimates the fraction of other's work that is due before a new
+// request of c: all of it if other's target is no longer than c's.
+func earlierPart(c, other *class) float64 {
 	if other.spec.Target <= c.spec.Target {
 		return 1
 	}
 	return float64(c.spec.Target) / float64(other.spec.Target)
 }
 
-// fairAhead bounds the work of c that round robin serves before r: every
-// team gets no more than its weight's part of what r's team gets.
+// fairAhead returns an upper bound of the work of c served before r by round
+// robin: the work of r's team, scaled by the total weight over the team's weight.
 func (q *Queue) fairAhead(c *class, r *Request) float64 {
-	mine, weight, weights := r.Cost, max(r.Weight, 1), c.weights
-	if l := c.lines[r.Team]; l != nil {
-		mine += l.work
+	teamWork, weight, weights := r.Cost, max(r.Weight, 1), c.weights
+	if l := c.queues[r.Team]; l != nil {
+		teamWork += l.work
 	} else {
 		weights += weight
 	}
-	return mine * weights / weight
+	return teamWork * weights / weight
 }
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -10,25 +10,25 @@
 	"ivyridge/queue"
 )
 
-var all = queue.Options{Tiers: true, Shares: true, Deadlines: true, Fair: true}
+var allLevels = queue.Options{Tiers: true, Shares: true, Deadlines: true, Fair: true}
 
 func accept(*queue.Request) bool { return true }
 
 func pop(q *queue.Queue) *queue.Request { return q.Pop(accept, accept) }
 
-func TestTiersGoFirst(t *testing.T) {
-	q := queue.New([]queue.Class{{Tier: 1}, {Tier: 0}}, all)
+func TestHigherTierFirst(t *testing.T) {
+	q := queue.New([]queue.Class{{Tier: 1}, {Tier: 0}}, allLevels)
 	low := &queue.Request{Class: 0, Cost: 1}
 	high := &queue.Request{Class: 1, Cost: 1, Arrival: time.Second}
 	q.Push(low)
 	q.Push(high)
 	if got := pop(q); got != high {
-		t.Error("the lower tier went first")
+		t.Error("the lower tier was served first")
 	}
 }
 
-func TestSharesKeepFromStarving(t *testing.T) {
-	q := queue.New([]queue.Class{{Tier: 0}, {Tier: 1, Share: 0.1}}, all)
+func TestGuaranteedShare(t *testing.T) {
+	q := queue.New([]queue.Class{{Tier: 0}, {Tier: 1, Share: 0.1}}, allLevels)
 	served := [2]int{}
 	for i := range 1000 {
 		q.Push(&queue.Request{Class: 0, Cost: 1, Arrival: time.Duration(i)})
@@ -40,33 +40,33 @@
 		served[pop(q).Class]++
 	}
 	if served[1] < 90 || served[1] > 110 {
-		t.Errorf("a class with a share of 0.1 got %d of 1000", served[1])
+		t.Errorf("class with share 0.1 got %d of 1000 requests; want 90 to 110", served[1])
 	}
 }
 
-// A team's rush costs the others nothing: every team with work gets its turn
-// within one round.
-func TestTeamsAreFair(t *testing.T) {
-	q := queue.New([]queue.Class{{}}, all)
+// A burst of one team does not delay the others: every team with waiting
+// requests is served within one round.
+func TestFairBetweenTeams(t *testing.T) {
+	q := queue.New([]queue.Class{{}}, allLevels)
 	for i := range 500 {
 		q.Push(&queue.Request{Team: "rush", Cost: 1, Arrival: time.Duration(i)})
 	}
 	for i := range 5 {
 		q.Push(&queue.Request{Team: fmt.Sprint(i), Cost: 1, Arrival: time.Second})
 	}
-	quiet := 0
+	served := 0
 	for range 12 {
 		if pop(q).Team != "rush" {
-			quiet++
+			served++
 		}
 	}
-	if quiet != 5 {
-		t.Errorf("%d of 5 quiet teams were served within two rounds", quiet)
+	if served != 5 {
+		t.Errorf("%d of 5 other teams were served within two rounds", served)
 	}
 }
 
-func TestWeightsCount(t *testing.T) {
-	q := queue.New([]queue.Class{{}}, all)
+func TestTeamWeights(t *testing.T) {
+	q := queue.New([]queue.Class{{}}, allLevels)
 	for i := range 400 {
 		q.Push(&queue.Request{Team: "heavy", Weight: 3, Cost: 1, Arrival: time.Duration(i)})
 		q.Push(&queue.Request{Team: "light", Weight: 1, Cost: 1, Arrival: time.Duration(i)})
@@ -78,44 +78,44 @@
 		}
 	}
 	if heavy < 140 || heavy > 160 {
-		t.Errorf("weight 3 beside weight 1 got %d of 200", heavy)
+		t.Errorf("team of weight 3 beside weight 1 got %d of 200 requests; want 140 to 160", heavy)
 	}
 }
 
-func TestAskedAgainRegainsItsPlace(t *testing.T) {
-	q := queue.New([]queue.Class{{}}, all)
+func TestPushOrdersByArrival(t *testing.T) {
+	q := queue.New([]queue.Class{{}}, allLevels)
 	q.Push(&queue.Request{Team: "a", Cost: 1, Arrival: 2})
 	first := &queue.Request{Team: "a", Cost: 1, Arrival: 1}
 	q.Push(first)
 	if pop(q) != first {
-		t.Error("the earlier arrival lost its place")
+		t.Error("the earlier arrival was not served first")
 	}
 }
 
 func TestExpire(t *testing.T) {
-	q := queue.New([]queue.Class{{}, {FinishLate: true}}, all)
+	q := queue.New([]queue.Class{{}, {FinishLate: true}}, allLevels)
 	q.Push(&queue.Request{Class: 0, Team: "a", Cost: 1, Latest: 5})
 	q.Push(&queue.Request{Class: 1, Team: "a", Cost: 1, Latest: 5})
 	n := 0
 	q.Expire(10, func(*queue.Request) { n++ })
 	if n != 1 || q.Len() != 1 {
-		t.Errorf("%d expired, %d wait; want 1 and 1", n, q.Len())
+		t.Errorf("%d expired, %d waiting; want 1 and 1", n, q.Len())
 	}
 }
 
-// Whatever is pushed comes out once: served, removed or expired.
-func TestNothingIsLost(t *testing.T) {
+// Every pushed request leaves exactly once: served, removed or expired.
+func TestEveryRequestLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opt := queue.Options{Tiers: rapid.Bool().Draw(t, "tiers"), Shares: rapid.Bool().Draw(t, "shares"), Deadlines: rapid.Bool().Draw(t, "deadlines"), Fair: rapid.Bool().Draw(t, "fair")}
 		q := queue.New([]queue.Class{{Tier: 0}, {Tier: 1, Share: 0.2}, {Tier: 2, Share: 0.1, FinishLate: true}}, opt)
-		in := make(map[*queue.Request]bool)
-		out := func(r *queue.Request) {
-			if !in[r] {
-				t.Fatal("a request came out twice, or was never in")
+		waiting := make(map[*queue.Request]bool)
+		remove := func(r *queue.Request) {
+			if !waiting[r] {
+				t.Fatal("a request left twice or was never pushed")
 			}
-			delete(in, r)
+			delete(waiting, r)
 		}
-		var list []*queue.Request
+		var pushed []*queue.Request
 		for i := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
@@ -123,25 +123,25 @@
 					Class: rapid.IntRange(0, 2).Draw(t, "class"), Team: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team"),
 					Weight: 1, Cost: rapid.Float64Range(0.01, 10).Draw(t, "cost"), Arrival: time.Duration(i), Latest: time.Duration(i + 50),
 				}
-				in[r] = true
-				list = append(list, r)
+				waiting[r] = true
+				pushed = append(pushed, r)
 				q.Push(r)
 			case 2:
 				if r := pop(q); r != nil {
-					out(r)
-				} else if len(in) > 0 {
-					t.Fatalf("%d wait, and none is served", len(in))
+					remove(r)
+				} else if len(waiting) > 0 {
+					t.Fatalf("Pop returned nil with %d requests waiting", len(waiting))
 				}
 			case 3:
-				if len(list) > 0 {
-					if r := rapid.SampledFrom(list).Draw(t, "removed"); q.Remove(r) {
-						out(r)
+				if len(pushed) > 0 {
+					if r := rapid.SampledFrom(pushed).Draw(t, "removed"); q.Remove(r) {
+						remove(r)
 					}
 				}
-				q.Expire(time.Duration(i), out)
+				q.Expire(time.Duration(i), remove)
 			}
-			if q.Len() != len(in) {
-				t.Fatalf("the queue has %d, %d were put in and not taken out", q.Len(), len(in))
+			if q.Len() != len(waiting) {
+				t.Fatalf("Len() = %d; want %d", q.Len(), len(waiting))
 			}
 		}
 	})
