--- a/owner/owner.go
+++ b/owner/owner.go
@@ -1,30 +1,30 @@
-// Package owner keeps the records that make a request run at most once.
+// Package owner replicates the records that make a request run at most once.
 //
-// A key names a request across a caller's repeats. Keys fall into a fixed
-// number of partitions; a partition's owners are the three instances that
-// rank first for it in the platform's list. A request that must not be
-// repeated is sent only after two of its key's owners have recorded it. Any
-// two pairs out of three share an owner, so a second attempt meets the record
-// of the first wherever it lands, also when instances cannot see each other:
-// what counts is the published list, not who is heard.
+// A key identifies a request across a caller's retries. Keys are hashed into a
+// fixed number of partitions; the owners of a partition are the three instances
+// ranked first for it by rendezvous hashing over the platform's list. A request
+// that must not be repeated is sent only after two of its key's owners have
+// recorded it. Any two such pairs share an owner, so a second attempt finds the
+// record of the first, also under a network partition: ownership depends on the
+// published list and not on reachability.
 //
-// The list changes, so owners do. An owner answers only for the revision of
-// the list that it holds, and only if it vouches for the partition: it has
-// owned it under every list since it was last settled, or it is settled under
-// this one. To settle, it pulls the partition's records from those who owned
-// it under each list that may have been in force, as far as it or those who
-// answer know. A record is on two of three owners, so one of the three may be
-// missed. An instance that cannot settle says so, and the request is refused
-// as not run. After a quarantine as long as records are kept, nothing that it
-// could have missed is still valid. Where the operators say that a fleet
-// starts for the first time, owners that find each other fresh settle at
-// once: there is nothing to have missed.
+// Owners change with the list. An owner answers only for the revision of the
+// list that it holds, and only if it is authoritative for the partition: it has
+// settled the partition under this list, or has owned it under every list since
+// it last did. To settle, it pulls the partition's records from the owners under
+// each list that may have been in force, as far as it and those who answer know.
+// Since a record is on two of three owners, one of the three may be missing. An
+// instance that cannot settle answers so, and the request is refused as not run.
+// After a quarantine as long as the retention of records, no record that it
+// could have missed is still valid. If the operators declare a cold start of the
+// fleet, owners that find each other fresh settle at once, since there are no
+// earlier records.
 //
 // A change of the list costs messages only between old and new owners of the
 // partitions that move, a number that does not grow with the fleet.
 //
-// Owners is pure state and not safe for concurrent use. The files: owner.go
-// (records), settle.go (partitions and settling).
+// Owners does no I/O, reads no clock and is not safe for concurrent use. owner.go
+// handles records, settle.go partitions and settling.
 package owner
 
 import (
@@ -37,84 +37,84 @@
 )
 
 const (
-	// owners is how many instances own a partition.
-	owners = 3
-	// Partitions is into how many parts keys fall. Instances beyond three
-	// times as many would own nothing.
+	// ownersPerPartition is the replication factor.
+	ownersPerPartition = 3
+	// Partitions is the number of partitions. In a fleet of more than three
+	// times as many instances, some would own none.
 	Partitions = 128
-	// Retention is how long a record is kept after its claim. It is longer
-	// than a request may take, so a repeat finds the record, and for some
-	// time after that the answer.
+	// Retention is how long a record is kept after its claim. It exceeds the
+	// longest duration of a request, so that a retry finds the record, and
+	// for some time the answer.
 	Retention = 5 * time.Minute
-	// coldFor is how long after it settled an instance of a cold start
-	// still counts as fresh, so that the last one to arrive settles too.
-	coldFor = 10 * time.Second
-	// MaxRecords bounds the memory of one instance, about 200 bytes each.
+	// freshPeriod is how long after settling an instance of a cold start still
+	// counts as fresh, so that the last one to start settles too.
+	freshPeriod = 10 * time.Second
+	// MaxRecords bounds the records of one instance, of about 200 bytes each.
 	MaxRecords = 200_000
 )
 
 // A Key is the hash of a team, a caller's key and the request's path.
 type Key [16]byte
 
-// A Record says who runs a key.
+// A Record identifies the attempt that claimed a key.
 type Record struct {
 	Key         Key
 	Entry       string
 	EntryAddr   string
 	Incarnation uint64
 	Attempt     uint64
-	At          time.Duration // instant of its claim, on this owner's clock
+	At          time.Duration // time of its claim, on this owner's clock
 }
 
-// An Outcome answers Begin.
+// An Outcome is the result of Begin.
 type Outcome int
 
 // The outcomes of Begin.
 const (
 	Unknown     Outcome = iota
-	Recorded            // this owner holds the record and vouches for the key
+	Recorded            // this owner holds the record and is authoritative for the key
 	Duplicate           // another attempt is recorded
-	OwnerBehind         // this owner's list is older than the asker's
-	EntryBehind         // the asker's list is older
-	Unsettled           // this owner cannot vouch for the key yet
+	OwnerBehind         // this owner's list is older than the caller's
+	EntryBehind         // the caller's list is older
+	Unsettled           // this owner is not authoritative for the key yet
 	NotOwner            // this instance does not own the key
 )
 
 // Quorum returns how many of n owners must record a key.
 func Quorum(n int) int { return n/2 + 1 }
 
-// A Partition is a part of the keys.
+// A Partition is a number from 0 to Partitions-1.
 type Partition int
 
 // PartitionOf returns the partition of k.
 func PartitionOf(k Key) Partition { return Partition(xxhash.Sum64(k[:]) % Partitions) }
 
-// A Live is an instance that the list says live.
+// A Live is an instance that the list reports as live.
 type Live struct{ Name, DataCentre string }
 
-// Of returns the owners of p among the live instances. They stand in
-// different data centres as far as there are so many: the data centres are
-// ranked by hashing, and of each the instance that ranks first is taken; then
-// of each the second, until there are three. The loss of one instance moves
-// one owner, and the loss of a data centre takes one of three.
+// Of returns the owners of p among the live instances, in different data centres
+// as far as possible: data centres are ranked by rendezvous hashing, and the
+// best-ranked instance of each is taken, then the second-ranked, until there are
+// three. The loss of one instance replaces one owner, and the loss of a data
+// centre at most one of three if there are three data centres.
 func Of(p Partition, live []Live) []string {
-	centres := byCentre(p, live)
+	centres := rankDataCentres(p, live)
 	var out []string
-	for round := 0; len(out) < owners && len(out) < len(live); round++ {
+	for round := 0; len(out) < ownersPerPartition && len(out) < len(live); round++ {
 		for i := range centres {
-			if c := &centres[i]; round < len(c.best) && len(out) < owners {
-				out = append(out, c.best[round].name)
+			if c := &centres[i]; round < len(c.instances) && len(out) < ownersPerPartition {
+				out = append(out, c.instances[round].name)
 			}
 		}
 	}
 	return out
 }
 
-// A centre is a data centre with its best instances for a partition.
-type centre struct {
-	name  string
-	score uint64
-	best  []scored // at most owners, best first
+// A dataCentre holds the best-ranked instances of a data centre for a partition.
+type dataCentre struct {
+	name      string
+	score     uint64
+	instances []scored // at most ownersPerPartition, best first
 }
 
 type scored struct {
@@ -122,41 +122,41 @@
 	score uint64
 }
 
-// byCentre ranks the data centres for p, and the instances in each.
-func byCentre(p Partition, live []Live) []centre {
-	var out []centre
+// rankDataCentres ranks the data centres for p, and the instances of each.
+func rankDataCentres(p Partition, live []Live) []dataCentre {
+	var out []dataCentre
 	for _, l := range live {
 		i := 0
 		for i < len(out) && out[i].name != l.DataCentre {
 			i++
 		}
 		if i == len(out) {
-			out = append(out, centre{name: l.DataCentre, score: rank(p, "data centre "+l.DataCentre)})
+			out = append(out, dataCentre{name: l.DataCentre, score: rank(p, "data centre "+l.DataCentre)})
 		}
 		out[i].add(scored{l.Name, rank(p, l.Name)})
 	}
-	sort.Slice(out, func(i, j int) bool { return before(out[i].score, out[j].score, out[i].name, out[j].name) })
+	sort.Slice(out, func(i, j int) bool { return ranksBefore(out[i].score, out[j].score, out[i].name, out[j].name) })
 	return out
 }
 
-func before(a, b uint64, nameA, nameB string) bool {
+func ranksBefore(a, b uint64, nameA, nameB string) bool {
 	return a > b || a == b && nameA < nameB
 }
 
-// add keeps s if it is among the best.
-func (c *centre) add(s scored) {
-	i := len(c.best)
-	for i > 0 && before(s.score, c.best[i-1].score, s.name, c.best[i-1].name) {
+// add inserts s if it is among the best.
+func (c *dataCentre) add(s scored) {
+	i := len(c.instances)
+	for i > 0 && ranksBefore(s.score, c.instances[i-1].score, s.name, c.instances[i-1].name) {
 		i--
 	}
-	if i == owners {
+	if i == ownersPerPartition {
 		return
 	}
-	if len(c.best) < owners {
-		c.best = append(c.best, scored{})
+	if len(c.instances) < ownersPerPartition {
+		c.instances = append(c.instances, scored{})
 	}
-	copy(c.best[i+1:], c.best[i:])
-	c.best[i] = s
+	copy(c.instances[i+1:], c.instances[i:])
+	c.instances[i] = s
 }
 
 func rank(p Partition, name string) uint64 {
@@ -179,44 +179,44 @@
 	return live
 }
 
-// Owners is the part of one instance in keeping records.
+// Owners is the state of one instance as an owner of records.
 type Owners struct {
-	self       string
-	quarantine time.Duration
-	cold       bool // the whole fleet may be starting for the first time
-	revision   int64
-	live       []Live
-	history    []held
-	gap        int64
-	parts      map[Partition]*part // those owned under the list in force
-	// once holds the partitions for which this process was ever settled:
-	// it still has all that it recorded for them.
-	once map[Partition]bool
-	// records holds every attempt at a key that is known. Begin adds one
-	// only where there is none, but a Pull may bring several: one that a
-	// quorum recorded, and others that are about to be withdrawn. None may
-	// hide another.
+	self        string
+	quarantine  time.Duration
+	coldStart   bool // the whole fleet may be starting for the first time
+	revision    int64
+	live        []Live
+	history     []listVersion
+	missedAfter int64
+	partitions  map[Partition]*partitionState // owned under the list in force
+	// everSettled holds the partitions that this process has ever settled: it
+	// still holds all records that it accepted for them.
+	everSettled map[Partition]bool
+	// records holds all known attempts of each key. Begin adds one only if
+	// there is none, but a Pull may bring several: the one that a quorum
+	// recorded, and others about to be withdrawn. Keeping only one could drop
+	// the one that a quorum recorded.
 	records map[Key][]Record
 	count   int
 }
 
-// New returns the Owners of a new instance. Quarantine is how long records
-// of before may still be valid where nobody can vouch. Cold says that the
-// whole fleet may be starting for the first time.
-func New(self string, quarantine time.Duration, cold bool) *Owners {
+// New returns the Owners of a new instance. Quarantine is how long earlier
+// records may remain valid while no instance is authoritative. ColdStart says that
+// the whole fleet may be starting for the first time.
+func New(self string, quarantine time.Duration, coldStart bool) *Owners {
 	return &Owners{
-		self: self, quarantine: quarantine, cold: cold,
-		parts: make(map[Partition]*part), once: make(map[Partition]bool), records: make(map[Key][]Record),
+		self: self, quarantine: quarantine, coldStart: coldStart,
+		partitions: make(map[Partition]*partitionState), everSettled: make(map[Partition]bool), records: make(map[Key][]Record),
 	}
 }
 
 // Revision returns the revision of the list in force.
 func (o *Owners) Revision() int64 { return o.revision }
 
-// Live returns the instances among which keys are owned.
+// Live returns the live instances of the list in force.
 func (o *Owners) Live() []Live { return o.live }
 
-// merge adds an attempt that is not known yet.
+// merge adds r unless its attempt is known.
 func (o *Owners) merge(r Record) {
 	for _, old := range o.records[r.Key] {
 		if old.same(&r) {
@@ -227,10 +227,10 @@
 	o.count++
 }
 
-// same reports whether r and x are of one attempt.
+// same reports whether r and x belong to the same attempt.
 func (r *Record) same(x *Record) bool { return r.Entry == x.Entry && r.Attempt == x.Attempt }
 
-func among(name string, names []string) bool {
+func contains(name string, names []string) bool {
 	for _, n := range names {
 		if n == name {
 			return true
@@ -239,16 +239,15 @@
 	return false
 }
 
-// Begin records that an attempt wants to run a key. The record returned with
-// Duplicate is that of the other attempt. Revision is that of the asker's
-// list.
+// Begin records an attempt to run a key. Revision is that of the caller's list.
+// With Duplicate, it returns the record of the other attempt.
 func (o *Owners) Begin(now time.Duration, r Record, revision int64) (Outcome, Record) {
 	switch {
 	case o.revision < revision:
 		return OwnerBehind, Record{}
 	case o.revision > revision:
 		return EntryBehind, Record{}
-	case o.parts[PartitionOf(r.Key)] == nil:
+	case o.partitions[PartitionOf(r.Key)] == nil:
 		return NotOwner, Record{}
 	}
 	if known := o.records[r.Key]; len(known) > 0 {
@@ -257,35 +256,35 @@
 				return Duplicate, known[i]
 			}
 		}
-		return o.standing(r.Key), known[0]
+		return o.outcome(r.Key), known[0]
 	}
 	if o.count >= MaxRecords {
 		return Unsettled, Record{}
 	}
 	r.At = now
 	o.merge(r)
-	return o.standing(r.Key), r
+	return o.outcome(r.Key), r
 }
 
-func (o *Owners) standing(k Key) Outcome {
-	if o.parts[PartitionOf(k)].vouches() {
+func (o *Owners) outcome(k Key) Outcome {
+	if o.partitions[PartitionOf(k)].authoritative() {
 		return Recorded
 	}
 	return Unsettled
 }
 
-// Withdraw takes back the record of an attempt that was not sent and never
-// will be, so that the key may be tried again.
+// Withdraw removes the record of an attempt that was not sent and never will be,
+// so that the key can be claimed again.
 func (o *Owners) Withdraw(k Key, entry string, attempt uint64) {
-	o.keep(k, func(r *Record) bool { return r.Entry != entry || r.Attempt != attempt })
+	o.filter(k, func(r *Record) bool { return r.Entry != entry || r.Attempt != attempt })
 }
 
-// keep drops the attempts at a key for which wanted is false.
-func (o *Owners) keep(k Key, wanted func(r *Record) bool) {
+// filter drops the attempts of a key for which keep returns false.
+func (o *Owners) filter(k Key, keep func(r *Record) bool) {
 	known := o.records[k]
 	kept := known[:0]
 	for i := range known {
-		if wanted(&known[i]) {
+		if keep(&known[i]) {
 			kept = append(kept, known[i])
 		}
 	}
@@ -297,14 +296,14 @@
 	o.records[k] = kept
 }
 
-// Tick forgets records that have expired, and ends a quarantine.
+// Tick drops expired records and settles partitions whose quarantine has passed.
 func (o *Owners) Tick(now time.Duration) {
 	for k := range o.records {
-		o.keep(k, func(r *Record) bool { return now-r.At <= Retention })
+		o.filter(k, func(r *Record) bool { return now-r.At <= Retention })
 	}
-	for p, x := range o.parts {
-		if !x.settled && now-x.since >= o.quarantine {
-			o.check(now, p, x)
+	for p, s := range o.partitions {
+		if !s.settled && now-s.since >= o.quarantine {
+			o.trySettle(now, p, s)
 		}
 	}
 }
--- a/owner/settle.go
+++ b/owner/settle.go
@@ -1,141 +1,141 @@
 package owner
 
-// This file settles partitions: it finds out whether an owner knows all that
-// was recorded before it.
+// This file settles partitions: it determines whether an owner holds all records
+// that earlier owners accepted.
 
 import "time"
 
-// A part is one partition that this instance owns.
-type part struct {
-	triple   []string // its owners under the list in force
-	settled  bool
-	vouching bool // owned without a gap since it was settled
-	skipped  bool // revisions of the list were never seen; see Owners.gap
-	since    time.Duration
-	at       time.Duration // of settling
-	// covered are the owners under lists that may have been in force
-	// before; of each, all but one must be heard.
-	covered [][]string
-	heard   map[string]Part
+// A partitionState is the state of a partition that this instance owns.
+type partitionState struct {
+	owners      []string // under the list in force
+	settled     bool
+	retained    bool // owned without interruption since it was settled
+	missedLists bool // revisions of the list were skipped; see Owners.missedAfter
+	since       time.Duration
+	settledAt   time.Duration // when it was settled
+	// priorOwners are the owners under earlier lists that may have been in
+	// force; of each list, all but one must reply.
+	priorOwners [][]string
+	replies     map[string]Part
 }
 
-// A Part is what an instance says of a partition in an Answer.
+// A Part describes a partition in an Answer.
 type Part struct {
 	Partition Partition
-	Intact    bool       // it still has all that it ever recorded for it
-	Fresh     bool       // it is part of a cold start
-	Covered   [][]string // owners under lists that may have been in force before
+	Intact    bool       // the instance still has all records that it ever accepted for it
+	Fresh     bool       // the instance takes part in a cold start
+	Covered   [][]string // owners under earlier lists that may have been in force
 }
 
-// An Answer is what an instance hands out in a Pull.
+// An Answer is the reply to a Pull.
 type Answer struct {
 	Parts   []Part
 	Records []Record
 }
 
-func (x *part) vouches() bool { return x.settled || x.vouching }
+func (s *partitionState) authoritative() bool { return s.settled || s.retained }
 
-// SetList takes up a newer list of the live instances, sorted, which the
-// caller does not change afterwards.
+// SetList applies a newer list of the live instances, sorted by name. The caller
+// must not change live afterwards.
 func (o *Owners) SetList(now time.Duration, revision int64, live []Live) {
 	if revision <= o.revision {
 		return
 	}
 	before := o.live
 	skipped := o.revision != 0 && revision != o.revision+1
-	if skipped && (o.gap == 0 || o.Settled()) {
-		o.gap = o.revision
+	if skipped && (o.missedAfter == 0 || o.Settled()) {
+		o.missedAfter = o.revision
 	}
 	o.revision, o.live = revision, live
-	o.remember()
+	o.appendHistory()
 	if equal(before, live) && !skipped {
 		return
 	}
 	for p := range Partition(Partitions) {
-		triple := Of(p, live)
-		if !among(o.self, triple) {
-			delete(o.parts, p)
+		owners := Of(p, live)
+		if !contains(o.self, owners) {
+			delete(o.partitions, p)
 			continue
 		}
-		x := o.parts[p]
-		if x == nil {
-			o.parts[p] = o.gain(now, p, triple, before, skipped)
-		} else if skipped || !equal(x.triple, triple) {
-			x.change(now, triple, skipped)
+		s := o.partitions[p]
+		if s == nil {
+			o.partitions[p] = o.newPartition(now, p, owners, before, skipped)
+		} else if skipped || !equal(s.owners, owners) {
+			s.changeOwners(now, owners, skipped)
 		}
-		o.check(now, p, o.parts[p])
+		o.trySettle(now, p, o.partitions[p])
 	}
 }
 
-// held is a list that was in force here.
-type held struct {
+// A listVersion is a list that was in force on this instance.
+type listVersion struct {
 	revision int64
 	live     []Live
 }
 
-// maxHeld is how many lists are remembered for those who missed them.
-const maxHeld = 64
+// maxHistory is how many lists are kept for instances that missed them.
+const maxHistory = 64
 
-func (o *Owners) remember() {
-	o.history = append(o.history, held{o.revision, o.live})
-	if len(o.history) > maxHeld {
+func (o *Owners) appendHistory() {
+	o.history = append(o.history, listVersion{o.revision, o.live})
+	if len(o.history) > maxHistory {
 		o.history = o.history[1:]
 	}
 }
 
-// Gap returns the revision after which this instance has missed some and is
-// not settled since, or zero. A Pull passes it on.
+// Gap returns the last revision before the ones that this instance missed and has
+// not settled since, or zero. It is passed to Pull.
 func (o *Owners) Gap() int64 {
-	for _, x := range o.parts {
-		if x.skipped && !x.settled {
-			return o.gap
+	for _, s := range o.partitions {
+		if s.missedLists && !s.settled {
+			return o.missedAfter
 		}
 	}
 	return 0
 }
 
-// between returns the owners of p under the lists after a revision that were
-// in force here, each once. A list that was in force on none of those who are
-// asked has seen no record: both owners of one must have held it.
-func (o *Owners) between(p Partition, after int64) [][]string {
+// ownersAfter returns the owners of p under each list newer than a revision that
+// was in force on this instance. A list that was in force on no instance asked
+// has no records: two owners must have held it to record a key.
+func (o *Owners) ownersAfter(p Partition, after int64) [][]string {
 	var out [][]string
 	for _, h := range o.history {
 		if h.revision <= after || h.revision == o.revision {
 			continue
 		}
-		triple := Of(p, h.live)
-		if len(out) == 0 || !equal(out[len(out)-1], triple) {
-			out = append(out, triple)
+		owners := Of(p, h.live)
+		if len(out) == 0 || !equal(out[len(out)-1], owners) {
+			out = append(out, owners)
 		}
 	}
 	return out
 }
 
-// gain returns the part of a partition that this instance did not own. An
-// instance that knows no list before may be new, or may have owned the
-// partition until it was restarted; it allows for both.
-func (o *Owners) gain(now time.Duration, p Partition, triple []string, before []Live, skipped bool) *part {
-	x := &part{triple: triple, since: now, skipped: skipped, heard: make(map[string]Part)}
+// newPartition returns the state of a partition that this instance did not own
+// before. An instance without an earlier list may be new or may have restarted, so
+// the owners under a list with it and under one without it count as earlier ones.
+func (o *Owners) newPartition(now time.Duration, p Partition, owners []string, before []Live, skipped bool) *partitionState {
+	s := &partitionState{owners: owners, since: now, missedLists: skipped, replies: make(map[string]Part)}
 	if before == nil {
-		x.covered = append(x.covered, triple)
+		s.priorOwners = append(s.priorOwners, owners)
 		before = without(o.live, o.self)
 	}
 	if was := Of(p, before); len(was) > 0 {
-		x.covered = append(x.covered, was)
+		s.priorOwners = append(s.priorOwners, was)
 	}
-	return x
+	return s
 }
 
-// change takes over new owners of a partition that this instance keeps.
-func (x *part) change(now time.Duration, triple []string, skipped bool) {
-	if x.settled {
-		x.since, x.covered = now, nil
-	}
-	x.vouching = x.vouches() && !skipped
-	x.covered = append(x.covered, x.triple)
-	x.skipped = x.skipped || skipped
-	x.triple, x.settled = triple, false
-	x.heard = make(map[string]Part)
+// changeOwners applies new owners of a partition that this instance keeps.
+func (s *partitionState) changeOwners(now time.Duration, owners []string, skipped bool) {
+	if s.settled {
+		s.since, s.priorOwners = now, nil
+	}
+	s.retained = s.authoritative() && !skipped
+	s.priorOwners = append(s.priorOwners, s.owners)
+	s.missedLists = s.missedLists || skipped
+	s.owners, s.settled = owners, false
+	s.replies = make(map[string]Part)
 }
 
 func without(live []Live, name string) []Live {
@@ -148,87 +148,84 @@
 	return out
 }
 
-// check settles a partition once enough of its earlier owners are heard.
-func (o *Owners) check(now time.Duration, p Partition, x *part) {
-	if x.settled {
+// trySettle settles a partition once enough of its earlier owners have replied.
+func (o *Owners) trySettle(now time.Duration, p Partition, s *partitionState) {
+	if s.settled {
 		return
 	}
-	if !o.enough(p, x) && !o.coldStart(p, x) && now-x.since < o.quarantine {
+	if !o.quorumReplied(p, s) && !o.allFresh(p, s) && now-s.since < o.quarantine {
 		return
 	}
-	x.settled, x.vouching, x.skipped, x.covered = true, false, false, nil
-	x.at = now
-	o.once[p] = true
+	s.settled, s.retained, s.missedLists, s.priorOwners = true, false, false, nil
+	s.settledAt = now
+	o.everSettled[p] = true
 }
 
-// enough reports whether, of the owners under each list that may have been
-// in force, at most one less than a quorum is missing: a record is on a
-// quorum of them.
-func (o *Owners) enough(p Partition, x *part) bool {
-	lists := append([][]string(nil), x.covered...)
-	for _, said := range x.heard {
-		lists = append(lists, said.Covered...)
+// quorumReplied reports whether so few owners are missing under each list that
+// may have been in force that every record of a quorum is known.
+func (o *Owners) quorumReplied(p Partition, s *partitionState) bool {
+	lists := append([][]string(nil), s.priorOwners...)
+	for _, reply := range s.replies {
+		lists = append(lists, reply.Covered...)
 	}
 	if len(lists) == 0 {
-		return false // nobody to ask, and nothing known
+		return false // no owners to ask and nothing known
 	}
-	for _, triple := range lists {
+	for _, owners := range lists {
 		missing := 0
-		for _, name := range triple {
-			if !o.has(p, x, name) {
+		for _, name := range owners {
+			if !o.hasRecordsOf(p, s, name) {
 				missing++
 			}
 		}
-		if missing > Quorum(len(triple))-1 {
+		if missing > Quorum(len(owners))-1 {
 			return false
 		}
 	}
 	return true
 }
 
-// has reports whether this instance knows all that name ever recorded.
-func (o *Owners) has(p Partition, x *part, name string) bool {
+// hasRecordsOf reports whether this instance holds all records name accepted.
+func (o *Owners) hasRecordsOf(p Partition, s *partitionState, name string) bool {
 	if name == o.self {
-		return o.once[p]
+		return o.everSettled[p]
 	}
-	return x.heard[name].Intact
+	return s.replies[name].Intact
 }
 
-// coldStart reports whether the fleet starts for the first time, as far as
-// the owners of a partition can tell: all of them find each other fresh.
-func (o *Owners) coldStart(p Partition, x *part) bool {
-	if !o.cold || o.once[p] {
+// allFresh reports whether, in a cold start, all owners of a partition are fresh,
+// so that there are no earlier records.
+func (o *Owners) allFresh(p Partition, s *partitionState) bool {
+	if !o.coldStart || o.everSettled[p] {
 		return false
 	}
-	for _, name := range x.triple {
-		if name != o.self && !x.heard[name].Fresh {
+	for _, name := range s.owners {
+		if name != o.self && !s.replies[name].Fresh {
 			return false
 		}
 	}
 	return true
 }
 
-// Settled reports whether this instance vouches for all its partitions, and
-// is settled in each.
+// Settled reports whether all partitions of this instance are settled.
 func (o *Owners) Settled() bool {
-	for _, x := range o.parts {
-		if !x.settled {
+	for _, s := range o.partitions {
+		if !s.settled {
 			return false
 		}
 	}
 	return o.revision != 0
 }
 
-// ToPull returns the instances whose records are still wanted, and for which
-// partitions.
+// ToPull returns the instances to pull records from, each with its partitions.
 func (o *Owners) ToPull() map[string][]Partition {
 	out := make(map[string][]Partition)
-	for p, x := range o.parts {
-		if x.settled {
+	for p, s := range o.partitions {
+		if s.settled {
 			continue
 		}
-		for name := range x.wanted() {
-			if h, ok := x.heard[name]; name != o.self && !(ok && h.Intact) {
+		for name := range s.pullTargets() {
+			if h, ok := s.replies[name]; name != o.self && !(ok && h.Intact) {
 				out[name] = append(out[name], p)
 			}
 		}
@@ -236,38 +233,38 @@
 	return out
 }
 
-// wanted returns all who may have owned the partition, and its owners now.
-func (x *part) wanted() map[string]bool {
+// pullTargets returns the current and all possible earlier owners.
+func (s *partitionState) pullTargets() map[string]bool {
 	names := make(map[string]bool)
-	add := func(triple []string) {
-		for _, name := range triple {
+	add := func(owners []string) {
+		for _, name := range owners {
 			names[name] = true
 		}
 	}
-	add(x.triple)
-	for _, triple := range x.covered {
-		add(triple)
+	add(s.owners)
+	for _, owners := range s.priorOwners {
+		add(owners)
 	}
-	for _, said := range x.heard {
-		for _, triple := range said.Covered {
-			add(triple)
+	for _, reply := range s.replies {
+		for _, owners := range reply.Covered {
+			add(owners)
 		}
 	}
 	return names
 }
 
-// Pull returns what this instance has for the given partitions. It answers
-// only when it has that very revision of the list in force: an owner that
-// holds another may still accept what the asker would never hear of.
-// Gap is that of the asker.
-func (o *Owners) Pull(now time.Duration, revision, gap int64, parts []Partition) (a Answer, ok bool) {
+// Pull returns the records of the given partitions. It answers only if the
+// caller's revision of the list is in force here: an owner that holds another
+// may still accept records that the caller would miss. MissedAfter is the last
+// revision before the ones that the caller missed, or zero.
+func (o *Owners) Pull(now time.Duration, revision, missedAfter int64, parts []Partition) (a Answer, ok bool) {
 	if o.revision != revision {
 		return a, false
 	}
 	asked := make(map[Partition]bool, len(parts))
 	for _, p := range parts {
 		asked[p] = true
-		a.Parts = append(a.Parts, o.say(now, p, gap))
+		a.Parts = append(a.Parts, o.describe(now, p, missedAfter))
 	}
 	for k, known := range o.records {
 		if asked[PartitionOf(k)] {
@@ -277,24 +274,24 @@
 	return a, true
 }
 
-// say tells what this instance knows of a partition.
-func (o *Owners) say(now time.Duration, p Partition, gap int64) Part {
-	out := Part{Partition: p, Intact: o.once[p]}
-	if gap > 0 {
-		out.Covered = o.between(p, gap)
-	}
-	x := o.parts[p]
-	if x == nil {
+// describe returns what this instance knows of a partition.
+func (o *Owners) describe(now time.Duration, p Partition, missedAfter int64) Part {
+	out := Part{Partition: p, Intact: o.everSettled[p]}
+	if missedAfter > 0 {
+		out.Covered = o.ownersAfter(p, missedAfter)
+	}
+	s := o.partitions[p]
+	if s == nil {
 		return out
 	}
-	out.Fresh = o.cold && (!o.once[p] || x.settled && now-x.at < coldFor)
-	if !x.settled {
-		out.Covered = append(out.Covered, x.covered...)
+	out.Fresh = o.coldStart && (!o.everSettled[p] || s.settled && now-s.settledAt < freshPeriod)
+	if !s.settled {
+		out.Covered = append(out.Covered, s.priorOwners...)
 	}
 	return out
 }
 
-// Pulled takes in the answer of an instance to a Pull for a revision.
+// Pulled applies an instance's answer to a Pull for a revision.
 func (o *Owners) Pulled(now time.Duration, from string, revision int64, a Answer) {
 	if revision != o.revision {
 		return
@@ -302,10 +299,10 @@
 	for i := range a.Records {
 		o.merge(a.Records[i])
 	}
-	for _, said := range a.Parts {
-		if x := o.parts[said.Partition]; x != nil && !x.settled {
-			x.heard[from] = said
-			o.check(now, said.Partition, x)
+	for _, reply := range a.Parts {
+		if s := o.partitions[reply.Partition]; s != nil && !s.settled {
+			s.replies[from] = reply
+			o.trySettle(now, reply.Partition, s)
 		}
 	}
 }
