--- a/member/member.go
+++ b/member/member.go
@@ -1,15 +1,15 @@
-// Package member keeps one instance's picture of the others.
+// Package member tracks the liveness of the other instances of a fleet.
 //
 // The platform publishes a list of instances that lags; heartbeats between
-// instances tell sooner who is silent. A Table joins both: an instance is
-// known if the list names it, live while it is heard, suspected when it or
-// its heartbeat partners fall silent, leaving on its own word or the list's.
-// Each instance beats to a few partners, a number that grows with the
-// logarithm of the fleet; suspicions travel in the heartbeats.
+// instances detect failures sooner. A Table combines both: an instance is known
+// if the list contains it, live while heartbeats arrive, suspected when it or its
+// heartbeat partners report silence, and leaving by its own announcement or by
+// the list. Each instance sends heartbeats to a number of partners that grows
+// with the logarithm of the fleet; heartbeats also carry suspicions.
 //
-// Rank orders instances for a job by rendezvous hashing, so that all who see
-// the same list agree without speaking. A Table is pure state and not safe
-// for concurrent use.
+// Rank orders instances for a job by rendezvous hashing, so that all instances
+// with the same list agree without communication. A Table does no I/O and is not
+// safe for concurrent use.
 package member
 
 import (
@@ -21,27 +21,27 @@
 	"ivyridge/chart"
 )
 
-// Times of the failure detector.
+// Parameters of the failure detector.
 const (
-	BeatEvery    = 200 * time.Millisecond
-	SilentAfter  = 700 * time.Millisecond // three beats missed
-	SuspectFor   = 5 * time.Second        // how long a suspicion that is not renewed holds
-	SleptAfter   = 700 * time.Millisecond // a gap between ticks that means this process slept
-	fewPeers     = 8                      // all of so many are partners
-	fingerBase   = 4                      // partners of a larger fleet are 1, 4, 16, ... places on
-	maxSuspicion = 32                     // suspicions in one heartbeat
+	BeatEvery     = 200 * time.Millisecond
+	SilentAfter   = 700 * time.Millisecond // three heartbeats missed
+	SuspectFor    = 5 * time.Second        // lifetime of a suspicion that is not renewed
+	SleptAfter    = 700 * time.Millisecond // gap between ticks that means that this process was suspended
+	fullMeshPeers = 8                      // up to this number, all peers are partners
+	fingerBase    = 4                      // partners in a larger fleet are 1, 4, 16, ... positions ahead
+	maxSuspicions = 32                     // per heartbeat
 )
 
-// A State is what the platform's list says of an instance or endpoint.
+// A State is the state of an instance or endpoint in the platform's list.
 type State string
 
-// The states of the list.
+// The states in the list.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// An Instance is a listed router instance.
+// An Instance is a router instance in the list.
 type Instance struct {
 	Name       string `json:"name"`
 	Addr       string `json:"addr"`
@@ -50,7 +50,7 @@
 	State      State  `json:"state"`
 }
 
-// An Endpoint is a listed endpoint.
+// An Endpoint is an endpoint in the list.
 type Endpoint struct {
 	Name       string `json:"name"`
 	Addr       string `json:"addr"`
@@ -67,51 +67,51 @@
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// A Heard is what one heartbeat says of its sender.
+// A Heard is the content of a heartbeat.
 type Heard struct {
 	Incarnation       uint64
 	ConfigRevision    int64
 	ListRevision      int64
 	CommandVersion    int64
 	SettledRevision   int64
-	PlatformHeard     time.Duration // instant, on the receiver's clock
+	PlatformHeard     time.Duration // when the sender last heard the platform, on the receiver's clock
 	Leaving, Ready    bool
 	SuspectedBySender []Suspicion
 }
 
-// A Suspicion says that an instance was silent since an instant.
+// A Suspicion says that an instance has been silent since a given time.
 type Suspicion struct {
 	Instance string
 	Since    time.Duration
 }
 
-// A Peer is one instance in a Table.
+// A Peer is an instance in a Table.
 type Peer struct {
 	Instance
-	Last      Heard
-	LastHeard time.Duration
-	machine   chart.Machine
-	suspected time.Duration // instant of the newest suspicion
-	watched   time.Duration // since when this instance beats to it
+	Last         Heard
+	LastHeard    time.Duration
+	machine      chart.Machine
+	suspected    time.Duration // time of the newest suspicion
+	watchedSince time.Duration // when this instance began to send it heartbeats
 }
 
-// State returns the name of the peer's chart state.
+// State returns the name of the peer's state.
 func (p *Peer) State() string { return p.machine.Name() }
 
-// Usable reports whether p may be given work or asked.
+// Usable reports whether p may be given work or queried.
 func (p *Peer) Usable() bool {
 	s := p.machine.State()
 	return s == stListed || s == stLive
 }
 
-// A Table is one instance's picture of the others.
+// A Table is one instance's view of the fleet.
 type Table struct {
 	self    string
 	list    *List
 	peers   map[string]*Peer
-	version uint64 // grows with every change that can move a rank
+	version uint64 // incremented by every change that can change a ranking
 	leaving bool
-	drained func(name string) bool // by an operator's command
+	drained func(name string) bool // by an operator command
 }
 
 // New returns the Table of the instance called self.
@@ -119,22 +119,23 @@
 	return &Table{self: self, list: new(List), peers: make(map[string]*Peer), drained: func(string) bool { return false }}
 }
 
-// List returns the list in force, which is never changed.
+// List returns the list in force, which must not be changed.
 func (t *Table) List() *List { return t.list }
 
-// Version grows whenever the set of usable instances changes.
+// Version returns a number that is incremented whenever the set of usable instances may change.
 func (t *Table) Version() uint64 { return t.version }
 
-// SetList takes up a list. An older one than that in force is refused.
+// SetList applies a list and reports true, unless its revision is not newer than
+// that of the list in force.
 func (t *Table) SetList(now time.Duration, l List) bool {
 	if l.Revision <= t.list.Revision {
 		return false
 	}
 	t.list = &l
 	t.version++
-	named := make(map[string]bool, len(l.Instances))
+	listed := make(map[string]bool, len(l.Instances))
 	for _, in := range l.Instances {
-		named[in.Name] = true
+		listed[in.Name] = true
 		p := t.peers[in.Name]
 		if p == nil {
 			p = &Peer{machine: chart.Instance.New(), LastHeard: now}
@@ -147,7 +148,7 @@
 		}
 	}
 	for name, p := range t.peers {
-		if !named[name] {
+		if !listed[name] {
 			p.machine.Step(evUnlisted)
 			delete(t.peers, name)
 		}
@@ -155,8 +156,8 @@
 	return true
 }
 
-// Hear takes in a heartbeat from a peer, or its answer to one. It reports
-// whether the sender is listed.
+// Hear handles a heartbeat from a peer, or the answer to one. It reports whether
+// the sender is in the list.
 func (t *Table) Hear(now time.Duration, from string, h Heard) bool {
 	p := t.peers[from]
 	if p == nil {
@@ -168,7 +169,7 @@
 		t.step(p, evLeave)
 	}
 	for _, s := range h.SuspectedBySender {
-		t.rumour(now, s)
+		t.applySuspicion(now, s)
 	}
 	return true
 }
@@ -179,9 +180,9 @@
 	}
 }
 
-// rumour takes in a suspicion of others. What this instance heard by itself
-// since then goes first.
-func (t *Table) rumour(now time.Duration, s Suspicion) {
+// applySuspicion handles a suspicion reported by a peer. It is ignored if this
+// instance has heard from the suspect since.
+func (t *Table) applySuspicion(now time.Duration, s Suspicion) {
 	p := t.peers[s.Instance]
 	if p == nil || s.Instance == t.self || now-s.Since > SuspectFor || p.LastHeard >= s.Since {
 		return
@@ -198,52 +199,53 @@
 	}
 }
 
-// Tick suspects partners that have fallen silent.
+// Tick marks silent partners as suspected and drops expired suspicions.
 func (t *Table) Tick(now time.Duration) {
 	partners := make(map[string]bool)
 	for _, p := range t.BeatTo() {
 		partners[p.Name] = true
-		if p.watched == 0 {
-			p.watched = now
+		if p.watchedSince == 0 {
+			p.watchedSince = now
 		}
-		if now-max(p.LastHeard, p.watched) > SilentAfter {
+		if now-max(p.LastHeard, p.watchedSince) > SilentAfter {
 			p.suspected = now
 			t.step(p, evSilent)
 		}
 	}
 	for _, p := range t.peers {
 		if !partners[p.Name] {
-			p.watched = 0
+			p.watchedSince = 0
 		}
 		if p.machine.State() == stSuspected && now-p.suspected > SuspectFor {
-			t.step(p, evHeard) // nobody renews it
+			t.step(p, evHeard) // not renewed
 		}
 	}
 }
 
-// Slept tells that this process did not run for a while: silence in that
-// time was its own.
+// Slept reports that this process was suspended. The silence of peers until now
+// does not count.
 func (t *Table) Slept(now time.Duration) {
 	for _, p := range t.peers {
 		p.LastHeard = max(p.LastHeard, now)
 	}
 }
 
-// Suspicions returns what a heartbeat should pass on.
+// Suspicions returns the suspicions to send in a heartbeat, at most
+// maxSuspicions.
 func (t *Table) Suspicions(now time.Duration) []Suspicion {
 	var out []Suspicion
 	for _, p := range t.peers {
-		if p.machine.State() == stSuspected && now-p.suspected <= SuspectFor && len(out) < maxSuspicion {
+		if p.machine.State() == stSuspected && now-p.suspected <= SuspectFor && len(out) < maxSuspicions {
 			out = append(out, Suspicion{p.Name, p.suspected})
 		}
 	}
 	return out
 }
 
-// BeatTo returns the partners this instance beats to. On a ring of hashed
-// names they are 1, 4, 16, ... places further on, so that their number grows
-// with the logarithm of the fleet, and so do the beats until all have heard
-// what one knows. All of a small fleet are partners.
+// BeatTo returns the partners to which this instance sends heartbeats. On a ring
+// of hashed names they are 1, 4, 16, ... positions ahead, so that both their
+// number and the number of rounds until news reaches all instances grow with the
+// logarithm of the fleet. In a small fleet, all peers are partners.
 func (t *Table) BeatTo() []*Peer {
 	ring := make([]*Peer, 0, len(t.peers))
 	for _, p := range t.peers {
@@ -255,7 +257,7 @@
 	sort.Slice(ring, func(i, j int) bool {
 		return xxhash.Sum64String(ring[i].Name)-own < xxhash.Sum64String(ring[j].Name)-own
 	})
-	if len(ring) <= fewPeers {
+	if len(ring) <= fullMeshPeers {
 		return ring
 	}
 	var out []*Peer
@@ -268,7 +270,7 @@
 // Peer returns the peer called name, or nil.
 func (t *Table) Peer(name string) *Peer { return t.peers[name] }
 
-// Peers returns all listed instances by name, this one among them.
+// Peers returns all listed instances sorted by name, including this one.
 func (t *Table) Peers() []*Peer {
 	out := make([]*Peer, 0, len(t.peers))
 	for _, p := range t.peers {
@@ -278,20 +280,21 @@
 	return out
 }
 
-// SetLeaving marks this instance as leaving in its own eyes.
+// SetLeaving marks this instance as leaving in its own table.
 func (t *Table) SetLeaving() {
 	t.leaving = true
 	t.version++
 }
 
-// SetDrained tells which instances an operator has drained.
+// SetDrained sets the function that reports whether an operator drained an
+// instance.
 func (t *Table) SetDrained(drained func(name string) bool) {
 	t.drained = drained
 	t.version++
 }
 
-// Usable returns the names of the instances that may be given work, this
-// one included unless it is leaving.
+// Usable returns the names of the instances that may be given work, in no
+// particular order. It includes this one unless it is leaving.
 func (t *Table) Usable() []string {
 	var out []string
 	for name, p := range t.peers {
@@ -309,7 +312,7 @@
 	return out
 }
 
-// Rank orders names for job, best first, by rendezvous hashing.
+// Rank returns names ordered for job by rendezvous hashing, best first.
 func Rank(job string, names []string) []string {
 	type scored struct {
 		name  string
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -24,15 +24,15 @@
 	return out
 }
 
-func TestOldListIsRefused(t *testing.T) {
+func TestOldListRefused(t *testing.T) {
 	tb := member.New("n0")
 	tb.SetList(0, listOf(5, "n0", "n1"))
 	if tb.SetList(0, listOf(4, "n0")) || len(tb.Peers()) != 2 {
-		t.Error("an older list was taken up")
+		t.Error("SetList applied an older list")
 	}
 }
 
-func TestSilenceIsSuspected(t *testing.T) {
+func TestSilentPeerSuspected(t *testing.T) {
 	tb := member.New("n0")
 	tb.SetList(0, listOf(1, "n0", "n1", "n2"))
 	for now := time.Duration(0); now < 2*time.Second; now += 100 * time.Millisecond {
@@ -40,29 +40,29 @@
 		tb.Tick(now)
 	}
 	if !tb.Peer("n1").Usable() || tb.Peer("n2").Usable() {
-		t.Errorf("n1 is %s, n2 is %s", tb.Peer("n1").State(), tb.Peer("n2").State())
+		t.Errorf("n1 is %s, n2 is %s; want n1 usable and n2 suspected", tb.Peer("n1").State(), tb.Peer("n2").State())
 	}
 	tb.Hear(2*time.Second, "n2", member.Heard{})
 	if !tb.Peer("n2").Usable() {
-		t.Error("n2 was heard and is still suspected")
+		t.Error("n2 is still suspected after a heartbeat")
 	}
 }
 
-func TestRumourYieldsToOwnEars(t *testing.T) {
+func TestDirectHeartbeatOverridesSuspicion(t *testing.T) {
 	tb := member.New("n0")
 	tb.SetList(0, listOf(1, "n0", "n1", "n2"))
 	tb.Hear(time.Second, "n2", member.Heard{})
 	tb.Hear(time.Second, "n1", member.Heard{SuspectedBySender: []member.Suspicion{{Instance: "n2", Since: 500 * time.Millisecond}}})
 	if !tb.Peer("n2").Usable() {
-		t.Error("a rumour older than what was heard is believed")
+		t.Error("a suspicion older than the last heartbeat was applied")
 	}
 	tb.Hear(2*time.Second, "n1", member.Heard{SuspectedBySender: []member.Suspicion{{Instance: "n2", Since: 1500 * time.Millisecond}}})
 	if tb.Peer("n2").Usable() {
-		t.Error("a newer rumour is not believed")
+		t.Error("a newer suspicion was not applied")
 	}
 }
 
-func TestSleeperDoesNotBlameOthers(t *testing.T) {
+func TestSleptClearsOwnSilence(t *testing.T) {
 	tb := member.New("n0")
 	tb.SetList(0, listOf(1, "n0", "n1"))
 	tb.Hear(0, "n1", member.Heard{})
@@ -70,24 +70,24 @@
 	tb.Slept(time.Hour)
 	tb.Tick(time.Hour)
 	if !tb.Peer("n1").Usable() {
-		t.Error("an instance that slept suspects the others of it")
+		t.Error("a suspended instance suspects its peers")
 	}
 }
 
-// The partners of a fleet reach all others in few beats, and are few.
+// News reaches the whole fleet in few rounds of heartbeats to few partners.
 func TestPartners(t *testing.T) {
 	for _, n := range []int{6, 40, 390} {
 		all := names(n)
-		to := make(map[string][]string)
+		links := make(map[string][]string)
 		for _, name := range all {
 			tb := member.New(name)
 			tb.SetList(0, listOf(1, all...))
 			for _, p := range tb.BeatTo() {
-				to[name] = append(to[name], p.Name)
-				to[p.Name] = append(to[p.Name], name) // the answer tells as much
+				links[name] = append(links[name], p.Name)
+				links[p.Name] = append(links[p.Name], name) // the answer carries the same
 			}
 			if k := len(tb.BeatTo()); k > 8 {
-				t.Errorf("%d partners in a fleet of %d", k, n)
+				t.Errorf("%d partners in a fleet of %d; want at most 8", k, n)
 			}
 		}
 		reached := map[string]bool{all[0]: true}
@@ -96,19 +96,19 @@
 			next := make(map[string]bool)
 			for name := range reached {
 				next[name] = true
-				for _, p := range to[name] {
+				for _, p := range links[name] {
 					next[p] = true
 				}
 			}
 			reached = next
 		}
 		if beats > 8 {
-			t.Errorf("a fleet of %d takes %d beats until all have heard", n, beats)
+			t.Errorf("in a fleet of %d, news takes %d rounds of heartbeats; want at most 8", n, beats)
 		}
 	}
 }
 
-// Rank moves few jobs when one instance goes.
+// Removing one instance moves only the jobs that ranked it first.
 func TestRankIsStable(t *testing.T) {
 	all := names(10)
 	moved := 0
@@ -118,11 +118,11 @@
 		if before != after {
 			moved++
 			if before != all[9] {
-				t.Fatalf("job %s moved from %s, which is still there", job, before)
+				t.Fatalf("job %s moved from %s, which was not removed", job, before)
 			}
 		}
 	}
 	if moved < 50 || moved > 150 {
-		t.Errorf("%d of 1000 jobs moved when one of 10 left", moved)
+		t.Errorf("%d of 1000 jobs moved when 1 of 10 instances was removed; want 50 to 150", moved)
 	}
 }
