--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,9 +1,9 @@
-// Package ledger counts what became of requests, second by second, so that
-// operators can ask over a window.
+// Package ledger counts completed requests by outcome in buckets of one second,
+// for queries over a recent window.
 //
-// A Ledger keeps a fixed number of seconds and, in each, a bounded number of
-// cells; what exceeds it is counted under Other, so totals stay true. It is
-// safe for concurrent use.
+// A Ledger keeps a fixed number of buckets with a bounded number of rows. Requests
+// beyond that bound are counted under Other, so that totals stay exact. A Ledger
+// is safe for concurrent use.
 package ledger
 
 import (
@@ -12,16 +12,15 @@
 )
 
 const (
-	seconds = 300
-	maxRows = 2048 // a second
-	// Other stands for teams and endpoints beyond maxRows.
+	numSeconds = 300
+	maxRows    = 2048 // per bucket
+	// Other replaces the team and endpoint of requests beyond maxRows.
 	Other = "(other)"
 )
 
-// An Outcome is what became of a request.
+// An Outcome is the result of a request.
 type Outcome string
 
-// The outcomes.
 const (
 	Served  Outcome = "served"
 	Late    Outcome = "late"
@@ -29,7 +28,7 @@
 	Failed  Outcome = "failed"
 )
 
-// A Row names what is counted together.
+// A Row is the key under which requests are counted.
 type Row struct {
 	Outcome    Outcome
 	Class      string
@@ -39,28 +38,28 @@
 	DataCentre string
 }
 
-type second struct {
+type bucket struct {
 	at   int64
 	rows map[Row]int64
 }
 
-// A Ledger holds the last five minutes.
+// A Ledger holds the counts of the last five minutes.
 type Ledger struct {
 	mu   sync.Mutex
-	ring [seconds]second
+	ring [numSeconds]bucket
 }
 
 // New returns an empty Ledger.
 func New() *Ledger { return new(Ledger) }
 
-// Add counts one request that ended at instant now.
+// Add counts one request that ended at now.
 func (l *Ledger) Add(now time.Duration, r Row) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := int64(now / time.Second)
-	s := &l.ring[at%seconds]
+	s := &l.ring[at%numSeconds]
 	if s.at != at || s.rows == nil {
-		*s = second{at, make(map[Row]int64)}
+		*s = bucket{at, make(map[Row]int64)}
 	}
 	if _, ok := s.rows[r]; !ok && len(s.rows) >= maxRows {
 		r.Team, r.Endpoint = Other, Other
@@ -68,12 +67,13 @@
 	s.rows[r]++
 }
 
-// Sum adds up the rows of the last window before now.
+// Sum returns the counts of the last window before now, at most 299 s and in whole
+// seconds. The current second counts too.
 func (l *Ledger) Sum(now, window time.Duration) map[Row]int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	to := int64(now / time.Second)
-	from := to - int64(min(window, (seconds-1)*time.Second)/time.Second)
+	from := to - int64(min(window, (numSeconds-1)*time.Second)/time.Second)
 	out := make(map[Row]int64)
 	for i := range l.ring {
 		s := &l.ring[i]
