--- a/decl/check.go
+++ b/decl/check.go
@@ -1,6 +1,6 @@
 package decl
 
-// This file defines the checks that make a Set consistent, and its indexes.
+// This file checks a Set for consistency and builds its indexes.
 
 import (
 	"crypto/sha256"
@@ -42,7 +42,7 @@
 }
 
 func (c *checker) class(k *Class) {
-	if !c.named(k.Pos, "class", k.Name, c.set.classes[k.Name] != nil) {
+	if !c.checkName(k.Pos, "class", k.Name, c.set.classes[k.Name] != nil) {
 		return
 	}
 	c.set.classes[k.Name] = k
@@ -60,7 +60,7 @@
 }
 
 func (c *checker) pool(p *Pool) {
-	if !c.named(p.Pos, "pool", p.Name, c.set.pools[p.Name] != nil) {
+	if !c.checkName(p.Pos, "pool", p.Name, c.set.pools[p.Name] != nil) {
 		return
 	}
 	c.set.pools[p.Name] = p
@@ -77,12 +77,12 @@
 		c.errs.Add(p.Pos, "pool %q: max_slots is below slots", p.Name)
 	}
 	if p.Class != "" {
-		c.classRef(p.Pos, "pool", p.Name, p.Class)
+		c.checkClassRef(p.Pos, "pool", p.Name, p.Class)
 	}
 }
 
 func (c *checker) team(t *Team) {
-	if !c.named(t.Pos, "team", t.Name, c.set.teams[t.Name] != nil) {
+	if !c.checkName(t.Pos, "team", t.Name, c.set.teams[t.Name] != nil) {
 		return
 	}
 	c.set.teams[t.Name] = t
@@ -95,9 +95,9 @@
 	if t.MaxWaiting < 0 {
 		c.errs.Add(t.Pos, "team %q: max_waiting must not be negative", t.Name)
 	}
-	c.classRef(t.Pos, "team", t.Name, t.Class)
+	c.checkClassRef(t.Pos, "team", t.Name, t.Class)
 	for _, name := range t.Classes {
-		c.classRef(t.Pos, "team", t.Name, name)
+		c.checkClassRef(t.Pos, "team", t.Name, name)
 	}
 	for i := range t.Callers {
 		c.caller(t, &t.Callers[i])
@@ -120,8 +120,9 @@
 	c.set.callers[string(raw)] = Identity{Team: t, Caller: k.Name}
 }
 
-// named reports a missing or repeated name and whether the item can be used.
-func (c *checker) named(p yamlfile.Pos, what, name string, taken bool) bool {
+// checkName records an error if the name is missing or taken, and reports whether
+// it is valid.
+func (c *checker) checkName(p yamlfile.Pos, what, name string, taken bool) bool {
 	if name == "" {
 		c.errs.Add(p, "a %s has no name", what)
 		return false
@@ -133,15 +134,15 @@
 	return true
 }
 
-func (c *checker) classRef(p yamlfile.Pos, what, name, class string) {
+func (c *checker) checkClassRef(p yamlfile.Pos, what, name, class string) {
 	if c.set.classes[class] == nil {
 		c.errs.Add(p, "%s %q: class %q is not declared", what, name, class)
 	}
 }
 
-// Authenticate returns the identity that a bearer token proves. The lookup
-// is by the token's SHA-256, so its time tells nothing about other tokens;
-// the final comparison takes constant time.
+// Authenticate returns the identity of the holder of a bearer token. The lookup
+// uses the token's SHA-256, so its duration reveals nothing about other tokens,
+// and the final comparison takes constant time.
 func (s *Set) Authenticate(token string) (Identity, bool) {
 	sum := sha256.Sum256([]byte(token))
 	id, ok := s.callers[string(sum[:])]
@@ -157,8 +158,8 @@
 	return Identity{}, false
 }
 
-// With returns a copy of s in which the class called name has been replaced
-// by change. It reports false if there is no such class.
+// With returns a copy of s in which change was applied to the class called name.
+// It returns s and false if there is no such class.
 func (s *Set) With(name string, change func(*Class)) (*Set, bool) {
 	old := s.classes[name]
 	if old == nil {
--- a/decl/decl.go
+++ b/decl/decl.go
@@ -1,11 +1,10 @@
-// Package decl defines the declarations: what operators keep in version
+// Package decl parses and validates declarations, which operators keep in version
 // control and the platform publishes.
 //
-// A Set names the classes (service levels), the teams with their callers and
-// bindings, and the pools of endpoints: models and plain services. Parse
-// checks a file as a whole and returns every fault with its position; a Set
-// that Parse returned without error is consistent, and is never changed
-// afterwards.
+// A Set declares the classes (service levels), the teams with their callers and
+// permitted classes, and the pools of endpoints that serve models or plain
+// services. Parse checks a whole file and returns all errors with their positions.
+// A Set returned by Parse is consistent and must not be changed.
 package decl
 
 import (
@@ -14,36 +13,39 @@
 	"ivyridge/yamlfile"
 )
 
-// Limits of what a file may declare.
+// Limits of declared values.
 const (
 	MaxTier   = 9
 	MaxWeight = 100
-	maxShare  = 0.5 // of all guaranteed shares together
+	maxShare  = 0.5 // sum of all guaranteed shares
 )
 
-// A Class is a service level: its place in the order and its target.
+// A Class is a service level: a priority and latency targets.
 type Class struct {
 	Pos  yamlfile.Pos
 	Name string `yaml:"name"`
-	// Tier orders classes; zero is the highest.
+	// Tier is the priority of the class, 0 to MaxTier; zero is the highest.
 	Tier int `yaml:"tier"`
-	// FirstToken and Whole are the latency targets, counted from arrival;
-	// zero sets no target. At least one is set.
+	// FirstToken and Whole are the latency targets for the first token and
+	// the complete answer, counted from arrival; zero means no target. At
+	// least one is set.
 	FirstToken time.Duration `yaml:"first_token"`
 	Whole      time.Duration `yaml:"whole"`
-	// TokenGap is the target for the time between tokens of a stream.
+	// TokenGap is the target for the time between tokens of a stream; zero
+	// means no target.
 	TokenGap time.Duration `yaml:"token_gap"`
-	// Repeatable says whether a request may run more than once.
+	// Repeatable reports whether a request may run more than once.
 	Repeatable bool `yaml:"repeatable"`
-	// Share is the part of a pool's capacity that this class is served
-	// before higher tiers whenever it has work waiting.
+	// Share is the fraction of a pool's capacity, at least 0 and below 1, that
+	// is guaranteed to this class ahead of higher tiers while it has requests
+	// waiting.
 	Share float64 `yaml:"guaranteed_share"`
-	// FinishLate keeps accepted requests whose target has passed.
+	// FinishLate keeps waiting requests that can no longer meet their target.
 	FinishLate bool `yaml:"finish_late"`
 }
 
-// Target returns the time by which an answer counts as on time: the first
-// token where the class has that target, else the whole answer.
+// Target returns the latency target by which an answer counts as on time: that of
+// the first token if set, else that of the complete answer.
 func (c *Class) Target() time.Duration {
 	if c.FirstToken > 0 {
 		return c.FirstToken
@@ -51,7 +53,7 @@
 	return c.Whole
 }
 
-// A Caller is a holder of a bearer token; the file holds only its hash.
+// A Caller is the holder of a bearer token, declared by the token's hash.
 type Caller struct {
 	Pos  yamlfile.Pos
 	Name string `yaml:"name"`
@@ -59,19 +61,20 @@
 	TokenHash string `yaml:"token_sha256"`
 }
 
-// A Team groups callers, the classes they may use and their limits.
+// A Team declares its callers, the classes they may use and their limits.
 type Team struct {
 	Pos     yamlfile.Pos
 	Name    string   `yaml:"name"`
 	Callers []Caller `yaml:"callers"`
-	// Class is used when a request names none; Classes lists the others
-	// that a request may name.
+	// Class is the default class of a request; Classes lists the others that
+	// a request may specify.
 	Class   string   `yaml:"class"`
 	Classes []string `yaml:"classes"`
-	// Weight is the team's part within a class, one where unset.
+	// Weight is the team's weight in fair queuing within a class, 1 to
+	// MaxWeight; the default is 1.
 	Weight int `yaml:"weight"`
-	// MaxWaiting bounds the team's waiting requests in one cell; zero sets
-	// no bound.
+	// MaxWaiting bounds the team's waiting requests per class in one cell;
+	// zero means no bound.
 	MaxWaiting int `yaml:"max_waiting"`
 }
 
@@ -88,7 +91,7 @@
 	return false
 }
 
-// A Kind tells model engines from plain services.
+// A Kind distinguishes model engines from plain services.
 type Kind string
 
 // The kinds of pool.
@@ -97,20 +100,20 @@
 	Service Kind = "service"
 )
 
-// A Pool is a set of alike endpoints that serve one model or service.
+// A Pool is a set of equivalent endpoints that serve one model or service.
 type Pool struct {
 	Pos  yamlfile.Pos
 	Name string `yaml:"name"`
 	Kind Kind   `yaml:"kind"`
-	// Slots is how many requests an endpoint starts with at once; MaxSlots
-	// is the most that feedback may raise it to.
+	// Slots is the initial concurrency limit of an endpoint; MaxSlots is the
+	// highest limit that feedback may set, by default Slots.
 	Slots    int `yaml:"slots"`
 	MaxSlots int `yaml:"max_slots"`
-	// Class is the class of requests to a service that name none.
+	// Class is the default class of requests to a service.
 	Class string `yaml:"class"`
 }
 
-// A Set is a whole, consistent publication.
+// A Set is a complete and consistent set of declarations.
 type Set struct {
 	Classes []Class `yaml:"classes"`
 	Teams   []Team  `yaml:"teams"`
@@ -122,7 +125,7 @@
 	callers map[string]Identity
 }
 
-// An Identity is what a bearer token proves.
+// An Identity is the authenticated holder of a bearer token.
 type Identity struct {
 	Team   *Team
 	Caller string
@@ -137,8 +140,8 @@
 // Pool returns the pool called name, or nil.
 func (s *Set) Pool(name string) *Pool { return s.pools[name] }
 
-// Parse reads and checks a file of declarations. The error, if any, is a
-// yamlfile.Errors with every fault found.
+// Parse parses and validates a file of declarations. The error, if any, is a
+// yamlfile.Errors with all errors found.
 func Parse(file string, data []byte) (*Set, error) {
 	s := new(Set)
 	err := yamlfile.Decode(file, data, s)
--- a/decl/decl_test.go
+++ b/decl/decl_test.go
@@ -29,13 +29,12 @@
 	}
 	for _, token := range []string{"", "demo-token", "demo-token-agents-zuid "} {
 		if _, ok := s.Authenticate(token); ok {
-			t.Errorf("%q was let in", token)
+			t.Errorf("token %q was accepted", token)
 		}
 	}
 }
 
-// Each line of the table is a fault and what is said of it.
-func TestFaults(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	const class = "classes: [{name: c, tier: 0, whole: 1s}]\n"
 	for _, c := range []struct{ text, want string }{
 		{"", "the document is empty"},
@@ -57,11 +56,11 @@
 	}
 }
 
-func TestWithLeavesTheOriginal(t *testing.T) {
+func TestWithCopies(t *testing.T) {
 	s := read(t)
 	next, ok := s.With("letter", func(c *decl.Class) { c.Tier = 5 })
 	if !ok || next.Class("letter").Tier != 5 || s.Class("letter").Tier != 2 {
-		t.Error("With changed the set that it was given, or not the copy")
+		t.Error("With changed the original set or did not change the copy")
 	}
 }
 
