--- a/home/home_test.go
+++ b/home/home_test.go
@@ -237,7 +237,7 @@
 
 // A new home grants on an endpoint only after its load report, since it may be
 // leaving; an endpoint without a report is used after a timeout.
-func TestUnheardEndpointNotGranted(t *testing.T) {
+func TestReportAwaitedBeforeGrant(t *testing.T) {
 	h := newHome(t, 0)
 	h.SetEndpoints(0, endpointList(2))
 	h.Ask(0, ask(1, "verdict"))
--- a/home/limits.go
+++ b/home/limits.go
@@ -165,13 +165,13 @@
 
 // forecastLimit estimates how many requests e could run at once, also above a
 // limit that has not been reached for lack of load.
-func (h *Home) forecastLimit(e *endpoint, low bool) float64 {
-	limit := h.limitOf(e, low)
+func (h *Home) forecastLimit(e *endpoint, lowTier bool) float64 {
+	limit := h.limitOf(e, lowTier)
 	if !h.policy.Fill || h.pool.Kind != decl.Model {
 		return limit
 	}
 	target := lowWatermark * h.targetGap().Seconds()
-	if low && h.policy.Protect {
+	if lowTier && h.policy.Protect {
 		target = min(target, protectLowWatermark*h.protectedGap())
 	}
 	n, ok := e.gapFit.solve(target)
--- a/home/place.go
+++ b/home/place.go
@@ -27,7 +27,7 @@
 	// reserveSigmas standard deviations of Poisson arrivals.
 	reserveSigmas = 2.0
 	// pauseAfterRefusal is how long an endpoint that rejected a request as
-	// overload gets no more requests.
+	// overload gets no more requests, if others accept them.
 	pauseAfterRefusal = time.Second
 	// minProbeTier is the highest tier whose requests may be used as probes.
 	minProbeTier = 1
@@ -51,7 +51,7 @@
 	reported       time.Duration
 	unheardSince   time.Duration // when it began to wait for a report
 	lastProbe      time.Duration
-	pausedUntil    time.Duration // no requests before this time
+	pausedUntil    time.Duration // see pauseAfterRefusal
 	failures       int
 	warm           map[uint64]int // prefix to index in prefixRing
 	prefixRing     [maxWarmPrefixes]uint64
@@ -124,27 +124,27 @@
 	e.ringNext = (e.ringNext + 1) % maxWarmPrefixes
 }
 
-// limitOf returns the concurrency limit of e, scaled by this Home's share. Low
+// limitOf returns the concurrency limit of e, scaled by this Home's share. LowTier
 // selects the limit for lower tiers.
-func (h *Home) limitOf(e *endpoint, low bool) float64 {
+func (h *Home) limitOf(e *endpoint, lowTier bool) float64 {
 	limit := e.limit
-	if low && h.policy.Protect {
+	if lowTier && h.policy.Protect {
 		limit = min(limit, e.lowLimit)
 	}
 	return max(1, limit*h.share)
 }
 
 // freeSlots returns how many more requests this Home may grant on e.
-func (h *Home) freeSlots(e *endpoint, low bool) float64 {
-	return h.limitOf(e, low) - float64(e.running) - e.foreign
+func (h *Home) freeSlots(e *endpoint, lowTier bool) float64 {
+	return h.limitOf(e, lowTier) - float64(e.running) - e.foreign
 }
 
 // slots returns the concurrency limit of the cell.
-func (h *Home) slots(low bool) float64 {
+func (h *Home) slots(lowTier bool) float64 {
 	n := 0.0
 	for _, e := range h.list {
 		if e.mayAccept() {
-			n += max(1, h.forecastLimit(e, low)-e.foreign)
+			n += max(1, h.forecastLimit(e, lowTier)-e.foreign)
 		}
 	}
 	return n
@@ -187,9 +187,10 @@
 	return float64(lower) <= h.slots(true)-higher-reserveSigmas*math.Sqrt(higher)
 }
 
-// choose returns the endpoint for r, or nil if none has a free slot. The endpoint
-// on which r failed before is used only if no other accepts requests.
-func (h *Home) choose(r *queue.Request, a *Ask, low bool) *endpoint {
+// choose returns the endpoint for r, or nil if none has a free slot. A paused or
+// slow endpoint, or the one on which r failed before, is used if no other endpoint
+// accepts requests.
+func (h *Home) choose(r *queue.Request, a *Ask, lowTier bool) *endpoint {
 	if !h.policy.Counts {
 		return h.roundRobin(a)
 	}
@@ -201,7 +202,7 @@
 			continue
 		}
 		accepting++
-		if h.now < e.pausedUntil || h.freeSlots(e, low) < 1 || e.spec.Name == a.Avoid || !h.mayUse(e, r) {
+		if h.now < e.pausedUntil || h.freeSlots(e, lowTier) < 1 || e.spec.Name == a.Avoid || !h.mayUse(e, r) {
 			continue
 		}
 		if s := h.score(e, a); best == nil || s < lowest {
@@ -209,15 +210,15 @@
 		}
 	}
 	if best == nil && accepting == 1 {
-		return h.soleEndpoint(low)
+		return h.soleEndpoint(lowTier)
 	}
 	return best
 }
 
 // soleEndpoint returns the first accepting endpoint with a free slot, or nil.
-func (h *Home) soleEndpoint(low bool) *endpoint {
+func (h *Home) soleEndpoint(lowTier bool) *endpoint {
 	for _, e := range h.list {
-		if e.accepting() && h.freeSlots(e, low) >= 1 {
+		if e.accepting() && h.freeSlots(e, lowTier) >= 1 {
 			return e
 		}
 	}
--- a/owner/settle.go
+++ b/owner/settle.go
@@ -207,7 +207,8 @@
 	return true
 }
 
-// Settled reports whether all partitions of this instance are settled.
+// Settled reports whether a list is in force and all partitions of this instance
+// are settled.
 func (o *Owners) Settled() bool {
 	for _, s := range o.partitions {
 		if !s.settled {
