--- a/node/answers.go
+++ b/node/answers.go
@@ -1,8 +1,7 @@
 package node
 
-// This file keeps the answers of keyed requests, so that a repeat under the
-// same key joins the running one or gets its answer, on whichever instance
-// it lands.
+// This file stores the answers of keyed requests. A retry with the same key, on any
+// instance, waits for the running attempt or gets its stored answer.
 
 import (
 	"context"
@@ -17,109 +16,112 @@
 )
 
 const (
-	// maxAnswers bounds the memory of kept answers, in bytes.
-	maxAnswers  = 48 << 20
-	joinTimeout = 4 * time.Minute
-	joinDial    = 2
+	// maxAnswerBytes bounds the total size of the stored bodies.
+	maxAnswerBytes = 48 << 20
+	joinTimeout    = 4 * time.Minute
+	joinAttempts   = 2
 )
 
-// An Answer is a whole answer, kept for repeats.
+// An Answer is a complete answer, stored for retries.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Failure is set instead where the attempt ended without an answer.
+	// Failure is set if the attempt ended without an answer; the other
+	// fields are then zero.
 	Failure *verdict.Error
 }
 
-// An attemptKey names one attempt at a key. An attempt that is not among the
-// kept ones was withdrawn before anything was sent.
+// An attemptKey identifies one attempt at a key. An attempt that is missing from
+// the store was withdrawn before anything was sent.
 type attemptKey struct {
 	key     owner.Key
 	attempt uint64
 }
 
-type kept struct {
-	done   chan struct{}
-	answer *Answer // nil while running
-	ended  time.Duration
+type attemptAnswer struct {
+	done        chan struct{}
+	answer      *Answer // nil while running
+	completedAt time.Duration
 }
 
-type answers struct {
-	mu      sync.Mutex
-	kept    map[attemptKey]*kept
-	order   []attemptKey // ended, oldest first
-	evicted int          // of order, those whose text was dropped for room
-	bytes   int
+type answerStore struct {
+	mu        sync.Mutex
+	attempts  map[attemptKey]*attemptAnswer
+	completed []attemptKey // completed attempts, oldest first
+	evicted   int          // number of leading entries of completed whose bodies were dropped
+	bytes     int
 }
 
-func newAnswers() *answers { return &answers{kept: make(map[attemptKey]*kept)} }
+func newAnswerStore() *answerStore {
+	return &answerStore{attempts: make(map[attemptKey]*attemptAnswer)}
+}
 
-func (a *answers) begin(k owner.Key, attempt uint64) {
+func (a *answerStore) begin(k owner.Key, attempt uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.kept[attemptKey{k, attempt}] = &kept{done: make(chan struct{})}
+	a.attempts[attemptKey{k, attempt}] = &attemptAnswer{done: make(chan struct{})}
 }
 
-// drop forgets an attempt that was not sent.
-func (a *answers) drop(k owner.Key, attempt uint64) {
+// drop removes an attempt that was not sent.
+func (a *answerStore) drop(k owner.Key, attempt uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	id := attemptKey{k, attempt}
-	if x := a.kept[id]; x != nil && x.answer == nil {
-		delete(a.kept, id)
+	if x := a.attempts[id]; x != nil && x.answer == nil {
+		delete(a.attempts, id)
 		close(x.done)
 	}
 }
 
-// Keep stores the answer of a claim for repeats.
+// Keep stores the answer of a claim's attempt for retries.
 func (n *Node) Keep(c *Claim, ans *Answer) {
 	a := n.answers
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	id := attemptKey{c.Key, c.Attempt}
-	x := a.kept[id]
+	x := a.attempts[id]
 	if x == nil || x.answer != nil {
 		return
 	}
-	x.answer, x.ended = ans, n.now()
+	x.answer, x.completedAt = ans, n.now()
 	close(x.done)
 	a.bytes += len(ans.Body)
-	a.order = append(a.order, id)
-	for a.bytes > maxAnswers && a.evicted < len(a.order) {
+	a.completed = append(a.completed, id)
+	for a.bytes > maxAnswerBytes && a.evicted < len(a.completed) {
 		a.evict()
 	}
 }
 
-// evict drops the oldest answer's text but remembers that there was one.
-func (a *answers) evict() {
-	x := a.kept[a.order[a.evicted]]
+// evict drops the body of the oldest answer but keeps the fact that the attempt ran.
+func (a *answerStore) evict() {
+	x := a.attempts[a.completed[a.evicted]]
 	a.evicted++
 	a.bytes -= len(x.answer.Body)
-	x.answer = &Answer{Failure: verdict.Fail(verdict.Ran, verdict.Duplicate, "the request ran; its answer is no longer held")}
+	x.answer = &Answer{Failure: verdict.Fail(verdict.Ran, verdict.Duplicate, "the request ran, but its answer has been evicted")}
 }
 
-// expire forgets answers older than any record of their owners, which would
-// else take a forgotten attempt for one that was not sent.
-func (a *answers) expire(now time.Duration) {
+// expire removes answers that are older than any owner's record of them. Removing
+// one earlier would make a retry take the attempt for one that was not sent.
+func (a *answerStore) expire(now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for len(a.order) > 0 {
-		x := a.kept[a.order[0]]
-		if now-x.ended < 2*owner.Retention {
+	for len(a.completed) > 0 {
+		x := a.attempts[a.completed[0]]
+		if now-x.completedAt < 2*owner.Retention {
 			return
 		}
 		a.bytes -= len(x.answer.Body)
-		delete(a.kept, a.order[0])
-		a.order = a.order[1:]
+		delete(a.attempts, a.completed[0])
+		a.completed = a.completed[1:]
 		a.evicted = max(0, a.evicted-1)
 	}
 }
 
-// wait returns the answer of an attempt, or nil if it was not sent.
-func (a *answers) wait(ctx context.Context, k owner.Key, attempt uint64) (*Answer, error) {
+// wait waits for the answer of an attempt. It returns nil if the attempt was not sent.
+func (a *answerStore) wait(ctx context.Context, k owner.Key, attempt uint64) (*Answer, error) {
 	a.mu.Lock()
-	x := a.kept[attemptKey{k, attempt}]
+	x := a.attempts[attemptKey{k, attempt}]
 	a.mu.Unlock()
 	if x == nil {
 		return nil, nil
@@ -134,33 +136,33 @@
 	return x.answer, nil
 }
 
-// Join waits for the answer of the attempt that holds a key. A nil answer
-// says that the attempt was not sent, so that the key may be claimed again.
+// Join waits for the answer of the attempt that holds a key. A nil answer means that
+// the attempt was not sent, so the key may be claimed again.
 func (n *Node) Join(ctx context.Context, r *owner.Record) (*Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	n.count.joins.Add(1)
 	if r.Entry == n.opt.Name {
-		return n.joinHere(ctx, r)
+		return n.joinLocal(ctx, r)
 	}
 	var err error
-	for range joinDial {
+	for range joinAttempts {
 		var reply *peerpb.JoinReply
 		reply, err = n.dial.To(r.EntryAddr).Join(ctx, &peerpb.JoinRequest{Key: r.Key[:], Attempt: r.Attempt, Incarnation: r.Incarnation})
 		if err == nil {
-			return answerOf(reply), nil
+			return answerFromProto(reply), nil
 		}
-		if !n.pause(ctx, claimPause) {
+		if !n.sleepContext(ctx, claimRetryDelay) {
 			break
 		}
 	}
 	n.count.joinErrors.Add(1)
-	return nil, verdict.Fail(verdict.MayHaveRun, verdict.EntryLost, "instance %s, which had the request, does not answer: %v", r.Entry, err)
+	return nil, verdict.Fail(verdict.MayHaveRun, verdict.EntryLost, "instance %s, which holds the earlier attempt, did not answer: %v", r.Entry, err)
 }
 
-func (n *Node) joinHere(ctx context.Context, r *owner.Record) (*Answer, error) {
+func (n *Node) joinLocal(ctx context.Context, r *owner.Record) (*Answer, error) {
 	if r.Incarnation != n.incarnation {
-		return nil, verdict.Fail(verdict.MayHaveRun, verdict.EntryLost, "instance %s, which had the request, was restarted", r.Entry)
+		return nil, verdict.Fail(verdict.MayHaveRun, verdict.EntryLost, "instance %s, which held the earlier attempt, has restarted", r.Entry)
 	}
 	ans, err := n.answers.wait(ctx, r.Key, r.Attempt)
 	if err == nil && ans == nil {
@@ -169,20 +171,21 @@
 	return ans, err
 }
 
-// Join serves a peer whose caller repeated a key that this instance runs.
+// Join serves a peer that received a retry of a request whose attempt is on this
+// instance.
 func (s ownerService) Join(ctx context.Context, r *peerpb.JoinRequest) (*peerpb.JoinReply, error) {
-	rec := &owner.Record{Key: keyOf(r.Key), Entry: s.opt.Name, Attempt: r.Attempt, Incarnation: r.Incarnation}
-	ans, err := s.joinHere(ctx, rec)
+	rec := &owner.Record{Key: keyFromBytes(r.Key), Entry: s.opt.Name, Attempt: r.Attempt, Incarnation: r.Incarnation}
+	ans, err := s.joinLocal(ctx, rec)
 	if e := verdict.Of(err); e != nil {
 		if ctx.Err() != nil {
 			return nil, err
 		}
 		ans = &Answer{Failure: e}
 	}
-	return wireAnswer(ans), nil
+	return answerToProto(ans), nil
 }
 
-func wireAnswer(a *Answer) *peerpb.JoinReply {
+func answerToProto(a *Answer) *peerpb.JoinReply {
 	switch {
 	case a == nil:
 		return &peerpb.JoinReply{}
@@ -192,7 +195,7 @@
 	return &peerpb.JoinReply{Known: true, Status: int32(a.Status), ContentType: a.ContentType, Body: a.Body}
 }
 
-func answerOf(r *peerpb.JoinReply) *Answer {
+func answerFromProto(r *peerpb.JoinReply) *Answer {
 	switch {
 	case !r.Known:
 		return nil
--- a/node/ask.go
+++ b/node/ask.go
@@ -1,8 +1,8 @@
 package node
 
-// This file is the part of an entry: it asks the home of a cell for a grant.
-// The entry holds the request all the time, so a home that is lost loses
-// none: the entry asks the next one, with the request's age.
+// This file asks the home of a cell for a grant on behalf of an entry. The entry
+// holds the request until it is answered, so the loss of a home loses no request:
+// the entry asks the next home and passes the request's age.
 
 import (
 	"context"
@@ -15,18 +15,18 @@
 	"ivyridge/verdict"
 )
 
-// GrantLife is how long after it was given a grant may be acted on. It is
-// far below home.RunLease and owner.Retention, so that an entry that slept
-// does not act on what others have given up.
+// GrantLife is how long a grant may be used after it was given. It is far below
+// home.RunLease and owner.Retention, so that an entry that was suspended does not
+// act on a grant whose slot or key record has expired.
 const GrantLife = time.Second
 
 const (
-	homesTried = 3
-	askRounds  = 8 // in which the homes changed under the request
-	roundPause = 30 * time.Millisecond
+	maxHomesTried = 3
+	maxAskRounds  = 8 // rounds in which the homes changed during the request
+	askRetryDelay = 30 * time.Millisecond
 )
 
-// A Request is what Acquire needs to know.
+// A Request describes the request for which Acquire needs an endpoint.
 type Request struct {
 	Pool       string
 	Class      string
@@ -35,50 +35,50 @@
 	MaxTokens  int
 	Prefix     uint64
 	Avoid      string
-	Arrived    time.Duration // instant
+	Arrived    time.Duration // time of arrival
 	DataCentre string
 }
 
-// A Grant is the right to send one request to one endpoint.
+// A Grant permits sending one request to one endpoint.
 type Grant struct {
 	Endpoint string
 	Addr     string
 	Cell     string
-	Home     string // the instance that granted
+	Home     string // instance that granted it
 	At       time.Duration
 	Class    string
 	Team     string
 	seq      uint64
 }
 
-// Acquire waits until an endpoint is granted. The error is a *verdict.Error
-// of a request that was not run, or that of ctx.
+// Acquire waits until an endpoint is granted. The error is a *verdict.Error of a
+// request that was not run, or wraps the error of ctx.
 func (n *Node) Acquire(ctx context.Context, r *Request) (*Grant, error) {
 	var last error
-	for round := 0; round < askRounds; round++ {
+	for round := 0; round < maxAskRounds; round++ {
 		v := n.view.Load()
 		if !v.ready {
 			return nil, verdict.Refuse(verdict.NoConfiguration, "no configuration is in force yet").After(time.Second)
 		}
-		cells := v.choose(r.Pool, n.opt.DataCentre, n.opt.Name)
+		cells := v.cellsInOrder(r.Pool, n.opt.DataCentre, n.opt.Name)
 		if len(cells) == 0 {
 			return nil, verdict.Refuse(verdict.NoEndpoint, "pool %q has no endpoint", r.Pool).After(time.Second)
 		}
-		g, again, err := n.acquireIn(ctx, v, cells, r)
+		g, again, err := n.acquireFromCells(ctx, v, cells, r)
 		if err == nil || !again {
 			return g, err
 		}
 		last = err
 		n.count.askRetries.Add(1)
-		if !n.pause(ctx, roundPause) {
+		if !n.sleepContext(ctx, askRetryDelay) {
 			return nil, errors.Wrap(ctx.Err(), "ask")
 		}
 	}
-	n.count.askLost.Add(1)
-	return nil, verdict.Refuse(verdict.HomeLost, "no home kept the request: %v", last).After(time.Second)
+	n.count.asksFailed.Add(1)
+	return nil, verdict.Refuse(verdict.HomeLost, "no home granted or refused the request: %v", last).After(time.Second)
 }
 
-func (n *Node) pause(ctx context.Context, d time.Duration) bool {
+func (n *Node) sleepContext(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -89,12 +89,12 @@
 	}
 }
 
-// acquireIn tries the cells in order; an overloaded one sends the request on
-// to the next. Again reports that the homes changed under the request.
-func (n *Node) acquireIn(ctx context.Context, v *view, cells []*cellView, r *Request) (g *Grant, again bool, err error) {
-	const spill = 2
-	for _, c := range cells[:min(spill, len(cells))] {
-		g, again, err = n.acquireAt(ctx, v, c, r)
+// acquireFromCells tries the first cells in order; if one is overloaded, it tries the
+// next. The result again reports that the homes changed, so Acquire should retry.
+func (n *Node) acquireFromCells(ctx context.Context, v *view, cells []*cellView, r *Request) (g *Grant, again bool, err error) {
+	const maxCells = 2
+	for _, c := range cells[:min(maxCells, len(cells))] {
+		g, again, err = n.acquireFromCell(ctx, v, c, r)
 		if err == nil || again || ctx.Err() != nil {
 			return g, again, err
 		}
@@ -105,10 +105,10 @@
 	return nil, false, err
 }
 
-// acquireAt asks the homes of one cell, best first. Where none answers, this
-// instance stands in with a bounded share.
-func (n *Node) acquireAt(ctx context.Context, v *view, c *cellView, r *Request) (*Grant, bool, error) {
-	for _, name := range c.homes[:min(homesTried, len(c.homes))] {
+// acquireFromCell asks the homes of one cell in order of rank. If none of them serves
+// the cell, this instance decides itself, with a bounded share.
+func (n *Node) acquireFromCell(ctx context.Context, v *view, c *cellView, r *Request) (*Grant, bool, error) {
+	for _, name := range c.homes[:min(maxHomesTried, len(c.homes))] {
 		d, moved, err := n.askHome(ctx, v, c, name, r)
 		switch {
 		case ctx.Err() != nil:
@@ -121,20 +121,20 @@
 		case d.Refusal != nil:
 			return nil, false, d.Refusal
 		}
-		return n.granted(c, name, d, r), false, nil
+		return n.recordGrant(c, name, d, r), false, nil
 	}
-	n.count.stoodIn.Add(1)
-	d, moved, err := n.cellFor(c, v).ask(ctx, n, n.askFor(r))
+	n.count.fallbackAsks.Add(1)
+	d, moved, err := n.getCell(c, v).ask(ctx, n, n.newAsk(r))
 	if err != nil || moved {
 		return nil, moved, err
 	}
 	if d.Refusal != nil {
 		return nil, false, d.Refusal
 	}
-	return n.granted(c, n.opt.Name, d, r), false, nil
+	return n.recordGrant(c, n.opt.Name, d, r), false, nil
 }
 
-func (n *Node) granted(c *cellView, name string, d home.Decision, r *Request) *Grant {
+func (n *Node) recordGrant(c *cellView, name string, d home.Decision, r *Request) *Grant {
 	g := &Grant{
 		Endpoint: d.Endpoint,
 		Addr:     d.Addr,
@@ -145,11 +145,11 @@
 		Team:     r.Team,
 		seq:      d.Seq,
 	}
-	n.out.began(g)
+	n.out.addRun(g)
 	return g
 }
 
-func (n *Node) askFor(r *Request) home.Ask {
+func (n *Node) newAsk(r *Request) home.Ask {
 	return home.Ask{
 		Key:        home.Key{Entry: n.opt.Name, Seq: n.seq.Add(1)},
 		Class:      r.Class,
@@ -163,19 +163,19 @@
 	}
 }
 
-// askHome asks one instance, which may be this one.
+// askHome asks one home, which may be this instance.
 func (n *Node) askHome(ctx context.Context, v *view, c *cellView, name string, r *Request) (home.Decision, bool, error) {
-	a := n.askFor(r)
+	a := n.newAsk(r)
 	if name == n.opt.Name {
 		n.count.asksLocal.Add(1)
-		return n.cellFor(c, v).ask(ctx, n, a)
+		return n.getCell(c, v).ask(ctx, n, a)
 	}
 	n.count.asksSent.Add(1)
-	n.out.waiting(name, 1)
-	defer n.out.waiting(name, -1)
+	n.out.addWaiting(name, 1)
+	defer n.out.addWaiting(name, -1)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(n.lines.to(name), cancel)
+	stop := context.AfterFunc(n.peerCtx.get(name), cancel)
 	defer stop()
 	reply, err := n.dial.To(v.peers[name]).Ask(ctx, &peerpb.AskRequest{
 		Cell:       c.name,
@@ -198,13 +198,13 @@
 	}
 	d := home.Decision{Key: a.Key, Endpoint: reply.Endpoint, Addr: reply.Addr}
 	if reply.Refusal != nil {
-		d.Refusal = errorOf(reply.Refusal)
+		d.Refusal = refusalFromProto(reply.Refusal)
 	}
 	return d, reply.NotHome, nil
 }
 
-// May reports whether the endpoint of a grant may still be sent work: the
-// list, a command or time may have overtaken the grant.
+// May reports whether a grant may still be used. A newer list, an operator command or
+// GrantLife may have invalidated it.
 func (n *Node) May(g *Grant) bool {
 	return n.view.Load().endpoints[g.Endpoint] && n.now()-g.At < GrantLife
 }
--- a/node/cell.go
+++ b/node/cell.go
@@ -1,7 +1,7 @@
 package node
 
-// This file is the part of a home: it wraps the pure decisions of a cell with
-// a lock, lets asks wait for them, and polls the endpoints' load reports.
+// This file serves this instance's cells. It wraps each home.Home with a lock, lets
+// asks wait for its decisions, and polls the load reports of the endpoints.
 
 import (
 	"context"
@@ -15,34 +15,35 @@
 )
 
 const (
-	pollEvery   = 500 * time.Millisecond
-	pollTimeout = 400 * time.Millisecond
-	// takeoverFor is how long a new home grants only half of what the
-	// endpoints take, until the entries have told it what they run.
-	takeoverFor   = 200 * time.Millisecond
-	takeoverShare = 0.5
-	// standIns is how many instances after the home may stand in for it.
-	// Each grants half of what the one before it may, so that together
-	// they never grant twice an endpoint's limit.
-	standIns = 3
-	idleCell = 10 * time.Second
+	pollInterval = 500 * time.Millisecond
+	pollTimeout  = 400 * time.Millisecond
+	// takeoverPeriod is how long a new home grants only takeoverShare of the
+	// endpoints' limits, since the entries have not yet reported what they run.
+	takeoverPeriod = 200 * time.Millisecond
+	takeoverShare  = 0.5
+	// fallbackRanks bounds the ranks that may stand in for an unreachable home
+	// with a large share: a rank r with 0 < r < fallbackRanks grants up to 1/2^r
+	// of an endpoint's limit, so that these and the home together stay below
+	// twice the limit. Other instances grant an equal part of it.
+	fallbackRanks   = 3
+	cellIdleTimeout = 10 * time.Second
 )
 
-// A cell is this instance's part in one cell, as its home or stand-in.
+// A cell is the state of one cell on this instance, as its home or as a fallback.
 type cell struct {
-	name  string
-	mu    sync.Mutex
-	home  *home.Home
-	waits map[home.Key]chan home.Decision
-	rank  int
-	since time.Duration // of being home
-	share float64
-	used  time.Duration
-	seen  *view // whose declarations and endpoints are in force here
+	name      string
+	mu        sync.Mutex
+	home      *home.Home
+	waiters   map[home.Key]chan home.Decision
+	rank      int
+	homeSince time.Duration // when this instance became home
+	share     float64
+	lastUsed  time.Duration
+	view      *view // last view applied
 }
 
-// cellFor returns this instance's cell of that name, made on first use.
-func (n *Node) cellFor(c *cellView, v *view) *cell {
+// getCell returns the state of the cell on this instance, and creates it on first use.
+func (n *Node) getCell(c *cellView, v *view) *cell {
 	n.cellMu.Lock()
 	defer n.cellMu.Unlock()
 	x := n.cells[c.name]
@@ -50,18 +51,18 @@
 		return x
 	}
 	x = &cell{
-		name:  c.name,
-		home:  home.New(v.set, c.pool, n.opt.Policy),
-		waits: make(map[home.Key]chan home.Decision),
-		rank:  -1,
+		name:    c.name,
+		home:    home.New(v.set, c.pool, n.opt.Policy),
+		waiters: make(map[home.Key]chan home.Decision),
+		rank:    -1,
 	}
-	x.mu.Lock() // polls begin before it is ready
+	x.mu.Lock() // update starts polls, which must wait until the cell is ready
 	defer x.mu.Unlock()
-	x.used = n.now()
+	x.lastUsed = n.now()
 	n.cells[c.name] = x
 	x.update(n, c, v)
 	if x.rank != 0 {
-		n.pollSoon(x, c)
+		n.pollCell(x, c)
 	}
 	return x
 }
@@ -76,7 +77,7 @@
 	return out
 }
 
-// updateCells puts a new view in force in the cells of this instance.
+// updateCells applies a new view to the cells of this instance.
 func (n *Node) updateCells(v *view) {
 	for _, c := range n.allCells() {
 		if cv := v.cells[c.name]; cv != nil {
@@ -88,38 +89,39 @@
 	}
 }
 
-// update takes over a view. The cell is locked.
+// update applies a view to the cell. The caller holds c.mu.
 func (c *cell) update(n *Node, cv *cellView, v *view) {
 	now := n.now()
 	rank := cv.rank(n.opt.Name)
 	if rank == 0 && c.rank != 0 {
-		c.since = now
+		c.homeSince = now
 		c.home.Distrust(now)
-		n.pollSoon(c, cv)
+		n.pollCell(c, cv)
 	}
 	c.rank = rank
-	if c.seen == nil || c.seen.set != v.set {
+	if c.view == nil || c.view.set != v.set {
 		c.home.Configure(now, v.set, cv.pool)
 	}
-	if c.seen == nil || c.seen.list != v.list || c.seen.commands != v.commands {
+	if c.view == nil || c.view.list != v.list || c.view.commands != v.commands {
 		c.home.SetEndpoints(now, cv.endpoints)
 	}
-	c.seen = v
+	c.view = v
 	c.setShare(n, now, v)
-	if n.leavingNow() {
-		c.handOver()
+	if n.isLeaving() {
+		c.redirectWaiters()
 	}
 }
 
-// setShare bounds what this instance grants of the cell by its rank.
+// setShare sets the fraction of the endpoints' limits that this instance may grant,
+// by its rank for the cell. The caller holds c.mu.
 func (c *cell) setShare(n *Node, now time.Duration, v *view) {
 	share := 1.0 / float64(max(1, v.usable))
 	switch {
-	case c.rank == 0 && (now-c.since >= takeoverFor || n.opt.Alone):
+	case c.rank == 0 && (now-c.homeSince >= takeoverPeriod || n.opt.Alone):
 		share = 1
 	case c.rank == 0:
 		share = takeoverShare
-	case c.rank > 0 && c.rank < standIns:
+	case c.rank > 0 && c.rank < fallbackRanks:
 		share = 1 / float64(int(1)<<c.rank)
 	}
 	if share != c.share {
@@ -128,14 +130,14 @@
 	}
 }
 
-// ask waits for the cell's decision. Moved reports that this instance cannot
-// serve the cell any more, and another is to be asked.
+// ask waits for the cell's decision. The result moved reports that this instance no
+// longer serves the cell and that another one must be asked.
 func (c *cell) ask(ctx context.Context, n *Node, a home.Ask) (d home.Decision, moved bool, err error) {
 	ch := make(chan home.Decision, 1)
 	now := n.now()
 	c.mu.Lock()
-	c.used = now
-	c.waits[a.Key] = ch
+	c.lastUsed = now
+	c.waiters[a.Key] = ch
 	c.home.Ask(now, a)
 	c.deliver()
 	c.mu.Unlock()
@@ -143,75 +145,77 @@
 	case d, ok := <-ch:
 		return d, !ok, nil
 	case <-ctx.Done():
-		c.withdraw(n, a.Key)
+		c.cancel(n, a.Key)
 		return d, false, ctx.Err()
 	}
 }
 
-// deliver hands the decisions to those who wait. The cell is locked.
+// deliver sends decisions to the waiting asks and returns grants that nobody waits
+// for. The caller holds c.mu.
 func (c *cell) deliver() {
 	for {
-		var orphans []home.Key // granted after their callers had gone
+		var abandoned []home.Key // grants whose callers have gone
 		for _, d := range c.home.Take() {
-			if ch := c.waits[d.Key]; ch != nil {
-				delete(c.waits, d.Key)
+			if ch := c.waiters[d.Key]; ch != nil {
+				delete(c.waiters, d.Key)
 				ch <- d
 			} else if d.Refusal == nil {
-				orphans = append(orphans, d.Key)
+				abandoned = append(abandoned, d.Key)
 			}
 		}
-		if len(orphans) == 0 {
+		if len(abandoned) == 0 {
 			return
 		}
-		for _, key := range orphans {
+		for _, key := range abandoned {
 			c.home.Done(c.home.Now(), home.Release{Key: key})
 		}
 	}
 }
 
-// withdraw cancels an ask whose caller is gone, or returns its grant.
-func (c *cell) withdraw(n *Node, key home.Key) {
+// cancel removes an ask whose caller has gone, and returns its grant if it has one.
+func (c *cell) cancel(n *Node, key home.Key) {
 	now := n.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waits, key)
+	delete(c.waiters, key)
 	c.home.Cancel(now, key)
 	c.home.Done(now, home.Release{Key: key})
 	c.deliver()
 }
 
-// handOver sends all that wait here to the next home. The cell is locked.
-func (c *cell) handOver() {
+// redirectWaiters makes all waiting asks of the cell move to the next home. The
+// caller holds c.mu.
+func (c *cell) redirectWaiters() {
 	now := c.home.Now()
-	for key, ch := range c.waits {
+	for key, ch := range c.waiters {
 		c.home.Cancel(now, key)
-		delete(c.waits, key)
+		delete(c.waiters, key)
 		close(ch)
 	}
 }
 
-// releaseWaiters sends all that wait anywhere here to ask again.
-func (n *Node) releaseWaiters(now time.Duration) {
+// redirectAllWaiters makes the waiting asks of all cells ask again.
+func (n *Node) redirectAllWaiters(now time.Duration) {
 	for _, c := range n.allCells() {
 		c.mu.Lock()
-		c.since = now
-		c.handOver()
+		c.homeSince = now
+		c.redirectWaiters()
 		c.mu.Unlock()
 	}
 }
 
-func (n *Node) leavingNow() bool {
+func (n *Node) isLeaving() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.leaving
 }
 
-// tickCells lets time pass in the cells that are in use.
+// tickCells advances the time of the cells that are in use.
 func (n *Node) tickCells(now time.Duration) {
 	v := n.view.Load()
 	for _, c := range n.allCells() {
 		c.mu.Lock()
-		if now-c.used < idleCell || c.home.Waiting()+c.home.Running() > 0 {
+		if now-c.lastUsed < cellIdleTimeout || c.home.Waiting()+c.home.Running() > 0 {
 			c.setShare(n, now, v)
 			c.home.Tick(now)
 			c.deliver()
@@ -220,16 +224,17 @@
 	}
 }
 
-// pollLoop reads the load reports of the endpoints whose home this is.
+// pollLoop polls the load reports of the endpoints of the cells that this instance
+// serves.
 func (n *Node) pollLoop() {
-	for n.sleep(pollEvery) {
+	for n.sleep(pollInterval) {
 		v := n.view.Load()
 		now := n.now()
 		for _, cv := range v.cells {
 			if cv.rank(n.opt.Name) != 0 && !n.inUse(cv.name, now) {
 				continue
 			}
-			c := n.cellFor(cv, v)
+			c := n.getCell(cv, v)
 			for _, e := range cv.endpoints {
 				go n.poll(c, e)
 			}
@@ -237,15 +242,15 @@
 	}
 }
 
-// pollSoon asks the endpoints of a cell whose home this instance has just
-// become.
-func (n *Node) pollSoon(c *cell, cv *cellView) {
+// pollCell polls all endpoints of a cell at once.
+func (n *Node) pollCell(c *cell, cv *cellView) {
 	for _, e := range cv.endpoints {
 		go n.poll(c, e)
 	}
 }
 
-// inUse reports whether this instance has lately stood in for the home.
+// inUse reports whether this instance has served asks of the cell within
+// cellIdleTimeout.
 func (n *Node) inUse(name string, now time.Duration) bool {
 	n.cellMu.Lock()
 	c := n.cells[name]
@@ -255,7 +260,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now-c.used < idleCell
+	return now-c.lastUsed < cellIdleTimeout
 }
 
 func (n *Node) poll(c *cell, e home.Endpoint) {
@@ -278,25 +283,25 @@
 
 type homeService struct{ *Node }
 
-// Ask waits for the decision of a cell of this instance.
+// Ask returns the decision of a cell served by this instance, and waits for it.
 func (s homeService) Ask(ctx context.Context, r *peerpb.AskRequest) (*peerpb.AskReply, error) {
 	s.count.asksServed.Add(1)
 	v := s.view.Load()
 	cv := v.cells[r.Cell]
-	if cv == nil || s.leavingNow() {
+	if cv == nil || s.isLeaving() {
 		return &peerpb.AskReply{NotHome: true}, nil
 	}
-	d, moved, err := s.cellFor(cv, v).ask(ctx, s.Node, askOf(r))
+	d, moved, err := s.getCell(cv, v).ask(ctx, s.Node, askFromProto(r))
 	switch {
 	case err != nil:
 		return nil, err
 	case moved:
 		return &peerpb.AskReply{NotHome: true}, nil
 	}
-	return replyOf(d), nil
+	return decisionToProto(d), nil
 }
 
-func askOf(r *peerpb.AskRequest) home.Ask {
+func askFromProto(r *peerpb.AskRequest) home.Ask {
 	return home.Ask{
 		Key:        home.Key{Entry: r.Entry, Seq: r.Seq},
 		Class:      r.Class,
@@ -310,23 +315,23 @@
 	}
 }
 
-func replyOf(d home.Decision) *peerpb.AskReply {
-	return &peerpb.AskReply{Endpoint: d.Endpoint, Addr: d.Addr, Refusal: refusalOf(d.Refusal)}
+func decisionToProto(d home.Decision) *peerpb.AskReply {
+	return &peerpb.AskReply{Endpoint: d.Endpoint, Addr: d.Addr, Refusal: refusalToProto(d.Refusal)}
 }
 
-func refusalOf(e *verdict.Error) *peerpb.Refusal {
+func refusalToProto(e *verdict.Error) *peerpb.Refusal {
 	if e == nil {
 		return nil
 	}
 	return &peerpb.Refusal{Reason: string(e.Reason), Detail: e.Detail, RetryAfterMs: e.RetryAfter.Milliseconds()}
 }
 
-func errorOf(r *peerpb.Refusal) *verdict.Error {
+func refusalFromProto(r *peerpb.Refusal) *verdict.Error {
 	e := verdict.Refuse(verdict.Reason(r.Reason), "%s", r.Detail)
 	return e.After(time.Duration(r.RetryAfterMs) * time.Millisecond)
 }
 
-// Sync takes in what an entry runs and what ended.
+// Sync applies an entry's report of running and ended requests.
 func (s homeService) Sync(_ context.Context, r *peerpb.SyncRequest) (*peerpb.SyncReply, error) {
 	s.count.syncsServed.Add(1)
 	v := s.view.Load()
@@ -335,7 +340,7 @@
 		if cv == nil {
 			continue
 		}
-		s.syncCell(s.cellFor(cv, v), r.Entry, cs)
+		s.syncCell(s.getCell(cv, v), r.Entry, cs)
 	}
 	return &peerpb.SyncReply{}, nil
 }
@@ -370,7 +375,8 @@
 	c.deliver()
 }
 
-// Declarations returns what is in force, and whether anything is.
+// Declarations returns the declarations in force, with operator commands applied,
+// and whether there are any.
 func (n *Node) Declarations() (*decl.Set, bool) {
 	v := n.view.Load()
 	return v.set, v.ready
--- a/node/claim.go
+++ b/node/claim.go
@@ -1,8 +1,8 @@
 package node
 
-// This file claims keys: before a request that must not be repeated is sent,
-// two of its key's three owners have recorded it. It also serves as an owner
-// and pulls records when the owners of keys change.
+// This file claims keys. A request that must not be repeated is sent only after two
+// of its key's three owners have recorded it. The file also serves the owner's side
+// of claims; settle.go transfers records when the owners change.
 
 import (
 	"context"
@@ -15,60 +15,61 @@
 )
 
 const (
-	beginTimeout = 300 * time.Millisecond
-	claimWithin  = 2 * time.Second
-	claimPause   = 40 * time.Millisecond
-	withdrawals  = 3 // tries to tell an owner that nothing was sent
+	beginTimeout     = 300 * time.Millisecond
+	claimTimeout     = 2 * time.Second
+	claimRetryDelay  = 40 * time.Millisecond
+	withdrawAttempts = 3 // calls to each owner until one succeeds
 )
 
-// A Claim is an attempt's recorded right to run a key, or the attempt that
-// has it already.
+// A Claim is an attempt's recorded right to run a key, or names the attempt that
+// already holds the key.
 type Claim struct {
 	Key     owner.Key
 	Attempt uint64
 	At      time.Duration
-	// Other is the attempt that holds the key, nil if this one does.
+	// Other is the attempt that holds the key, or nil if this one does.
 	Other *owner.Record
 }
 
-// Claim records an attempt with the key's owners. The error is a
-// *verdict.Error of a request that was not run.
+// Claim records an attempt with the key's owners. The error is a *verdict.Error of a
+// request that was not run.
 func (n *Node) Claim(ctx context.Context, k owner.Key) (*Claim, error) {
-	began := n.now()
+	start := n.now()
 	c := &Claim{Key: k, Attempt: n.seq.Add(1)}
 	n.answers.begin(k, c.Attempt)
 	reason := verdict.OwnerUnreachable
-	for n.now()-began < claimWithin && ctx.Err() == nil {
-		tally := n.tally(ctx, c)
+	for n.now()-start < claimTimeout && ctx.Err() == nil {
+		replies := n.requestQuorum(ctx, c)
 		switch {
-		case tally.recorded >= tally.quorum:
+		case replies.recorded >= replies.quorum:
 			c.At = n.now()
 			return c, nil
-		case tally.other != nil:
+		case replies.holder != nil:
 			n.Withdraw(c)
-			c.Other = tally.other
+			c.Other = replies.holder
 			return c, nil
-		case tally.unsettled > 0:
+		case replies.unsettled > 0:
 			reason = verdict.OwnerUnsettled
 		}
 		n.count.claimRetries.Add(1)
-		if !n.pause(ctx, claimPause+rand.N(claimPause)) {
+		if !n.sleepContext(ctx, claimRetryDelay+rand.N(claimRetryDelay)) {
 			break
 		}
 	}
 	n.Withdraw(c)
-	e := verdict.Refuse(reason, "the owners of the request's key could not all vouch for it")
+	e := verdict.Refuse(reason, "no quorum of the key's owners recorded the request")
 	return nil, e.After(time.Second)
 }
 
-// A tally is what the owners answered to one round of Begin.
+// A tally counts the replies of the owners to one round of Begin.
 type tally struct {
 	quorum, recorded, unsettled int
-	other                       *owner.Record
+	holder                      *owner.Record
 }
 
-// tally asks the owners once, and returns as soon as a quorum has recorded.
-func (n *Node) tally(ctx context.Context, c *Claim) tally {
+// requestQuorum sends Begin to all owners of the key and returns as soon as a quorum
+// has recorded the attempt.
+func (n *Node) requestQuorum(ctx context.Context, c *Claim) tally {
 	n.mu.Lock()
 	revision, live := n.owners.Revision(), n.owners.Live()
 	n.mu.Unlock()
@@ -86,10 +87,10 @@
 	}
 	replies := make(chan *peerpb.BeginReply, len(names))
 	for _, name := range names {
-		go func() { replies <- n.begin(ctx, name, rec, revision) }()
+		go func() { replies <- n.beginAt(ctx, name, rec, revision) }()
 	}
 	for range names {
-		t.count(<-replies)
+		t.add(<-replies)
 		if t.recorded >= t.quorum {
 			break
 		}
@@ -97,21 +98,21 @@
 	return t
 }
 
-func (t *tally) count(r *peerpb.BeginReply) {
+func (t *tally) add(r *peerpb.BeginReply) {
 	switch r.Outcome {
 	case peerpb.BeginReply_RECORDED:
 		t.recorded++
 	case peerpb.BeginReply_UNSETTLED:
 		t.unsettled++
 	case peerpb.BeginReply_DUPLICATE:
-		other := recordOf(r.Holder, 0)
-		t.other = &other
+		record := recordFromProto(r.Holder, 0)
+		t.holder = &record
 	}
 }
 
-// begin asks one owner, which may be this instance. No answer counts as
-// Unknown.
-func (n *Node) begin(ctx context.Context, name string, rec *peerpb.Record, revision int64) *peerpb.BeginReply {
+// beginAt sends Begin to one owner, which may be this instance. A failed call counts
+// as the outcome Unknown.
+func (n *Node) beginAt(ctx context.Context, name string, rec *peerpb.Record, revision int64) *peerpb.BeginReply {
 	req := &peerpb.BeginRequest{Record: rec, ListRevision: revision}
 	if name == n.opt.Name {
 		r, _ := ownerService{n}.Begin(ctx, req)
@@ -128,8 +129,8 @@
 	return r
 }
 
-// Withdraw tells the owners that an attempt was not sent and never will be,
-// so that its key may be tried again.
+// Withdraw tells the owners that an attempt was not and will not be sent, so that
+// its key may be claimed again.
 func (n *Node) Withdraw(c *Claim) {
 	n.answers.drop(c.Key, c.Attempt)
 	n.mu.Lock()
@@ -145,7 +146,7 @@
 }
 
 func (n *Node) withdrawAt(name string, req *peerpb.WithdrawRequest) {
-	for range withdrawals {
+	for range withdrawAttempts {
 		ctx, cancel := context.WithTimeout(n.ctx, beginTimeout)
 		_, err := n.dial.To(n.view.Load().peers[name]).Withdraw(ctx, req)
 		cancel()
@@ -167,37 +168,37 @@
 	owner.NotOwner:    peerpb.BeginReply_NOT_OWNER,
 }
 
-// Begin records an attempt.
+// Begin records an attempt as an owner of its key.
 func (s ownerService) Begin(_ context.Context, r *peerpb.BeginRequest) (*peerpb.BeginReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	outcome, holder := s.owners.Begin(now, recordOf(r.Record, now), r.ListRevision)
+	outcome, holder := s.owners.Begin(now, recordFromProto(r.Record, now), r.ListRevision)
 	s.count.claims.Add(string(outcomes[outcome].String()), 1)
 	reply := &peerpb.BeginReply{Outcome: outcomes[outcome], ListRevision: s.owners.Revision()}
 	if outcome == owner.Duplicate {
-		reply.Holder = wireRecord(now, &holder)
+		reply.Holder = recordToProto(now, &holder)
 	}
 	return reply, nil
 }
 
-// Withdraw takes back the record of an attempt that was not sent.
+// Withdraw removes the record of an attempt that was not sent.
 func (s ownerService) Withdraw(_ context.Context, r *peerpb.WithdrawRequest) (*peerpb.WithdrawReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.owners.Withdraw(keyOf(r.Key), r.Entry, r.Attempt)
+	s.owners.Withdraw(keyFromBytes(r.Key), r.Entry, r.Attempt)
 	return &peerpb.WithdrawReply{}, nil
 }
 
-func keyOf(b []byte) owner.Key {
+func keyFromBytes(b []byte) owner.Key {
 	var k owner.Key
 	copy(k[:], b)
 	return k
 }
 
-func recordOf(r *peerpb.Record, now time.Duration) owner.Record {
+func recordFromProto(r *peerpb.Record, now time.Duration) owner.Record {
 	return owner.Record{
-		Key:         keyOf(r.Key),
+		Key:         keyFromBytes(r.Key),
 		Entry:       r.Entry,
 		EntryAddr:   r.EntryAddr,
 		Incarnation: r.Incarnation,
@@ -206,7 +207,7 @@
 	}
 }
 
-func wireRecord(now time.Duration, r *owner.Record) *peerpb.Record {
+func recordToProto(now time.Duration, r *owner.Record) *peerpb.Record {
 	return &peerpb.Record{
 		Key:         r.Key[:],
 		Entry:       r.Entry,
--- a/node/commands.go
+++ b/node/commands.go
@@ -1,8 +1,8 @@
 package node
 
-// This file carries operators' commands: every listed instance promises, then
-// every one commits. What cannot be in force everywhere is refused, and the
-// refusal names the instances that did not promise.
+// This file distributes operator commands with a two-phase commit over all listed
+// instances. If an instance does not prepare a command, the command is refused and
+// the error names that instance.
 
 import (
 	"context"
@@ -20,17 +20,17 @@
 )
 
 const (
-	commandTimeout = time.Second
-	commandTries   = 3
-	commandPause   = 200 * time.Millisecond
+	commandTimeout    = time.Second
+	commandAttempts   = 3
+	commandRetryDelay = 200 * time.Millisecond
 )
 
-// Command puts an operator's command in force everywhere, or returns why it
-// is not. What it replaced is returned.
+// Command applies an operator's command on every instance and returns the command
+// that it replaced. On an error the command is not in force.
 func (n *Node) Command(ctx context.Context, c command.Command) (old command.Command, err error) {
 	c.Origin = n.opt.Name
-	for try := range commandTries {
-		if try > 0 && !n.pause(ctx, commandPause) {
+	for try := range commandAttempts {
+		if try > 0 && !n.sleepContext(ctx, commandRetryDelay) {
 			break
 		}
 		if old, err = n.tryCommand(ctx, c); err == nil {
@@ -43,10 +43,11 @@
 	return old, err
 }
 
-// An InvalidCommand is one that no repeat can make acceptable.
+// An InvalidCommand is the error of a command that fails validation; retrying it
+// cannot succeed.
 type InvalidCommand struct{ Why string }
 
-// Error returns why.
+// Error implements error.
 func (e *InvalidCommand) Error() string { return e.Why }
 
 func (n *Node) tryCommand(ctx context.Context, c command.Command) (old command.Command, err error) {
@@ -72,18 +73,19 @@
 		return old, errors.Wrap(err, "command")
 	}
 	req := &peerpb.CommandRequest{Command: data, ConfigRevision: revision}
-	if missing := n.prepareAll(ctx, peers, req); len(missing) > 0 {
+	if refusals := n.prepareAll(ctx, peers, req); len(refusals) > 0 {
 		n.mu.Lock()
 		n.commands.Abandon(c)
 		n.mu.Unlock()
-		return old, errors.Errorf("refused: not in force, since these instances did not promise it: %s", strings.Join(missing, "; "))
+		return old, errors.Errorf("command refused: not accepted by all instances: %s", strings.Join(refusals, "; "))
 	}
 	old = n.commit(c)
 	n.commitAll(ctx, peers, req)
 	return old, nil
 }
 
-// checkCommand checks c against what is in force. The core is locked.
+// checkCommand validates c against the configuration and the list. The caller holds
+// n.mu.
 func (n *Node) checkCommand(c *command.Command) error {
 	if n.docs.set == nil {
 		return errors.New("no configuration is in force yet")
@@ -110,42 +112,42 @@
 	return nil
 }
 
-// prepareAll asks all peers for their promise and returns who did not give
-// it, with the reason.
+// prepareAll sends Prepare to all peers and returns those that did not accept, each
+// with the reason.
 func (n *Node) prepareAll(ctx context.Context, peers map[string]string, req *peerpb.CommandRequest) []string {
 	var mu sync.Mutex
-	var missing []string
-	n.each(peers, func(name, addr string) {
+	var refusals []string
+	n.forEachPeer(peers, func(name, addr string) {
 		ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 		defer cancel()
 		r, err := n.dial.To(addr).Prepare(ctx, req)
-		why := ""
+		reason := ""
 		switch {
 		case err != nil:
-			why = "does not answer"
+			reason = "does not answer"
 		case !r.Ok:
-			why = r.Why
+			reason = r.Why
 		default:
 			return
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		missing = append(missing, name+": "+why)
+		refusals = append(refusals, name+": "+reason)
 	})
-	sort.Strings(missing)
-	return missing
+	sort.Strings(refusals)
+	return refusals
 }
 
 func (n *Node) commitAll(ctx context.Context, peers map[string]string, req *peerpb.CommandRequest) {
-	n.each(peers, func(_, addr string) {
+	n.forEachPeer(peers, func(_, addr string) {
 		ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 		defer cancel()
-		_, _ = n.dial.To(addr).Commit(ctx, req) // heartbeats bring it to who misses it
+		_, _ = n.dial.To(addr).Commit(ctx, req) // a peer that misses it fetches it after a heartbeat
 	})
 }
 
-// each calls f for all peers at once and waits.
-func (n *Node) each(peers map[string]string, f func(name, addr string)) {
+// forEachPeer calls f for all peers concurrently and waits.
+func (n *Node) forEachPeer(peers map[string]string, f func(name, addr string)) {
 	var wg sync.WaitGroup
 	for name, addr := range peers {
 		wg.Add(1)
@@ -157,7 +159,7 @@
 	wg.Wait()
 }
 
-// commit puts c in force here.
+// commit applies c on this instance and returns the command that it replaced.
 func (n *Node) commit(c command.Command) command.Command {
 	n.mu.Lock()
 	old, ok := n.commands.Commit(c)
@@ -168,23 +170,24 @@
 	if ok {
 		n.refresh()
 		n.publish(Change{Topic: CommandsChanged, What: c.Slot(), Revision: c.Version})
-		n.log.Info("command in force", zap.String("op", string(c.Op)), zap.String("target", c.Target),
+		n.log.Info("operator command applied", zap.String("op", string(c.Op)), zap.String("target", c.Target),
 			zap.String("field", c.Field), zap.String("value", c.Value), zap.String("who", c.Who),
 			zap.String("replaced", old.Value), zap.Int64("version", c.Version))
 	}
 	return old
 }
 
-// Prepare promises a command.
+// Prepare implements the first phase: it reserves the command's slot and version on
+// this instance.
 func (s memberService) Prepare(_ context.Context, r *peerpb.CommandRequest) (*peerpb.CommandReply, error) {
 	var c command.Command
 	if err := json.Unmarshal(r.Command, &c); err != nil {
-		return &peerpb.CommandReply{Why: "not a command"}, nil
+		return &peerpb.CommandReply{Why: "command cannot be decoded"}, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.docs.config.revision != r.ConfigRevision {
-		return &peerpb.CommandReply{Why: "holds another configuration"}, nil
+		return &peerpb.CommandReply{Why: "has a different configuration revision"}, nil
 	}
 	if err := s.commands.Prepare(s.now(), c); err != nil {
 		return &peerpb.CommandReply{Why: err.Error()}, nil
@@ -192,17 +195,17 @@
 	return &peerpb.CommandReply{Ok: true}, nil
 }
 
-// Commit puts a promised command in force.
+// Commit implements the second phase: it applies a prepared command.
 func (s memberService) Commit(_ context.Context, r *peerpb.CommandRequest) (*peerpb.CommandReply, error) {
 	var c command.Command
 	if err := json.Unmarshal(r.Command, &c); err != nil {
-		return &peerpb.CommandReply{Why: "not a command"}, nil
+		return &peerpb.CommandReply{Why: "command cannot be decoded"}, nil
 	}
 	s.commit(c)
 	return &peerpb.CommandReply{Ok: true}, nil
 }
 
-// Commands returns the accepted commands by version.
+// Commands returns the accepted commands, ordered by version.
 func (n *Node) Commands() []command.Command {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/counters.go
+++ b/node/counters.go
@@ -2,17 +2,17 @@
 
 import "expvar"
 
-// counters are the node's own, published under "node".
+// counters are the node's expvar counters.
 type counters struct {
-	slept, rejected, accepted, oldRevisions         *expvar.Int
-	offers, fetches, platformCalls, platformErrors  *expvar.Int
-	beats, suspected                                *expvar.Int
-	asksSent, asksLocal, asksServed, askRetries     *expvar.Int
-	askLost, homeErrors, stoodIn                    *expvar.Int
-	syncsSent, syncErrors, syncsServed              *expvar.Int
-	begins, beginErrors, claimRetries, pulls, joins *expvar.Int
-	joinErrors, polls, pollErrors                   *expvar.Int
-	claims                                          *expvar.Map
+	suspensions, configsRejected, configsAccepted, oldRevisions *expvar.Int
+	offers, fetches, platformCalls, platformErrors              *expvar.Int
+	beats, suspected                                            *expvar.Int
+	asksSent, asksLocal, asksServed, askRetries                 *expvar.Int
+	asksFailed, homeErrors, fallbackAsks                        *expvar.Int
+	syncsSent, syncErrors, syncsServed                          *expvar.Int
+	begins, beginErrors, claimRetries, pulls, joins             *expvar.Int
+	joinErrors, polls, pollErrors                               *expvar.Int
+	claims                                                      *expvar.Map
 }
 
 func (c *counters) init(m *expvar.Map) {
@@ -20,9 +20,9 @@
 		m = new(expvar.Map).Init()
 	}
 	for name, v := range map[string]**expvar.Int{
-		"slept":              &c.slept,
-		"config_rejected":    &c.rejected,
-		"config_accepted":    &c.accepted,
+		"slept":              &c.suspensions,
+		"config_rejected":    &c.configsRejected,
+		"config_accepted":    &c.configsAccepted,
 		"old_revisions":      &c.oldRevisions,
 		"offers":             &c.offers,
 		"fetches":            &c.fetches,
@@ -34,9 +34,9 @@
 		"asks_local":         &c.asksLocal,
 		"asks_served":        &c.asksServed,
 		"retry_home_changed": &c.askRetries,
-		"ask_lost":           &c.askLost,
+		"ask_lost":           &c.asksFailed,
 		"home_errors":        &c.homeErrors,
-		"stood_in":           &c.stoodIn,
+		"stood_in":           &c.fallbackAsks,
 		"syncs_sent":         &c.syncsSent,
 		"sync_errors":        &c.syncErrors,
 		"syncs_served":       &c.syncsServed,
--- a/node/documents.go
+++ b/node/documents.go
@@ -1,10 +1,9 @@
 package node
 
-// This file keeps the documents in force: the declarations and the list.
-// Two instances watch the platform for all that can hear them; a new
-// revision is offered to a few peers at once, and heartbeats carry the
-// revisions, so whoever is behind fetches. A revision older than the one in
-// force is never taken up, wherever it comes from.
+// This file distributes the configuration and the instance list. Two instances poll
+// the platform on behalf of the fleet. A new revision is offered to a few peers, and
+// heartbeats carry the revisions so that an instance that is behind fetches the
+// document. A revision older than the accepted one is ignored, whatever its source.
 
 import (
 	"context"
@@ -24,36 +23,36 @@
 )
 
 const (
-	watchers    = 2
-	watchWait   = 2 * time.Second
-	watchRetry  = 500 * time.Millisecond
-	offerTo     = 3
-	callTimeout = 500 * time.Millisecond
-	// documentTimeout is for calls that carry a document: a megabyte takes 8.4 s
-	// over a link of 1 Mbit/s. With that of a small call, a document that takes
-	// longer was cut and begun anew for ever. A peer that is gone ends its calls
-	// sooner, by the connection's pings.
-	documentTimeout = 10 * time.Second
-	platformLost    = 5 * time.Second // then instances look for themselves
-	lookEach        = time.Second     // apart, by rank
-	firstRetry      = 200 * time.Millisecond
-	bootstrapSlow   = 2 * time.Second
+	platformWatchers = 2
+	watchTimeout     = 2 * time.Second
+	watchRetryDelay  = 500 * time.Millisecond
+	offerFanout      = 3
+	callTimeout      = 500 * time.Millisecond
+	// documentTimeout is the timeout of calls that carry a document: 1 MB takes
+	// 8.4 s over a link of 1 Mbit/s, and with callTimeout such a transfer would
+	// be cut and restarted forever. Calls to a dead peer end sooner, by the
+	// connection's pings.
+	documentTimeout     = 10 * time.Second
+	platformLostAfter   = 5 * time.Second // without contact, after which further instances poll the platform
+	watchStagger        = time.Second     // added delay for each rank
+	bootstrapRetryDelay = 200 * time.Millisecond
+	bootstrapGrace      = 2 * time.Second
 )
 
-// A document is one kind's revision in force.
+// A document is the accepted revision of one kind of document.
 type document struct {
 	revision int64
 	value    []byte
 }
 
 type documents struct {
-	config, list document
-	set          *decl.Set // as published
-	effective    *decl.Set // with operators' commands
-	machine      chart.Machine
-	rejected     int64 // newest configuration that was refused
-	rejection    string
-	acceptedAt   time.Duration
+	config, list     document
+	set              *decl.Set // as published, without operator commands
+	effective        *decl.Set // with operator commands applied
+	machine          chart.Machine
+	rejectedRevision int64 // newest revision that failed validation
+	rejection        string
+	acceptedAt       time.Duration
 }
 
 type fetchKey struct {
@@ -68,8 +67,8 @@
 	evPlatformSeen = chart.Configuration.Event("platform_seen")
 )
 
-// accept takes up a document if it is newer than the one in force and valid.
-// It reports whether it did.
+// accept applies a document if it is valid and newer than the accepted one. It
+// reports whether it did.
 func (n *Node) accept(kind peerpb.Kind, revision int64, value []byte, from string) bool {
 	var ok bool
 	switch kind {
@@ -92,29 +91,29 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	d := &n.docs
-	if revision <= d.config.revision || revision == d.rejected {
+	if revision <= d.config.revision || revision == d.rejectedRevision {
 		return false
 	}
 	set, err := decl.Parse("declarations", value)
 	if err != nil {
-		n.count.rejected.Add(1)
-		d.rejected, d.rejection = revision, err.Error()
+		n.count.configsRejected.Add(1)
+		d.rejectedRevision, d.rejection = revision, err.Error()
 		d.machine.Step(evReject)
-		n.log.Error("publication refused", zap.Int64("revision", revision), zap.String("from", from), zap.Error(err))
+		n.log.Error("configuration rejected", zap.Int64("revision", revision), zap.String("from", from), zap.Error(err))
 		return false
 	}
 	d.config = document{revision, value}
 	d.set, d.effective = set, n.commands.Apply(set)
 	d.acceptedAt = n.now()
 	d.machine.Step(evAccept)
-	n.count.accepted.Add(1)
+	n.count.configsAccepted.Add(1)
 	return true
 }
 
 func (n *Node) acceptList(revision int64, value []byte, from string) bool {
 	var l member.List
 	if err := json.Unmarshal(value, &l); err != nil {
-		n.log.Error("list refused", zap.Int64("revision", revision), zap.String("from", from), zap.Error(err))
+		n.log.Error("instance list rejected", zap.Int64("revision", revision), zap.String("from", from), zap.Error(err))
 		return false
 	}
 	l.Revision = revision
@@ -140,7 +139,8 @@
 	return true
 }
 
-// applyCommands derives what is in force. The core is locked.
+// applyCommands applies the operator commands to the configuration and the table.
+// The caller holds n.mu.
 func (n *Node) applyCommands() {
 	if n.docs.set != nil {
 		n.docs.effective = n.commands.Apply(n.docs.set)
@@ -148,7 +148,7 @@
 	n.table.SetDrained(n.commands.Drained)
 }
 
-// document returns a kind as it can be handed to peers. The core is locked.
+// document returns the accepted document of a kind. The caller holds n.mu.
 func (n *Node) document(kind peerpb.Kind) *peerpb.Document {
 	d := &peerpb.Document{Kind: kind, From: n.opt.Name}
 	switch kind {
@@ -162,12 +162,12 @@
 	return d
 }
 
-// offer sends a new document to a few peers chosen by chance.
-func (n *Node) offer(kind peerpb.Kind, not string) {
+// offer sends a new document to a few randomly chosen peers.
+func (n *Node) offer(kind peerpb.Kind, exclude string) {
 	n.mu.Lock()
 	d := n.document(kind)
 	n.mu.Unlock()
-	for _, addr := range n.somePeers(offerTo, not) {
+	for _, addr := range n.randomPeers(offerFanout, exclude) {
 		go func() {
 			ctx, cancel := context.WithTimeout(n.ctx, documentTimeout)
 			defer cancel()
@@ -177,21 +177,21 @@
 	}
 }
 
-// somePeers returns the addresses of up to k usable peers.
-func (n *Node) somePeers(k int, not string) []string {
+// randomPeers returns the addresses of up to limit usable peers other than exclude.
+func (n *Node) randomPeers(limit int, exclude string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var all []string
 	for _, p := range n.table.Peers() {
-		if p.Name != n.opt.Name && p.Name != not && p.Usable() {
+		if p.Name != n.opt.Name && p.Name != exclude && p.Usable() {
 			all = append(all, p.Addr)
 		}
 	}
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	return all[:min(k, len(all))]
+	return all[:min(limit, len(all))]
 }
 
-// fetch asks a peer for a document that it said it has.
+// fetch gets a document from a peer that has announced a newer revision.
 func (n *Node) fetch(kind peerpb.Kind, from, addr string) {
 	key := fetchKey{kind, from}
 	n.mu.Lock()
@@ -217,37 +217,38 @@
 	n.accept(kind, r.Document.Revision, r.Document.Value, from)
 }
 
-// watchLoop watches one document while this instance is among the watchers.
+// watchLoop polls the platform for one document while this instance is a watcher.
 func (n *Node) watchLoop(kind publish.Kind) func() {
 	return func() {
 		for n.ctx.Err() == nil {
 			if !n.shouldWatch() {
-				n.sleep(watchRetry)
+				n.sleep(watchRetryDelay)
 				continue
 			}
-			if err := n.watchOnce(kind, watchWait); err != nil {
-				n.sleep(watchRetry)
+			if err := n.watchOnce(kind, watchTimeout); err != nil {
+				n.sleep(watchRetryDelay)
 			}
 		}
 	}
 }
 
-// shouldWatch reports whether this instance watches now: it ranks among the
-// first, or nobody has heard the platform for so long that its turn has come.
+// shouldWatch reports whether this instance polls the platform now: it is one of the
+// first platformWatchers by rank, or the platform has not been reached for
+// platformLostAfter plus a delay that grows with the rank.
 func (n *Node) shouldWatch() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	ranked := member.Rank("watch", n.table.Usable())
-	turn := len(ranked)
+	rank := len(ranked)
 	for i, name := range ranked {
 		if name == n.opt.Name {
-			turn = i
+			rank = i
 		}
 	}
-	if turn < watchers {
+	if rank < platformWatchers {
 		return true
 	}
-	return n.now()-n.platform > platformLost+time.Duration(turn)*lookEach
+	return n.now()-n.platformHeard > platformLostAfter+time.Duration(rank)*watchStagger
 }
 
 func (n *Node) watchOnce(kind publish.Kind, wait time.Duration) error {
@@ -258,7 +259,7 @@
 	n.mu.Lock()
 	after := n.document(pk).Revision
 	if pk == peerpb.Kind_CONFIG {
-		after = max(after, n.docs.rejected)
+		after = max(after, n.docs.rejectedRevision)
 	}
 	n.mu.Unlock()
 	n.count.platformCalls.Add(1)
@@ -267,32 +268,33 @@
 		n.count.platformErrors.Add(1)
 		return errors.Wrap(err, "watch")
 	}
-	n.heardPlatform(n.now())
+	n.recordPlatformHeard(n.now())
 	if p != nil {
 		if p.Revision < after {
 			n.count.oldRevisions.Add(1)
-			return errors.Errorf("the platform serves revision %d, older than %d", p.Revision, after)
+			return errors.Errorf("platform returned revision %d, older than %d", p.Revision, after)
 		}
 		n.accept(pk, p.Revision, []byte(p.Value), "platform")
 	}
 	return nil
 }
 
-// heardPlatform takes in that someone heard the platform at an instant.
-func (n *Node) heardPlatform(at time.Duration) {
+// recordPlatformHeard records that some instance reached the platform at the given
+// time.
+func (n *Node) recordPlatformHeard(at time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if at > n.platform {
-		n.platform = at
+	if at > n.platformHeard {
+		n.platformHeard = at
 	}
-	if n.now()-n.platform < platformLost {
+	if n.now()-n.platformHeard < platformLostAfter {
 		n.docs.machine.Step(evPlatformSeen)
 	} else {
 		n.docs.machine.Step(evPlatformLost)
 	}
 }
 
-// bootstrap finds the first documents: from the platform, or from seeds.
+// bootstrap loads the first documents from the platform or from the seeds.
 func (n *Node) bootstrap() {
 	for n.ctx.Err() == nil {
 		_ = n.watchOnce(publish.List, 0)
@@ -307,15 +309,15 @@
 		n.mu.Lock()
 		done := n.docs.set != nil && n.docs.list.revision > 0
 		n.mu.Unlock()
-		if done || !n.sleep(firstRetry) {
+		if done || !n.sleep(bootstrapRetryDelay) {
 			return
 		}
 	}
 }
 
-// Ready reports whether the instance may be given requests, and why not. A
-// new instance has first to hear its peers, so that it starts from the
-// highest revision that they know.
+// Ready reports whether the instance can serve requests, and if not, the reason. A
+// new instance first waits up to bootstrapGrace for a heartbeat of a peer, so that it
+// starts from the highest revisions known.
 func (n *Node) Ready() (bool, string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -327,21 +329,21 @@
 	case n.docs.list.revision == 0:
 		return false, "no list"
 	case !n.view.Load().ready:
-		return false, "no view" // callers are served by it, and it follows the documents
+		return false, "no view" // requests are served from the view, which is built after the documents are accepted
 	}
-	others, slow := 0, n.now()-n.started > bootstrapSlow
+	others, slow := 0, n.now()-n.started > bootstrapGrace
 	for _, p := range n.table.Peers() {
 		if p.Name == n.opt.Name {
 			continue
 		}
 		others++
-		behind := p.Last.ConfigRevision > max(n.docs.config.revision, n.docs.rejected) ||
+		behind := p.Last.ConfigRevision > max(n.docs.config.revision, n.docs.rejectedRevision) ||
 			p.Last.ListRevision > n.docs.list.revision || p.Last.CommandVersion > n.commands.Version()
 		if behind && p.Usable() {
 			return false, "behind " + p.Name
 		}
 	}
-	if others > 0 && !n.heardAny && !slow {
+	if others > 0 && !n.peerHeard && !slow {
 		return false, "no peer heard yet"
 	}
 	return true, ""
--- a/node/beat.go
+++ b/node/heartbeat.go
@@ -1,6 +1,6 @@
 package node
 
-// This file sends and answers heartbeats, and serves documents to peers.
+// This file sends and receives heartbeats and serves documents to peers.
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"ivyridge/peer/peerpb"
 )
 
-// beat says what this instance knows. The core is locked.
-func (n *Node) beat(now time.Duration) *peerpb.Beat {
+// heartbeat returns this instance's heartbeat message. The caller holds n.mu.
+func (n *Node) heartbeat(now time.Duration) *peerpb.Beat {
 	b := &peerpb.Beat{
 		From:            n.opt.Name,
 		Addr:            n.opt.Addr,
@@ -21,7 +21,7 @@
 		ConfigRevision:  n.docs.config.revision,
 		ListRevision:    n.docs.list.revision,
 		CommandVersion:  n.commands.Version(),
-		PlatformAgeMs:   (now - n.platform).Milliseconds(),
+		PlatformAgeMs:   (now - n.platformHeard).Milliseconds(),
 		Leaving:         n.leaving,
 		Ready:           n.docs.set != nil,
 		SettledRevision: n.settledRevision(),
@@ -32,8 +32,8 @@
 	return b
 }
 
-// settledRevision is the list under which this owner vouches for all its
-// keys, or zero. The core is locked.
+// settledRevision returns the list revision under which this instance has settled
+// all partitions that it owns, or zero. The caller holds n.mu.
 func (n *Node) settledRevision() int64 {
 	if n.owners.Settled() {
 		return n.owners.Revision()
@@ -41,8 +41,9 @@
 	return 0
 }
 
-// hear takes in a heartbeat and fetches what its sender has newer.
-func (n *Node) hear(b *peerpb.Beat) {
+// handleHeartbeat applies a heartbeat and fetches documents that are newer at its
+// sender.
+func (n *Node) handleHeartbeat(b *peerpb.Beat) {
 	now := n.now()
 	h := member.Heard{
 		Incarnation:     b.Incarnation,
@@ -61,13 +62,13 @@
 	n.mu.Lock()
 	before := n.table.Version()
 	n.table.Hear(now, b.From, h)
-	n.heardAny = true
+	n.peerHeard = true
 	changed := n.table.Version() != before
-	config := b.ConfigRevision > max(n.docs.config.revision, n.docs.rejected)
+	config := b.ConfigRevision > max(n.docs.config.revision, n.docs.rejectedRevision)
 	list := b.ListRevision > n.docs.list.revision
 	commands := b.CommandVersion > n.commands.Version()
 	n.mu.Unlock()
-	n.heardPlatform(h.PlatformHeard)
+	n.recordPlatformHeard(h.PlatformHeard)
 	if config {
 		go n.fetch(peerpb.Kind_CONFIG, b.From, b.Addr)
 	}
@@ -83,20 +84,20 @@
 	}
 }
 
-// beatLoop beats to the partners.
-func (n *Node) beatLoop() {
+// heartbeatLoop sends heartbeats to the partners of this instance.
+func (n *Node) heartbeatLoop() {
 	for n.sleep(member.BeatEvery) {
-		n.beatTo(false)
+		n.sendHeartbeats(false)
 	}
 }
 
-// beatTo sends a heartbeat to the partners, or to all in a planned stop.
-func (n *Node) beatTo(all bool) {
+// sendHeartbeats sends one heartbeat to the partners, or to all peers.
+func (n *Node) sendHeartbeats(toAll bool) {
 	now := n.now()
 	n.mu.Lock()
-	b := n.beat(now)
+	b := n.heartbeat(now)
 	partners := n.table.BeatTo()
-	if all {
+	if toAll {
 		partners = n.table.Peers()
 	}
 	type target struct{ name, addr string }
@@ -108,24 +109,24 @@
 	}
 	n.mu.Unlock()
 	for _, t := range targets {
-		go n.beatOne(t.name, t.addr, b)
+		go n.sendHeartbeat(t.name, t.addr, b)
 	}
 }
 
-func (n *Node) beatOne(name, addr string, b *peerpb.Beat) {
+func (n *Node) sendHeartbeat(name, addr string, b *peerpb.Beat) {
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
 	n.count.beats.Add(1)
 	reply, err := n.dial.To(addr).Heartbeat(ctx, b)
 	switch {
 	case err == nil:
-		n.hear(reply)
+		n.handleHeartbeat(reply)
 	case errors.Is(err, syscall.ECONNREFUSED):
-		n.suspect(name) // nothing listens there
+		n.suspect(name) // the peer process is not running
 	}
 }
 
-// suspect records that a direct call to an instance failed.
+// suspect records that a call to an instance failed.
 func (n *Node) suspect(name string) {
 	n.mu.Lock()
 	before := n.table.Version()
@@ -141,15 +142,15 @@
 
 type memberService struct{ *Node }
 
-// Heartbeat answers with this instance's own.
+// Heartbeat applies a peer's heartbeat and returns that of this instance.
 func (s memberService) Heartbeat(_ context.Context, b *peerpb.Beat) (*peerpb.Beat, error) {
-	s.hear(b)
+	s.handleHeartbeat(b)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.beat(s.now()), nil
+	return s.heartbeat(s.now()), nil
 }
 
-// Fetch hands out a document newer than what the caller has.
+// Fetch returns a document if it is newer than the caller's revision.
 func (s memberService) Fetch(_ context.Context, r *peerpb.FetchRequest) (*peerpb.FetchReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +161,7 @@
 	return &peerpb.FetchReply{Document: d}, nil
 }
 
-// Offer takes in a document that a peer has just taken up.
+// Offer applies a document that a peer has just accepted.
 func (s memberService) Offer(_ context.Context, d *peerpb.Document) (*peerpb.OfferReply, error) {
 	s.accept(d.Kind, d.Revision, d.Value, d.From)
 	s.mu.Lock()
--- a/node/leave.go
+++ b/node/leave.go
@@ -1,6 +1,6 @@
 package node
 
-// This file leaves the fleet in a planned stop.
+// This file implements planned stops.
 
 import (
 	"context"
@@ -8,40 +8,40 @@
 )
 
 const (
-	leavePoll = 20 * time.Millisecond
-	// settleWithin bounds how long a leaving instance waits until the
-	// others vouch for the keys that it owned.
-	settleWithin = 5 * time.Second
+	handOverPollInterval = 20 * time.Millisecond
+	// handOverTimeout bounds how long a leaving instance waits until the new
+	// owners have settled the keys that it owned.
+	handOverTimeout = 5 * time.Second
 )
 
-// Leave tells all peers that this instance is leaving, so that its cells
-// and keys move to others, and sends the requests that wait here on to the
-// next homes. The instance goes on serving its own requests until Close.
+// Leave announces to all peers that this instance is leaving, so that its cells and
+// keys move to others, and redirects the asks that wait here to the next homes. The
+// instance continues to serve its own requests until Close.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	n.leaving = true
 	n.table.SetLeaving()
 	n.mu.Unlock()
 	n.log.Info("leaving")
-	n.beatTo(true)
+	n.sendHeartbeats(true)
 	n.refresh()
 }
 
-// AwaitHandOver waits until no other instance depends on this one, or ctx
-// is done.
+// AwaitHandOver waits until no other instance depends on this one, until
+// handOverTimeout has passed or until ctx is done.
 func (n *Node) AwaitHandOver(ctx context.Context) {
-	deadline := n.now() + settleWithin
+	deadline := n.now() + handOverTimeout
 	for !n.handedOver() && n.now() < deadline {
-		if !n.pause(ctx, leavePoll) {
+		if !n.sleepContext(ctx, handOverPollInterval) {
 			return
 		}
 	}
-	n.out.flush(full)
-	n.pause(ctx, leavePoll)
+	n.out.flush(flushFull)
+	n.sleepContext(ctx, handOverPollInterval)
 }
 
-// handedOver reports whether every usable peer vouches for its keys, and
-// nothing waits here.
+// handedOver reports whether all usable peers have settled their partitions and no
+// ask waits here.
 func (n *Node) handedOver() bool {
 	for _, c := range n.allCells() {
 		c.mu.Lock()
--- a/node/node.go
+++ b/node/node.go
@@ -1,18 +1,20 @@
-// Package node is one instance among the others: it keeps the documents in
-// force, knows who is here, is home of cells and owner of keys, and finds the
-// homes and owners that a request of its own needs.
+// Package node connects one instance to the rest of the fleet. A Node holds the
+// accepted configuration and instance list, exchanges heartbeats, serves as home
+// of cells and as owner of keys, and calls the homes and owners that its own
+// requests need.
 //
-// All that must be decided is decided by the pure packages home, member,
-// owner and command; this package holds their locks, clocks, timers and
-// calls. The request's path (Acquire, Claim) reads one immutable view and
-// takes no lock of the core. Parts of the process hear of changes through a
-// watermill channel.
+// The decisions are made by the packages home, member, owner and command, which
+// do no I/O; this package adds locks, timers and remote calls. The request path
+// (Acquire, Claim) takes the cells, homes and addresses from one immutable view.
+// State changes are published to the rest of the process over a watermill
+// channel.
 //
-// The files: documents.go (configuration and list), beat.go (heartbeats),
-// view.go (who is home of what), cell.go (being a home), ask.go (asking one),
-// outbox.go (telling homes what runs), claim.go and settle.go (keys),
-// answers.go (repeats), commands.go
-// (operators' commands), leave.go (planned stops).
+// The files: documents.go (configuration and instance list), heartbeat.go
+// (failure detection), view.go (assignment of cells to instances), cell.go
+// (serving as a home), ask.go (acquiring grants), outbox.go (reporting running
+// and ended requests to homes), claim.go and settle.go (key ownership),
+// answers.go (answers of keyed requests), commands.go (operator commands),
+// status.go (operator queries), leave.go (planned stops).
 package node
 
 import (
@@ -43,31 +45,31 @@
 	"ivyridge/publish"
 )
 
-// Options are what a Node is made from.
+// Options configure a Node.
 type Options struct {
 	Name       string
 	DataCentre string
-	Addr       string // where peers reach it
+	Addr       string // address at which peers reach this instance
 	Seeds      []string
 	Policy     home.Policy
-	Alone      bool          // every instance its own home, a baseline
-	Quarantine time.Duration // see package owner
-	ColdStart  bool          // the whole fleet may be starting for the first time
+	Alone      bool          // each instance is its own home; baseline for experiments
+	Quarantine time.Duration // how long an owner that cannot settle refuses claims; see package owner
+	ColdStart  bool          // the fleet may be starting for the first time, with no earlier records
 	Clock      clock.Clock
 	Log        *zap.Logger
 	Transport  http.RoundTripper // to peers
 	Platform   publish.Reader
 	Loads      LoadReader
-	// Counters receives the node's counters; nil keeps them private.
+	// Counters receives the node's counters; if nil, they are not published.
 	Counters *expvar.Map
 }
 
-// A LoadReader reads an endpoint's own load report.
+// A LoadReader reads an endpoint's load report.
 type LoadReader interface {
 	Load(ctx context.Context, endpoint, addr string) (home.Load, error)
 }
 
-// A Node is one instance. Its methods are safe for concurrent use.
+// A Node is one instance of the fleet. Its methods are safe for concurrent use.
 type Node struct {
 	opt         Options
 	clk         clock.Clock
@@ -81,54 +83,53 @@
 	ledger      *ledger.Ledger
 	count       counters
 
-	mu       sync.Mutex // guards what follows
-	table    *member.Table
-	docs     documents
-	commands *command.Set
-	owners   *owner.Owners
-	heardAny bool
-	started  time.Duration
-	leaving  bool
-	platform time.Duration // instant the platform was last heard, by anyone
-	fetching map[fetchKey]bool
+	mu            sync.Mutex // guards the fields up to fetching
+	table         *member.Table
+	docs          documents
+	commands      *command.Set
+	owners        *owner.Owners
+	peerHeard     bool
+	started       time.Duration
+	leaving       bool
+	platformHeard time.Duration // last time any instance reached the platform
+	fetching      map[fetchKey]bool
 
 	cellMu sync.Mutex
 	cells  map[string]*cell
 
 	out     outbox
-	answers *answers
-	lines   peerLines
+	answers *answerStore
+	peerCtx peerContexts
 	query   QueryFunc
 	ctx     context.Context
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
 }
 
-// A QueryFunc answers an operator's query for this instance alone.
+// A QueryFunc answers an operator's query from the state of this instance alone.
 type QueryFunc func(text string) ([]byte, error)
 
-// SetQuery sets what answers the queries of peers. It is to be called before
+// SetQuery sets the function that answers queries of peers. It must be called before
 // Run.
 func (n *Node) SetQuery(f QueryFunc) { n.query = f }
 
-// A Topic is a kind of change that parts of the process hear of.
+// A Topic is a kind of state change that can be subscribed to.
 type Topic string
 
-// The topics.
 const (
 	MembersChanged   Topic = "members"
 	DocumentsChanged Topic = "documents"
 	CommandsChanged  Topic = "commands"
 )
 
-// A Change is the message of a Topic.
+// A Change is a message published on a Topic.
 type Change struct {
 	Topic    Topic  `json:"topic"`
 	What     string `json:"what"`
 	Revision int64  `json:"revision,omitempty"`
 }
 
-// New returns a Node that is not yet running.
+// New returns a Node that has not been started.
 func New(opt Options) *Node {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
@@ -143,25 +144,25 @@
 		commands:    command.NewSet(),
 		fetching:    make(map[fetchKey]bool),
 		cells:       make(map[string]*cell),
-		answers:     newAnswers(),
+		answers:     newAnswerStore(),
 		ctx:         ctx,
 		cancel:      cancel,
 	}
-	// Attempts of an instance that was here before under this name must not
-	// be taken for this one's.
+	// Start at a random sequence number so that attempts of an earlier process
+	// with this name are not taken for attempts of this one.
 	n.seq.Store(n.incarnation)
 	n.docs.machine = chart.Configuration.New()
 	n.out.init(n)
-	n.lines.init()
+	n.peerCtx.init()
 	n.count.init(opt.Counters)
 	now := n.now()
-	n.started, n.platform = now, now
+	n.started, n.platformHeard = now, now
 	n.owners = owner.New(opt.Name, opt.Quarantine, opt.ColdStart)
 	n.view.Store(&view{set: new(decl.Set), pools: map[string][]*cellView{}, cells: map[string]*cellView{}, peers: map[string]string{}})
 	return n
 }
 
-// Handler returns the handler of the services for peers.
+// Handler returns the HTTP handler of the services that peers call.
 func (n *Node) Handler() http.Handler {
 	return peer.Services{Home: homeService{n}, Owner: ownerService{n}, Member: memberService{n}}.Handler()
 }
@@ -169,19 +170,19 @@
 // Name returns the name of the instance.
 func (n *Node) Name() string { return n.opt.Name }
 
-// Ledger returns the counts of what became of requests.
+// Ledger returns the counts of request outcomes.
 func (n *Node) Ledger() *ledger.Ledger { return n.ledger }
 
-// Now returns the present instant on the node's clock.
+// Now returns the current time of the node's clock.
 func (n *Node) Now() time.Duration { return n.clk.Now() }
 
 func (n *Node) now() time.Duration { return n.clk.Now() }
 
-// Run takes part in the fleet until Close. The handler is to be served.
+// Run starts the background loops, which run until Close. The caller must serve Handler.
 func (n *Node) Run() {
-	n.spawn(n.followChanges)
+	n.spawn(n.logChanges)
 	n.spawn(n.bootstrap)
-	n.spawn(n.beatLoop)
+	n.spawn(n.heartbeatLoop)
 	n.spawn(n.tickLoop)
 	n.spawn(n.watchLoop(publish.Config))
 	n.spawn(n.watchLoop(publish.List))
@@ -198,7 +199,8 @@
 	}()
 }
 
-// Close stops the node at once. Leave comes first in a planned stop.
+// Close stops the node immediately and waits for its background loops. For a planned
+// stop, call Leave first.
 func (n *Node) Close() {
 	n.cancel()
 	_ = n.bus.Close()
@@ -206,16 +208,17 @@
 	n.wg.Wait()
 }
 
-// publish tells the parts of the process of a change.
+// publish sends a change to the subscribers in this process.
 func (n *Node) publish(c Change) {
 	data, err := json.Marshal(c)
 	if err != nil {
-		panic(errors.Wrap(err, "change")) // a Change always encodes
+		panic(errors.Wrap(err, "change")) // a Change can always be encoded
 	}
 	_ = n.bus.Publish(string(c.Topic), message.NewMessage(watermill.NewShortUUID(), data))
 }
 
-// Subscribe returns the changes of a topic until ctx is done.
+// Subscribe returns a channel of the changes of a topic. It is closed after ctx is
+// done.
 func (n *Node) Subscribe(ctx context.Context, t Topic) (<-chan Change, error) {
 	in, err := n.bus.Subscribe(ctx, string(t))
 	if err != nil {
@@ -238,8 +241,8 @@
 	return out, nil
 }
 
-// followChanges logs changes of state, and asks peers for what they know.
-func (n *Node) followChanges() {
+// logChanges logs the published changes until the node is closed.
+func (n *Node) logChanges() {
 	var wg sync.WaitGroup
 	for _, t := range []Topic{MembersChanged, DocumentsChanged, CommandsChanged} {
 		ch, err := n.Subscribe(n.ctx, t)
@@ -257,7 +260,7 @@
 	wg.Wait()
 }
 
-// sleep waits for d, and reports false if the node was closed meanwhile.
+// sleep waits for d and reports whether the node is still open.
 func (n *Node) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -269,16 +272,16 @@
 	}
 }
 
-const tickEvery = 20 * time.Millisecond
+const tickInterval = 20 * time.Millisecond
 
-// tickLoop drives everything that depends on time, and notices when this
-// process has slept.
+// tickLoop advances the time-dependent state and detects that the process was
+// suspended.
 func (n *Node) tickLoop() {
 	last := n.now()
-	for n.sleep(tickEvery) {
+	for n.sleep(tickInterval) {
 		now := n.now()
 		if now-last > member.SleptAfter {
-			n.woke(now, now-last)
+			n.resume(now, now-last)
 		}
 		last = now
 		n.tick(now)
@@ -300,14 +303,15 @@
 	n.answers.expire(now)
 }
 
-// woke acts on having slept: beliefs of before are not acted on until they
-// have been refreshed.
-func (n *Node) woke(now, gap time.Duration) {
-	n.count.slept.Add(1)
-	n.log.Warn("this process did not run", zap.Duration("for", gap))
+// resume handles a suspension of the process. Peer state from before it is not
+// used until it has been refreshed, and waiting asks are sent back to their
+// entries.
+func (n *Node) resume(now, gap time.Duration) {
+	n.count.suspensions.Add(1)
+	n.log.Warn("process was suspended", zap.Duration("for", gap))
 	n.mu.Lock()
 	n.table.Slept(now)
 	n.mu.Unlock()
-	n.releaseWaiters(now)
+	n.redirectAllWaiters(now)
 	n.refresh()
 }
--- a/node/outbox.go
+++ b/node/outbox.go
@@ -1,8 +1,9 @@
 package node
 
-// This file tells homes what this entry runs in their cells. Ends go out at
-// once in small batches, seen tokens a little later, and now and then all that
-// runs, so that a home needs no memory that an entry could not give it again.
+// This file reports to homes what this entry runs in their cells. Ended requests are
+// sent at once in small batches, token counts at sync intervals, and all running
+// requests at every fullSyncEvery-th sync, so that a home can rebuild its state from
+// the entries.
 
 import (
 	"context"
@@ -13,89 +14,90 @@
 )
 
 const (
-	// batchFor is how long an end waits for others to share its message.
-	batchFor  = 3 * time.Millisecond
-	syncEvery = 250 * time.Millisecond
-	fullEvery = 4 // syncs, unless the home has changed
-	// entriesASync is from how many instances on each sends only every
-	// second, third or fourth sync: a home hears of its endpoints' tokens
-	// from all of them.
-	entriesASync = 12
-	syncTimeout  = 500 * time.Millisecond
+	// batchDelay is how long the report of an ended request waits for others to
+	// share its message.
+	batchDelay    = 3 * time.Millisecond
+	syncInterval  = 250 * time.Millisecond
+	fullSyncEvery = 4 // every fourth sync lists all running requests
+	// instancesPerSyncStep is the number of usable instances per step of the sync
+	// interval: a larger fleet sends token counts only every second, third or
+	// fourth sync, since a home receives them from all entries.
+	instancesPerSyncStep = 12
+	syncTimeout          = 500 * time.Millisecond
 )
 
-// An End is how a granted request ended.
+// An End describes how a granted request ended.
 type End struct {
-	Failed     bool // the endpoint could not be reached or broke
-	Busy       bool // the endpoint refused it as too much
+	Failed     bool // the endpoint could not be reached or its answer failed
+	Busy       bool // the endpoint refused it with 429
 	Tokens     int
 	FirstToken time.Duration
 	Late       bool
 	Whole      bool
 }
 
-// tokens is what was seen of an endpoint's tokens since the last batch.
-type tokens struct {
+// tokenCount accumulates an endpoint's tokens since the last batch.
+type tokenCount struct {
 	n       int32
 	elapsed time.Duration
 }
 
-type cellOut struct {
-	runs     map[uint64]*Grant
-	releases []*peerpb.Release
-	ended    map[string]bool // homes that granted what has ended
-	tokens   map[string]*tokens
-	home     string // that was last told all
+type cellOutbox struct {
+	runs       map[uint64]*Grant
+	releases   []*peerpb.Release
+	endedHomes map[string]bool // homes that granted the ended requests
+	tokens     map[string]*tokenCount
+	syncedHome string // home that last received a full sync
 }
 
 type outbox struct {
-	n     *Node
-	mu    sync.Mutex
-	cells map[string]*cellOut
-	waits map[string]int // asks that wait, by home
-	wake  chan struct{}
-	moved chan struct{} // the homes may have changed
+	n             *Node
+	mu            sync.Mutex
+	cells         map[string]*cellOutbox
+	waitingByHome map[string]int // number of waiting asks by home
+	wake          chan struct{}
+	homesChanged  chan struct{} // the homes may have changed
 }
 
 func (o *outbox) init(n *Node) {
 	o.n = n
-	o.cells = make(map[string]*cellOut)
-	o.waits = make(map[string]int)
+	o.cells = make(map[string]*cellOutbox)
+	o.waitingByHome = make(map[string]int)
 	o.wake = make(chan struct{}, 1)
-	o.moved = make(chan struct{}, 1)
+	o.homesChanged = make(chan struct{}, 1)
 }
 
-func (o *outbox) cell(name string) *cellOut {
+func (o *outbox) cell(name string) *cellOutbox {
 	c := o.cells[name]
 	if c == nil {
-		c = &cellOut{runs: make(map[uint64]*Grant), ended: make(map[string]bool), tokens: make(map[string]*tokens)}
+		c = &cellOutbox{runs: make(map[uint64]*Grant), endedHomes: make(map[string]bool), tokens: make(map[string]*tokenCount)}
 		o.cells[name] = c
 	}
 	return c
 }
 
-func (o *outbox) waiting(home string, d int) {
+func (o *outbox) addWaiting(home string, delta int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.waits[home] += d
-	if o.waits[home] == 0 {
-		delete(o.waits, home)
+	o.waitingByHome[home] += delta
+	if o.waitingByHome[home] == 0 {
+		delete(o.waitingByHome, home)
 	}
 }
 
-func (o *outbox) began(g *Grant) {
+func (o *outbox) addRun(g *Grant) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.cell(g.Cell).runs[g.seq] = g
 }
 
-// Release tells the home that a granted request has ended.
+// Release reports to the home that a granted request has ended.
 func (n *Node) Release(g *Grant, e End) {
 	o := &n.out
 	o.mu.Lock()
 	c := o.cell(g.Cell)
 	delete(c.runs, g.seq)
-	c.ended[g.Home] = true
+	c.endedHomes[g.Home] = true
 	c.releases = append(c.releases, &peerpb.Release{
 		Seq:          g.seq,
 		Team:         g.Team,
@@ -108,18 +110,18 @@
 		Busy:         e.Busy,
 	})
 	o.mu.Unlock()
-	signal(o.wake)
+	notify(o.wake)
 }
 
-// signal sends on a channel of one place, unless it is taken.
-func signal(ch chan struct{}) {
+// notify sends on a channel with a buffer of one, unless it is full.
+func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
 	}
 }
 
-// SawTokens tells that count tokens followed others within elapsed.
+// SawTokens records that count tokens arrived within elapsed after earlier ones.
 func (n *Node) SawTokens(g *Grant, count int, elapsed time.Duration) {
 	o := &n.out
 	o.mu.Lock()
@@ -127,46 +129,47 @@
 	c := o.cell(g.Cell)
 	t := c.tokens[g.Endpoint]
 	if t == nil {
-		t = new(tokens)
+		t = new(tokenCount)
 		c.tokens[g.Endpoint] = t
 	}
 	t.n += int32(count)
 	t.elapsed += elapsed
 }
 
-// What a flush sends.
+// A flushKind selects what a flush sends.
 type flushKind int
 
 const (
-	ends flushKind = iota // only what has ended
-	some                  // and the tokens seen
-	full                  // and all that runs
+	flushEnded    flushKind = iota // only ended requests
+	flushProgress                  // also token counts
+	flushFull                      // also all running requests
 )
 
-// loop sends a batch when something ended, and else now and then.
+// loop flushes when a request has ended, when the homes may have changed and at sync
+// intervals.
 func (o *outbox) loop() {
-	t := time.NewTicker(syncEvery)
+	t := time.NewTicker(syncInterval)
 	defer t.Stop()
 	for n := 0; ; {
-		kind := ends
+		kind := flushEnded
 		select {
 		case <-o.n.ctx.Done():
 			return
 		case <-t.C:
 			n++
-			each := min(fullEvery, 1+o.n.view.Load().usable/entriesASync)
+			step := min(fullSyncEvery, 1+o.n.view.Load().usable/instancesPerSyncStep)
 			switch {
-			case n%fullEvery == 0:
-				kind = full
-			case n%each == 0:
-				kind = some
+			case n%fullSyncEvery == 0:
+				kind = flushFull
+			case n%step == 0:
+				kind = flushProgress
 			default:
 				continue
 			}
-		case <-o.moved:
-			kind = some // a new home is told all
+		case <-o.homesChanged:
+			kind = flushProgress // a new home receives a full sync
 		case <-o.wake:
-			if !o.n.sleep(batchFor) {
+			if !o.n.sleep(batchDelay) {
 				return
 			}
 		}
@@ -174,7 +177,7 @@
 	}
 }
 
-// flush sends each home what concerns its cells.
+// flush sends each home the reports for its cells.
 func (o *outbox) flush(kind flushKind) {
 	v := o.n.view.Load()
 	batches := make(map[string]*peerpb.SyncRequest)
@@ -182,9 +185,9 @@
 	for name, c := range o.cells {
 		o.collect(batches, v, name, c, kind)
 	}
-	if kind != ends {
-		for home := range o.waits {
-			o.batch(batches, home) // an empty one tells whether it lives
+	if kind != flushEnded {
+		for home := range o.waitingByHome {
+			o.batch(batches, home) // an empty batch probes whether the home responds
 		}
 	}
 	o.mu.Unlock()
@@ -208,44 +211,44 @@
 	return b
 }
 
-// collect adds one cell to the batches of its present home and of those that
-// granted what runs or has ended.
-func (o *outbox) collect(batches map[string]*peerpb.SyncRequest, v *view, name string, c *cellOut, kind flushKind) {
+// collect adds the report of one cell to the batches of its current home and of the
+// homes that granted its running or ended requests.
+func (o *outbox) collect(batches map[string]*peerpb.SyncRequest, v *view, name string, c *cellOutbox, kind flushKind) {
 	if len(c.runs)+len(c.releases)+len(c.tokens) == 0 {
 		delete(o.cells, name)
 		return
 	}
-	to := c.ended
-	present := ""
+	targets := c.endedHomes
+	current := ""
 	if cv := v.cells[name]; cv != nil && len(cv.homes) > 0 {
-		present = cv.homes[0]
+		current = cv.homes[0]
 	}
-	if kind != ends && present != c.home {
-		kind, c.home = full, present // a new home is told all at once
+	if kind != flushEnded && current != c.syncedHome {
+		kind, c.syncedHome = flushFull, current // a new home receives a full sync at once
 	}
 	cs := &peerpb.CellSync{Cell: name, Releases: c.releases}
-	if kind != ends {
-		to[present] = true
+	if kind != flushEnded {
+		targets[current] = true
 		cs.Progress = c.takeTokens()
 	}
-	if kind == full {
+	if kind == flushFull {
 		cs.Full = true
 		for _, g := range c.runs {
 			cs.Runs = append(cs.Runs, &peerpb.Run{Seq: g.seq, Endpoint: g.Endpoint, Class: g.Class})
-			to[g.Home] = true
+			targets[g.Home] = true
 		}
 	}
 	if len(cs.Releases)+len(cs.Progress) > 0 || cs.Full {
-		for home := range to {
+		for home := range targets {
 			b := o.batch(batches, home)
 			b.Cells = append(b.Cells, cs)
 		}
 	}
-	c.releases, c.ended = nil, make(map[string]bool)
+	c.releases, c.endedHomes = nil, make(map[string]bool)
 }
 
-// takeTokens returns what was seen of tokens since the last call.
-func (c *cellOut) takeTokens() []*peerpb.Progress {
+// takeTokens returns the token counts since the last call and resets them.
+func (c *cellOutbox) takeTokens() []*peerpb.Progress {
 	var out []*peerpb.Progress
 	for e, t := range c.tokens {
 		out = append(out, &peerpb.Progress{Endpoint: e, Tokens: t.n, ElapsedUs: t.elapsed.Microseconds()})
@@ -260,14 +263,14 @@
 	o.n.count.syncsSent.Add(1)
 	if _, err := o.n.dial.To(addr).Sync(ctx, b); err != nil && o.n.ctx.Err() == nil {
 		o.n.count.syncErrors.Add(1)
-		if o.waitsOn(home) {
+		if o.hasWaiting(home) {
 			o.n.suspect(home)
 		}
 	}
 }
 
-func (o *outbox) waitsOn(home string) bool {
+func (o *outbox) hasWaiting(home string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.waits[home] > 0
+	return o.waitingByHome[home] > 0
 }
--- a/node/settle.go
+++ b/node/settle.go
@@ -1,6 +1,6 @@
 package node
 
-// This file pulls records when the owners of keys change, and hands them out.
+// This file transfers claim records between old and new owners of partitions.
 
 import (
 	"context"
@@ -10,16 +10,15 @@
 	"ivyridge/peer/peerpb"
 )
 
-const settleEvery = 150 * time.Millisecond
+const settleInterval = 150 * time.Millisecond
 
-// settleLoop pulls records while this instance cannot vouch for all of its
-// partitions.
+// settleLoop pulls records while this instance has not settled all of its partitions.
 func (n *Node) settleLoop() {
-	for n.sleep(settleEvery) {
+	for n.sleep(settleInterval) {
 		n.mu.Lock()
-		wanted, revision, gap := n.owners.ToPull(), n.owners.Revision(), n.owners.Gap()
+		pending, revision, gap := n.owners.ToPull(), n.owners.Revision(), n.owners.Gap()
 		n.mu.Unlock()
-		for name, parts := range wanted {
+		for name, parts := range pending {
 			if addr := n.view.Load().peers[name]; addr != "" {
 				go n.pull(name, addr, revision, gap, parts)
 			}
@@ -40,16 +39,16 @@
 		return
 	}
 	now := n.now()
-	a := pulledAnswer(now, r)
+	a := pullReplyFromProto(now, r)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.owners.Pulled(now, name, revision, a)
 }
 
-func pulledAnswer(now time.Duration, r *peerpb.PullReply) owner.Answer {
+func pullReplyFromProto(now time.Duration, r *peerpb.PullReply) owner.Answer {
 	var a owner.Answer
 	for _, x := range r.Records {
-		a.Records = append(a.Records, recordOf(x, now))
+		a.Records = append(a.Records, recordFromProto(x, now))
 	}
 	for _, x := range r.Parts {
 		p := owner.Part{Partition: owner.Partition(x.Partition), Intact: x.Intact, Fresh: x.Fresh}
@@ -61,7 +60,7 @@
 	return a
 }
 
-// Pull hands out the records of the partitions that an instance now owns.
+// Pull returns the records of partitions to an instance that now owns them.
 func (s ownerService) Pull(_ context.Context, r *peerpb.PullRequest) (*peerpb.PullReply, error) {
 	parts := make([]owner.Partition, len(r.Partitions))
 	for i, p := range r.Partitions {
@@ -76,13 +75,13 @@
 	}
 	reply := &peerpb.PullReply{ListRevision: r.ListRevision}
 	for i := range a.Records {
-		reply.Records = append(reply.Records, wireRecord(now, &a.Records[i]))
+		reply.Records = append(reply.Records, recordToProto(now, &a.Records[i]))
 	}
 	for i := range a.Parts {
 		x := &a.Parts[i]
 		p := &peerpb.Part{Partition: int32(x.Partition), Intact: x.Intact, Fresh: x.Fresh}
-		for _, triple := range x.Covered {
-			p.Covered = append(p.Covered, &peerpb.Names{Names: triple})
+		for _, owners := range x.Covered {
+			p.Covered = append(p.Covered, &peerpb.Names{Names: owners})
 		}
 		reply.Parts = append(reply.Parts, p)
 	}
--- a/node/status.go
+++ b/node/status.go
@@ -1,6 +1,6 @@
 package node
 
-// This file tells operators what this instance knows, and asks the others.
+// This file serves operator queries for this instance and for the whole fleet.
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 
 const queryTimeout = time.Second
 
-// Query answers a peer's operator.
+// Query answers an operator's query that a peer forwards.
 func (s memberService) Query(_ context.Context, r *peerpb.QueryRequest) (*peerpb.QueryReply, error) {
 	if s.query == nil {
-		return nil, errors.New("queries are not served here")
+		return nil, errors.New("this instance does not serve queries")
 	}
 	table, err := s.query(r.Text)
 	if err != nil {
@@ -27,15 +27,14 @@
 	return &peerpb.QueryReply{Table: table}, nil
 }
 
-// A PeerAnswer is one instance's answer to a query; Err tells why there is
-// none.
+// A PeerAnswer is one instance's answer to a query, or the error Err.
 type PeerAnswer struct {
 	Instance string
 	Table    []byte
 	Err      error
 }
 
-// QueryAll asks every listed instance, this one among them.
+// QueryAll sends a query to every listed instance, including this one.
 func (n *Node) QueryAll(ctx context.Context, text string) []PeerAnswer {
 	n.mu.Lock()
 	peers := make(map[string]string)
@@ -46,7 +45,7 @@
 	n.mu.Unlock()
 	var mu sync.Mutex
 	var out []PeerAnswer
-	n.each(peers, func(name, addr string) {
+	n.forEachPeer(peers, func(name, addr string) {
 		a := PeerAnswer{Instance: name}
 		if name == n.opt.Name {
 			a.Table, a.Err = n.query(text)
@@ -55,7 +54,7 @@
 			defer cancel()
 			r, err := n.dial.To(addr).Query(ctx, &peerpb.QueryRequest{Text: text})
 			if err != nil {
-				a.Err = root(err)
+				a.Err = rootCause(err)
 			} else {
 				a.Table = r.Table
 			}
@@ -67,25 +66,25 @@
 	return out
 }
 
-// root returns the innermost error: why a peer could not be asked, without
-// the layers that it came through.
-func root(err error) error {
+// rootCause returns the innermost wrapped error, without the prefixes of the layers
+// that it passed through.
+func rootCause(err error) error {
 	for inner := errors.Unwrap(err); inner != nil; inner = errors.Unwrap(err) {
 		err = inner
 	}
 	return err
 }
 
-// A PeerStatus is what this instance knows of another.
+// A PeerStatus is what this instance knows of one instance.
 type PeerStatus struct {
 	Name, DataCentre, State string
-	Age                     time.Duration // since it was heard
+	Age                     time.Duration // since its last heartbeat
 	ConfigRevision          int64
 	ListRevision            int64
 	Ready                   bool
 }
 
-// Instances returns what this instance knows of all that are listed.
+// Instances returns the status of all listed instances.
 func (n *Node) Instances() []PeerStatus {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -105,7 +104,7 @@
 	return out
 }
 
-// A CellStatus is what a home knows of its cell.
+// A CellStatus is the state of a cell on this instance.
 type CellStatus struct {
 	Name      string
 	Pool      string
@@ -138,7 +137,7 @@
 	return out
 }
 
-// A ConfigStatus is what an instance knows of the configuration.
+// A ConfigStatus is the state of the configuration on an instance.
 type ConfigStatus struct {
 	State         string
 	Revision      int64
@@ -152,15 +151,15 @@
 	Records       int
 }
 
-// Config returns the state of the configuration here.
+// Config returns the state of the configuration on this instance.
 func (n *Node) Config() ConfigStatus {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
 	return ConfigStatus{
 		State: n.docs.machine.Name(), Revision: n.docs.config.revision, ListRevision: n.docs.list.revision,
-		Commands: n.commands.Version(), Rejected: n.docs.rejected, Rejection: n.docs.rejection,
-		PlatformAge: now - n.platform, AcceptedSince: now - n.docs.acceptedAt,
+		Commands: n.commands.Version(), Rejected: n.docs.rejectedRevision, Rejection: n.docs.rejection,
+		PlatformAge: now - n.platformHeard, AcceptedSince: now - n.docs.acceptedAt,
 		Settled: n.owners.Settled(), Records: n.owners.Len(),
 	}
 }
--- a/node/view.go
+++ b/node/view.go
@@ -1,8 +1,8 @@
 package node
 
-// This file derives, from the list, the members and the declarations, the
-// immutable view that requests read: which cells there are, who is home of
-// each, and where peers are.
+// This file builds the immutable view that requests read, from the list, the liveness
+// of the peers and the declarations: the cells, the ranked homes of each, and the
+// addresses of peers.
 
 import (
 	"context"
@@ -19,41 +19,40 @@
 	"ivyridge/member"
 )
 
-// cellSize is how many endpoints a cell has at the most. A larger group of
-// alike endpoints in a region is split.
-const cellSize = 16
+// maxCellSize is the maximum number of endpoints of a cell. A larger group of
+// endpoints with the same pool and region is split.
+const maxCellSize = 16
 
-// A cellView is one cell as this instance sees it.
+// A cellView is the immutable description of one cell in a view.
 type cellView struct {
-	name      string
-	pool      *decl.Pool
-	endpoints []home.Endpoint
-	homes     []string // usable instances, best first
-	near      map[string]bool
+	name        string
+	pool        *decl.Pool
+	endpoints   []home.Endpoint
+	homes       []string // usable instances, by rank
+	dataCentres map[string]bool
 }
 
-// A view is what requests are decided by. It is immutable.
+// A view is the snapshot from which requests are routed. It is immutable.
 type view struct {
 	set       *decl.Set
 	ready     bool
 	pools     map[string][]*cellView
 	cells     map[string]*cellView
-	peers     map[string]string // addresses by name
+	peers     map[string]string // address by instance name
 	usable    int
-	endpoints map[string]bool // those that may be given new work
+	endpoints map[string]bool // whether it may receive new requests
 	list      *member.List
-	commands  int64 // version
+	commands  int64 // version of the operator commands
 }
 
-// refreshPause is the least time between views that only members changed.
-const refreshPause = 20 * time.Millisecond
+// refreshDelay coalesces rebuilds that follow liveness changes.
+const refreshDelay = 20 * time.Millisecond
 
-// refreshSoon derives the view again in a moment, once for all changes of
-// members until then: where many fall silent at once, each of their
-// suspicions must not cost a view.
+// refreshSoon schedules a refresh after refreshDelay, one for all changes until then:
+// if many peers fail at once, each suspicion would otherwise rebuild the view.
 func (n *Node) refreshSoon() {
 	if n.refreshing.CompareAndSwap(false, true) {
-		time.AfterFunc(refreshPause, func() {
+		time.AfterFunc(refreshDelay, func() {
 			n.refreshing.Store(false)
 			if n.ctx.Err() == nil {
 				n.refresh()
@@ -62,21 +61,21 @@
 	}
 }
 
-// refresh derives the view again and tells the cells.
+// refresh rebuilds the view and applies it to the cells.
 func (n *Node) refresh() {
 	n.mu.Lock()
-	v := n.derive()
+	v := n.buildView()
 	n.view.Store(v)
-	down := n.unusable()
+	down := n.unusablePeers()
 	n.mu.Unlock()
-	n.lines.cut(down)
+	n.peerCtx.cancel(down)
 	n.updateCells(v)
-	signal(n.out.moved)
+	notify(n.out.homesChanged)
 }
 
-// unusable returns the peers that should not be waited for. The core is
-// locked.
-func (n *Node) unusable() []string {
+// unusablePeers returns the peers whose calls should not be waited for. The caller
+// holds n.mu.
+func (n *Node) unusablePeers() []string {
 	var out []string
 	for _, p := range n.table.Peers() {
 		if p.Name != n.opt.Name && !p.Usable() {
@@ -86,8 +85,8 @@
 	return out
 }
 
-// derive builds a view. The core is locked.
-func (n *Node) derive() *view {
+// buildView returns a new view. The caller holds n.mu.
+func (n *Node) buildView() *view {
 	l := n.table.List()
 	v := &view{
 		set:       n.docs.effective,
@@ -105,21 +104,21 @@
 	v.ready = true
 	usable := n.table.Usable()
 	v.usable = max(1, len(usable))
-	centre := make(map[string]string)
+	dataCentreOf := make(map[string]string)
 	for _, p := range n.table.Peers() {
 		v.peers[p.Name] = p.Addr
-		centre[p.Name] = p.DataCentre
+		dataCentreOf[p.Name] = p.DataCentre
 	}
-	n.deriveCells(v, l)
+	n.buildCells(v, l)
 	for _, c := range v.cells {
-		c.homes = n.homesOf(c, usable, centre)
+		c.homes = n.rankHomes(c, usable, dataCentreOf)
 	}
 	return v
 }
 
-// deriveCells groups the listed endpoints by pool and region, and splits
-// groups that are too large.
-func (n *Node) deriveCells(v *view, l *member.List) {
+// buildCells groups the listed endpoints by pool and region and splits groups of more
+// than maxCellSize.
+func (n *Node) buildCells(v *view, l *member.List) {
 	type group struct{ pool, region string }
 	groups := make(map[group][]member.Endpoint)
 	for _, e := range l.Endpoints {
@@ -129,7 +128,7 @@
 		}
 	}
 	for g, members := range groups {
-		shards := (len(members) + cellSize - 1) / cellSize
+		shards := (len(members) + maxCellSize - 1) / maxCellSize
 		for _, e := range members {
 			c := v.cell(g.pool, g.region, shardOf(e.Name, shards))
 			stopped := n.commands.Stopped(e.Name)
@@ -140,7 +139,7 @@
 				Leaving:    e.State == member.Leaving,
 				Stopped:    stopped,
 			})
-			c.near[e.DataCentre] = true
+			c.dataCentres[e.DataCentre] = true
 			v.endpoints[e.Name] = e.State == member.Live && !stopped
 		}
 	}
@@ -149,45 +148,45 @@
 	}
 }
 
-// shardOf spreads endpoints over the cells of a group.
+// shardOf assigns an endpoint to one of the cells of its group by rendezvous hashing.
 func shardOf(name string, shards int) int {
 	if shards == 1 {
 		return 0
 	}
-	best, at := uint64(0), 0
+	best, shard := uint64(0), 0
 	for i := range shards {
 		if s := xxhash.Sum64String(strconv.Itoa(i) + "/" + name); s >= best {
-			best, at = s, i
+			best, shard = s, i
 		}
 	}
-	return at
+	return shard
 }
 
 func (v *view) cell(pool, region string, shard int) *cellView {
 	name := fmt.Sprintf("%s/%s/%d", pool, region, shard)
 	c := v.cells[name]
 	if c == nil {
-		c = &cellView{name: name, pool: v.set.Pool(pool), near: make(map[string]bool)}
+		c = &cellView{name: name, pool: v.set.Pool(pool), dataCentres: make(map[string]bool)}
 		v.cells[name] = c
 		v.pools[pool] = append(v.pools[pool], c)
 	}
 	return c
 }
 
-// homesOf ranks the instances for a cell. Those in the data centres of its
-// endpoints go first.
-func (n *Node) homesOf(c *cellView, usable []string, centre map[string]string) []string {
+// rankHomes ranks the usable instances for a cell, those in the data centres of its
+// endpoints first.
+func (n *Node) rankHomes(c *cellView, usable []string, dataCentreOf map[string]string) []string {
 	if n.opt.Alone {
 		return []string{n.opt.Name}
 	}
 	ranked := member.Rank(c.name, usable)
 	sort.SliceStable(ranked, func(i, j int) bool {
-		return c.near[centre[ranked[i]]] && !c.near[centre[ranked[j]]]
+		return c.dataCentres[dataCentreOf[ranked[i]]] && !c.dataCentres[dataCentreOf[ranked[j]]]
 	})
 	return ranked
 }
 
-// rank returns self's place among the homes of c, or -1.
+// rank returns the index of self among the homes of c, or -1.
 func (c *cellView) rank(self string) int {
 	for i, name := range c.homes {
 		if name == self {
@@ -197,10 +196,10 @@
 	return -1
 }
 
-// choose returns the cells of a pool in the order in which an instance should
-// try them: its own region's first, then by an order that the instance keeps,
-// so that it speaks to few homes.
-func (v *view) choose(pool, dataCentre, instance string) []*cellView {
+// cellsInOrder returns the cells of a pool in the order in which an instance tries
+// them: those with endpoints in its data centre first, then by a hash of cell and
+// instance, so that each instance uses few homes.
+func (v *view) cellsInOrder(pool, dataCentre, instance string) []*cellView {
 	cells := v.pools[pool]
 	if len(cells) < 2 {
 		return cells
@@ -208,7 +207,7 @@
 	out := append([]*cellView(nil), cells...)
 	rank := func(c *cellView) uint64 { return xxhash.Sum64String(c.name + "\x00" + instance) }
 	sort.Slice(out, func(i, j int) bool {
-		a, b := out[i].near[dataCentre], out[j].near[dataCentre]
+		a, b := out[i].dataCentres[dataCentre], out[j].dataCentres[dataCentre]
 		if a != b {
 			return a
 		}
@@ -217,40 +216,40 @@
 	return out
 }
 
-// peerLines end the calls that wait on a peer once it is suspected: a
-// request that waits at a home must not wait for a dead one.
-type peerLines struct {
-	mu    sync.Mutex
-	lines map[string]*line
+// peerContexts cancel the calls that wait for a peer when it becomes unusable, so that
+// a request does not wait at a dead home.
+type peerContexts struct {
+	mu     sync.Mutex
+	byPeer map[string]*cancelableContext
 }
 
-type line struct {
+type cancelableContext struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-func (p *peerLines) init() { p.lines = make(map[string]*line) }
+func (p *peerContexts) init() { p.byPeer = make(map[string]*cancelableContext) }
 
-// to returns a context that ends when the peer becomes unusable.
-func (p *peerLines) to(name string) context.Context {
+// get returns a context that is cancelled when the peer becomes unusable.
+func (p *peerContexts) get(name string) context.Context {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.lines[name]
-	if l == nil {
+	pc := p.byPeer[name]
+	if pc == nil {
 		ctx, cancel := context.WithCancel(context.Background())
-		l = &line{ctx, cancel}
-		p.lines[name] = l
+		pc = &cancelableContext{ctx, cancel}
+		p.byPeer[name] = pc
 	}
-	return l.ctx
+	return pc.ctx
 }
 
-func (p *peerLines) cut(names []string) {
+func (p *peerContexts) cancel(names []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, name := range names {
-		if l := p.lines[name]; l != nil {
-			l.cancel()
-			delete(p.lines, name)
+		if pc := p.byPeer[name]; pc != nil {
+			pc.cancel()
+			delete(p.byPeer, name)
 		}
 	}
 }
