--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -3,31 +3,31 @@
 import "sync"
 
 const (
-	requestsARetry = 10 // how many requests earn one retry
-	retryMost      = 20 // that may be saved up
+	requestsPerRetry = 10 // requests that earn one retry
+	maxSavedRetries  = 20 // retries that can be saved
 )
 
-// A budget allows retries as a part of the requests, so that a fleet in
-// trouble is not given more work for it.
+// A budget limits retries to a fraction of the requests, so that retries cannot
+// overload a failing fleet.
 type budget struct {
 	mu     sync.Mutex
-	earned int // in requests
+	credit int // unused requests; each retry costs requestsPerRetry
 }
 
-func newBudget() budget { return budget{earned: retryMost * requestsARetry} }
+func newBudget() budget { return budget{credit: maxSavedRetries * requestsPerRetry} }
 
 func (b *budget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.earned = min(retryMost*requestsARetry, b.earned+1)
+	b.credit = min(maxSavedRetries*requestsPerRetry, b.credit+1)
 }
 
 func (b *budget) withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.earned < requestsARetry {
+	if b.credit < requestsPerRetry {
 		return false
 	}
-	b.earned -= requestsARetry
+	b.credit -= requestsPerRetry
 	return true
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,15 +1,14 @@
-// Package dispatch takes one request from its admission to its answer.
+// Package dispatch runs one admitted request until it is answered.
 //
-// Do claims the request's key where it must not be repeated, acquires a
-// grant, sends the request to the endpoint granted and passes the answer on.
-// Where an attempt fails it is repeated only if it surely did not run, or if
-// its class may be repeated, and only within a budget. The request's state
-// is kept in the chart of charts/request.yaml, and the verdict of a failure
-// is the verdict of the state that it ended in: nothing here decides it a
-// second time.
+// Do claims the request's key if the request must not be repeated, acquires a
+// grant, sends the request to the granted endpoint and forwards the answer. A
+// failed attempt is retried only if it certainly did not run or the request is
+// repeatable, and only within a retry budget. The state of the request is a
+// machine of charts/request.yaml, and the verdict of a failed request is that of
+// the machine's state.
 //
-// The files: dispatch.go (the steps), send.go (one attempt), stream.go
-// (passing a stream on), budget.go (the retry budget).
+// The files: dispatch.go (the request's steps), send.go (one attempt), stream.go
+// (forwarding a stream), budget.go (the retry budget).
 package dispatch
 
 import (
@@ -25,15 +24,14 @@
 	"ivyridge/verdict"
 )
 
-// Limits of an attempt.
 const (
 	maxAttempts = 4
-	// claimLife is how long after its claim a keyed request may be sent;
-	// far below owner.Retention, so that no owner forgets it before.
-	claimLife = owner.Retention / 2
+	// claimTTL is how long after its claim a keyed request may be sent. It is
+	// below owner.Retention, so that the owners still hold the record.
+	claimTTL = owner.Retention / 2
 )
 
-// A Fleet is what the node gives a request. *node.Node implements it.
+// A Fleet provides grants and claims. *node.Node implements it.
 type Fleet interface {
 	Now() time.Duration
 	Acquire(ctx context.Context, r *node.Request) (*node.Grant, error)
@@ -55,12 +53,12 @@
 	Class      *decl.Class
 	Team       string
 	Method     string
-	Path       string // with its query
+	Path       string // includes the query
 	Header     http.Header
 	Body       []byte
 	Stream     bool
 	Repeatable bool
-	Key        *owner.Key // of a request that its caller named
+	Key        *owner.Key // hash of the idempotency key, nil if none
 	Prompt     int
 	MaxTokens  int
 	Prefix     uint64
@@ -73,26 +71,26 @@
 	Write(p []byte) error
 }
 
-// A Result tells what became of a request.
+// A Result is the outcome of a request.
 type Result struct {
 	Endpoint string
 	Tokens   int
 	First    time.Duration // from arrival to the first token or byte
 	Total    time.Duration
 	Late     bool
-	Joined   bool // the answer is that of an earlier attempt
-	Started  bool // the sink has been given something
+	Joined   bool // the answer or failure is that of an earlier attempt
+	Started  bool // Sink.Start was called
 	Err      *verdict.Error
 }
 
 // A Dispatcher runs requests. It is safe for concurrent use.
 type Dispatcher struct {
-	fleet  Fleet
-	client *http.Client // keeps connections
-	once   *http.Client // a new connection for each request
-	budget budget
-	retry  *expvar.Map
-	limit  int64 // bytes of an answer that is held whole
+	fleet       Fleet
+	pooled      *http.Client // reuses connections
+	unpooled    *http.Client // a new connection for each request
+	budget      budget
+	retries     *expvar.Map
+	answerLimit int64 // maximum size of an answer that is not streamed, in bytes
 }
 
 // maxAnswer bounds an answer that is not streamed.
@@ -103,66 +101,66 @@
 	return NewOver(f, retries, transport(true), transport(false))
 }
 
-// NewOver returns a Dispatcher that reaches endpoints over keep, and over
-// once where a connection must not be used twice.
-func NewOver(f Fleet, retries *expvar.Map, keep, once http.RoundTripper) *Dispatcher {
+// NewOver returns a Dispatcher that reaches endpoints over the transport pooled, and
+// over unpooled for requests that must not be sent on a reused connection.
+func NewOver(f Fleet, retries *expvar.Map, pooled, unpooled http.RoundTripper) *Dispatcher {
 	return &Dispatcher{
-		fleet:  f,
-		client: &http.Client{Transport: keep, CheckRedirect: noRedirect},
-		once:   &http.Client{Transport: once, CheckRedirect: noRedirect},
-		budget: newBudget(),
-		retry:  retries,
-		limit:  maxAnswer,
+		fleet:       f,
+		pooled:      &http.Client{Transport: pooled, CheckRedirect: noRedirect},
+		unpooled:    &http.Client{Transport: unpooled, CheckRedirect: noRedirect},
+		budget:      newBudget(),
+		retries:     retries,
+		answerLimit: maxAnswer,
 	}
 }
 
 // A run is the state of one request in progress.
 type run struct {
-	d       *Dispatcher
-	req     *Request
-	sink    Sink
-	machine chart.Machine
-	claim   *node.Claim
-	res     Result
-	avoid   string
-	doubt   bool      // an earlier attempt may have run
-	record  *recorder // keeps the answer of a claimed request
+	d          *Dispatcher
+	req        *Request
+	sink       Sink
+	machine    chart.Machine
+	claim      *node.Claim
+	res        Result
+	avoid      string
+	mayHaveRun bool      // an earlier attempt may have run
+	recorder   *recorder // records the answer of a keyed request, else nil
 }
 
-// Do runs a request to its end.
+// Do runs a request to completion.
 func (d *Dispatcher) Do(ctx context.Context, req *Request, sink Sink) Result {
 	d.budget.deposit()
 	r := &run{d: d, req: req, sink: sink, machine: chart.Request.New()}
 	if req.Key != nil && !req.Repeatable {
-		r.record = &recorder{sink: sink}
-		r.sink = r.record
-		// The caller may go and come back for the answer.
+		r.recorder = &recorder{sink: sink}
+		r.sink = r.recorder
+		// The caller may disconnect and retry for the answer.
 		var cancel context.CancelFunc
-		ctx, cancel = detached(ctx)
+		ctx, cancel = withoutCancel(ctx)
 		defer cancel()
 	}
-	err := r.steps(ctx)
+	err := r.execute(ctx)
 	r.res.Total = d.fleet.Now() - req.Arrived
 	if err != nil {
 		r.res.Err = r.verdictOf(ctx, err)
 	} else {
 		r.res.Late = r.late()
 	}
-	r.settle()
+	r.finishClaim()
 	return r.res
 }
 
-// detached returns a context that keeps ctx's deadline but not its end.
-func detached(ctx context.Context) (context.Context, context.CancelFunc) {
-	free := context.WithoutCancel(ctx)
-	if at, ok := ctx.Deadline(); ok {
-		return context.WithDeadline(free, at)
+// withoutCancel returns a context with ctx's deadline that is not cancelled with ctx.
+func withoutCancel(ctx context.Context) (context.Context, context.CancelFunc) {
+	base := context.WithoutCancel(ctx)
+	if deadline, ok := ctx.Deadline(); ok {
+		return context.WithDeadline(base, deadline)
 	}
-	return free, func() {}
+	return base, func() {}
 }
 
-func (r *run) steps(ctx context.Context) error {
-	if r.record != nil {
+func (r *run) execute(ctx context.Context) error {
+	if r.recorder != nil {
 		joined, err := r.claimKey(ctx)
 		if joined || err != nil {
 			return err
@@ -173,14 +171,14 @@
 		if err == nil {
 			return nil
 		}
-		if !r.again(ctx, attempt, err) {
+		if !r.shouldRetry(ctx, attempt, err) {
 			return err
 		}
 	}
 }
 
-// claimKey claims the request's key, or passes on the answer of the attempt
-// that has it.
+// claimKey claims the request's key, or forwards the answer of the attempt that holds
+// it.
 func (r *run) claimKey(ctx context.Context) (joined bool, err error) {
 	const claims = 3
 	for range claims {
@@ -195,24 +193,24 @@
 		}
 		ans, err := r.d.fleet.Join(ctx, c.Other)
 		if err != nil {
-			r.res.Joined = true // what is known is known of the other attempt
+			r.res.Joined = true // the failure concerns the other attempt
 			return false, err
 		}
 		if ans != nil {
-			return true, r.pass(ans)
+			return true, r.replay(ans)
 		}
-		r.d.retry.Add("claim-withdrawn", 1)
+		r.d.retries.Add("claim-withdrawn", 1)
 	}
-	return false, verdict.Refuse(verdict.KeyConflict, "other attempts at the same key keep beginning").After(time.Second)
+	return false, verdict.Refuse(verdict.KeyConflict, "concurrent attempts kept claiming the same key").After(time.Second)
 }
 
-// pass gives the caller the answer of an earlier attempt.
-func (r *run) pass(ans *node.Answer) error {
+// replay sends the caller the answer of an earlier attempt.
+func (r *run) replay(ans *node.Answer) error {
 	r.res.Joined = true
 	if ans.Failure != nil {
 		return ans.Failure
 	}
-	r.record = nil
+	r.recorder = nil
 	r.start(ans.Status, http.Header{"Content-Type": {ans.ContentType}})
 	return r.sink.Write(ans.Body)
 }
@@ -237,11 +235,11 @@
 	if !r.d.fleet.May(g) {
 		r.d.fleet.Release(g, node.End{})
 		r.machine.Step(evExpire)
-		return verdict.Refuse(verdict.GrantExpired, "endpoint %s was withdrawn", g.Endpoint)
+		return verdict.Refuse(verdict.GrantExpired, "grant for endpoint %s is no longer valid", g.Endpoint)
 	}
-	if r.claim != nil && r.d.fleet.Now()-r.claim.At > claimLife {
+	if r.claim != nil && r.d.fleet.Now()-r.claim.At > claimTTL {
 		r.d.fleet.Release(g, node.End{})
-		return verdict.Refuse(verdict.GrantExpired, "the request waited longer than its key is held")
+		return verdict.Refuse(verdict.GrantExpired, "the claim of the key expired before the request was sent")
 	}
 	end, err := r.send(ctx, g)
 	r.d.fleet.Release(g, end)
@@ -251,8 +249,9 @@
 	return err
 }
 
-// again reports whether a failed attempt may be followed by another.
-func (r *run) again(ctx context.Context, attempt int, err error) bool {
+// shouldRetry reports whether a failed attempt may be followed by another, and charges
+// the retry budget.
+func (r *run) shouldRetry(ctx context.Context, attempt int, err error) bool {
 	e := verdict.Of(err)
 	if ctx.Err() != nil || r.res.Started || attempt >= maxAttempts || r.machine.Final() && !r.req.Repeatable {
 		return false
@@ -263,19 +262,19 @@
 		if !r.req.Repeatable {
 			return false
 		}
-		r.machine, r.doubt = chart.Request.New(), true
+		r.machine, r.mayHaveRun = chart.Request.New(), true
 	default:
 		return false
 	}
 	if !r.d.budget.withdraw() {
-		r.d.retry.Add(string(verdict.RetryBudget), 1)
+		r.d.retries.Add(string(verdict.RetryBudget), 1)
 		return false
 	}
-	r.d.retry.Add(string(e.Reason), 1)
+	r.d.retries.Add(string(e.Reason), 1)
 	return true
 }
 
-// verdictOf is what the caller is told of err.
+// verdictOf returns the error reported to the caller for err.
 func (r *run) verdictOf(ctx context.Context, err error) *verdict.Error {
 	e := *verdict.Of(err)
 	if r.res.Joined {
@@ -291,15 +290,15 @@
 		r.machine.Step(evRefuse)
 	}
 	e.Verdict = r.machine.Verdict()
-	if r.doubt && e.Verdict == verdict.NotRun {
+	if r.mayHaveRun && e.Verdict == verdict.NotRun {
 		e.Verdict = verdict.MayHaveRun
 	}
 	return &e
 }
 
-// settle withdraws the claim of a request that was not run, and keeps the
-// answer of any other for repeats.
-func (r *run) settle() {
+// finishClaim withdraws the claim of a request that was not run, and stores the answer
+// of any other for retries.
+func (r *run) finishClaim() {
 	if r.claim == nil {
 		return
 	}
@@ -309,7 +308,7 @@
 	}
 	ans := &node.Answer{Failure: r.res.Err}
 	if r.res.Err == nil {
-		ans = r.record.answer()
+		ans = r.recorder.answer()
 	}
 	r.d.fleet.Keep(r.claim, ans)
 }
@@ -324,7 +323,7 @@
 	r.sink.Start(status, h)
 }
 
-// A recorder passes an answer on and keeps a copy.
+// A recorder forwards an answer and keeps a copy.
 type recorder struct {
 	sink        Sink
 	status      int
@@ -338,8 +337,8 @@
 	k.sink.Start(status, h)
 }
 
-// Write implements Sink. A caller that has gone does not end a claimed
-// request's record: its repeat will ask for it.
+// Write implements Sink. It ignores errors of the caller's sink: if the caller has
+// gone, the answer is still recorded for a retry.
 func (k *recorder) Write(p []byte) error {
 	k.body = append(k.body, p...)
 	_ = k.sink.Write(p)
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -21,21 +21,21 @@
 )
 
 const (
-	connectTimeout = 300 * time.Millisecond
-	idleConns      = 256
-	// stallAfter is how long an endpoint may be silent in an answer.
-	stallAfter = 30 * time.Second
-	// headersWithin, times the class's target, is how long an endpoint
-	// may take until its answer begins.
-	headersWithin = 4
-	// RequestIDHeader carries the request's id to the endpoint.
+	connectTimeout      = 300 * time.Millisecond
+	maxIdleConnsPerHost = 256
+	// stallTimeout is the maximum pause within an answer.
+	stallTimeout = 30 * time.Second
+	// headerTimeoutFactor times the class's target is the timeout for response
+	// headers, if it exceeds stallTimeout.
+	headerTimeoutFactor = 4
+	// RequestIDHeader carries the request's ID to the endpoint.
 	RequestIDHeader = "X-Request-Id"
 )
 
 func transport(keep bool) *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: connectTimeout}).DialContext,
-		MaxIdleConnsPerHost: idleConns,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     20 * time.Second,
 		DisableKeepAlives:   !keep,
 		DisableCompression:  true,
@@ -50,40 +50,40 @@
 	r.res.Endpoint = g.Endpoint
 	ctx, cancel := context.WithCancelCause(caller)
 	defer cancel(nil)
-	watch := newWatchdog(r.firstByteWithin(), func() { cancel(errStalled) })
-	defer watch.stop()
+	timer := newWatchdog(r.headerTimeout(), func() { cancel(errStalled) })
+	defer timer.stop()
 	sent := r.d.fleet.Now()
 	connected := false
 	res, err := r.post(ctx, g, &connected)
 	if err != nil {
-		return r.noAnswer(ctx, connected, err)
+		return r.classifyError(ctx, connected, err)
 	}
 	defer res.Body.Close()
-	if end, err, failed := r.badStatus(res); failed {
+	if end, err, failed := r.classifyStatus(res); failed {
 		return end, err
 	}
 	r.machine.Step(evHeaders)
-	watch.reset(stallAfter)
+	timer.reset(stallTimeout)
 	var end node.End
 	if r.req.Stream && res.StatusCode == http.StatusOK {
-		end, err = r.stream(res, g, sent, watch)
+		end, err = r.stream(res, g, sent, timer)
 	} else {
-		end, err = r.whole(res, sent)
+		end, err = r.readWhole(res, sent)
 	}
 	if err != nil {
 		r.machine.Step(evCut)
-		end.Failed = end.Failed && caller.Err() == nil // else the caller cut it
+		end.Failed = end.Failed && caller.Err() == nil // not if the caller cancelled it
 		return end, err
 	}
 	r.machine.Step(evFinish)
 	return end, nil
 }
 
-var errStalled = errors.New("the endpoint fell silent")
+var errStalled = errors.New("endpoint timed out")
 
-// firstByteWithin is how long the endpoint may take to begin its answer.
-func (r *run) firstByteWithin() time.Duration {
-	return max(stallAfter, headersWithin*r.req.Class.Whole)
+// headerTimeout returns the timeout for the response headers.
+func (r *run) headerTimeout() time.Duration {
+	return max(stallTimeout, headerTimeoutFactor*r.req.Class.Whole)
 }
 
 func (r *run) post(ctx context.Context, g *node.Grant, connected *bool) (*http.Response, error) {
@@ -99,11 +99,11 @@
 	req.Header.Set(RequestIDHeader, r.req.ID)
 	req.Header.Set("X-Team", r.req.Team)
 	req.Header.Set("X-Class", r.req.Class.Name)
-	client := r.d.client
+	client := r.d.pooled
 	if len(r.req.Body) == 0 && !r.req.Repeatable {
-		// The transport repeats a GET whose kept connection broke; on a
-		// new connection it has no reason to.
-		client = r.d.once
+		// The transport retries a GET if a reused connection breaks; on a
+		// new connection it does not.
+		client = r.d.unpooled
 	}
 	return client.Do(req)
 }
@@ -116,8 +116,8 @@
 	}
 }
 
-// noAnswer classifies an attempt that brought no status.
-func (r *run) noAnswer(ctx context.Context, connected bool, err error) (node.End, error) {
+// classifyError returns the outcome of an attempt without a response.
+func (r *run) classifyError(ctx context.Context, connected bool, err error) (node.End, error) {
 	if !connected {
 		r.machine.Step(evUnsent)
 		if ctx.Err() != nil {
@@ -129,21 +129,21 @@
 		return node.End{}, errors.Wrap(err, "send")
 	}
 	r.machine.Step(evCut)
-	return node.End{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "no answer: %v", err)
+	return node.End{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "no response: %v", err)
 }
 
-// badStatus handles the statuses by which an endpoint says that it failed.
-// Only 429 says that the request was not run; a 5xx says nothing of that.
-func (r *run) badStatus(res *http.Response) (end node.End, err error, failed bool) {
+// classifyStatus handles the status codes that mean that the endpoint failed. Only 429
+// means that the request was not run; after a 5xx it may have run.
+func (r *run) classifyStatus(res *http.Response) (end node.End, err error, failed bool) {
 	switch {
 	case res.StatusCode == http.StatusTooManyRequests:
 		r.machine.Step(evRefusedUnrun)
-		e := verdict.Fail(verdict.NotRun, verdict.EndpointBusy, "the endpoint takes no more")
+		e := verdict.Fail(verdict.NotRun, verdict.EndpointBusy, "endpoint refused the request with 429")
 		return node.End{Busy: true}, e.After(retryAfter(res)), true
 	case res.StatusCode >= http.StatusInternalServerError:
 		r.machine.Step(evCut)
 		_, _ = io.CopyN(io.Discard, res.Body, 4<<10)
-		return node.End{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointError, "the endpoint answered %s", res.Status), true
+		return node.End{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointError, "endpoint returned %s", res.Status), true
 	}
 	return node.End{}, nil, false
 }
@@ -156,21 +156,21 @@
 	return time.Duration(s) * time.Second
 }
 
-// usage is the part of a whole answer that is read.
+// usage is the part of a response body that is decoded.
 type usage struct {
 	Usage struct {
 		CompletionTokens int `json:"completion_tokens"`
 	} `json:"usage"`
 }
 
-// whole reads an answer to its end before any of it is passed on.
-func (r *run) whole(res *http.Response, sent time.Duration) (node.End, error) {
-	body, err := io.ReadAll(io.LimitReader(res.Body, r.d.limit+1))
+// readWhole reads the entire response before it forwards any of it.
+func (r *run) readWhole(res *http.Response, sent time.Duration) (node.End, error) {
+	body, err := io.ReadAll(io.LimitReader(res.Body, r.d.answerLimit+1))
 	if err != nil {
-		return node.End{Failed: true}, verdict.Fail(verdict.Ran, verdict.EndpointCut, "the answer was cut: %v", err)
+		return node.End{Failed: true}, verdict.Fail(verdict.Ran, verdict.EndpointCut, "response truncated: %v", err)
 	}
-	if int64(len(body)) > r.d.limit {
-		return node.End{}, verdict.Fail(verdict.Ran, verdict.EndpointError, "the answer is larger than %d bytes", r.d.limit)
+	if int64(len(body)) > r.d.answerLimit {
+		return node.End{}, verdict.Fail(verdict.Ran, verdict.EndpointError, "response is larger than %d bytes", r.d.answerLimit)
 	}
 	now := r.d.fleet.Now()
 	r.res.First = now - r.req.Arrived
@@ -189,13 +189,13 @@
 	return end, nil
 }
 
-// lateAt reports whether an answer with these instants misses its target.
+// lateAt reports whether an answer with the given times misses its class's targets.
 func (r *run) lateAt(first, end time.Duration) bool {
 	c, at := r.req.Class, r.req.Arrived
 	return c.FirstToken > 0 && first-at > c.FirstToken || c.Whole > 0 && end-at > c.Whole
 }
 
-// A watchdog calls a function when it is not reset in time.
+// A watchdog calls a function unless it is reset in time.
 type watchdog struct{ t *time.Timer }
 
 func newWatchdog(d time.Duration, f func()) *watchdog { return &watchdog{time.AfterFunc(d, f)} }
--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// This file passes a stream of server-sent events on, and counts its tokens.
-// A stream is whole only if its last event is [DONE]: one that merely stops
-// was cut, and the caller is told.
+// This file forwards a stream of server-sent events and counts its tokens. A stream is
+// complete only if its last event is [DONE]; if it ends before, the caller gets an
+// error.
 
 import (
 	"bytes"
@@ -18,40 +18,40 @@
 
 const (
 	readSize = 16 << 10
-	// tellEvery is how often seen tokens are handed to the outbox.
-	tellEvery = 100 * time.Millisecond
+	// tokenReportInterval is how often token counts are passed to the fleet.
+	tokenReportInterval = 100 * time.Millisecond
 )
 
 var (
-	eventMark = []byte("data:")
-	doneMark  = []byte("data: [DONE]")
+	eventPrefix = []byte("data:")
+	donePrefix  = []byte("data: [DONE]")
 )
 
-// A Scanner counts the events of a stream that comes in pieces. Its zero
-// value is ready.
+// A Scanner counts the events of a stream that is read in pieces. Its zero value is
+// ready to use.
 type Scanner struct {
 	Events int
 	Done   bool
-	line   []byte // start of a line that is not complete
+	line   []byte // prefix of the current incomplete line
 }
 
-// maxLineStart is how much of a line tells what it is.
-const maxLineStart = 16
+// maxLinePrefix is how much of an incomplete line is kept, enough to classify it.
+const maxLinePrefix = 16
 
-// Scan takes the next piece and returns the number of events that began in
-// it, [DONE] not counted.
+// Scan processes the next piece and returns the number of events that it completes, not
+// counting [DONE].
 func (s *Scanner) Scan(p []byte) int {
 	before := s.Events
 	for len(p) > 0 {
 		i := bytes.IndexByte(p, '\n')
 		if i < 0 {
-			s.keep(p)
+			s.appendLine(p)
 			break
 		}
 		if len(s.line) == 0 {
 			s.endLine(p[:i])
 		} else {
-			s.keep(p[:i])
+			s.appendLine(p[:i])
 			s.endLine(s.line)
 		}
 		s.line = s.line[:0]
@@ -60,56 +60,56 @@
 	return s.Events - before
 }
 
-func (s *Scanner) keep(p []byte) {
-	if room := maxLineStart - len(s.line); room > 0 {
+func (s *Scanner) appendLine(p []byte) {
+	if room := maxLinePrefix - len(s.line); room > 0 {
 		s.line = append(s.line, p[:min(room, len(p))]...)
 	}
 }
 
 func (s *Scanner) endLine(line []byte) {
 	switch {
-	case bytes.HasPrefix(line, doneMark):
+	case bytes.HasPrefix(line, donePrefix):
 		s.Done = true
-	case bytes.HasPrefix(line, eventMark):
+	case bytes.HasPrefix(line, eventPrefix):
 		s.Events++
 	}
 }
 
-// stream passes an answer on piece by piece.
-func (r *run) stream(res *http.Response, g *node.Grant, sent time.Duration, watch *watchdog) (node.End, error) {
+// stream forwards an answer as it is read.
+func (r *run) stream(res *http.Response, g *node.Grant, sent time.Duration, timer *watchdog) (node.End, error) {
 	var scan Scanner
 	var end node.End
-	var last, told time.Duration
-	var seen int
-	var elapsed time.Duration
+	var lastEvent, reported time.Duration
+	var pendingTokens int
+	var pendingTime time.Duration
 	buf := make([]byte, readSize)
 	defer func() {
-		if seen > 0 {
-			r.d.fleet.SawTokens(g, seen, elapsed)
+		if pendingTokens > 0 {
+			r.d.fleet.SawTokens(g, pendingTokens, pendingTime)
 		}
 	}()
 	for {
-		k, err := res.Body.Read(buf)
-		if k > 0 {
-			watch.reset(stallAfter)
+		n, err := res.Body.Read(buf)
+		if n > 0 {
+			timer.reset(stallTimeout)
 			now := r.d.fleet.Now()
-			events := scan.Scan(buf[:k])
+			events := scan.Scan(buf[:n])
 			switch {
 			case !r.res.Started:
 				r.res.First = now - r.req.Arrived
 				end.FirstToken = now - sent
-				last, told = now, now
+				lastEvent, reported = now, now
 				r.start(res.StatusCode, res.Header)
 			case events > 0:
-				seen += events
-				elapsed += now - last
-				last = now
-				if now-told > tellEvery {
-					r.d.fleet.SawTokens(g, seen, elapsed)
-					seen, elapsed, told = 0, 0, now
+				pendingTokens += events
+				pendingTime += now - lastEvent
+				lastEvent = now
+				if now-reported > tokenReportInterval {
+					r.d.fleet.SawTokens(g, pendingTokens, pendingTime)
+					pendingTokens, pendingTime, reported = 0, 0, now
 				}
 			}
-			if werr := r.sink.Write(buf[:k]); werr != nil {
+			if werr := r.sink.Write(buf[:n]); werr != nil {
 				return end, errors.Wrap(werr, "caller")
 			}
 		}
@@ -119,7 +119,7 @@
 		end.Tokens, r.res.Tokens = scan.Events, scan.Events
 		if err != io.EOF || !scan.Done {
 			end.Failed = true
-			return end, verdict.Fail(verdict.Ran, verdict.EndpointCut, "the stream was cut after %d tokens", scan.Events)
+			return end, verdict.Fail(verdict.Ran, verdict.EndpointCut, "stream truncated after %d tokens", scan.Events)
 		}
 		end.Whole = true
 		end.Late = r.lateAt(r.res.First+r.req.Arrived, r.d.fleet.Now())
--- a/dispatch/stream_test.go
+++ b/dispatch/stream_test.go
@@ -7,8 +7,8 @@
 
 const sample = "data: {\"a\":1}\n\n: a comment\ndata: {\"a\":2}\r\n\ndata: [DONE]\n\n"
 
-// However a stream is cut into pieces, its events are counted once.
-func TestScanPieces(t *testing.T) {
+// Events are counted once however the stream is split into reads.
+func TestScanAnySplit(t *testing.T) {
 	for cut := 1; cut < len(sample); cut++ {
 		var s Scanner
 		for rest := sample; rest != ""; {
@@ -17,12 +17,12 @@
 			rest = rest[n:]
 		}
 		if s.Events != 2 || !s.Done {
-			t.Errorf("in pieces of %d: %d events, done %v", cut, s.Events, s.Done)
+			t.Errorf("pieces of %d bytes: %d events, done %v", cut, s.Events, s.Done)
 		}
 	}
 }
 
-func TestScanIsNotFooled(t *testing.T) {
+func TestScanIgnoresDoneInsideLine(t *testing.T) {
 	var s Scanner
 	s.Scan([]byte("data: \"say data: [DONE]\"\n\n" + strings.Repeat("x", 100) + "data: [DONE]\n"))
 	if s.Events != 1 || s.Done {
@@ -36,14 +36,14 @@
 	for b.withdraw() {
 		n++
 	}
-	if n != retryMost {
-		t.Errorf("%d retries out of a full budget", n)
+	if n != maxSavedRetries {
+		t.Errorf("full budget allows %d retries", n)
 	}
-	for range requestsARetry {
+	for range requestsPerRetry {
 		b.deposit()
 	}
 	if !b.withdraw() || b.withdraw() {
-		t.Error("ten requests do not earn just one retry")
+		t.Error("requestsPerRetry requests do not earn exactly one retry")
 	}
 }
 
