--- a/peer/client.go
+++ b/peer/client.go
@@ -14,48 +14,48 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// idleFor keeps connections to peers that are seldom needed: a new one
-	// costs two handshakes' processor time.
-	idleFor = 10 * time.Minute
-	// maxStreams is how many calls one peer may have open: each request
-	// that waits at a home is one.
-	maxStreams     = 20_000
-	shutdownWithin = 200 * time.Millisecond
+	// idleTimeout keeps connections to peers that are seldom called, since a
+	// new one costs the CPU time of two handshakes.
+	idleTimeout = 10 * time.Minute
+	// maxStreams is the maximum number of concurrent calls of one peer; each
+	// request that waits at a home is one.
+	maxStreams      = 20_000
+	shutdownTimeout = 200 * time.Millisecond
 )
 
-// A Client holds the services of one peer.
+// A Client holds the service clients of one peer.
 type Client struct {
 	peerpb.Home
 	peerpb.Owner
 	peerpb.Member
 }
 
-// A Dialer keeps a Client a peer address. It is safe for concurrent use.
+// A Dialer caches one Client per peer address. It is safe for concurrent use.
 type Dialer struct {
 	http    *http.Client
 	mu      sync.Mutex
 	clients map[string]*Client
 }
 
-// NewTransport returns the transport between instances, which shows keys to
-// the peers.
+// NewTransport returns the transport for calls between instances, which authenticates
+// with keys.
 func NewTransport(keys *Keyring) *http.Transport {
 	return &http.Transport{
 		TLSClientConfig:     keys.Client(),
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		TLSHandshakeTimeout: 2 * dialTimeout,
 		ForceAttemptHTTP2:   true,
-		IdleConnTimeout:     idleFor,
+		IdleConnTimeout:     idleTimeout,
 		HTTP2: &http.HTTP2Config{
-			// A peer that does not answer a ping is given up, with all
-			// the calls that wait on it.
+			// If a peer does not answer a ping, the connection is closed and all
+			// calls that wait on it fail.
 			SendPingTimeout: 2 * time.Second,
 			PingTimeout:     time.Second,
 		},
 	}
 }
 
-// NewDialer returns a Dialer over a transport.
+// NewDialer returns a Dialer that uses the given transport.
 func NewDialer(rt http.RoundTripper) *Dialer {
 	return &Dialer{http: &http.Client{Transport: rt}, clients: make(map[string]*Client)}
 }
@@ -77,15 +77,15 @@
 	return c
 }
 
-// Close drops all idle connections.
+// Close closes all idle connections.
 func (d *Dialer) Close() { d.http.CloseIdleConnections() }
 
-// A Server answers the peer services.
+// A Server serves the peer services.
 type Server struct {
 	http *http.Server
 }
 
-// Services are the parts of an instance that answer its peers.
+// Services are the service implementations of an instance.
 type Services struct {
 	Home   peerpb.Home
 	Owner  peerpb.Owner
@@ -105,8 +105,8 @@
 	return mux
 }
 
-// NewServer returns the server of an instance's peer listener. A caller that
-// shows no key of the fleet gets no further than the handshake.
+// NewServer returns the server for peer calls. The TLS handshake fails for a client
+// without a certificate of the fleet.
 func NewServer(keys *Keyring, h http.Handler) *Server {
 	return &Server{&http.Server{
 		Handler:           h,
@@ -117,12 +117,13 @@
 	}}
 }
 
-// Serve answers on l until Close.
+// Serve accepts connections on l until Close or Shutdown.
 func (s *Server) Serve(l net.Listener) error { return s.http.ServeTLS(l, "", "") }
 
-// Shutdown lets calls in progress end, for a moment, then cuts them.
+// Shutdown waits up to shutdownTimeout for calls in progress, then closes all
+// connections.
 func (s *Server) Shutdown(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, shutdownWithin)
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err != nil {
 		return s.http.Close()
@@ -130,5 +131,5 @@
 	return nil
 }
 
-// Close cuts all calls.
+// Close closes all connections immediately.
 func (s *Server) Close() error { return s.http.Close() }
--- a/peer/issue.go
+++ b/peer/issue.go
@@ -1,6 +1,7 @@
 package peer
 
-// This file issues the fleet's keys, for `ivyctl keys` and for tests.
+// This file creates the certificate authority and certificates of a fleet, for
+// `ivyctl keys` and for tests.
 
 import (
 	"crypto/ecdsa"
@@ -18,27 +19,28 @@
 )
 
 const (
-	authorityLife = 5 * 365 * 24 * time.Hour
-	instanceLife  = 90 * 24 * time.Hour
-	backdate      = time.Hour // for clocks that differ
+	authorityValidity = 5 * 365 * 24 * time.Hour
+	instanceValidity  = 90 * 24 * time.Hour
+	backdate          = time.Hour // tolerance for clock differences
 )
 
-// Files of a directory that Issue writes.
+// File names of the authority's certificate and key.
 const (
 	CAFile    = "ca.pem"
 	CAKeyFile = "ca.key"
 )
 
-// NewAuthority writes a new authority to dir. It never replaces one.
+// NewAuthority writes a new certificate authority to dir. It is an error if dir
+// contains one already.
 func NewAuthority(dir string) error {
 	if _, err := os.Stat(filepath.Join(dir, CAKeyFile)); err == nil {
-		return errors.Errorf("%s exists already", filepath.Join(dir, CAKeyFile))
+		return errors.Errorf("authority: %s already exists", filepath.Join(dir, CAKeyFile))
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return errors.Wrap(err, "authority")
 	}
-	t := template("ivyridge authority", authorityLife)
+	t := template("ivyridge authority", authorityValidity)
 	t.IsCA, t.BasicConstraintsValid = true, true
 	t.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
@@ -48,7 +50,8 @@
 	return writePair(filepath.Join(dir, CAFile), filepath.Join(dir, CAKeyFile), der, key)
 }
 
-// Issue writes name.pem and name.key to dir, signed by dir's authority.
+// Issue writes the certificate name.pem and key name.key to dir, signed by the
+// authority in dir.
 func Issue(dir, name string) error {
 	ca, caKey, err := readAuthority(dir)
 	if err != nil {
@@ -58,7 +61,7 @@
 	if err != nil {
 		return errors.Wrap(err, "issue")
 	}
-	t := template(name, instanceLife)
+	t := template(name, instanceValidity)
 	t.KeyUsage = x509.KeyUsageDigitalSignature
 	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	der, err := x509.CreateCertificate(rand.Reader, t, ca, &key.PublicKey, caKey)
@@ -71,7 +74,7 @@
 func template(name string, life time.Duration) *x509.Certificate {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
-		panic(err) // the system's randomness does not fail
+		panic(err) // crypto/rand does not fail
 	}
 	now := time.Now()
 	return &x509.Certificate{
@@ -94,7 +97,7 @@
 	certBlock, _ := pem.Decode(certPEM)
 	keyBlock, _ := pem.Decode(keyPEM)
 	if certBlock == nil || keyBlock == nil {
-		return nil, nil, errors.Errorf("authority: %s holds no PEM key pair", dir)
+		return nil, nil, errors.Errorf("authority: no PEM certificate and key in %s", dir)
 	}
 	cert, err := x509.ParseCertificate(certBlock.Bytes)
 	if err != nil {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -13,7 +13,7 @@
 	"ivyridge/peer"
 )
 
-func keys(t *testing.T, dir, name string) peer.KeyFiles {
+func issueKeys(t *testing.T, dir, name string) peer.KeyFiles {
 	t.Helper()
 	if _, err := os.Stat(filepath.Join(dir, peer.CAKeyFile)); err != nil {
 		if err := peer.NewAuthority(dir); err != nil {
@@ -26,7 +26,7 @@
 	return peer.KeyFiles{Cert: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), CA: filepath.Join(dir, peer.CAFile)}
 }
 
-func load(t *testing.T, f peer.KeyFiles) *peer.Keyring {
+func loadKeys(t *testing.T, f peer.KeyFiles) *peer.Keyring {
 	t.Helper()
 	k, err := peer.LoadKeys(f)
 	if err != nil {
@@ -57,35 +57,34 @@
 	return err
 }
 
-func TestStrangersGetNothing(t *testing.T) {
+func TestRejectsUntrustedClients(t *testing.T) {
 	dir, other := t.TempDir(), t.TempDir()
-	url := serve(t, load(t, keys(t, dir, "one")))
-	if err := get(load(t, keys(t, dir, "two")), url); err != nil {
-		t.Errorf("a peer was refused: %v", err)
+	url := serve(t, loadKeys(t, issueKeys(t, dir, "one")))
+	if err := get(loadKeys(t, issueKeys(t, dir, "two")), url); err != nil {
+		t.Errorf("peer with a certificate of the fleet was rejected: %v", err)
 	}
-	if err := get(load(t, keys(t, other, "two")), url); err == nil {
-		t.Error("a stranger with keys of its own was let in")
+	if err := get(loadKeys(t, issueKeys(t, other, "two")), url); err == nil {
+		t.Error("client with a certificate of another authority was accepted")
 	}
 	if res, err := http.Get(url); err == nil {
 		_ = res.Body.Close()
-		t.Error("a stranger without keys was let in")
+		t.Error("client without a certificate was accepted")
 	}
 	if res, err := http.Get("http" + url[len("https"):]); err == nil {
 		if res.StatusCode == http.StatusOK {
-			t.Error("a stranger was answered without TLS")
+			t.Error("request without TLS was answered")
 		}
 		_ = res.Body.Close()
 	}
 }
 
-// Keys rotate without a restart.
-func TestRotation(t *testing.T) {
+func TestKeyRotation(t *testing.T) {
 	dir := t.TempDir()
-	files := keys(t, dir, "one")
-	url := serve(t, load(t, files))
+	files := issueKeys(t, dir, "one")
+	url := serve(t, loadKeys(t, files))
 	fresh := t.TempDir()
-	next := keys(t, fresh, "two")
-	// The authority's file holds both certificates for a while.
+	next := issueKeys(t, fresh, "two")
+	// During the rotation the authority file contains both certificates.
 	both, err := os.ReadFile(next.CA)
 	if err != nil {
 		t.Fatal(err)
@@ -99,12 +98,12 @@
 		os.WriteFile(next.CA, append(both, old...), 0o644)); err != nil {
 		t.Fatal(err)
 	}
-	client := load(t, next)
+	client := loadKeys(t, next)
 	for try := 0; ; try++ {
 		if err := get(client, url); err == nil {
 			return
 		} else if try > 100 {
-			t.Fatalf("keys of the new authority are not taken up: %v", err)
+			t.Fatalf("keys of the new authority were not loaded: %v", err)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/peer/tls.go
+++ b/peer/tls.go
@@ -1,10 +1,10 @@
-// Package peer connects the instances: mutual TLS, one HTTP/2 connection to
-// each peer, and clients of the twirp services in peerpb.
+// Package peer connects instances with mutual TLS, one HTTP/2 connection to each
+// peer, and clients of the twirp services in peerpb.
 //
-// Every instance holds a certificate signed by the fleet's own authority and
-// accepts only peers that show one. The files are read again when they
-// change, so keys rotate without a restart; during a rotation the authority
-// file may hold two certificates.
+// Every instance has a certificate signed by the fleet's own authority and accepts
+// only peers with such a certificate. The files are read again when they change,
+// so keys can be rotated without a restart; during a rotation the authority file
+// may contain two certificates.
 package peer
 
 import (
@@ -17,39 +17,39 @@
 	"github.com/pkg/errors"
 )
 
-// recheckKeys is how often the key files are looked at.
-const recheckKeys = 2 * time.Second
+// keyCheckInterval is how often the key files are checked for changes.
+const keyCheckInterval = 2 * time.Second
 
-// KeyFiles names an instance's key files, all PEM.
+// KeyFiles names an instance's certificate, key and authority files, all PEM.
 type KeyFiles struct {
 	Cert, Key, CA string
 }
 
-// A Keyring holds the keys in force. It is safe for concurrent use.
+// A Keyring holds the current keys. It is safe for concurrent use.
 type Keyring struct {
 	files   KeyFiles
 	mu      sync.Mutex
 	cert    *tls.Certificate
 	pool    *x509.CertPool
-	stamp   time.Time // newest change of the files in force
+	modTime time.Time // newest modification time of the loaded files
 	checked time.Time
 }
 
-// LoadKeys reads the files.
+// LoadKeys returns a Keyring with the keys in the files.
 func LoadKeys(files KeyFiles) (*Keyring, error) {
 	k := &Keyring{files: files}
-	stamp, err := k.newest()
+	modTime, err := k.newestModTime()
 	if err != nil {
 		return nil, err
 	}
-	if err := k.load(stamp); err != nil {
+	if err := k.load(modTime); err != nil {
 		return nil, err
 	}
 	return k, nil
 }
 
-// newest returns the latest change of the three files.
-func (k *Keyring) newest() (time.Time, error) {
+// newestModTime returns the latest modification time of the three files.
+func (k *Keyring) newestModTime() (time.Time, error) {
 	var last time.Time
 	for _, name := range []string{k.files.Cert, k.files.Key, k.files.CA} {
 		info, err := os.Stat(name)
@@ -63,7 +63,7 @@
 	return last, nil
 }
 
-func (k *Keyring) load(stamp time.Time) error {
+func (k *Keyring) load(modTime time.Time) error {
 	cert, err := tls.LoadX509KeyPair(k.files.Cert, k.files.Key)
 	if err != nil {
 		return errors.Wrap(err, "peer keys")
@@ -74,29 +74,30 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return errors.Errorf("peer keys: %s holds no certificate", k.files.CA)
+		return errors.Errorf("peer keys: no certificate in %s", k.files.CA)
 	}
-	k.cert, k.pool, k.stamp = &cert, pool, stamp
+	k.cert, k.pool, k.modTime = &cert, pool, modTime
 	return nil
 }
 
-// current returns the keys in force, reading the files again if they have
-// changed. Files that are half replaced leave the old keys in force.
+// current returns the current keys, after reading the files again if they have
+// changed. If they cannot be loaded, for example while they are being replaced, the
+// old keys remain.
 func (k *Keyring) current() (*tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if now := time.Now(); now.Sub(k.checked) > recheckKeys {
+	if now := time.Now(); now.Sub(k.checked) > keyCheckInterval {
 		k.checked = now
-		stamp, err := k.newest()
-		if err == nil && stamp.After(k.stamp) {
-			_ = k.load(stamp) // tried again at the next check
+		modTime, err := k.newestModTime()
+		if err == nil && modTime.After(k.modTime) {
+			_ = k.load(modTime) // retried at the next check
 		}
 	}
 	return k.cert, k.pool
 }
 
-// Server returns the configuration of the peer listener. The peers' keys
-// are checked against the authority in force at each handshake.
+// Server returns the TLS configuration of the peer listener. Each handshake verifies
+// the peer's certificate against the current authority.
 func (k *Keyring) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -114,13 +115,13 @@
 	}
 }
 
-// Client returns the configuration for calling peers. They are known by the
-// fleet's authority, not by their addresses, which change all the time.
+// Client returns the TLS configuration for calling peers. It verifies the peer's
+// certificate against the authority but not its host name, since addresses change.
 func (k *Keyring) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{"h2"},
-		// The chain is verified below, against the fleet's authority.
+		// VerifyConnection checks the chain against the fleet's authority.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(cs tls.ConnectionState) error {
 			_, pool := k.current()
