--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -331,7 +331,6 @@
 	body        []byte
 }
 
-// Start implements Sink.
 func (k *recorder) Start(status int, h http.Header) {
 	k.status, k.contentType = status, h.Get("Content-Type")
 	k.sink.Start(status, h)
--- a/node/commands.go
+++ b/node/commands.go
@@ -47,7 +47,6 @@
 // cannot succeed.
 type InvalidCommand struct{ Why string }
 
-// Error implements error.
 func (e *InvalidCommand) Error() string { return e.Why }
 
 func (n *Node) tryCommand(ctx context.Context, c command.Command) (old command.Command, err error) {
--- a/node/node.go
+++ b/node/node.go
@@ -167,7 +167,6 @@
 	return peer.Services{Home: homeService{n}, Owner: ownerService{n}, Member: memberService{n}}.Handler()
 }
 
-// Name returns the name of the instance.
 func (n *Node) Name() string { return n.opt.Name }
 
 // Ledger returns the counts of request outcomes.
--- a/node/status.go
+++ b/node/status.go
@@ -164,5 +164,4 @@
 	}
 }
 
-// DataCentre returns the data centre of the instance.
 func (n *Node) DataCentre() string { return n.opt.DataCentre }
