--- a/api/api.go
+++ b/api/api.go
@@ -1,10 +1,11 @@
-// Package api serves callers: the OpenAI HTTP interface for models, and a
-// plain path for services.
+// Package api implements the HTTP interface for clients: OpenAI-compatible
+// endpoints for models, and a path prefix that proxies to services.
 //
-// A caller shows a bearer token that names its team; the class comes from
-// the team's binding, from the pool, or from a header where the binding
-// allows it. Every answer that is not a plain success has the OpenAI error
-// shape and carries its verdict and reason, in the body and in headers.
+// A client authenticates with a bearer token, which identifies its team. The
+// request class is the one in the class header, which the team must be allowed
+// to use; without that header, the pool's class; otherwise the team's default.
+// Error responses use the OpenAI error format and carry the verdict and the
+// reason in the body and in headers.
 package api
 
 import (
@@ -31,7 +32,7 @@
 	"ivyridge/verdict"
 )
 
-// Headers of requests and answers.
+// Request and response headers.
 const (
 	ClassHeader      = "X-Ivyridge-Class"
 	RepeatableHeader = "X-Ivyridge-Repeatable"
@@ -39,18 +40,18 @@
 	VerdictHeader    = "X-Ivyridge-Verdict"
 	ReasonHeader     = "X-Ivyridge-Reason"
 	InstanceHeader   = "X-Ivyridge-Instance"
-	// noRetryHeader stops OpenAI client libraries from repeating a request
-	// that may have run.
-	noRetryHeader = "X-Should-Retry"
+	// shouldRetryHeader stops OpenAI client libraries from retrying a request
+	// that may already have run.
+	shouldRetryHeader = "X-Should-Retry"
 )
 
 const (
-	maxKey       = 256
-	bytesAToken  = 4
-	prefixLength = 1024 // bytes of the first message that name a prefix
+	maxKeyBytes    = 256
+	bytesPerToken  = 4
+	maxPrefixBytes = 1024 // bytes of the prompt that identify a prefix
 )
 
-// A Node is what the api needs of the instance.
+// A Node provides the instance's identity, clock, declarations and ledger.
 type Node interface {
 	Name() string
 	DataCentre() string
@@ -62,24 +63,24 @@
 
 var _ Node = (*node.Node)(nil)
 
-// Options bound what callers may do.
+// Options are the limits on requests.
 type Options struct {
-	MaxBody int64
-	MaxTime time.Duration
-	Open    int // requests at once
+	MaxBody int64         // bytes
+	MaxTime time.Duration // per request
+	Open    int           // concurrent requests
 }
 
-// An API serves callers. It is safe for concurrent use.
+// An API serves client requests. It is safe for concurrent use.
 type API struct {
-	node  Node
-	disp  *dispatch.Dispatcher
-	opt   Options
-	open  chan struct{}
-	stop  chan struct{} // closed when new requests are refused
-	count Counters
+	node       Node
+	dispatcher *dispatch.Dispatcher
+	opt        Options
+	slots      chan struct{} // semaphore of Options.Open slots
+	stop       chan struct{} // closed by Stop
+	counters   Counters
 }
 
-// Counters are published for operators.
+// Counters are the request metrics.
 type Counters struct {
 	Requests, Served, Late *expvar.Int
 	Refused, Failed        *expvar.Map // by reason
@@ -87,7 +88,7 @@
 	Open                   *expvar.Int
 }
 
-// NewCounters returns Counters that are also in m, if it is not nil.
+// NewCounters returns zeroed Counters and registers them in m unless m is nil.
 func NewCounters(m *expvar.Map) Counters {
 	c := Counters{
 		Requests: new(expvar.Int), Served: new(expvar.Int), Late: new(expvar.Int),
@@ -107,43 +108,45 @@
 	return c
 }
 
-// New returns an API of an instance.
+// New returns an API that serves on behalf of n and dispatches through d.
 func New(n Node, d *dispatch.Dispatcher, opt Options, c Counters) *API {
-	return &API{node: n, disp: d, opt: opt, open: make(chan struct{}, opt.Open), stop: make(chan struct{}), count: c}
+	return &API{node: n, dispatcher: d, opt: opt, slots: make(chan struct{}, opt.Open), stop: make(chan struct{}), counters: c}
 }
 
-// Handler returns the handler of the callers' listener.
+// Handler returns the HTTP handler for the client listener.
 func (a *API) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Post("/v1/chat/completions", a.model)
-	r.Post("/v1/completions", a.model)
-	r.Get("/v1/models", a.models)
-	r.HandleFunc("/services/{name}/*", a.service)
+	r.Post("/v1/chat/completions", a.handleModel)
+	r.Post("/v1/completions", a.handleModel)
+	r.Get("/v1/models", a.handleModels)
+	r.HandleFunc("/services/{name}/*", a.handleService)
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
-	r.Get("/readyz", a.ready)
-	r.NotFound(func(w http.ResponseWriter, q *http.Request) {
-		a.refuse(w, verdict.Refuse(verdict.BadRequest, "no such path: %s", q.URL.Path))
+	r.Get("/readyz", a.handleReady)
+	r.NotFound(func(w http.ResponseWriter, r *http.Request) {
+		a.refuse(w, verdict.Refuse(verdict.BadRequest, "no such path: %s", r.URL.Path))
 	})
 	return r
 }
 
-// Stop refuses new requests from now on; those in progress go on.
+// Stop makes the API refuse new requests; requests in progress continue. It
+// must be called at most once.
 func (a *API) Stop() { close(a.stop) }
 
-// Wait waits until no request is in progress, or ctx is done. A request with
-// a key goes on when its caller has hung up, so its connection does not tell.
+// Wait blocks until no request is in progress or ctx is done. Closing the
+// listener's connections is not enough: a request with an idempotency key
+// continues after its client disconnects.
 func (a *API) Wait(ctx context.Context) error {
-	for range cap(a.open) { // whoever holds all places is alone
+	for range cap(a.slots) { // holding every slot means that no request is in progress
 		select {
-		case a.open <- struct{}{}:
+		case a.slots <- struct{}{}:
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "requests in progress")
+			return errors.Wrap(ctx.Err(), "waiting for requests in progress")
 		}
 	}
 	return nil
 }
 
-func (a *API) ready(w http.ResponseWriter, _ *http.Request) {
+func (a *API) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if ok, why := a.node.Ready(); !ok {
 		http.Error(w, why, http.StatusServiceUnavailable)
 		return
@@ -151,8 +154,8 @@
 	fmt.Fprintln(w, "ready")
 }
 
-// modelBody is the part of a model request that is read.
-type modelBody struct {
+// modelRequest holds the fields of a model request that the router reads.
+type modelRequest struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
 	MaxTokens           int             `json:"max_tokens"`
@@ -164,29 +167,30 @@
 	} `json:"messages"`
 }
 
-// start returns the bytes by which prefixes of the request are told apart.
-func (b *modelBody) start() []byte {
+// promptPrefix returns the leading bytes of the prompt or first message, which
+// identify the prefix for cache affinity.
+func (b *modelRequest) promptPrefix() []byte {
 	first := b.Prompt
 	if len(b.Messages) > 0 {
 		first = b.Messages[0].Content
 	}
-	return first[:min(len(first), prefixLength)]
+	return first[:min(len(first), maxPrefixBytes)]
 }
 
-func (a *API) model(w http.ResponseWriter, q *http.Request) {
+func (a *API) handleModel(w http.ResponseWriter, r *http.Request) {
 	arrived := a.node.Now()
-	set, id, body, err := a.receive(w, q)
+	set, id, body, err := a.readRequest(w, r)
 	if err != nil {
 		a.refuse(w, err)
 		return
 	}
-	var m modelBody
+	var m modelRequest
 	if e := json.Unmarshal(body, &m); e != nil {
-		a.refuse(w, verdict.Refuse(verdict.BadRequest, "the body is not a JSON request: %v", e))
+		a.refuse(w, verdict.Refuse(verdict.BadRequest, "invalid JSON in request body: %v", e))
 		return
 	}
 	if m.Priority != nil {
-		a.refuse(w, verdict.Refuse(verdict.BadRequest, "the priority comes from the request's class and cannot be set"))
+		a.refuse(w, verdict.Refuse(verdict.BadRequest, "priority is derived from the request class and cannot be set"))
 		return
 	}
 	pool := set.Pool(m.Model)
@@ -194,23 +198,23 @@
 		a.refuse(w, verdict.Refuse(verdict.UnknownModel, "the model %q does not exist", m.Model))
 		return
 	}
-	req, err := a.request(q, set, id, pool)
+	req, err := a.newRequest(r, set, id, pool)
 	if err != nil {
 		a.refuse(w, err)
 		return
 	}
 	req.Arrived = arrived
-	req.Path = q.URL.RequestURI()
+	req.Path = r.URL.RequestURI()
 	req.Body = withPriority(body, req.Class.Tier)
 	req.Stream = m.Stream
 	req.MaxTokens = max(m.MaxTokens, m.MaxCompletionTokens)
-	req.Prompt = len(body) / bytesAToken
-	req.Prefix = prefixOf(id.Team.Name, m.Model, m.start())
-	a.run(w, q, req)
+	req.Prompt = len(body) / bytesPerToken
+	req.Prefix = prefixHash(id.Team.Name, m.Model, m.promptPrefix())
+	a.run(w, r, req)
 }
 
-// withPriority adds the tier as the engine's priority, lower first, to a body
-// that is a JSON object with at least one field.
+// withPriority inserts the tier as the engine's priority (lower runs first)
+// into body, which must be a JSON object with at least one field.
 func withPriority(body []byte, tier int) []byte {
 	i := bytes.IndexByte(body, '{')
 	out := make([]byte, 0, len(body)+16)
@@ -221,9 +225,10 @@
 	return append(out, body[i+1:]...)
 }
 
-// prefixOf names a prompt's start within a team, so that no team's cache
-// serves, or tells of, another's.
-func prefixOf(team, model string, start []byte) uint64 {
+// prefixHash hashes the start of a prompt together with the team and the model,
+// so that prefix-cache affinity never links requests of different teams. It
+// returns zero if start is empty.
+func prefixHash(team, model string, start []byte) uint64 {
 	if len(start) == 0 {
 		return 0
 	}
@@ -233,71 +238,72 @@
 	return d.Sum64()
 }
 
-func (a *API) service(w http.ResponseWriter, q *http.Request) {
+func (a *API) handleService(w http.ResponseWriter, r *http.Request) {
 	arrived := a.node.Now()
-	set, id, body, err := a.receive(w, q)
+	set, id, body, err := a.readRequest(w, r)
 	if err != nil {
 		a.refuse(w, err)
 		return
 	}
-	pool := set.Pool(chi.URLParam(q, "name"))
+	pool := set.Pool(chi.URLParam(r, "name"))
 	if pool == nil || pool.Kind != decl.Service {
-		a.refuse(w, verdict.Refuse(verdict.UnknownModel, "the service %q does not exist", chi.URLParam(q, "name")))
+		a.refuse(w, verdict.Refuse(verdict.UnknownModel, "the service %q does not exist", chi.URLParam(r, "name")))
 		return
 	}
-	req, err := a.request(q, set, id, pool)
+	req, err := a.newRequest(r, set, id, pool)
 	if err != nil {
 		a.refuse(w, err)
 		return
 	}
 	req.Arrived = arrived
-	req.Path = strings.TrimPrefix(q.URL.RequestURI(), "/services/"+pool.Name)
+	req.Path = strings.TrimPrefix(r.URL.RequestURI(), "/services/"+pool.Name)
 	req.Body = body
-	a.run(w, q, req)
+	a.run(w, r, req)
 }
 
-// receive takes in a request: who sends it, and its body.
-func (a *API) receive(w http.ResponseWriter, q *http.Request) (*decl.Set, decl.Identity, []byte, error) {
-	set, id, err := a.admitCaller(q)
+// readRequest authenticates the client and reads the request body.
+func (a *API) readRequest(w http.ResponseWriter, r *http.Request) (*decl.Set, decl.Identity, []byte, error) {
+	set, id, err := a.authenticate(r)
 	if err != nil {
 		return nil, id, nil, err
 	}
-	body, err := a.readBody(w, q)
+	body, err := a.readBody(w, r)
 	return set, id, body, err
 }
 
-// admitCaller authenticates the caller against what is in force.
-func (a *API) admitCaller(q *http.Request) (*decl.Set, decl.Identity, error) {
-	a.count.Requests.Add(1)
+// authenticate identifies the client by its token and returns the declarations
+// that apply to the request.
+func (a *API) authenticate(r *http.Request) (*decl.Set, decl.Identity, error) {
+	a.counters.Requests.Add(1)
 	set, ok := a.node.Declarations()
 	if !ok {
 		return nil, decl.Identity{}, verdict.Refuse(verdict.NoConfiguration, "no configuration is in force yet").After(time.Second)
 	}
-	token, ok := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
+	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		return nil, decl.Identity{}, verdict.Refuse(verdict.Unauthenticated, "a bearer token is needed")
+		return nil, decl.Identity{}, verdict.Refuse(verdict.Unauthenticated, "missing bearer token")
 	}
 	id, ok := set.Authenticate(token)
 	if !ok {
-		return nil, decl.Identity{}, verdict.Refuse(verdict.Unauthenticated, "the bearer token is not known")
+		return nil, decl.Identity{}, verdict.Refuse(verdict.Unauthenticated, "unknown bearer token")
 	}
 	return set, id, nil
 }
 
-func (a *API) readBody(w http.ResponseWriter, q *http.Request) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, a.opt.MaxBody))
+func (a *API) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, a.opt.MaxBody))
 	if errors.As(err, new(*http.MaxBytesError)) {
-		return nil, verdict.Refuse(verdict.TooLarge, "the body is larger than %d bytes", a.opt.MaxBody)
+		return nil, verdict.Refuse(verdict.TooLarge, "request body exceeds %d bytes", a.opt.MaxBody)
 	}
 	if err != nil {
-		return nil, verdict.Refuse(verdict.BadRequest, "the body could not be read: %v", err)
+		return nil, verdict.Refuse(verdict.BadRequest, "reading request body: %v", err)
 	}
 	return body, nil
 }
 
-// request fills in what the caller's binding and headers say.
-func (a *API) request(q *http.Request, set *decl.Set, id decl.Identity, pool *decl.Pool) (*dispatch.Request, error) {
-	name := q.Header.Get(ClassHeader)
+// newRequest builds the dispatch request from the client's identity and headers.
+func (a *API) newRequest(r *http.Request, set *decl.Set, id decl.Identity, pool *decl.Pool) (*dispatch.Request, error) {
+	name := r.Header.Get(ClassHeader)
 	switch {
 	case name == "" && pool.Class != "":
 		name = pool.Class
@@ -311,31 +317,31 @@
 		return nil, verdict.Refuse(verdict.UnknownClass, "class %q is not declared", name)
 	}
 	req := &dispatch.Request{
-		ID:         q.Header.Get(dispatch.RequestIDHeader),
+		ID:         r.Header.Get(dispatch.RequestIDHeader),
 		Pool:       pool,
 		Class:      class,
 		Team:       id.Team.Name,
-		Method:     q.Method,
-		Header:     q.Header,
-		Repeatable: class.Repeatable && q.Header.Get(RepeatableHeader) != "false",
+		Method:     r.Method,
+		Header:     r.Header,
+		Repeatable: class.Repeatable && r.Header.Get(RepeatableHeader) != "false",
 	}
 	if req.ID == "" {
 		req.ID = newID(a.node.Name())
 	}
-	key := q.Header.Get(KeyHeader)
-	if len(key) > maxKey {
-		return nil, verdict.Refuse(verdict.BadRequest, "the %s is longer than %d bytes", KeyHeader, maxKey)
+	key := r.Header.Get(KeyHeader)
+	if len(key) > maxKeyBytes {
+		return nil, verdict.Refuse(verdict.BadRequest, "header %s exceeds %d bytes", KeyHeader, maxKeyBytes)
 	}
 	if key != "" {
-		k := keyOf(id.Team.Name, q.URL.Path, key)
+		k := hashKey(id.Team.Name, r.URL.Path, key)
 		req.Key = &k
 	}
 	return req, nil
 }
 
-// keyOf hashes a caller's key within its team, so that no team meets
-// another's.
-func keyOf(team, path, key string) owner.Key {
+// hashKey hashes an idempotency key together with the team and the path, so
+// that equal keys of different teams do not collide.
+func hashKey(team, path, key string) owner.Key {
 	var k owner.Key
 	text := team + "\x00" + path + "\x00" + key
 	for i, salt := range []string{"a", "b"} {
@@ -347,76 +353,76 @@
 	return k
 }
 
-// run takes a request to its end and accounts for it.
-func (a *API) run(w http.ResponseWriter, q *http.Request, req *dispatch.Request) {
+// run dispatches a request, writes its response and records the result.
+func (a *API) run(w http.ResponseWriter, r *http.Request, req *dispatch.Request) {
 	select {
 	case <-a.stop:
-		a.refuse(w, verdict.Refuse(verdict.Leaving, "instance %s is leaving", a.node.Name()).After(time.Second))
+		a.refuse(w, verdict.Refuse(verdict.Leaving, "instance %s is shutting down", a.node.Name()).After(time.Second))
 		return
 	default:
 	}
 	select {
-	case a.open <- struct{}{}:
-		defer func() { <-a.open }()
+	case a.slots <- struct{}{}:
+		defer func() { <-a.slots }()
 	default:
-		a.refuse(w, verdict.Refuse(verdict.Overloaded, "instance %s holds %d requests", a.node.Name(), a.opt.Open).After(time.Second))
+		a.refuse(w, verdict.Refuse(verdict.Overloaded, "instance %s reached its limit of %d concurrent requests", a.node.Name(), a.opt.Open).After(time.Second))
 		return
 	}
-	a.count.Open.Add(1)
-	defer a.count.Open.Add(-1)
-	ctx, cancel := context.WithTimeout(q.Context(), a.opt.MaxTime)
+	a.counters.Open.Add(1)
+	defer a.counters.Open.Add(-1)
+	ctx, cancel := context.WithTimeout(r.Context(), a.opt.MaxTime)
 	defer cancel()
 	s := &sink{w: w, flush: http.NewResponseController(w), instance: a.node.Name(), id: req.ID}
-	res := a.disp.Do(ctx, req, s)
-	a.account(req, &res)
+	res := a.dispatcher.Do(ctx, req, s)
+	a.record(req, &res)
 	switch {
 	case res.Err == nil:
 	case !res.Started:
-		a.answerError(w, res.Err)
+		a.writeError(w, res.Err)
 	default:
 		s.abort(res.Err)
 	}
 }
 
-// account counts a request under what became of it.
-func (a *API) account(req *dispatch.Request, res *dispatch.Result) {
+// record adds the outcome of a request to the counters and the ledger.
+func (a *API) record(req *dispatch.Request, res *dispatch.Result) {
 	row := ledger.Row{Class: req.Class.Name, Team: req.Team, Endpoint: res.Endpoint, DataCentre: a.node.DataCentre()}
-	a.count.Tokens.Add(int64(res.Tokens))
+	a.counters.Tokens.Add(int64(res.Tokens))
 	if res.Joined {
-		a.count.Joined.Add(1)
+		a.counters.Joined.Add(1)
 	}
 	switch {
 	case res.Err == nil && res.Late:
 		row.Outcome = ledger.Late
-		a.count.Late.Add(1)
+		a.counters.Late.Add(1)
 	case res.Err == nil:
 		row.Outcome = ledger.Served
-		a.count.Served.Add(1)
+		a.counters.Served.Add(1)
 	case res.Err.Verdict == verdict.NotRun:
 		row.Outcome, row.Reason = ledger.Refused, string(res.Err.Reason)
-		a.count.Refused.Add(row.Reason, 1)
+		a.counters.Refused.Add(row.Reason, 1)
 	default:
 		row.Outcome, row.Reason = ledger.Failed, string(res.Err.Reason)
-		a.count.Failed.Add(row.Reason, 1)
+		a.counters.Failed.Add(row.Reason, 1)
 	}
 	a.node.Ledger().Add(a.node.Now(), row)
 }
 
-// refuse answers a request that never got as far as a dispatcher.
+// refuse responds to a request that is rejected before it is dispatched.
 func (a *API) refuse(w http.ResponseWriter, err error) {
 	e := verdict.Of(err)
-	a.count.Refused.Add(string(e.Reason), 1)
-	a.answerError(w, e)
+	a.counters.Refused.Add(string(e.Reason), 1)
+	a.writeError(w, e)
 }
 
-func (a *API) answerError(w http.ResponseWriter, e *verdict.Error) {
+func (a *API) writeError(w http.ResponseWriter, e *verdict.Error) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(VerdictHeader, e.Verdict.String())
 	h.Set(ReasonHeader, string(e.Reason))
 	h.Set(InstanceHeader, a.node.Name())
 	if e.Verdict != verdict.NotRun {
-		h.Set(noRetryHeader, "false")
+		h.Set(shouldRetryHeader, "false")
 	}
 	if e.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(int((e.RetryAfter+time.Second-1)/time.Second)))
@@ -425,12 +431,13 @@
 	_, _ = w.Write(errorBody(e))
 }
 
-// An ErrorBody is the body of an answer that is not a success.
+// An ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// An ErrorDetail has the OpenAI shape, with the verdict added.
+// An ErrorDetail is an OpenAI error object extended with the verdict and the
+// delay in seconds after which to retry.
 type ErrorDetail struct {
 	Message    string  `json:"message"`
 	Type       string  `json:"type"`
@@ -454,7 +461,7 @@
 	return data
 }
 
-// errorType maps a status to the type names that OpenAI clients know.
+// errorType maps an HTTP status to an OpenAI error type.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
@@ -469,7 +476,7 @@
 	return "server_error"
 }
 
-// A modelList is the answer of GET /v1/models.
+// A modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -482,8 +489,8 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-func (a *API) models(w http.ResponseWriter, q *http.Request) {
-	set, _, err := a.admitCaller(q)
+func (a *API) handleModels(w http.ResponseWriter, r *http.Request) {
+	set, _, err := a.authenticate(r)
 	if err != nil {
 		a.refuse(w, err)
 		return
--- a/api/bench_test.go
+++ b/api/bench_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// quantiles reports the 50th and 99th percentile of durations.
-func quantiles(b *testing.B, name string, ds []time.Duration) (p50, p99 time.Duration) {
+// reportQuantiles reports the 50th and 99th percentiles of ds as metrics.
+func reportQuantiles(b *testing.B, name string, ds []time.Duration) (p50, p99 time.Duration) {
 	sort.Slice(ds, func(i, j int) bool { return ds[i] < ds[j] })
 	p50, p99 = ds[len(ds)/2], ds[len(ds)*99/100]
 	b.ReportMetric(float64(p50.Microseconds()), name+"-p50-µs")
@@ -20,8 +20,9 @@
 	return p50, p99
 }
 
-// serveAt takes the place of the stand-in engine with a bare handler.
-func (s *stack) serveAt(b *testing.B, h http.HandlerFunc) string {
+// replaceEngine replaces the fake engine by h, to measure without engine latency,
+// and returns its address.
+func (s *testStack) replaceEngine(b *testing.B, h http.HandlerFunc) string {
 	s.world.Endpoint("e1").Crash()
 	addr := ""
 	for _, e := range s.world.Config.Endpoints {
@@ -39,7 +40,7 @@
 	return addr
 }
 
-func do(b *testing.B, url, body string) int64 {
+func mustPost(b *testing.B, url, body string) int64 {
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		b.Fatal(err)
@@ -59,11 +60,12 @@
 
 const chatBody = `{"model": "screening", "messages": [{"role": "user", "content": "x"}], "stream": %v}`
 
-// BenchmarkRequest sends each request straight to an endpoint and through an
-// instance, in turn, and reports what the instance adds.
+// BenchmarkRequest measures the latency that an instance adds to a request,
+// by sending each request once directly to an endpoint and once through the
+// instance.
 func BenchmarkRequest(b *testing.B) {
-	s := start(b)
-	addr := s.serveAt(b, func(w http.ResponseWriter, r *http.Request) {
+	s := startStack(b)
+	addr := s.replaceEngine(b, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if r.URL.Path == "/load" {
 			fmt.Fprint(w, `{"running":0}`)
@@ -75,24 +77,24 @@
 	var direct, through []time.Duration
 	for range b.N {
 		began := time.Now()
-		do(b, "http://"+addr+"/v1/chat/completions", body)
+		mustPost(b, "http://"+addr+"/v1/chat/completions", body)
 		between := time.Now()
-		do(b, "http://"+s.addr+"/v1/chat/completions", body)
+		mustPost(b, "http://"+s.addr+"/v1/chat/completions", body)
 		direct, through = append(direct, between.Sub(began)), append(through, time.Since(between))
 	}
-	d50, d99 := quantiles(b, "direct", direct)
-	t50, t99 := quantiles(b, "through", through)
+	d50, d99 := reportQuantiles(b, "direct", direct)
+	t50, t99 := reportQuantiles(b, "through", through)
 	b.ReportMetric(float64((t50 - d50).Microseconds()), "added-p50-µs")
 	b.ReportMetric(float64((t99 - d99).Microseconds()), "added-p99-µs")
 }
 
-// BenchmarkStream passes a stream of events through an instance as fast as it
-// goes.
+// BenchmarkStream measures the throughput of server-sent events through an
+// instance.
 func BenchmarkStream(b *testing.B) {
 	const events = 20_000
-	s := start(b)
+	s := startStack(b)
 	event := []byte(`data: {"id":"x","object":"chat.completion.chunk","choices":[{"index":0,"delta":{"content":" word"}}]}` + "\n\n")
-	s.serveAt(b, func(w http.ResponseWriter, r *http.Request) {
+	s.replaceEngine(b, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/load" {
 			fmt.Fprint(w, `{"running":0}`)
 			return
@@ -110,7 +112,7 @@
 	body := fmt.Sprintf(chatBody, true)
 	b.ResetTimer()
 	for range b.N {
-		do(b, "http://"+s.addr+"/v1/chat/completions", body)
+		mustPost(b, "http://"+s.addr+"/v1/chat/completions", body)
 	}
 	b.ReportMetric(float64(b.N)*events/b.Elapsed().Seconds(), "events/s")
 }
--- a/api/sink.go
+++ b/api/sink.go
@@ -1,6 +1,6 @@
 package api
 
-// This file passes answers on to callers.
+// This file writes dispatched responses to clients.
 
 import (
 	"fmt"
@@ -15,10 +15,11 @@
 	"ivyridge/verdict"
 )
 
-// writeWithin bounds how long a slow caller may hold up one write.
-const writeWithin = 10 * time.Second
+// writeTimeout is the deadline of one write, so that a slow client cannot
+// block it indefinitely.
+const writeTimeout = 10 * time.Second
 
-// A sink writes an answer to one caller.
+// A sink writes the response to one client.
 type sink struct {
 	w        http.ResponseWriter
 	flush    *http.ResponseController
@@ -31,10 +32,10 @@
 var _ dispatch.Sink = (*sink)(nil)
 
 // Start implements dispatch.Sink.
-func (s *sink) Start(status int, from http.Header) {
+func (s *sink) Start(status int, header http.Header) {
 	h := s.w.Header()
 	for _, name := range []string{"Content-Type", "Content-Language", "Cache-Control"} {
-		if v := from.Get(name); v != "" {
+		if v := header.Get(name); v != "" {
 			h.Set(name, v)
 		}
 	}
@@ -48,9 +49,9 @@
 // Write implements dispatch.Sink.
 func (s *sink) Write(p []byte) error {
 	if s.broken {
-		return errCallerGone
+		return errClientDisconnected
 	}
-	_ = s.flush.SetWriteDeadline(time.Now().Add(writeWithin))
+	_ = s.flush.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := s.w.Write(p); err != nil {
 		s.broken = true
 		return errors.Wrap(err, "write")
@@ -61,11 +62,11 @@
 	return nil
 }
 
-var errCallerGone = errors.New("the caller has gone")
+var errClientDisconnected = errors.New("client disconnected")
 
-// abort ends an answer that could not be completed, so that the caller
-// cannot take it for a whole one: a stream gets an error event and no
-// [DONE], and the connection is cut.
+// abort terminates a response that failed after its header was sent. A stream
+// gets an error event and no [DONE], and the connection is closed, so that the
+// client cannot mistake the partial response for a complete one.
 func (s *sink) abort(e *verdict.Error) {
 	if s.stream && !s.broken {
 		_, _ = fmt.Fprintf(s.w, "data: %s\n\n", errorBody(e))
@@ -74,7 +75,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// newID returns a request id that is unique across the fleet.
+// newID returns a random request ID prefixed with the instance name.
 func newID(instance string) string {
 	return fmt.Sprintf("%s-%016x%08x", instance, rand.Uint64(), rand.Uint32())
 }
