--- a/fake/config.go
+++ b/fake/config.go
@@ -1,7 +1,6 @@
 package fake
 
-// This file reads the file that describes a set of stand-ins, and starts
-// them.
+// This file loads the configuration of a set of fakes and starts them.
 
 import (
 	"net"
@@ -18,7 +17,7 @@
 	"ivyridge/yamlfile"
 )
 
-// A Config describes a set of stand-ins.
+// A Config describes a set of fakes.
 type Config struct {
 	Pos       yamlfile.Pos
 	Control   string           `yaml:"control"`
@@ -29,7 +28,9 @@
 	dir string
 }
 
-// A PlatformConfig describes the platform.
+// A PlatformConfig describes the fake platform. ListLag is the delay after
+// which a change of the member list is published; Declarations is a file name
+// relative to that of the Config.
 type PlatformConfig struct {
 	Pos          yamlfile.Pos
 	Listen       string        `yaml:"listen"`
@@ -37,7 +38,7 @@
 	Declarations string        `yaml:"declarations"`
 }
 
-// An InstanceConfig is a router instance that the platform lists.
+// An InstanceConfig is a router instance in the platform's member list.
 type InstanceConfig struct {
 	Pos        yamlfile.Pos
 	Name       string `yaml:"name"`
@@ -46,7 +47,9 @@
 	DataCentre string `yaml:"data_centre"`
 }
 
-// An EndpointConfig is a stand-in endpoint.
+// An EndpointConfig describes a fake endpoint. Lag delays the load reports of
+// a model engine; Work is the processing time of a service's request, and
+// Workers its concurrency.
 type EndpointConfig struct {
 	Pos        yamlfile.Pos
 	Name       string        `yaml:"name"`
@@ -60,7 +63,8 @@
 	Workers    int           `yaml:"workers"`
 }
 
-// LoadConfig reads a file; the paths in it are relative to it.
+// LoadConfig reads and validates a configuration file. Paths in it are
+// relative to the file's directory.
 func LoadConfig(file string) (*Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -82,7 +86,7 @@
 	return c, errs.Err()
 }
 
-// An Endpoint is a stand-in of either kind.
+// An Endpoint is a fake model engine or service.
 type Endpoint interface {
 	Serve(l net.Listener)
 	Crash()
@@ -95,7 +99,7 @@
 	_ Endpoint = (*Service)(nil)
 )
 
-// A World is a set of running stand-ins.
+// A World is a set of running fakes.
 type World struct {
 	Config   *Config
 	Books    *Books
@@ -105,7 +109,8 @@
 	endpoints map[string]Endpoint
 }
 
-// Start starts all stand-ins of c but the control address.
+// Start starts all fakes of c. It does not listen on the control address; see
+// Control. The fakes of an unsuccessful Start keep running.
 func Start(c *Config) (*World, error) {
 	w := &World{Config: c, Books: NewBooks(), Platform: NewPlatform(c.Platform.ListLag), endpoints: make(map[string]Endpoint)}
 	for i := range c.Endpoints {
@@ -118,7 +123,7 @@
 		return nil, errors.Wrap(err, "declarations")
 	}
 	w.Platform.Publish(string(data))
-	w.Platform.ChangeList(func(l *member.List) { *l = c.list() })
+	w.Platform.ChangeList(func(l *member.List) { *l = c.memberList() })
 	lis, err := net.Listen("tcp", c.Platform.Listen)
 	if err != nil {
 		return nil, errors.Wrap(err, "platform")
@@ -127,22 +132,23 @@
 	return w, nil
 }
 
-func (c *Config) list() member.List {
+func (c *Config) memberList() member.List {
 	var l member.List
 	for _, i := range c.Instances {
 		l.Instances = append(l.Instances, member.Instance{Name: i.Name, Addr: i.Peers, Operators: i.Operators, DataCentre: i.DataCentre, State: member.Live})
 	}
 	for _, e := range c.Endpoints {
-		l.Endpoints = append(l.Endpoints, e.listed())
+		l.Endpoints = append(l.Endpoints, e.memberEndpoint())
 	}
 	return l
 }
 
-func (e *EndpointConfig) listed() member.Endpoint {
+func (e *EndpointConfig) memberEndpoint() member.Endpoint {
 	return member.Endpoint{Name: e.Name, Addr: e.Listen, DataCentre: e.DataCentre, Region: e.Region, Pool: e.Pool, State: member.Live}
 }
 
-// StartEndpoint starts the endpoint called name, anew if it has crashed.
+// StartEndpoint starts the named endpoint, or restarts it after a crash. It
+// returns an error if the name is not configured or its address is in use.
 func (w *World) StartEndpoint(name string) error {
 	for i := range w.Config.Endpoints {
 		e := &w.Config.Endpoints[i]
@@ -153,27 +159,27 @@
 		if err != nil {
 			return errors.Wrap(err, name)
 		}
-		var x Endpoint = NewEngine(name, engine.Default(), w.Books, e.Lag)
+		var endpoint Endpoint = NewEngine(name, engine.Default(), w.Books, e.Lag)
 		if e.Kind == decl.Service {
-			x = NewService(name, e.Work, e.Workers, w.Books)
+			endpoint = NewService(name, e.Work, e.Workers, w.Books)
 		}
 		w.mu.Lock()
-		w.endpoints[name] = x
+		w.endpoints[name] = endpoint
 		w.mu.Unlock()
-		go x.Serve(l)
+		go endpoint.Serve(l)
 		return nil
 	}
-	return errors.Errorf("no endpoint is called %q", name)
+	return errors.Errorf("unknown endpoint %q", name)
 }
 
-// Endpoint returns the endpoint called name, or nil.
+// Endpoint returns the named endpoint, or nil if it was never started.
 func (w *World) Endpoint(name string) Endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.endpoints[name]
 }
 
-// Close ends all stand-ins.
+// Close stops all fakes and closes their connections.
 func (w *World) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/fake/control.go
+++ b/fake/control.go
@@ -1,6 +1,7 @@
 package fake
 
-// This file serves the control address: faults, and the books.
+// This file implements the HTTP control interface: fault injection, changes of
+// the member list, and the record of runs.
 
 import (
 	"encoding/json"
@@ -15,50 +16,50 @@
 	"ivyridge/publish"
 )
 
-// Control returns the handler of the control address.
+// Control returns the HTTP handler of the control interface.
 func (w *World) Control() http.Handler {
 	r := chi.NewRouter()
-	r.Get("/books", w.books)
-	r.Post("/endpoints/{name}/fault", w.setFault)
-	r.Post("/endpoints/{name}/crash", w.endpoint(func(e Endpoint, _ string) error { e.Crash(); return nil }))
-	r.Post("/endpoints/{name}/restart", w.endpoint(func(_ Endpoint, name string) error { return w.StartEndpoint(name) }))
-	r.Post("/endpoints/{name}/leave", w.endpoint(func(e Endpoint, name string) error {
+	r.Get("/books", w.getBooks)
+	r.Post("/endpoints/{name}/fault", w.postFault)
+	r.Post("/endpoints/{name}/crash", w.endpointHandler(func(e Endpoint, _ string) error { e.Crash(); return nil }))
+	r.Post("/endpoints/{name}/restart", w.endpointHandler(func(_ Endpoint, name string) error { return w.StartEndpoint(name) }))
+	r.Post("/endpoints/{name}/leave", w.endpointHandler(func(e Endpoint, name string) error {
 		e.Leave()
-		w.listEndpoint(name, member.Leaving)
+		w.setEndpointState(name, member.Leaving)
 		return nil
 	}))
-	r.Post("/endpoints/{name}/list", func(rw http.ResponseWriter, q *http.Request) {
-		w.listEndpoint(chi.URLParam(q, "name"), member.State(q.URL.Query().Get("state")))
+	r.Post("/endpoints/{name}/list", func(rw http.ResponseWriter, r *http.Request) {
+		w.setEndpointState(chi.URLParam(r, "name"), member.State(r.URL.Query().Get("state")))
 	})
-	r.Post("/instances/{name}/list", func(rw http.ResponseWriter, q *http.Request) {
-		w.listInstance(chi.URLParam(q, "name"), member.State(q.URL.Query().Get("state")))
+	r.Post("/instances/{name}/list", func(rw http.ResponseWriter, r *http.Request) {
+		w.setInstanceState(chi.URLParam(r, "name"), member.State(r.URL.Query().Get("state")))
 	})
-	r.Post("/platform/down", func(rw http.ResponseWriter, q *http.Request) {
-		w.Platform.SetDown(q.URL.Query().Get("down") != "false")
+	r.Post("/platform/down", func(rw http.ResponseWriter, r *http.Request) {
+		w.Platform.SetDown(r.URL.Query().Get("down") != "false")
 	})
-	r.Post("/platform/old", w.serveOld)
-	r.Post("/platform/publish", w.publish)
+	r.Post("/platform/old", w.postOld)
+	r.Post("/platform/publish", w.postPublish)
 	return r
 }
 
-// BooksAnswer is the answer of GET /books.
+// BooksAnswer is the response to GET /books.
 type BooksAnswer struct {
 	Runs          map[string][]Run `json:"runs"`
 	Tokens        int              `json:"tokens"`
 	PlatformCalls int64            `json:"platform_calls"`
 }
 
-func (w *World) books(rw http.ResponseWriter, _ *http.Request) {
+func (w *World) getBooks(rw http.ResponseWriter, _ *http.Request) {
 	rw.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(rw).Encode(BooksAnswer{w.Books.Runs(), w.Books.Tokens(), w.Platform.Calls.Load()})
 }
 
-func (w *World) endpoint(f func(e Endpoint, name string) error) http.HandlerFunc {
-	return func(rw http.ResponseWriter, q *http.Request) {
-		name := chi.URLParam(q, "name")
+func (w *World) endpointHandler(f func(e Endpoint, name string) error) http.HandlerFunc {
+	return func(rw http.ResponseWriter, r *http.Request) {
+		name := chi.URLParam(r, "name")
 		e := w.Endpoint(name)
 		if e == nil {
-			http.Error(rw, "no endpoint is called "+name, http.StatusNotFound)
+			http.Error(rw, "unknown endpoint "+name, http.StatusNotFound)
 			return
 		}
 		if err := f(e, name); err != nil {
@@ -67,19 +68,19 @@
 	}
 }
 
-func (w *World) setFault(rw http.ResponseWriter, q *http.Request) {
-	f, err := faultOf(q)
+func (w *World) postFault(rw http.ResponseWriter, r *http.Request) {
+	f, err := parseFault(r)
 	if err != nil {
 		http.Error(rw, err.Error(), http.StatusBadRequest)
 		return
 	}
-	w.endpoint(func(e Endpoint, _ string) error { e.Set(f); return nil })(rw, q)
+	w.endpointHandler(func(e Endpoint, _ string) error { e.Set(f); return nil })(rw, r)
 }
 
-// faultOf reads a fault from a query such as slow=4&delay=1s. None of the
-// fields set means healthy.
-func faultOf(q *http.Request) (f Fault, err error) {
-	for key, values := range q.URL.Query() {
+// parseFault parses a fault from a query such as slow=4&delay=1s. An empty
+// query yields the zero Fault, which restores normal operation.
+func parseFault(r *http.Request) (f Fault, err error) {
+	for key, values := range r.URL.Query() {
 		v := values[0]
 		switch key {
 		case "slow":
@@ -95,7 +96,7 @@
 		case "delay":
 			f.Delay, err = time.ParseDuration(v)
 		default:
-			err = errUnknownFault(key)
+			err = unknownFaultError(key)
 		}
 		if err != nil {
 			return f, err
@@ -104,13 +105,13 @@
 	return f, nil
 }
 
-type errUnknownFault string
+type unknownFaultError string
 
-func (e errUnknownFault) Error() string { return "unknown fault " + string(e) }
+func (e unknownFaultError) Error() string { return "unknown fault " + string(e) }
 
-// listEndpoint changes an endpoint's state in the list; an empty one takes
-// it out.
-func (w *World) listEndpoint(name string, s member.State) {
+// setEndpointState sets a configured endpoint's state in the member list, or
+// removes the endpoint from it if s is empty.
+func (w *World) setEndpointState(name string, s member.State) {
 	w.Platform.ChangeList(func(l *member.List) {
 		kept := make([]member.Endpoint, 0, len(l.Endpoints))
 		for _, e := range l.Endpoints {
@@ -119,7 +120,7 @@
 			}
 		}
 		for i := range w.Config.Endpoints {
-			if e := w.Config.Endpoints[i].listed(); e.Name == name && s != "" {
+			if e := w.Config.Endpoints[i].memberEndpoint(); e.Name == name && s != "" {
 				e.State = s
 				kept = append(kept, e)
 			}
@@ -128,8 +129,9 @@
 	})
 }
 
-// listInstance does the same for a router instance.
-func (w *World) listInstance(name string, s member.State) {
+// setInstanceState sets a configured instance's state in the member list, or
+// removes the instance from it if s is empty.
+func (w *World) setInstanceState(name string, s member.State) {
 	w.Platform.ChangeList(func(l *member.List) {
 		kept := make([]member.Instance, 0, len(l.Instances))
 		for _, e := range l.Instances {
@@ -137,7 +139,7 @@
 				kept = append(kept, e)
 			}
 		}
-		for _, e := range w.Config.list().Instances {
+		for _, e := range w.Config.memberList().Instances {
 			if e.Name == name && s != "" {
 				e.State = s
 				kept = append(kept, e)
@@ -147,10 +149,11 @@
 	})
 }
 
-// serveOld makes the platform serve revision 1 of the configuration's text
-// again, or its newest with old=false.
-func (w *World) serveOld(rw http.ResponseWriter, q *http.Request) {
-	if q.URL.Query().Get("old") == "false" {
+// postOld makes the platform serve the newest configuration under revision 1,
+// to simulate a platform that goes back, or the true revision again with
+// old=false.
+func (w *World) postOld(rw http.ResponseWriter, r *http.Request) {
+	if r.URL.Query().Get("old") == "false" {
 		w.Platform.ServeOld(publish.Config, nil)
 		return
 	}
@@ -159,8 +162,8 @@
 	w.Platform.ServeOld(publish.Config, &newest)
 }
 
-func (w *World) publish(rw http.ResponseWriter, q *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(rw, q.Body, publish.MaxValue))
+func (w *World) postPublish(rw http.ResponseWriter, r *http.Request) {
+	data, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, publish.MaxValue))
 	if err != nil {
 		http.Error(rw, err.Error(), http.StatusRequestEntityTooLarge)
 		return
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -1,6 +1,6 @@
 package fake
 
-// This file is the stand-in for a model engine.
+// This file implements a fake model engine.
 
 import (
 	"context"
@@ -19,27 +19,29 @@
 )
 
 const (
-	defaultLength = 32
-	maxWaiting    = 512 // then the engine answers 429
-	bytesAToken   = 4
+	defaultLength = 32  // tokens
+	maxWaiting    = 512 // queue length at which the engine responds with 429
+	bytesPerToken = 4
 	prefixBytes   = 1024
 )
 
-// A Fault is what is wrong with an endpoint.
+// A Fault is a set of failures to inject into an endpoint. The zero Fault is
+// normal operation. Cut and CutOnce apply to engines only.
 type Fault struct {
-	Slow    float64       // factor on its time, zero or one if healthy
-	Hang    bool          // takes requests and never answers
-	Cut     int           // tokens after which streams are cut, zero for none
-	CutOnce int           // the same, for the next stream only
-	Delay   time.Duration // before every answer
-	Error   int           // status that every request is answered with
+	Slow    float64       // factor on processing time; below one has no effect
+	Hang    bool          // accept requests and never respond
+	Cut     int           // tokens after which to abort responses; zero for never
+	CutOnce int           // like Cut, for the next request only
+	Delay   time.Duration // added to every response
+	Error   int           // HTTP status of every response; zero for none
 }
 
-// An Engine is a stand-in model engine.
+// An Engine is a fake model engine with an OpenAI-compatible HTTP interface.
+// It is safe for concurrent use.
 type Engine struct {
 	Name  string
 	books *Books
-	lag   time.Duration // of load reports
+	lag   time.Duration // age of the load reports that are served
 
 	mu      sync.Mutex
 	model   *engine.Engine
@@ -53,20 +55,23 @@
 	conns   connections
 }
 
-// A report is the load at a moment.
+// A report is a load report with the time it was taken.
 type report struct {
 	at   time.Time
 	Load LoadReport
 }
 
-// A LoadReport is what endpoints publish at /load.
+// A LoadReport is the response to GET /load. Running and Waiting count
+// requests.
 type LoadReport struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
 	Leaving bool `json:"leaving"`
 }
 
-// NewEngine returns an engine that is not yet listening.
+// NewEngine starts an engine with performance p that records its runs in
+// books and serves load reports of age lag. It accepts requests once Serve is
+// called; Crash releases its resources.
 func NewEngine(name string, p engine.Params, books *Books, lag time.Duration) *Engine {
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Engine{Name: name, books: books, lag: lag, model: engine.New(p), wake: make(chan struct{}, 1), ctx: ctx, stop: stop}
@@ -77,23 +82,23 @@
 
 func (e *Engine) handler() http.Handler {
 	r := chi.NewRouter()
-	r.Post("/v1/chat/completions", e.complete)
-	r.Post("/v1/completions", e.complete)
-	r.Get("/load", e.load)
+	r.Post("/v1/chat/completions", e.handleCompletion)
+	r.Post("/v1/completions", e.handleCompletion)
+	r.Get("/load", e.handleLoad)
 	return r
 }
 
-// Serve answers on l until Crash.
+// Serve accepts connections on l until Crash.
 func (e *Engine) Serve(l net.Listener) { _ = e.server.Serve(l) }
 
-// Crash ends the engine at once, connections and all.
+// Crash stops the engine at once and closes its connections.
 func (e *Engine) Crash() {
 	e.stop()
 	_ = e.server.Close()
-	e.conns.cut()
+	e.conns.closeAll()
 }
 
-// Set puts a fault in force.
+// Set replaces the injected fault.
 func (e *Engine) Set(f Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -101,19 +106,19 @@
 	e.model.Slowness = max(f.Slow, 1)
 }
 
-// Leave makes the engine say in its load reports that it is leaving.
+// Leave makes the engine's load reports announce that it is leaving.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-// A stream carries the tokens of one sequence to its handler.
+// A stream delivers the progress of one sequence to its handler.
 type stream struct {
-	tokens chan int // number produced
+	tokens chan int // number of tokens produced so far, after each iteration
 }
 
-// loop runs the model in real time.
+// loop runs the engine's iterations in real time.
 func (e *Engine) loop() {
 	next := time.Now()
 	for e.ctx.Err() == nil {
@@ -128,9 +133,9 @@
 			next = time.Now()
 			continue
 		}
-		took, out := e.model.Step()
+		elapsed, out := e.model.Step()
 		e.mu.Unlock()
-		next = next.Add(took)
+		next = next.Add(elapsed)
 		time.Sleep(time.Until(next))
 		for _, s := range out {
 			s.Tag.(*stream).tokens <- s.Produced
@@ -138,8 +143,8 @@
 	}
 }
 
-// completion is the part of a request that the engine reads.
-type completion struct {
+// completionRequest holds the fields of a request that the engine reads.
+type completionRequest struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
 	Priority int             `json:"priority"`
@@ -150,10 +155,13 @@
 	} `json:"messages"`
 }
 
-func (c *completion) prefix(team string) (uint64, int) {
-	first := []byte(c.Prompt)
-	if len(c.Messages) > 0 {
-		first = c.Messages[0].Content
+// prefix returns a hash of the prompt's prefix, scoped to the team, and the
+// length in tokens of the first message. Both are zero if the first message is
+// too short to be cached.
+func (req *completionRequest) prefix(team string) (uint64, int) {
+	first := []byte(req.Prompt)
+	if len(req.Messages) > 0 {
+		first = req.Messages[0].Content
 	}
 	if len(first) < prefixBytes {
 		return 0, 0
@@ -161,142 +169,143 @@
 	d := xxhash.New()
 	_, _ = d.WriteString(team)
 	_, _ = d.Write(first[:prefixBytes])
-	return d.Sum64(), len(first) / bytesAToken
+	return d.Sum64(), len(first) / bytesPerToken
 }
 
-func (e *Engine) complete(w http.ResponseWriter, q *http.Request) {
-	body, err := io.ReadAll(q.Body)
-	var c completion
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	var req completionRequest
 	if err == nil {
-		err = json.Unmarshal(body, &c)
+		err = json.Unmarshal(body, &req)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
-	fault, leaving, busy := e.fault, e.leaving, e.model.Waiting() >= maxWaiting
+	fault, leaving, overloaded := e.fault, e.leaving, e.model.Waiting() >= maxWaiting
 	if fault.CutOnce > 0 {
 		fault.Cut = fault.CutOnce
 		e.fault.CutOnce = 0
 	}
 	e.mu.Unlock()
-	if busy {
+	if overloaded {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "too many requests", http.StatusTooManyRequests)
 		return
 	}
-	o := readOrders(body)
-	if o.id == "" {
-		o.id = q.Header.Get("X-Request-Id")
+	d := parseDirectives(body)
+	if d.id == "" {
+		d.id = r.Header.Get("X-Request-Id")
 	}
-	run := e.books.Begin(o.id, e.Name, q.Header.Get("X-Team"), leaving)
+	run := e.books.Begin(d.id, e.Name, r.Header.Get("X-Team"), leaving)
 	if fault.Error != 0 {
-		http.Error(w, "the engine is at fault", fault.Error)
+		http.Error(w, "injected engine fault", fault.Error)
 		return
 	}
-	s := e.sequence(&c, body, o, q.Header.Get("X-Team"))
-	a := &answer{engine: e, w: w, c: &c, o: o, s: s, run: run, fault: fault}
-	a.serve(q.Context())
+	s := e.newSequence(&req, body, d, r.Header.Get("X-Team"))
+	resp := &response{engine: e, w: w, req: &req, directives: d, seq: s, run: run, fault: fault}
+	resp.serve(r.Context())
 }
 
-func (e *Engine) sequence(c *completion, body []byte, o order, team string) *engine.Sequence {
-	length := o.length
+func (e *Engine) newSequence(req *completionRequest, body []byte, d directives, team string) *engine.Sequence {
+	length := d.length
 	if length <= 0 {
 		length = defaultLength
 	}
-	if c.MaxToken > 0 {
-		length = min(length, c.MaxToken)
+	if req.MaxToken > 0 {
+		length = min(length, req.MaxToken)
 	}
-	s := &engine.Sequence{Priority: c.Priority, Prompt: len(body) / bytesAToken, Length: length}
-	s.Prefix, s.PrefixLen = c.prefix(team)
+	s := &engine.Sequence{Priority: req.Priority, Prompt: len(body) / bytesPerToken, Length: length}
+	s.Prefix, s.PrefixLen = req.prefix(team)
 	s.Tag = &stream{tokens: make(chan int, length+1)}
 	return s
 }
 
-// An answer is one request being answered.
-type answer struct {
-	engine *Engine
-	w      http.ResponseWriter
-	c      *completion
-	o      order
-	s      *engine.Sequence
-	run    *Run
-	fault  Fault
-	got    int
+// A response is the response to one request in progress.
+type response struct {
+	engine     *Engine
+	w          http.ResponseWriter
+	req        *completionRequest
+	directives directives
+	seq        *engine.Sequence
+	run        *Run
+	fault      Fault
+	produced   int
 }
 
-func (a *answer) serve(ctx context.Context) {
-	e := a.engine
+func (r *response) serve(ctx context.Context) {
+	e := r.engine
 	e.mu.Lock()
-	e.model.Add(a.s)
+	e.model.Add(r.seq)
 	e.mu.Unlock()
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
-	whole := a.produce(ctx)
-	if !whole {
+	complete := r.write(ctx)
+	if !complete {
 		e.mu.Lock()
-		e.model.Cancel(a.s)
+		e.model.Cancel(r.seq)
 		e.mu.Unlock()
 	}
-	e.books.End(a.run, a.got, whole)
+	e.books.End(r.run, r.produced, complete)
 }
 
-// produce writes the answer, and reports whether it was whole.
-func (a *answer) produce(ctx context.Context) bool {
-	flush := http.NewResponseController(a.w)
-	if a.fault.Delay > 0 {
-		time.Sleep(a.fault.Delay)
+// write produces the response and reports whether it was completed.
+func (r *response) write(ctx context.Context) bool {
+	flush := http.NewResponseController(r.w)
+	if r.fault.Delay > 0 {
+		time.Sleep(r.fault.Delay)
 	}
-	if a.c.Stream {
-		a.w.Header().Set("Content-Type", "text/event-stream")
+	if r.req.Stream {
+		r.w.Header().Set("Content-Type", "text/event-stream")
 	}
-	for a.got < a.s.Length {
+	for r.produced < r.seq.Length {
 		select {
-		case a.got = <-a.s.Tag.(*stream).tokens:
+		case r.produced = <-r.seq.Tag.(*stream).tokens:
 		case <-ctx.Done():
 			return false
-		case <-a.engine.ctx.Done():
+		case <-r.engine.ctx.Done():
 			panic(http.ErrAbortHandler)
 		}
-		if a.c.Stream {
-			a.event(a.got)
+		if r.req.Stream {
+			r.writeEvent(r.produced)
 			_ = flush.Flush()
 		}
-		if a.fault.Cut > 0 && a.got >= a.fault.Cut {
-			a.engine.books.End(a.run, a.got, false)
+		if r.fault.Cut > 0 && r.produced >= r.fault.Cut {
+			r.engine.books.End(r.run, r.produced, false)
 			panic(http.ErrAbortHandler)
 		}
 	}
-	if a.c.Stream {
-		_, err := io.WriteString(a.w, "data: [DONE]\n\n")
+	if r.req.Stream {
+		_, err := io.WriteString(r.w, "data: [DONE]\n\n")
 		return err == nil
 	}
-	return a.document() == nil
+	return r.writeBody() == nil
 }
 
-// event writes one token. The first names the request, so that a caller can
-// tell an answer that is not its own.
-func (a *answer) event(n int) {
+// writeEvent writes one token as a server-sent event. The first token contains
+// the request ID, so that a client can detect the response to another request.
+func (r *response) writeEvent(n int) {
 	text := fmt.Sprintf(" w%d", n)
 	if n == 1 {
-		text = "id:" + a.o.id
+		text = "id:" + r.directives.id
 	}
-	fmt.Fprintf(a.w, `data: {"id":%q,"object":"chat.completion.chunk","created":0,"model":%q,"choices":[{"index":0,"delta":{"role":"assistant","content":%q},"finish_reason":null}]}`+"\n\n",
-		a.o.id, a.c.Model, text)
+	fmt.Fprintf(r.w, `data: {"id":%q,"object":"chat.completion.chunk","created":0,"model":%q,"choices":[{"index":0,"delta":{"role":"assistant","content":%q},"finish_reason":null}]}`+"\n\n",
+		r.directives.id, r.req.Model, text)
 }
 
-func (a *answer) document() error {
-	a.w.Header().Set("Content-Type", "application/json")
-	_, err := fmt.Fprintf(a.w, `{"id":%q,"object":"chat.completion","created":0,"model":%q,"choices":[{"index":0,"message":{"role":"assistant","content":%q},"finish_reason":"stop"}],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}}`,
-		a.o.id, a.c.Model, "id:"+a.o.id, a.s.Prompt, a.s.Length, a.s.Prompt+a.s.Length)
+func (r *response) writeBody() error {
+	r.w.Header().Set("Content-Type", "application/json")
+	_, err := fmt.Fprintf(r.w, `{"id":%q,"object":"chat.completion","created":0,"model":%q,"choices":[{"index":0,"message":{"role":"assistant","content":%q},"finish_reason":"stop"}],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}}`,
+		r.directives.id, r.req.Model, "id:"+r.directives.id, r.seq.Prompt, r.seq.Length, r.seq.Prompt+r.seq.Length)
 	return err
 }
 
-// load answers with the load of a while ago.
-func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
+// handleLoad serves the load report of about e.lag ago. The leaving flag is
+// always current.
+func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	now := time.Now()
 	e.reports = append(e.reports, report{now, LoadReport{Running: e.model.Running(), Waiting: e.model.Waiting(), Leaving: e.leaving}})
@@ -310,7 +319,7 @@
 	_ = json.NewEncoder(w).Encode(l)
 }
 
-// connections are tracked so that a crash can cut them.
+// connections tracks a server's open connections so that Crash can close them.
 type connections struct {
 	mu   sync.Mutex
 	open map[net.Conn]bool
@@ -329,7 +338,7 @@
 	c.open[conn] = true
 }
 
-func (c *connections) cut() {
+func (c *connections) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn := range c.open {
--- a/fake/platform.go
+++ b/fake/platform.go
@@ -1,7 +1,7 @@
 package fake
 
-// This file is the stand-in for the platform: a service that can only be
-// read and watched, with a lagging list of instances and endpoints.
+// This file implements a fake platform: a read-only configuration service with
+// long polling, whose list of instances and endpoints lags.
 
 import (
 	"encoding/json"
@@ -18,58 +18,62 @@
 	"ivyridge/publish"
 )
 
-// A Platform publishes a configuration and a list. It counts calls.
+// A Platform serves a configuration and a member list, and counts the calls to
+// it. It is safe for concurrent use.
 type Platform struct {
 	Calls  atomic.Int64
-	lag    time.Duration // from a change of the list until it is published
+	lag    time.Duration // between a change of the list and its publication
 	server *http.Server
 	conns  connections
 
 	mu      sync.Mutex
-	docs    map[publish.Kind]*published
+	docs    map[publish.Kind]*document
 	list    member.List
 	down    bool
-	stale   map[publish.Kind]*publish.Published // served instead, if set
-	changed chan struct{}
+	stale   map[publish.Kind]*publish.Published // overrides docs
+	changed chan struct{}                       // closed and replaced on each change
 }
 
-type published struct{ doc publish.Published }
+type document struct{ doc publish.Published }
 
-// NewPlatform returns a platform whose list lags.
+// NewPlatform returns a platform that publishes changes of the member list
+// after lag.
 func NewPlatform(lag time.Duration) *Platform {
 	p := &Platform{
 		lag:     lag,
-		docs:    make(map[publish.Kind]*published),
+		docs:    make(map[publish.Kind]*document),
 		stale:   make(map[publish.Kind]*publish.Published),
 		changed: make(chan struct{}),
 	}
 	r := chi.NewRouter()
-	r.Get("/v1/{kind}", p.read)
+	r.Get("/v1/{kind}", p.handleRead)
 	p.server = &http.Server{Handler: r, ConnState: p.conns.track}
 	return p
 }
 
-// Serve answers on l until Close.
+// Serve accepts connections on l until Close.
 func (p *Platform) Serve(l net.Listener) { _ = p.server.Serve(l) }
 
-// Close ends the platform.
+// Close stops the platform and closes its connections.
 func (p *Platform) Close() {
 	_ = p.server.Close()
-	p.conns.cut()
+	p.conns.closeAll()
 }
 
-// Publish publishes a new revision of the configuration.
+// Publish publishes a new revision of the configuration and returns its
+// number.
 func (p *Platform) Publish(value string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.set(publish.Config, value)
+	return p.publishLocked(publish.Config, value)
 }
 
-// set publishes a revision. The platform is locked.
-func (p *Platform) set(k publish.Kind, value string) int64 {
+// publishLocked publishes a new revision of a document and returns its number.
+// The caller holds p.mu.
+func (p *Platform) publishLocked(k publish.Kind, value string) int64 {
 	d := p.docs[k]
 	if d == nil {
-		d = new(published)
+		d = new(document)
 		p.docs[k] = d
 	}
 	d.doc.Revision++
@@ -79,7 +83,8 @@
 	return d.doc.Revision
 }
 
-// ChangeList changes the list; the change is published after the lag.
+// ChangeList applies change to the member list and publishes the list. Both
+// happen after the lag, except for the first list, which is published at once.
 func (p *Platform) ChangeList(change func(l *member.List)) {
 	publish := func() {
 		p.mu.Lock()
@@ -89,22 +94,23 @@
 		if err != nil {
 			panic(err) // a List always encodes
 		}
-		p.set(publish.List, string(data))
+		p.publishLocked(publish.List, string(data))
 	}
-	if p.lag == 0 || p.firstList() {
+	if p.lag == 0 || p.listUnpublished() {
 		publish()
 		return
 	}
 	time.AfterFunc(p.lag, publish)
 }
 
-func (p *Platform) firstList() bool {
+// listUnpublished reports whether no member list has been published yet.
+func (p *Platform) listUnpublished() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.docs[publish.List] == nil
 }
 
-// SetDown makes the platform answer nothing.
+// SetDown makes the platform abort all requests, or serve them again.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,8 +119,8 @@
 	p.changed = make(chan struct{})
 }
 
-// ServeOld makes the platform serve an old revision of a document, or its
-// newest again if old is nil.
+// ServeOld makes the platform serve old in place of the newest revision of a
+// document, or the newest again if old is nil.
 func (p *Platform) ServeOld(k publish.Kind, old *publish.Published) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,7 +133,8 @@
 	p.changed = make(chan struct{})
 }
 
-// Newest returns what was published last.
+// Newest returns the newest revision of a document, or the zero Published if
+// there is none.
 func (p *Platform) Newest(k publish.Kind) publish.Published {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,9 +144,9 @@
 	return publish.Published{}
 }
 
-// present returns what is served now, and a channel that closes when that
-// may have changed.
-func (p *Platform) present(k publish.Kind) (doc *publish.Published, down bool, changed chan struct{}) {
+// current returns the document to serve, nil if there is none, and a channel
+// that is closed at the next change.
+func (p *Platform) current(k publish.Kind) (doc *publish.Published, down bool, changed chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if old := p.stale[k]; old != nil {
@@ -152,14 +159,14 @@
 	return nil, p.down, p.changed
 }
 
-func (p *Platform) read(w http.ResponseWriter, q *http.Request) {
+func (p *Platform) handleRead(w http.ResponseWriter, r *http.Request) {
 	p.Calls.Add(1)
-	kind := publish.Kind(chi.URLParam(q, "kind"))
-	after, _ := strconv.ParseInt(q.URL.Query().Get("after"), 10, 64)
-	wait, _ := strconv.Atoi(q.URL.Query().Get("wait_ms"))
+	kind := publish.Kind(chi.URLParam(r, "kind"))
+	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
+	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	deadline := time.After(time.Duration(wait) * time.Millisecond)
 	for {
-		doc, down, changed := p.present(kind)
+		doc, down, changed := p.current(kind)
 		switch {
 		case down:
 			panic(http.ErrAbortHandler)
@@ -170,7 +177,7 @@
 		}
 		select {
 		case <-changed:
-		case <-q.Context().Done():
+		case <-r.Context().Done():
 			return
 		case <-deadline:
 			w.WriteHeader(http.StatusNotModified)
--- a/fake/runs.go
+++ b/fake/runs.go
@@ -1,14 +1,9 @@
-// Package fake holds the stand-ins for what surrounds the system: model
-// engines, plain services, and the platform's configuration service with its
-// lagging list.
+// Package fake implements fakes of the router's environment: model engines,
+// services, and the platform's configuration service.
 //
-// They are small, speak the published protocols, and keep books: every run
-// of a request is counted by its id, so that tests and reports measure
-// duplicates, lost and crossed answers instead of assuming that there are
-// none. Faults are set on a control address.
-//
-// The files: runs.go (the books), engine.go, service.go, platform.go,
-// control.go (faults), config.go (the file that ivyfake reads).
+// Each run of a request is recorded under the request's ID, so that tests and
+// load reports can detect duplicate executions and responses to the wrong
+// request. Faults are injected through an HTTP control interface.
 package fake
 
 import (
@@ -18,17 +13,17 @@
 	"time"
 )
 
-// A Run is one time that a request was begun by an endpoint.
+// A Run is one execution of a request by an endpoint.
 type Run struct {
 	Endpoint string        `json:"endpoint"`
 	Team     string        `json:"team"`
-	At       time.Duration `json:"at"` // since the books were opened
+	At       time.Duration `json:"at"` // since NewBooks
 	Tokens   int           `json:"tokens"`
-	Whole    bool          `json:"whole"`
-	Late     bool          `json:"after_leaving"` // sent to an endpoint that was leaving
+	Whole    bool          `json:"whole"`         // the response was completed
+	Late     bool          `json:"after_leaving"` // the endpoint was already leaving
 }
 
-// Books count the runs of all stand-ins of a process. They are safe for
+// Books record the runs of all fakes of a process. They are safe for
 // concurrent use.
 type Books struct {
 	start time.Time
@@ -36,10 +31,11 @@
 	runs  map[string][]*Run
 }
 
-// NewBooks returns empty books.
+// NewBooks returns an empty record of runs.
 func NewBooks() *Books { return &Books{start: time.Now(), runs: make(map[string][]*Run)} }
 
-// Begin enters that an endpoint begins a request.
+// Begin records the start of a run. The caller must not modify the result, and
+// passes it to End.
 func (b *Books) Begin(id, endpoint, team string, leaving bool) *Run {
 	r := &Run{Endpoint: endpoint, Team: team, At: time.Since(b.start), Late: leaving}
 	b.mu.Lock()
@@ -48,14 +44,15 @@
 	return r
 }
 
-// End enters how a run ended.
+// End records how a run ended: the number of tokens it produced, and whether
+// the response was completed.
 func (b *Books) End(r *Run, tokens int, whole bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r.Tokens, r.Whole = tokens, whole
 }
 
-// Runs returns a copy of all runs by request id.
+// Runs returns a copy of all runs, keyed by request ID.
 func (b *Books) Runs() map[string][]Run {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,7 +65,7 @@
 	return out
 }
 
-// Tokens returns the tokens computed in all runs.
+// Tokens returns the total number of tokens of the runs that have ended.
 func (b *Books) Tokens() int {
 	n := 0
 	for _, list := range b.Runs() {
@@ -79,27 +76,28 @@
 	return n
 }
 
-// orders are what a request's text tells a stand-in: its id, the length of
-// its answer, how long a service works on it. The system does not read them.
-var orders = regexp.MustCompile(`\[\[([a-z]+)=([^\]]+)\]\]`)
+// directivePattern matches directives to the fakes that clients embed in a
+// request's text, such as [[length=7]]. The router does not interpret them.
+var directivePattern = regexp.MustCompile(`\[\[([a-z]+)=([^\]]+)\]\]`)
 
-type order struct {
+type directives struct {
 	id     string
-	length int
-	work   time.Duration
+	length int           // of the response, in tokens
+	work   time.Duration // processing time of a service
 }
 
-func readOrders(body []byte) order {
-	o := order{}
-	for _, m := range orders.FindAllSubmatch(body, -1) {
+// parseDirectives ignores unknown directives and malformed values.
+func parseDirectives(body []byte) directives {
+	d := directives{}
+	for _, m := range directivePattern.FindAllSubmatch(body, -1) {
 		switch string(m[1]) {
 		case "id":
-			o.id = string(m[2])
+			d.id = string(m[2])
 		case "length":
-			o.length, _ = strconv.Atoi(string(m[2]))
+			d.length, _ = strconv.Atoi(string(m[2]))
 		case "work":
-			o.work, _ = time.ParseDuration(string(m[2]))
+			d.work, _ = time.ParseDuration(string(m[2]))
 		}
 	}
-	return o
+	return d
 }
--- a/fake/service.go
+++ b/fake/service.go
@@ -1,6 +1,6 @@
 package fake
 
-// This file is the stand-in for a plain service.
+// This file implements a fake service.
 
 import (
 	"encoding/json"
@@ -13,8 +13,8 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// A Service is a stand-in plain service with a fixed number of workers; what
-// exceeds them waits.
+// A Service is a fake service with a fixed number of workers; excess requests
+// queue. It is safe for concurrent use.
 type Service struct {
 	Name    string
 	books   *Books
@@ -26,43 +26,44 @@
 	mu      sync.Mutex
 	fault   Fault
 	leaving bool
-	open    int
+	open    int // requests being served or queued
 }
 
-// NewService returns a service whose requests take work each.
+// NewService returns a service that spends work on each request and records
+// its runs in books.
 func NewService(name string, work time.Duration, workers int, books *Books) *Service {
 	s := &Service{Name: name, books: books, work: work, workers: make(chan struct{}, workers)}
 	r := chi.NewRouter()
-	r.Get("/load", s.load)
-	r.HandleFunc("/*", s.serve)
+	r.Get("/load", s.handleLoad)
+	r.HandleFunc("/*", s.handleRequest)
 	s.server = &http.Server{Handler: r, ConnState: s.conns.track}
 	return s
 }
 
-// Serve answers on l until Crash.
+// Serve accepts connections on l until Crash.
 func (s *Service) Serve(l net.Listener) { _ = s.server.Serve(l) }
 
-// Crash ends the service at once, connections and all.
+// Crash stops the service at once and closes its connections.
 func (s *Service) Crash() {
 	_ = s.server.Close()
-	s.conns.cut()
+	s.conns.closeAll()
 }
 
-// Set puts a fault in force.
+// Set replaces the injected fault.
 func (s *Service) Set(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Leave makes the service say that it is leaving.
+// Leave makes the service's load reports announce that it is leaving.
 func (s *Service) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-func (s *Service) load(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	l := LoadReport{Running: min(s.open, cap(s.workers)), Waiting: max(0, s.open-cap(s.workers)), Leaving: s.leaving}
 	s.mu.Unlock()
@@ -70,22 +71,22 @@
 	_ = json.NewEncoder(w).Encode(l)
 }
 
-// A ServiceAnswer is the body of a service's answer.
+// A ServiceAnswer is the body of a service's response.
 type ServiceAnswer struct {
 	ID       string `json:"id"`
 	Endpoint string `json:"endpoint"`
 	Path     string `json:"path"`
 }
 
-func (s *Service) serve(w http.ResponseWriter, q *http.Request) {
-	body, err := io.ReadAll(q.Body)
+func (s *Service) handleRequest(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	o := readOrders(append(body, q.URL.RawQuery...))
-	if o.id == "" {
-		o.id = q.Header.Get("X-Request-Id")
+	d := parseDirectives(append(body, r.URL.RawQuery...))
+	if d.id == "" {
+		d.id = r.Header.Get("X-Request-Id")
 	}
 	s.mu.Lock()
 	s.open++
@@ -96,30 +97,31 @@
 		s.open--
 		s.mu.Unlock()
 	}()
-	run := s.books.Begin(o.id, s.Name, q.Header.Get("X-Team"), leaving)
+	run := s.books.Begin(d.id, s.Name, r.Header.Get("X-Team"), leaving)
 	if fault.Error != 0 {
-		http.Error(w, "the service is at fault", fault.Error)
+		http.Error(w, "injected service fault", fault.Error)
 		return
 	}
 	select {
 	case s.workers <- struct{}{}:
-	case <-q.Context().Done():
+	case <-r.Context().Done():
 		return
 	}
 	defer func() { <-s.workers }()
-	if !s.wait(q, o, fault) {
+	if !s.process(r, d, fault) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	err = json.NewEncoder(w).Encode(ServiceAnswer{ID: o.id, Endpoint: s.Name, Path: q.URL.Path})
+	err = json.NewEncoder(w).Encode(ServiceAnswer{ID: d.id, Endpoint: s.Name, Path: r.URL.Path})
 	s.books.End(run, 0, err == nil)
 }
 
-// wait works on a request, and reports whether its caller is still there.
-func (s *Service) wait(q *http.Request, o order, f Fault) bool {
+// process simulates the processing of a request. It reports false if the client
+// disconnected meanwhile.
+func (s *Service) process(r *http.Request, d directives, f Fault) bool {
 	work := s.work
-	if o.work > 0 {
-		work = o.work
+	if d.work > 0 {
+		work = d.work
 	}
 	work = time.Duration(float64(work)*max(f.Slow, 1)) + f.Delay
 	if f.Hang {
@@ -130,7 +132,7 @@
 	select {
 	case <-t.C:
 		return true
-	case <-q.Context().Done():
+	case <-r.Context().Done():
 		return false
 	}
 }
