--- a/load/client.go
+++ b/load/client.go
@@ -1,6 +1,6 @@
 package load
 
-// This file sends the requests of a run, as callers behind a balancer.
+// This file implements the client, which includes a load balancer.
 
 import (
 	"bufio"
@@ -24,30 +24,31 @@
 )
 
 const (
-	healthEvery  = 200 * time.Millisecond
-	healthWithin = 150 * time.Millisecond
-	maxConns     = 4096
-	bytesAToken  = 4
-	requestWait  = 5 * time.Minute
+	readinessInterval = 200 * time.Millisecond
+	readinessTimeout  = 150 * time.Millisecond
+	maxIdleConns      = 4096
+	bytesPerToken     = 4
+	requestTimeout    = 5 * time.Minute // for all attempts of a request
 )
 
-// An Outcome is what a caller saw of one request.
+// An Outcome is the result of one request as observed by the client.
 type Outcome struct {
 	Arrival
 	ID      string
-	Status  int // zero if no answer came
+	Status  int // HTTP status; zero if there was no response
 	Verdict string
 	Reason  string
-	First   time.Duration // from the intended start
-	End     time.Duration
+	First   time.Duration // from scheduled arrival to first token or header
+	End     time.Duration // from scheduled arrival to the end
 	Tokens  int
-	Whole   bool // the answer came to its end
-	Crossed bool // the answer names another request
-	Repeats int
-	Held    time.Duration // of a refusal, from sending to its answer
+	Whole   bool          // the response is complete
+	Crossed bool          // the response belongs to another request
+	Repeats int           // retries
+	Held    time.Duration // of an error response, from sending the request
 }
 
-// OnTime reports whether the request was answered whole within its targets.
+// OnTime reports whether the correct response was complete and met the class's
+// latency targets.
 func (o *Outcome) OnTime() bool {
 	c := o.Class
 	return o.Whole && !o.Crossed &&
@@ -55,20 +56,21 @@
 		(c.Whole == 0 || o.End <= c.Whole)
 }
 
-// A Client sends a run's requests to the instances behind a balancer of its
-// own: round robin over those that say they are ready.
+// A Client sends the requests of a run. It balances them round robin over the
+// instances whose readiness check succeeds. Sent and Done count requests and
+// may be read during Run.
 type Client struct {
 	run     string
 	targets []string
 	ready   []atomic.Bool
-	turn    atomic.Uint64
+	next    atomic.Uint64
 	http    *http.Client
 	Done    atomic.Int64
 	Sent    atomic.Int64
 }
 
-// NewClient returns a Client for targets, each IP:port. Run names the run in
-// the ids of its requests.
+// NewClient returns a Client for targets, each IP:port. The request IDs start
+// with run, which must differ between runs.
 func NewClient(run string, targets []string) *Client {
 	c := &Client{run: run, targets: targets, ready: make([]atomic.Bool, len(targets))}
 	for i := range c.ready {
@@ -76,21 +78,22 @@
 	}
 	c.http = &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
-		MaxIdleConnsPerHost: maxConns,
+		MaxIdleConnsPerHost: maxIdleConns,
 		DisableCompression:  true,
 	}}
 	return c
 }
 
-// Run sends all arrivals at their times and returns what came of each. It
-// returns when all are answered, or when ctx is done.
+// Run sends all arrivals at their times and returns their outcomes in the same
+// order. It returns when all requests have ended; when ctx is done it cancels
+// them and sends no more. The Class of an Outcome that was not sent is nil.
 func (c *Client) Run(ctx context.Context, arrivals []Arrival) []Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for i := range c.targets {
-		go c.watch(ctx, i)
+		go c.checkReadiness(ctx, i)
 	}
-	out := make([]Outcome, len(arrivals))
+	outcomes := make([]Outcome, len(arrivals))
 	var wg sync.WaitGroup
 	start := time.Now()
 	for i := range arrivals {
@@ -101,15 +104,16 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			out[i] = c.request(ctx, &arrivals[i], at)
+			outcomes[i] = c.sendWithRetries(ctx, &arrivals[i], at)
 			c.Done.Add(1)
 		}()
 		c.Sent.Add(1)
 	}
 	wg.Wait()
-	return out
+	return outcomes
 }
 
+// sleepUntil reports false if ctx is done before the time is reached.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	d := time.Until(at)
 	if d <= 0 {
@@ -125,10 +129,10 @@
 	}
 }
 
-// watch is the balancer's health check of one target.
-func (c *Client) watch(ctx context.Context, i int) {
-	for sleepUntil(ctx, time.Now().Add(healthEvery)) {
-		hctx, cancel := context.WithTimeout(ctx, healthWithin)
+// checkReadiness runs the readiness check of target i until ctx is done.
+func (c *Client) checkReadiness(ctx context.Context, i int) {
+	for sleepUntil(ctx, time.Now().Add(readinessInterval)) {
+		hctx, cancel := context.WithTimeout(ctx, readinessTimeout)
 		req, err := http.NewRequestWithContext(hctx, http.MethodGet, "http://"+c.targets[i]+"/readyz", nil)
 		if err == nil {
 			var res *http.Response
@@ -145,25 +149,25 @@
 	}
 }
 
-// pick returns the next ready target.
+// pick returns the next ready target, or just the next one if none is ready.
 func (c *Client) pick() string {
 	for range c.targets {
-		i := int(c.turn.Add(1)) % len(c.targets)
+		i := int(c.next.Add(1)) % len(c.targets)
 		if c.ready[i].Load() {
 			return c.targets[i]
 		}
 	}
-	return c.targets[int(c.turn.Add(1))%len(c.targets)]
+	return c.targets[int(c.next.Add(1))%len(c.targets)]
 }
 
-// request sends one request, and again where its class's callers would.
-func (c *Client) request(ctx context.Context, a *Arrival, start time.Time) Outcome {
-	ctx, cancel := context.WithTimeout(ctx, requestWait)
+// sendWithRetries sends one request and retries it as its class allows.
+func (c *Client) sendWithRetries(ctx context.Context, a *Arrival, start time.Time) Outcome {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	id := fmt.Sprintf("%s-%d", c.run, a.N)
 	for try := 0; ; try++ {
 		o := Outcome{Arrival: *a, ID: id, Repeats: try}
-		wait := c.send(ctx, &o, start)
+		wait := c.attempt(ctx, &o, start)
 		o.End = time.Since(start)
 		if o.Whole || wait == 0 || try >= a.Class.Repeats || !sleepUntil(ctx, time.Now().Add(wait)) {
 			return o
@@ -171,21 +175,22 @@
 	}
 }
 
-// send sends o once. It returns when to ask again, or zero.
-func (c *Client) send(ctx context.Context, o *Outcome, start time.Time) time.Duration {
+// attempt sends o once and records the response in it. It returns the delay
+// before a retry, or zero if the request must not be retried.
+func (c *Client) attempt(ctx context.Context, o *Outcome, start time.Time) time.Duration {
 	const reconnect = 100 * time.Millisecond
 	var res *http.Response
 	var err error
 	sent := time.Now()
 	for range c.targets {
 		var req *http.Request
-		if req, err = c.compose(ctx, o, c.pick()); err != nil {
+		if req, err = c.newRequest(ctx, o, c.pick()); err != nil {
 			return 0
 		}
 		res, err = c.http.Do(req)
 		var op *net.OpError
 		if err == nil || !errors.As(err, &op) || op.Op != "dial" {
-			break // only a connection that was never made is tried elsewhere
+			break // only a failure to connect is retried on another target at once
 		}
 	}
 	if err != nil {
@@ -197,12 +202,12 @@
 	o.First = time.Since(start)
 	if res.StatusCode != http.StatusOK {
 		o.Held = time.Since(sent)
-		return c.refused(res, o)
+		return c.retryDelay(res, o)
 	}
 	if o.Class.Stream {
 		c.readStream(res.Body, o, start)
 	} else {
-		c.readWhole(res.Body, o)
+		c.readBody(res.Body, o)
 	}
 	if !o.Whole {
 		return reconnect
@@ -210,7 +215,9 @@
 	return 0
 }
 
-func (c *Client) refused(res *http.Response, o *Outcome) time.Duration {
+// retryDelay returns the delay before a retry of a request that got an error
+// response, or zero if it may have run or there is no Retry-After header.
+func (c *Client) retryDelay(res *http.Response, o *Outcome) time.Duration {
 	_, _ = io.Copy(io.Discard, res.Body)
 	s, err := strconv.Atoi(res.Header.Get("Retry-After"))
 	if err != nil || o.Verdict != verdict.NotRun.String() {
@@ -219,27 +226,27 @@
 	return time.Duration(s) * time.Second
 }
 
-// message is one message of a chat.
+// message is a message of a chat request.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// chat is a chat request.
-type chat struct {
+// chatRequest is the body of a chat completion request.
+type chatRequest struct {
 	Model    string    `json:"model"`
 	Stream   bool      `json:"stream"`
 	Messages []message `json:"messages"`
 }
 
-func (c *Client) compose(ctx context.Context, o *Outcome, target string) (*http.Request, error) {
-	orders := fmt.Sprintf("[[id=%s]] [[length=%d]]", o.ID, o.Length)
+func (c *Client) newRequest(ctx context.Context, o *Outcome, target string) (*http.Request, error) {
+	directives := fmt.Sprintf("[[id=%s]] [[length=%d]]", o.ID, o.Length)
 	url := "http://" + target + "/services/" + o.Class.Service + "/lookup"
-	body := []byte(orders)
+	body := []byte(directives)
 	if o.Class.Model != "" {
 		url = "http://" + target + "/v1/chat/completions"
 		var err error
-		body, err = json.Marshal(chat{Model: o.Class.Model, Stream: o.Class.Stream, Messages: messages(o, orders)})
+		body, err = json.Marshal(chatRequest{Model: o.Class.Model, Stream: o.Class.Stream, Messages: messages(o, directives)})
 		if err != nil {
 			return nil, errors.Wrap(err, "compose")
 		}
@@ -257,18 +264,19 @@
 	return req, nil
 }
 
-// messages makes a prompt: a part that the team's requests share, and one of
-// its own.
-func messages(o *Outcome, orders string) []message {
-	shared := strings.Repeat(o.Team.Name+" ", 1+o.Class.Shared*bytesAToken/(len(o.Team.Name)+1))
-	own := strings.Repeat("case ", max(0, (o.Class.Prompt-o.Class.Shared)*bytesAToken/5))
+// messages builds a prompt with a prefix that is the same for all requests of
+// the team, and a part that is specific to the request.
+func messages(o *Outcome, directives string) []message {
+	shared := strings.Repeat(o.Team.Name+" ", 1+o.Class.Shared*bytesPerToken/(len(o.Team.Name)+1))
+	own := strings.Repeat("case ", max(0, (o.Class.Prompt-o.Class.Shared)*bytesPerToken/5))
 	if o.Class.Shared == 0 {
-		return []message{{"user", orders + own}}
+		return []message{{"user", directives + own}}
 	}
-	return []message{{"system", shared}, {"user", orders + own}}
+	return []message{{"system", shared}, {"user", directives + own}}
 }
 
-// readStream reads server-sent events to the end.
+// readStream reads server-sent events until the end of the stream or an error
+// event.
 func (c *Client) readStream(body io.Reader, o *Outcome, start time.Time) {
 	r := bufio.NewScanner(body)
 	r.Buffer(make([]byte, 0, 4<<10), 1<<20)
@@ -280,7 +288,7 @@
 			o.Whole = true
 			return
 		case strings.HasPrefix(line, `{"error"`):
-			c.streamError(line, o)
+			c.readStreamError(line, o)
 			return
 		default:
 			o.Tokens++
@@ -292,27 +300,27 @@
 	}
 }
 
-func (c *Client) streamError(line string, o *Outcome) {
+func (c *Client) readStreamError(line string, o *Outcome) {
 	var e api.ErrorBody
 	if json.Unmarshal([]byte(line), &e) == nil {
 		o.Verdict, o.Reason = e.Error.Verdict, e.Error.Code
 	}
 }
 
-// usage is the part of a whole answer that is read.
-type usage struct {
+// completionResponse holds the fields read from a response that is not streamed.
+type completionResponse struct {
 	Usage struct {
 		CompletionTokens int `json:"completion_tokens"`
 	} `json:"usage"`
 }
 
-func (c *Client) readWhole(body io.Reader, o *Outcome) {
+func (c *Client) readBody(body io.Reader, o *Outcome) {
 	data, err := io.ReadAll(body)
 	if err != nil {
 		return
 	}
-	var u usage
-	o.Whole = json.Unmarshal(data, &u) == nil
-	o.Tokens = u.Usage.CompletionTokens
+	var res completionResponse
+	o.Whole = json.Unmarshal(data, &res) == nil
+	o.Tokens = res.Usage.CompletionTokens
 	o.Crossed = !bytes.Contains(data, []byte(`"`+o.ID+`"`))
 }
--- a/load/report.go
+++ b/load/report.go
@@ -1,6 +1,6 @@
 package load
 
-// This file makes the report of a run.
+// This file computes the report of a run.
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 	"ivyridge/verdict"
 )
 
-// A Report is what came of a run.
+// A Report summarizes a run.
 type Report struct {
 	Workload string        `json:"workload"`
 	Seed     uint64        `json:"seed"`
@@ -25,9 +25,10 @@
 	GoodputTokens  float64 `json:"goodput_tokens_per_s"`
 	ComputedTokens int     `json:"computed_tokens"`
 	WastedTokens   int     `json:"wasted_tokens"`
-	// Duplicates are requests of keyed classes that ran more than once,
-	// Lost got no final answer, Crossed another's, RefusedButRun ran though
-	// the refusal said not.
+	// Duplicates counts requests with an idempotency key that ran more than
+	// once; Lost, requests without a final response; Crossed, requests that got
+	// the response to another; RefusedButRun, requests that ran although the
+	// response said that they had not.
 	Duplicates    int   `json:"duplicates"`
 	Lost          int   `json:"lost"`
 	Crossed       int   `json:"crossed"`
@@ -37,8 +38,9 @@
 	Series []Sample `json:"series"`
 }
 
-// A ClassReport is what came of one class. Latencies are in seconds, of
-// answered requests, to the first token where the class has that target.
+// A ClassReport summarizes the requests of one class. Latencies are in seconds
+// and cover complete responses: to the first token if the class has a target
+// for it, else to the end. Attainment is OnTime / Offered.
 type ClassReport struct {
 	Class           string         `json:"class"`
 	Offered         int            `json:"offered"`
@@ -58,7 +60,8 @@
 	refusals *hdrhistogram.Histogram
 }
 
-// A Sample is one second of a run, by class in the order of Classes.
+// A Sample covers the arrivals of one second of a run. The slices are indexed
+// like Report.Classes. Open counts the requests in progress in that second.
 type Sample struct {
 	Second  int       `json:"second"`
 	Offered []int     `json:"offered"`
@@ -68,48 +71,50 @@
 }
 
 const (
-	histMax    = int64(10 * time.Minute / time.Microsecond)
-	histDigits = 3
+	histMaxMicros         = int64(10 * time.Minute / time.Microsecond)
+	histSignificantDigits = 3
 )
 
-// Summarize makes a report of a run's outcomes and the stand-ins' books.
-func Summarize(w *Workload, seed uint64, outs []Outcome, books *fake.BooksAnswer) *Report {
+// Summarize computes the report of a run from the clients' outcomes and the
+// runs that the fakes recorded. It ignores outcomes without a class, which were
+// not sent.
+func Summarize(w *Workload, seed uint64, outcomes []Outcome, books *fake.BooksAnswer) *Report {
 	r := &Report{Workload: w.Name, Seed: seed, Seconds: w.Duration.Seconds()}
-	at := make(map[string]int)
+	classIndex := make(map[string]int)
 	for i := range w.Classes {
-		at[w.Classes[i].Name] = i
+		classIndex[w.Classes[i].Name] = i
 		r.Classes = append(r.Classes, ClassReport{
 			Class:           w.Classes[i].Name,
 			RefusedByReason: make(map[string]int),
 			FailedByReason:  make(map[string]int),
-			hist:            hdrhistogram.New(1, histMax, histDigits),
-			refusals:        hdrhistogram.New(1, histMax, histDigits),
+			hist:            hdrhistogram.New(1, histMaxMicros, histSignificantDigits),
+			refusals:        hdrhistogram.New(1, histMaxMicros, histSignificantDigits),
 		})
 	}
 	r.ComputedTokens, r.PlatformCalls = books.Tokens, books.PlatformCalls
-	good := 0
-	for i := range outs {
-		o := &outs[i]
+	goodTokens := 0
+	for i := range outcomes {
+		o := &outcomes[i]
 		if o.Class == nil {
-			continue // never sent
+			continue // not sent
 		}
-		r.Classes[at[o.Class.Name]].add(o)
-		r.check(o, books.Runs[o.ID])
+		r.Classes[classIndex[o.Class.Name]].add(o)
+		r.checkGuarantees(o, books.Runs[o.ID])
 		if o.OnTime() {
-			good += o.Tokens
+			goodTokens += o.Tokens
 		}
 	}
-	r.GoodputTokens = float64(good) / r.Seconds
-	r.WastedTokens = max(0, books.Tokens-good)
+	r.GoodputTokens = float64(goodTokens) / r.Seconds
+	r.WastedTokens = max(0, books.Tokens-goodTokens)
 	for i := range r.Classes {
-		r.Classes[i].finish()
+		r.Classes[i].computeQuantiles()
 	}
-	r.sample(w, at, outs)
+	r.computeSeries(w, classIndex, outcomes)
 	return r
 }
 
-// check counts the breaches that a request shows.
-func (r *Report) check(o *Outcome, runs []fake.Run) {
+// checkGuarantees counts the violations of delivery guarantees by one request.
+func (r *Report) checkGuarantees(o *Outcome, runs []fake.Run) {
 	if o.Class.Keyed && len(runs) > 1 {
 		r.Duplicates++
 	}
@@ -136,11 +141,11 @@
 		if o.Class.FirstToken > 0 {
 			d = o.First
 		}
-		_ = c.hist.RecordValue(min(histMax, d.Microseconds()))
+		_ = c.hist.RecordValue(min(histMaxMicros, d.Microseconds()))
 	case o.Verdict == verdict.NotRun.String():
 		c.Refused++
 		c.RefusedByReason[o.Reason]++
-		_ = c.refusals.RecordValue(min(histMax, o.Held.Microseconds()))
+		_ = c.refusals.RecordValue(min(histMaxMicros, o.Held.Microseconds()))
 	default:
 		c.Failed++
 		reason := o.Reason
@@ -151,7 +156,7 @@
 	}
 }
 
-func (c *ClassReport) finish() {
+func (c *ClassReport) computeQuantiles() {
 	if c.Offered > 0 {
 		c.Attainment = float64(c.OnTime) / float64(c.Offered)
 	}
@@ -162,20 +167,20 @@
 	c.RefusalP99 = quantile(c.refusals, 99)
 }
 
-// sample makes the series over time; a request counts in the second of its
-// intended start.
-func (r *Report) sample(w *Workload, at map[string]int, outs []Outcome) {
+// computeSeries computes the time series. A request counts in the second of its
+// scheduled arrival.
+func (r *Report) computeSeries(w *Workload, classIndex map[string]int, outcomes []Outcome) {
 	n := int(math.Ceil(w.Duration.Seconds()))
 	for s := range n {
-		k := len(w.Classes)
-		r.Series = append(r.Series, Sample{Second: s, Offered: make([]int, k), OnTime: make([]int, k), Open: make([]int, k), Share: make([]float64, k)})
+		classes := len(w.Classes)
+		r.Series = append(r.Series, Sample{Second: s, Offered: make([]int, classes), OnTime: make([]int, classes), Open: make([]int, classes), Share: make([]float64, classes)})
 	}
-	for i := range outs {
-		o := &outs[i]
+	for i := range outcomes {
+		o := &outcomes[i]
 		if o.Class == nil {
 			continue
 		}
-		c := at[o.Class.Name]
+		c := classIndex[o.Class.Name]
 		first := int(o.At / time.Second)
 		r.Series[first].Offered[c]++
 		if o.OnTime() {
@@ -196,7 +201,7 @@
 	}
 }
 
-// FetchBooks reads the stand-ins' books from their control address.
+// FetchBooks reads the recorded runs from the fakes' control address.
 func FetchBooks(control string) (*fake.BooksAnswer, error) {
 	res, err := http.Get("http://" + control + "/books")
 	if err != nil {
--- a/load/table.go
+++ b/load/table.go
@@ -1,6 +1,6 @@
 package load
 
-// This file writes reports for people and for other programs.
+// This file reads and writes reports, and prints them as tables.
 
 import (
 	"encoding/json"
@@ -15,13 +15,14 @@
 	"github.com/pkg/errors"
 )
 
-// Files of a report's directory.
+// Names of files in a report directory.
 const (
 	ReportFile = "report.json"
 	TableFile  = "report.txt"
 )
 
-// Save writes a report, its table and its plots to dir.
+// Save writes a report as JSON, table and plots to dir, which it creates if
+// necessary.
 func (r *Report) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return errors.Wrap(err, "report")
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// ReadReport reads a report.json.
+// ReadReport reads a report from a file that Save wrote as ReportFile.
 func ReadReport(file string) (*Report, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return r, errors.Wrap(json.Unmarshal(data, r), file)
 }
 
-// WriteTable prints the report for people.
+// WriteTable prints the report as text.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\toffered\tserved\ton time\trefused\tfailed\tattainment\tp50 s\tp95 s\tp99 s\trefused within s\t")
@@ -91,16 +92,16 @@
 	}
 }
 
-// Compare prints b beside a.
+// Compare prints the classes that a and b have in common side by side.
 func Compare(w io.Writer, a, b *Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tattainment A\tB\tB-A\tserved A\tB\tp95 s A\tB\t")
 	for i := range a.Classes {
-		x := &a.Classes[i]
+		ca := &a.Classes[i]
 		for j := range b.Classes {
-			if y := &b.Classes[j]; y.Class == x.Class {
+			if cb := &b.Classes[j]; cb.Class == ca.Class {
 				fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%+.4f\t%d\t%d\t%.3f\t%.3f\t\n",
-					x.Class, x.Attainment, y.Attainment, y.Attainment-x.Attainment, x.Served, y.Served, x.P95, y.P95)
+					ca.Class, ca.Attainment, cb.Attainment, cb.Attainment-ca.Attainment, ca.Served, cb.Served, ca.P95, cb.P95)
 			}
 		}
 	}
@@ -112,24 +113,26 @@
 	return errors.Wrap(err, "compare")
 }
 
-// WriteAround prints each class's attainment in the seconds before and after
-// a mark, by the time of arrival, and second by second after it.
+// WriteAround prints each class's attainment among the arrivals of span
+// seconds before and after mark, a second of the run, and its attainment in
+// each second after it.
 func (r *Report) WriteAround(w io.Writer, mark, span int) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "class\t%d s before\t%d s after\tdifference\tsecond by second\t\n", span, span)
 	for c := range r.Classes {
-		before, after := r.share(c, mark-span, mark), r.share(c, mark, mark+span)
+		before, after := r.attainment(c, mark-span, mark), r.attainment(c, mark, mark+span)
 		fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%+.4f\t", r.Classes[c].Class, before, after, after-before)
 		for s := mark; s < mark+span; s++ {
-			fmt.Fprintf(t, " %.2f", r.share(c, s, s+1))
+			fmt.Fprintf(t, " %.2f", r.attainment(c, s, s+1))
 		}
 		fmt.Fprintln(t, "\t")
 	}
 	return errors.Wrap(t.Flush(), "around")
 }
 
-// share is the attainment of a class's arrivals from one second to another.
-func (r *Report) share(class, from, to int) float64 {
+// attainment returns the attainment of a class's arrivals in the seconds from
+// (inclusive) to to (exclusive), or one if there are none.
+func (r *Report) attainment(class, from, to int) float64 {
 	offered, onTime := 0, 0
 	for s := max(0, from); s < min(to, len(r.Series)); s++ {
 		offered += r.Series[s].Offered[class]
--- a/load/workload.go
+++ b/load/workload.go
@@ -1,12 +1,11 @@
-// Package load drives an open-loop load and reports what came of it.
+// Package load is an open-loop load generator that reports latencies, target
+// attainment and failures.
 //
-// Arrivals are drawn before the run from a seed and never wait for answers;
-// latencies count from the intended start, so that a stalled system is not
-// flattered. A report joins what callers saw with the stand-ins' books, so
-// that duplicated, lost and crossed answers and wasted tokens are counted.
-//
-// The files: workload.go (what to send), client.go (sending it), report.go
-// (what came of it), table.go and plot.go (for people), compare.go.
+// Arrival times are generated from a seed before the run and do not depend on
+// responses. Latencies count from the scheduled arrival, which avoids
+// coordinated omission. A report combines the clients' observations with the
+// runs that the fakes recorded, to count duplicated, lost and misdirected
+// responses and wasted tokens.
 package load
 
 import (
@@ -21,18 +20,18 @@
 	"ivyridge/yamlfile"
 )
 
-// A Workload describes a load.
+// A Workload describes the requests of a run.
 type Workload struct {
 	Pos      yamlfile.Pos
 	Name     string        `yaml:"name"`
 	Duration time.Duration `yaml:"duration"`
-	Drain    time.Duration `yaml:"drain"` // wait for answers after the last arrival
+	Drain    time.Duration `yaml:"drain"` // time to wait for responses after the last arrival
 	Teams    []Team        `yaml:"teams"`
 	Classes  []Class       `yaml:"classes"`
 	Bursts   []Burst       `yaml:"bursts"`
 }
 
-// A Team sends a part of the load.
+// A Team sends a share of each class's requests in proportion to its weight.
 type Team struct {
 	Pos    yamlfile.Pos
 	Name   string  `yaml:"name"`
@@ -40,33 +39,36 @@
 	Weight float64 `yaml:"weight"`
 }
 
-// A Class is one kind of request.
+// A Class is a request class.
 type Class struct {
 	Pos  yamlfile.Pos
 	Name string `yaml:"name"`
-	// Model or Service names the pool; one is set.
+	// Model or Service names the pool; exactly one is set.
 	Model   string  `yaml:"model"`
 	Service string  `yaml:"service"`
 	Stream  bool    `yaml:"stream"`
-	Rate    float64 `yaml:"rate"` // arrivals a second
-	// FirstToken and Whole are the targets that on-time is judged by.
+	Rate    float64 `yaml:"rate"` // arrivals per second, of all teams
+	// FirstToken and Whole are the latency targets for the first token and for
+	// the complete response. Zero means no target.
 	FirstToken time.Duration `yaml:"first_token"`
 	Whole      time.Duration `yaml:"whole"`
-	// Length is the median answer in tokens, Spread the log-normal sigma.
+	// Response lengths are log-normal: Length is the median in tokens, Spread
+	// the sigma.
 	Length float64 `yaml:"length"`
 	Spread float64 `yaml:"spread"`
-	// Prompt is the prompt's length in tokens; Shared, the part of it that
-	// a team's requests have in common.
+	// Prompt is the prompt's length in tokens, Shared the length of the prefix
+	// that all requests of a team have in common.
 	Prompt int `yaml:"prompt"`
 	Shared int `yaml:"shared"`
-	// Keyed requests carry an Idempotency-Key.
+	// Keyed makes requests carry an Idempotency-Key.
 	Keyed bool `yaml:"keyed"`
-	// Repeats is how often a caller asks again after a refusal that was
-	// not run, when the answer says when, or after a lost connection.
+	// Repeats is the maximum number of retries, after a lost connection or
+	// after a refusal that did not run and has a Retry-After header.
 	Repeats int `yaml:"repeats"`
 }
 
-// A Burst multiplies the rate of a class, of one team if it is named.
+// A Burst multiplies the rate of a class by Times between From and To, for one
+// team or, if Team is empty, for all.
 type Burst struct {
 	Pos   yamlfile.Pos
 	Class string        `yaml:"class"`
@@ -76,7 +78,7 @@
 	Times float64       `yaml:"times"`
 }
 
-// Read reads and checks a workload file.
+// Read reads and validates a workload file.
 func Read(file string) (*Workload, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -85,7 +87,8 @@
 	return Parse(file, data)
 }
 
-// Parse checks a workload. The error, if any, is a yamlfile.Errors.
+// Parse parses and validates a workload; file is used in error positions. The
+// error, if any, is a yamlfile.Errors.
 func Parse(file string, data []byte) (*Workload, error) {
 	w := new(Workload)
 	err := yamlfile.Decode(file, data, w)
@@ -109,10 +112,10 @@
 	}
 	for _, b := range w.Bursts {
 		if w.class(b.Class) == nil {
-			errs.Add(b.Pos, "a burst names class %q, which is not there", b.Class)
+			errs.Add(b.Pos, "burst of undefined class %q", b.Class)
 		}
 		if b.Times <= 0 || b.To <= b.From {
-			errs.Add(b.Pos, "a burst needs times above zero, and to after from")
+			errs.Add(b.Pos, "burst: times must be positive and to must be after from")
 		}
 	}
 	if err := errs.Err(); err != nil {
@@ -130,22 +133,24 @@
 	return nil
 }
 
-// An Arrival is one request to send.
+// An Arrival is one scheduled request. At is relative to the start of the run,
+// Length the number of tokens of the response.
 type Arrival struct {
 	At     time.Duration
 	Class  *Class
 	Team   *Team
 	Length int
-	N      int // its number in the run
+	N      int // index in order of arrival
 }
 
-// Arrivals draws the requests of a run, in order.
+// Arrivals generates the requests of a run, in order of arrival. The result
+// depends only on w and the seed, and refers to w's classes and teams.
 func (w *Workload) Arrivals(seed uint64) []Arrival {
 	var out []Arrival
 	for ci := range w.Classes {
 		for ti := range w.Teams {
 			rng := rand.New(rand.NewPCG(seed, uint64(ci)<<32|uint64(ti)))
-			out = append(out, w.draw(rng, &w.Classes[ci], &w.Teams[ti])...)
+			out = append(out, w.drawArrivals(rng, &w.Classes[ci], &w.Teams[ti])...)
 		}
 	}
 	sort.SliceStable(out, func(i, j int) bool { return out[i].At < out[j].At })
@@ -155,26 +160,27 @@
 	return out
 }
 
-// draw makes a Poisson process by thinning one of the highest rate.
-func (w *Workload) draw(rng *rand.Rand, c *Class, t *Team) []Arrival {
-	base := c.Rate * t.Weight / w.weights()
-	most := base * w.highest(c, t)
-	if most <= 0 {
+// drawArrivals generates a Poisson process of varying rate by thinning one of
+// the maximum rate.
+func (w *Workload) drawArrivals(rng *rand.Rand, c *Class, t *Team) []Arrival {
+	base := c.Rate * t.Weight / w.totalWeight()
+	maxRate := base * w.maxRateFactor(c, t)
+	if maxRate <= 0 {
 		return nil
 	}
 	var out []Arrival
 	for at := time.Duration(0); ; {
-		at += time.Duration(rng.ExpFloat64() / most * float64(time.Second))
+		at += time.Duration(rng.ExpFloat64() / maxRate * float64(time.Second))
 		if at >= w.Duration {
 			return out
 		}
-		if rng.Float64()*most < base*w.times(c, t, at) {
-			out = append(out, Arrival{At: at, Class: c, Team: t, Length: c.draw(rng)})
+		if rng.Float64()*maxRate < base*w.rateFactor(c, t, at) {
+			out = append(out, Arrival{At: at, Class: c, Team: t, Length: c.drawLength(rng)})
 		}
 	}
 }
 
-func (w *Workload) weights() float64 {
+func (w *Workload) totalWeight() float64 {
 	sum := 0.0
 	for _, t := range w.Teams {
 		sum += t.Weight
@@ -182,7 +188,8 @@
 	return sum
 }
 
-func (w *Workload) times(c *Class, t *Team, at time.Duration) float64 {
+// rateFactor returns the product of the bursts in progress at a time.
+func (w *Workload) rateFactor(c *Class, t *Team, at time.Duration) float64 {
 	f := 1.0
 	for _, b := range w.Bursts {
 		if b.Class == c.Name && (b.Team == "" || b.Team == t.Name) && at >= b.From && at < b.To {
@@ -192,16 +199,18 @@
 	return f
 }
 
-func (w *Workload) highest(c *Class, t *Team) float64 {
+// maxRateFactor returns the highest rateFactor at the start of a burst, but at
+// least one.
+func (w *Workload) maxRateFactor(c *Class, t *Team) float64 {
 	f := 1.0
 	for _, b := range w.Bursts {
-		f = max(f, w.times(c, t, b.From))
+		f = max(f, w.rateFactor(c, t, b.From))
 	}
 	return f
 }
 
-// draw returns the length of one answer.
-func (c *Class) draw(rng *rand.Rand) int {
+// drawLength returns a random response length, or zero if the class has none.
+func (c *Class) drawLength(rng *rand.Rand) int {
 	if c.Length == 0 {
 		return 0
 	}
