--- a/rig/rig.go
+++ b/rig/rig.go
@@ -1,11 +1,12 @@
-// Package rig measures what control costs an instance.
+// Package rig measures the control-plane cost per instance.
 //
-// It runs many control planes (package node) in one process on loopback, with
-// real keys, connections and messages, a stand-in platform, and endpoints
-// that only report their load. Requests ask, claim, hold and release, but
-// nothing is computed and no caller is served, so that all processor time and
-// all bytes are control's. Slopes over instances, endpoints, teams and
-// requests come from runs of different sizes; docs/CAPACITY.md uses them.
+// It runs the control planes (package node) of many instances in one process,
+// connected over loopback with mutual TLS, with a fake platform and with
+// endpoints that only report their load. Requests are admitted, held and
+// released, but nothing is computed and no client is served, so that all CPU
+// time and traffic belong to the control plane. Runs of different sizes yield
+// the marginal cost of an instance, endpoint, team and request for
+// docs/CAPACITY.md.
 package rig
 
 import (
@@ -38,80 +39,84 @@
 	"ivyridge/publish"
 )
 
-// warmUp is how long a run takes until it is steady: connections are made and
-// keys settled.
+// warmUp is the time before the measurement, in which connections are
+// established and the ownership of idempotency keys settles.
 const warmUp = 8 * time.Second
 
-// Params are the size of one run.
+// Params are the size and load of one run.
 type Params struct {
 	Instances int
 	Endpoints int
-	Pools     int // models, among which the endpoints are divided
+	Pools     int // model pools; the endpoints are divided among them
 	Teams     int
-	Rate      float64       // requests a second, over the whole fleet
-	Claimed   float64       // part of them with a key
-	Hold      time.Duration // of a granted request
-	Duration  time.Duration // measured
+	Rate      float64       // requests per second, total over all instances
+	Claimed   float64       // fraction of requests with an idempotency key
+	Hold      time.Duration // time that a granted request holds its slot
+	Duration  time.Duration // of the measurement
 }
 
-// A Result is what one run cost, per instance.
+// A Result is the cost of one run, per instance unless noted.
 type Result struct {
 	Params
-	CPU           float64       // part of a core
-	Bytes         float64       // sent and received, a second
-	Messages      float64       // calls sent, a second
-	Heap          float64       // bytes
-	PlatformCalls float64       // of the whole fleet, a minute
-	Spread        time.Duration // worst time from publishing to in force
-	Done          int64         // requests that were granted
+	CPU           float64       // cores
+	Bytes         float64       // sent and received per second
+	Messages      float64       // calls sent per second
+	Heap          float64       // bytes of heap and stacks
+	PlatformCalls float64       // per minute, total over all instances
+	Spread        time.Duration // from publishing a configuration until all instances apply it
+	Done          int64         // requests completed, total over all instances
 }
 
-type rig struct {
-	par      Params
-	dir      string
-	platform *fake.Platform
-	nodes    []*node.Node
-	servers  []*peer.Server
-	bytes    atomic.Int64
-	calls    atomic.Int64
-	done     atomic.Int64
-	loads    *http.Server
+type benchmark struct {
+	params     Params
+	dir        string
+	platform   *fake.Platform
+	nodes      []*node.Node
+	servers    []*peer.Server
+	bytes      atomic.Int64
+	calls      atomic.Int64
+	completed  atomic.Int64
+	loadServer *http.Server
 }
 
-// Run runs one size and measures it.
+// Run starts the instances, measures them for p.Duration and stops them. CPU
+// and heap are those of the whole process, so that only one Run may be in
+// progress.
 func Run(p Params) (Result, error) {
-	r := &rig{par: p}
-	before := heap()
-	if err := r.start(); err != nil {
+	b := &benchmark{params: p}
+	before := heapInUse()
+	if err := b.start(); err != nil {
 		return Result{}, err
 	}
-	defer r.stop()
-	if err := r.await(1); err != nil {
+	defer b.stop()
+	if err := b.awaitRevision(1); err != nil {
 		return Result{}, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go r.drive(ctx)
+	go b.generateLoad(ctx)
 	time.Sleep(warmUp)
-	res := r.measure()
-	res.Heap = float64(heap()-before) / float64(p.Instances)
+	res := b.measure()
+	res.Heap = float64(heapInUse()-before) / float64(p.Instances)
 	began := time.Now()
-	r.platform.Publish(declarations(p.Pools, p.Teams, 2))
-	if err := r.await(2); err != nil {
+	b.platform.Publish(declarations(p.Pools, p.Teams, 2))
+	if err := b.awaitRevision(2); err != nil {
 		return res, err
 	}
 	res.Spread = time.Since(began)
 	return res, nil
 }
 
-func heap() int64 {
+// heapInUse returns the bytes of heap and stacks after a garbage collection.
+func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// declarations returns a set with many teams.
+// declarations returns a configuration with the given numbers of pools and
+// teams. The revision makes its text distinct.
 func declarations(pools, teams, revision int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# revision %d\nclasses:\n  - {name: verdict, tier: 0, whole: 30s, repeatable: false}\npools:\n", revision)
@@ -126,12 +131,12 @@
 	return b.String()
 }
 
-func (r *rig) start() error {
+func (b *benchmark) start() error {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
 		return errors.Wrap(err, "rig")
 	}
-	r.dir = dir
+	b.dir = dir
 	if err := peer.NewAuthority(dir); err != nil {
 		return err
 	}
@@ -142,17 +147,17 @@
 	if err != nil {
 		return err
 	}
-	r.platform = fake.NewPlatform(0)
-	platformAddr, err := r.listen(r.platform.Serve)
+	b.platform = fake.NewPlatform(0)
+	platformAddr, err := b.serve(b.platform.Serve)
 	if err != nil {
 		return err
 	}
-	r.loads = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"running":0}`) })}
-	loadAddr, err := r.listen(func(l net.Listener) { _ = r.loads.Serve(l) })
+	b.loadServer = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"running":0}`) })}
+	loadAddr, err := b.serve(func(l net.Listener) { _ = b.loadServer.Serve(l) })
 	if err != nil {
 		return err
 	}
-	listeners := make([]net.Listener, r.par.Instances)
+	listeners := make([]net.Listener, b.params.Instances)
 	var list member.List
 	for i := range listeners {
 		if listeners[i], err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -160,17 +165,17 @@
 		}
 		list.Instances = append(list.Instances, member.Instance{Name: fmt.Sprintf("i%d", i), Addr: listeners[i].Addr().String(), DataCentre: dataCentre(i), State: member.Live})
 	}
-	for i := range r.par.Endpoints {
-		list.Endpoints = append(list.Endpoints, member.Endpoint{Name: fmt.Sprintf("e%d", i), Addr: loadAddr, DataCentre: dataCentre(i), Region: "r", Pool: poolName(i % r.par.Pools), State: member.Live})
+	for i := range b.params.Endpoints {
+		list.Endpoints = append(list.Endpoints, member.Endpoint{Name: fmt.Sprintf("e%d", i), Addr: loadAddr, DataCentre: dataCentre(i), Region: "r", Pool: poolName(i % b.params.Pools), State: member.Live})
 	}
-	r.platform.Publish(declarations(r.par.Pools, r.par.Teams, 1))
-	r.platform.ChangeList(func(l *member.List) { *l = list })
+	b.platform.Publish(declarations(b.params.Pools, b.params.Teams, 1))
+	b.platform.ChangeList(func(l *member.List) { *l = list })
 	policy, err := home.ParsePolicy(home.Full)
 	if err != nil {
 		return err
 	}
 	for i, l := range listeners {
-		r.launch(keys, policy, &list.Instances[i], l, platformAddr)
+		b.startInstance(keys, policy, &list.Instances[i], l, platformAddr)
 	}
 	return nil
 }
@@ -179,8 +184,8 @@
 
 func dataCentre(i int) string { return fmt.Sprintf("dc%d", i%6) }
 
-// listen serves f on a free port and returns its address.
-func (r *rig) listen(serve func(net.Listener)) (string, error) {
+// serve runs serve on a free loopback port and returns its address.
+func (b *benchmark) serve(serve func(net.Listener)) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.Wrap(err, "rig")
@@ -189,68 +194,73 @@
 	return l.Addr().String(), nil
 }
 
-func (r *rig) launch(keys *peer.Keyring, policy home.Policy, in *member.Instance, l net.Listener, platformAddr string) {
+func (b *benchmark) startInstance(keys *peer.Keyring, policy home.Policy, in *member.Instance, l net.Listener, platformAddr string) {
 	tr := peer.NewTransport(keys)
 	dial := tr.DialContext
 	tr.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
-		return &counted{c, &r.bytes}, err
+		return &countingConn{c, &b.bytes}, err
 	}
 	n := node.New(node.Options{
 		Name: in.Name, DataCentre: in.DataCentre, Addr: in.Addr, Policy: policy, ColdStart: true, Quarantine: owner.Retention,
-		Clock: clock.Boot(), Log: zap.NewNop(), Transport: &calls{tr, &r.calls}, Platform: publish.NewClient(platformAddr), Loads: daemon.NewLoadClient(),
+		Clock: clock.Boot(), Log: zap.NewNop(), Transport: &countingTransport{tr, &b.calls}, Platform: publish.NewClient(platformAddr), Loads: daemon.NewLoadClient(),
 	})
 	s := peer.NewServer(keys, n.Handler())
 	go func() { _ = s.Serve(l) }()
 	n.Run()
-	r.nodes, r.servers = append(r.nodes, n), append(r.servers, s)
+	b.nodes, b.servers = append(b.nodes, n), append(b.servers, s)
 }
 
-func (r *rig) stop() {
-	for i, n := range r.nodes {
-		_ = r.servers[i].Close()
+func (b *benchmark) stop() {
+	for i, n := range b.nodes {
+		_ = b.servers[i].Close()
 		n.Close()
 	}
-	r.platform.Close()
-	_ = r.loads.Close()
-	_ = os.RemoveAll(r.dir)
+	b.platform.Close()
+	_ = b.loadServer.Close()
+	_ = os.RemoveAll(b.dir)
 }
 
-// await waits until a revision is in force everywhere.
-func (r *rig) await(revision int64) error {
+// awaitRevision waits until all instances apply the configuration revision or
+// a newer one.
+func (b *benchmark) awaitRevision(revision int64) error {
 	const within = 30 * time.Second
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		n := 0
-		for _, x := range r.nodes {
+		for _, x := range b.nodes {
 			if c := x.Config(); c.Revision >= revision && c.ListRevision > 0 {
 				n++
 			}
 		}
-		if n == len(r.nodes) {
+		if n == len(b.nodes) {
 			return nil
 		}
 	}
-	return errors.Errorf("revision %d is not in force everywhere within %s", revision, within)
+	return errors.Errorf("revision %d not applied by all instances within %s", revision, within)
 }
 
-// measure counts for a while.
-func (r *rig) measure() Result {
-	cpu, bytes, calls, platformCalls, done := cpuTime(), r.bytes.Load(), r.calls.Load(), r.platform.Calls.Load(), r.done.Load()
+// measure measures the running instances for the configured duration. It sets
+// all fields of the result but Heap and Spread.
+func (b *benchmark) measure() Result {
+	cpu, bytes, calls, platformCalls, done := cpuTime(), b.bytes.Load(), b.calls.Load(), b.platform.Calls.Load(), b.completed.Load()
 	began := time.Now()
-	time.Sleep(r.par.Duration)
+	time.Sleep(b.params.Duration)
 	s := time.Since(began).Seconds()
-	each := s * float64(r.par.Instances)
+	each := s * float64(b.params.Instances)
 	return Result{
-		Params: r.par,
+		Params: b.params,
 		CPU:    (cpuTime() - cpu).Seconds() / each,
-		// Every byte is one instance's to send and another's to receive.
-		Bytes:         2 * float64(r.bytes.Load()-bytes) / each,
-		Messages:      float64(r.calls.Load()-calls) / each,
-		PlatformCalls: float64(r.platform.Calls.Load()-platformCalls) / s * 60,
-		Done:          r.done.Load() - done,
+		// Connections are counted at the dialing end only, but each byte is
+		// sent by one instance and received by another.
+		Bytes:         2 * float64(b.bytes.Load()-bytes) / each,
+		Messages:      float64(b.calls.Load()-calls) / each,
+		PlatformCalls: float64(b.platform.Calls.Load()-platformCalls) / s * 60,
+		Done:          b.completed.Load() - done,
 	}
 }
 
+// cpuTime returns the user and system time of the process, or zero if it is
+// not available.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -259,12 +269,13 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// drive sends requests at the rate, each through the next instance.
-func (r *rig) drive(ctx context.Context) {
-	if r.par.Rate == 0 {
+// generateLoad issues requests at the configured rate, round robin over the
+// instances, until ctx is done.
+func (b *benchmark) generateLoad(ctx context.Context) {
+	if b.params.Rate == 0 {
 		return
 	}
-	t := time.NewTicker(time.Duration(float64(time.Second) / r.par.Rate))
+	t := time.NewTicker(time.Duration(float64(time.Second) / b.params.Rate))
 	defer t.Stop()
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -277,18 +288,18 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.request(ctx, i)
+			b.request(ctx, i)
 		}()
 	}
 }
 
-// request does what control does for one request.
-func (r *rig) request(ctx context.Context, i int) {
-	n := r.nodes[i%len(r.nodes)]
+// request performs the control-plane operations of one request.
+func (b *benchmark) request(ctx context.Context, i int) {
+	n := b.nodes[i%len(b.nodes)]
 	var claim *node.Claim
-	if float64(i%100) < 100*r.par.Claimed {
+	if float64(i%100) < 100*b.params.Claimed {
 		var k owner.Key
-		sum := xxhash.Sum64String(fmt.Sprintf("%p-%d", r, i))
+		sum := xxhash.Sum64String(fmt.Sprintf("%p-%d", b, i))
 		for j := range 8 {
 			k[j] = byte(sum >> (8 * j))
 		}
@@ -298,12 +309,12 @@
 		}
 		claim = c
 	}
-	g, err := n.Acquire(ctx, &node.Request{Pool: poolName(i / len(r.nodes) % r.par.Pools), Class: "verdict", Team: fmt.Sprintf("t%d", i%max(1, r.par.Teams)), Arrived: n.Now()})
+	g, err := n.Acquire(ctx, &node.Request{Pool: poolName(i / len(b.nodes) % b.params.Pools), Class: "verdict", Team: fmt.Sprintf("t%d", i%max(1, b.params.Teams)), Arrived: n.Now()})
 	if err != nil {
 		return
 	}
 	const slice = 100 * time.Millisecond
-	for held := time.Duration(0); held < r.par.Hold && ctx.Err() == nil; held += slice {
+	for held := time.Duration(0); held < b.params.Hold && ctx.Err() == nil; held += slice {
 		time.Sleep(slice)
 		n.SawTokens(g, 3, slice)
 	}
@@ -311,34 +322,34 @@
 	if claim != nil {
 		n.Keep(claim, &node.Answer{Status: http.StatusOK})
 	}
-	r.done.Add(1)
+	b.completed.Add(1)
 }
 
-// counted counts the bytes of a connection, in both directions.
-type counted struct {
+// countingConn counts the bytes of a connection in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c *counted) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// calls counts calls.
-type calls struct {
+// countingTransport counts HTTP requests.
+type countingTransport struct {
 	*http.Transport
 	n *atomic.Int64
 }
 
-func (c *calls) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c *countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	c.n.Add(1)
 	return c.Transport.RoundTrip(r)
 }
