--- a/experiment/bound.go
+++ b/experiment/bound.go
@@ -1,9 +1,9 @@
 package experiment
 
-// This file computes what a scheduler that knew every arrival and length
-// could at most serve on time. The bounds relax everything but capacity:
-// requests may be cut up and run at once on all engines, and within a surge
-// only its ends count, not each request's own window. They cannot be reached.
+// This file computes upper bounds for the performance of any scheduler, even
+// one that knows all arrivals and response lengths in advance. Only capacity is
+// constrained: requests may be split over all engines, and within a surge the
+// individual deadlines are ignored. The bounds are therefore not attainable.
 
 import (
 	"math"
@@ -13,16 +13,17 @@
 	"ivyridge/load"
 )
 
-// A Bound is the most that could be served on time.
+// A Bound is an upper bound of the on-time throughput of a scenario.
 type Bound struct {
-	Surge int // requests of the surging class that arrive in the surge
-	// Blind is the same for a scheduler that knows no length before the
-	// answer ends, and so cannot choose the short ones.
+	Surge int // requests of the surging class that arrive during the surge
+	// Blind is like Surge, for a scheduler that does not know the response
+	// lengths and therefore cannot prefer short requests.
 	Blind   int
-	Goodput float64 // tokens a second
+	Goodput float64 // tokens per second
 }
 
-// Bound computes the bounds of a scenario for one seed.
+// Bound computes the bounds of the scenario for one seed. Surge and Blind are
+// zero without a surge.
 func (s *Scenario) Bound(seed uint64) Bound {
 	arrivals := s.Workload.Arrivals(seed)
 	b := Bound{Goodput: s.goodputBound(arrivals)}
@@ -32,9 +33,9 @@
 	return b
 }
 
-// surgeBound fills the window in which the surge's requests may run with the
-// shortest of them, after the work of the higher tiers that arrives in it,
-// and with requests of their mean cost for a scheduler that cannot tell.
+// surgeBound returns how many of the surge's requests fit into the capacity of
+// the window in which they may run, less the work of higher tiers that arrives
+// in it: most takes the cheapest first, and blind assumes their mean cost.
 func (s *Scenario) surgeBound(arrivals []load.Arrival, tier int) (most, blind int) {
 	var costs []float64
 	var surging *load.Class
@@ -44,9 +45,9 @@
 		}
 	}
 	end := s.To + max(surging.Whole, surging.FirstToken)
-	room := float64(s.Engines) * (end - s.From).Seconds()
+	capacity := float64(s.Engines) * (end - s.From).Seconds()
 	if surging.Service != "" {
-		room = float64(s.Services*s.Workers) * (end - s.From).Seconds()
+		capacity = float64(s.Services*s.Workers) * (end - s.From).Seconds()
 	}
 	for i := range arrivals {
 		a := &arrivals[i]
@@ -55,19 +56,19 @@
 		case a.Class == surging && a.At < s.To:
 			costs = append(costs, s.cost(a))
 		case s.Set.Class(a.Class.Name).Tier < tier && a.Class.Model == surging.Model:
-			room -= s.cost(a)
+			capacity -= s.cost(a)
 		}
 	}
 	sum := 0.0
 	for _, c := range costs {
 		sum += c
 	}
-	blind = min(len(costs), int(room/(sum/float64(len(costs)))))
-	return fill(costs, room), blind
+	blind = min(len(costs), int(capacity/(sum/float64(len(costs)))))
+	return countFitting(costs, capacity), blind
 }
 
-// cost is what a request takes, in seconds of an engine that is filled to
-// the token gap, or of a service's worker.
+// cost returns the time that a request takes, in seconds of an engine that
+// runs at Capacity, or of a service worker.
 func (s *Scenario) cost(a *load.Arrival) float64 {
 	if a.Class.Service != "" {
 		return s.Work.Seconds()
@@ -76,30 +77,30 @@
 	return float64(a.Length)*perToken + float64(a.Class.Prompt-a.Class.Shared)/s.Params.PrefillRate
 }
 
-// fill returns how many of the cheapest fit.
-func fill(costs []float64, room float64) int {
+// countFitting returns how many of the cheapest requests fit into the
+// capacity. It sorts costs.
+func countFitting(costs []float64, capacity float64) int {
 	sort.Float64s(costs)
 	for i, c := range costs {
-		if room -= c; room < 0 {
+		if capacity -= c; capacity < 0 {
 			return i
 		}
 	}
 	return len(costs)
 }
 
-// A parcel is offered work, in tokens, and the second by whose end it must
-// be done to count.
-type parcel struct {
+// A workItem is a number of tokens to generate before the start of second due.
+type workItem struct {
 	due    int
 	tokens float64
 }
 
-// goodputBound serves the offered tokens earliest deadline first on one
-// engine as fast as all together, second by second. Parts of answers count,
-// so no schedule of whole answers can do better.
+// goodputBound simulates earliest-deadline-first scheduling, in steps of one
+// second, on a single server with the capacity of all engines. Partial
+// responses count, so that no schedule of complete responses exceeds the bound.
 func (s *Scenario) goodputBound(arrivals []load.Arrival) float64 {
 	last := int(math.Ceil((s.Workload.Duration + s.Workload.Drain).Seconds()))
-	offered := make([][]parcel, last+1)
+	offered := make([][]workItem, last+1)
 	for i := range arrivals {
 		a := &arrivals[i]
 		if a.Class.Model == "" {
@@ -110,37 +111,39 @@
 			due = min(last, int(math.Ceil((a.At + a.Class.Whole).Seconds())))
 		}
 		at := int(a.At / time.Second)
-		offered[at] = append(offered[at], parcel{due, float64(a.Length)})
+		offered[at] = append(offered[at], workItem{due, float64(a.Length)})
 	}
 	done := 0.0
-	var open []parcel
+	var open []workItem
 	for second := range offered {
 		open = append(open, offered[second]...)
 		sort.SliceStable(open, func(i, j int) bool { return open[i].due < open[j].due })
-		done += serve(open, second, s.Capacity())
-		open = unfinished(open)
+		done += serveSecond(open, second, s.Capacity())
+		open = withTokensLeft(open)
 	}
 	return done / s.Workload.Duration.Seconds()
 }
 
-// serve works on parcels in order for a second and returns what it did.
-func serve(open []parcel, second int, room float64) float64 {
+// serveSecond serves the work items in order until the capacity, in tokens, is
+// used up, drops those past their deadline, and returns the tokens served.
+func serveSecond(open []workItem, second int, capacity float64) float64 {
 	done := 0.0
 	for i := range open {
 		p := &open[i]
 		if p.due <= second {
-			p.tokens = 0 // too late
+			p.tokens = 0
 			continue
 		}
-		n := min(p.tokens, room)
+		n := min(p.tokens, capacity)
 		p.tokens -= n
-		room -= n
+		capacity -= n
 		done += n
 	}
 	return done
 }
 
-func unfinished(open []parcel) []parcel {
+// withTokensLeft filters open in place and returns the unfinished items.
+func withTokensLeft(open []workItem) []workItem {
 	kept := open[:0]
 	for _, p := range open {
 		if p.tokens > 0 {
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -1,13 +1,10 @@
-// Package experiment measures the policy in virtual time.
+// Package experiment compares scheduling policies by discrete-event simulation.
 //
-// It drives the real decisions (package home) with models of the endpoints
-// (package engine) and a drawn workload (package load), event by event, so
-// that a minute of a wave takes less than a second and gives the same result
-// for the same seed on any machine. It has no network and one home a pool:
-// how instances act together is measured with real processes instead.
-//
-// The files: experiment.go (scenarios and results), world.go (the events),
-// pool.go (endpoints), bound.go (what could be served at the most), table.go.
+// It runs the production scheduler (package home) in virtual time against
+// models of endpoints (package engine) and a generated workload (package
+// load). The result depends only on the scenario, the policy and the seed. The
+// simulation has no network and one scheduler per pool; it does not cover the
+// interaction of instances.
 package experiment
 
 import (
@@ -19,60 +16,65 @@
 	"ivyridge/load"
 )
 
-// A Fault is something that happens to an endpoint at a time.
+// A Fault is a failure of one endpoint.
 type Fault struct {
-	At       time.Duration
-	Endpoint int // of the model pool
-	Slow     float64
+	At       time.Duration // since the start of the run
+	Endpoint int           // index in the model pool
+	Slow     float64       // factor on its iteration time; zero for no change
 	Crash    bool
 }
 
-// A Scenario is one experiment.
+// A Scenario is the input of a simulation. It is not modified by Run, so that
+// concurrent runs may share it.
 type Scenario struct {
 	Name     string
 	Set      *decl.Set
 	Workload *load.Workload
-	Engines  int
-	Services int
-	Workers  int // of a service
-	Work     time.Duration
+	Engines  int           // endpoints per model pool
+	Services int           // endpoints per service pool
+	Workers  int           // concurrent requests of a service endpoint
+	Work     time.Duration // processing time of a service request
 	Params   engine.Params
-	Lag      time.Duration // of load reports
+	Lag      time.Duration // age of load reports
 	Faults   []Fault
-	// From and To bound the surge, if there is one; SurgeClass names it.
+	// SurgeClass is the class whose rate surges between From and To. It is
+	// empty if there is no surge.
 	SurgeClass string
 	From, To   time.Duration
 }
 
-// A Result is what came of a scenario under one policy and seed.
+// A Result is the outcome of a scenario under one policy and seed.
 type Result struct {
 	Classes  []ClassResult
-	Goodput  float64 // tokens a second in answers on time
-	Computed int64   // tokens
-	Good     int64   // tokens in answers on time
-	// Gaps is the part of streamed and whole answers whose mean time
-	// between tokens met the class's target.
+	Goodput  float64 // tokens per second in on-time responses
+	Computed int64   // tokens in all responses, complete or not
+	Good     int64   // tokens in on-time responses
+	// Gaps is the fraction of the complete responses of more than one token
+	// whose mean time between tokens met the class's target.
 	Gaps float64
-	// Normal is how long after the surge the arrivals of some second were
-	// still not answered on time.
+	// Normal is the time from the end of the surge until the share of
+	// arrivals served on time is back to normal.
 	Normal time.Duration
-	Slow   int64 // endpoints noticed as slow
+	Slow   int64 // number of times that an endpoint was detected as slow
 }
 
-// A ClassResult is what came of one class.
+// A ClassResult is the outcome of one class. Each offered request counts as
+// exactly one of OnTime, Late, Refused, Failed or Left (unfinished at the end
+// of the run); Served is OnTime plus Late.
 type ClassResult struct {
 	Class                                                string
 	Offered, Served, OnTime, Late, Refused, Failed, Left int
 	Attainment                                           float64
-	// SurgeAttainment counts only arrivals within the surge.
+	// SurgeOffered and SurgeOnTime count the arrivals during the surge.
 	SurgeOffered, SurgeOnTime int
 	Teams                     map[string]*TeamResult
 }
 
-// A TeamResult is what came of one team in a class.
+// A TeamResult is the outcome of one team's requests of a class.
 type TeamResult struct{ Offered, OnTime int }
 
-// Wasted is the part of the computed tokens that served nobody in time.
+// Wasted returns the fraction of the computed tokens that are not part of an
+// on-time response, or zero if none were computed.
 func (r *Result) Wasted() float64 {
 	if r.Computed == 0 {
 		return 0
@@ -80,7 +82,7 @@
 	return 1 - float64(r.Good)/float64(r.Computed)
 }
 
-// Class returns the result of a class.
+// Class returns the result of the named class, or nil.
 func (r *Result) Class(name string) *ClassResult {
 	for i := range r.Classes {
 		if r.Classes[i].Class == name {
@@ -90,15 +92,15 @@
 	return nil
 }
 
-// Run runs a scenario once.
+// Run simulates the scenario once.
 func (s *Scenario) Run(policy home.Policy, seed uint64) *Result {
-	w := newWorld(s, policy, seed)
-	w.run()
-	return w.result()
+	sim := newSimulation(s, policy, seed)
+	sim.run()
+	return sim.result()
 }
 
-// Capacity is the tokens a second that the engines make when each is filled
-// to the token gap that the classes ask for.
+// Capacity returns the total tokens per second of a pool's engines, each with
+// the largest batch that meets the shortest token-gap target of the classes.
 func (s *Scenario) Capacity() float64 {
 	gap := time.Duration(0)
 	for _, c := range s.Set.Classes {
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -22,7 +22,7 @@
 			}
 		}
 	}
-	t.Fatalf("no scenario is called %s", name)
+	t.Fatalf("unknown scenario %s", name)
 	return nil
 }
 
@@ -35,8 +35,8 @@
 	return p
 }
 
-// Virtual time gives the same result for the same seed, on any machine.
-func TestSameSeedSameResult(t *testing.T) {
+// The simulation must be deterministic for a given seed.
+func TestDeterministic(t *testing.T) {
 	s := scenario(t, "huurtoets/letter x2")
 	a, b := s.Run(policy(t, home.Full), 1), s.Run(policy(t, home.Full), 1)
 	if !reflect.DeepEqual(a, b) {
@@ -44,38 +44,39 @@
 	}
 }
 
-// Verdicts hold while letters surge, and lose nearly all in a plain line.
-func TestVerdictsHold(t *testing.T) {
+// The full policy protects tier-0 requests from a surge of a lower tier. FIFO
+// must fail in the same scenario, else the surge is too small for this test.
+func TestHighTierProtectedDuringSurge(t *testing.T) {
 	s := scenario(t, "huurtoets/letter x5")
-	full, plain := s.Run(policy(t, home.Full), 1), s.Run(policy(t, home.FIFO), 1)
+	full, fifo := s.Run(policy(t, home.Full), 1), s.Run(policy(t, home.FIFO), 1)
 	if got := full.Class("verdict").Attainment; got < 0.98 {
-		t.Errorf("verdicts reach %.3f under the full policy", got)
+		t.Errorf("attainment of class verdict is %.3f under the full policy, want at least 0.98", got)
 	}
-	if got := plain.Class("verdict").Attainment; got > 0.5 {
-		t.Errorf("verdicts reach %.3f in one line: the surge is none", got)
+	if got := fifo.Class("verdict").Attainment; got > 0.5 {
+		t.Errorf("attainment of class verdict is %.3f under FIFO, want at most 0.5: the surge is too small", got)
 	}
 }
 
-// An accepted letter is finished, also when an engine crashes.
-func TestCrashLeavesNothingUnfinished(t *testing.T) {
+// No request may be left without a response when an engine crashes.
+func TestNoRequestUnfinishedAfterCrash(t *testing.T) {
 	s := scenario(t, "huurtoets/engine crash in a wave")
 	for _, c := range s.Run(policy(t, home.Full), 1).Classes {
 		if c.Left > 0 {
-			t.Errorf("%d requests of class %s were never answered", c.Left, c.Class)
+			t.Errorf("%d requests of class %s unfinished", c.Left, c.Class)
 		}
 	}
 }
 
-// No policy beats the bound.
-func TestBoundHolds(t *testing.T) {
+// A policy that exceeds the bound means that the bound is wrong.
+func TestResultsWithinBound(t *testing.T) {
 	for _, name := range []string{"huurtoets/verdict x2", "inspection/report x2"} {
 		s := scenario(t, name)
 		r, b := s.Run(policy(t, home.Full), 1), s.Bound(1)
 		if got := r.Class(s.SurgeClass).SurgeOnTime; got > b.Surge {
-			t.Errorf("%s: %d served of at most %d", name, got, b.Surge)
+			t.Errorf("%s: %d requests of the surge on time, bound is %d", name, got, b.Surge)
 		}
 		if r.Goodput > b.Goodput {
-			t.Errorf("%s: goodput %.0f of at most %.0f", name, r.Goodput, b.Goodput)
+			t.Errorf("%s: goodput %.0f tokens/s, bound is %.0f", name, r.Goodput, b.Goodput)
 		}
 	}
 }
--- a/experiment/pool.go
+++ b/experiment/pool.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file models the endpoints of a pool around its home.
+// This file models a pool: its scheduler and its endpoints.
 
 import (
 	"fmt"
@@ -13,189 +13,191 @@
 )
 
 type pool struct {
-	w         *world
-	decl      *decl.Pool
-	home      *home.Home
+	sim       *simulation
+	spec      *decl.Pool
+	scheduler *home.Home
 	endpoints []*endpoint
 	byName    map[string]*endpoint
 }
 
 type endpoint struct {
-	w       *world
-	pool    *pool
-	name    string
-	engine  *engine.Engine
-	busy    bool // an iteration is under way
-	crashed bool
-	// A service has workers, and a line of those that wait for one.
-	working int
-	line    []*request
-	held    map[*request]*engine.Sequence
-	tokens  int // since the last progress
-	elapsed time.Duration
-	reports []home.Load
+	sim         *simulation
+	pool        *pool
+	name        string
+	engine      *engine.Engine
+	iterating   bool // an engine iteration is in progress
+	crashed     bool
+	busyWorkers int                           // busy workers of a service
+	queue       []*request                    // requests that wait for a worker
+	running     map[*request]*engine.Sequence // requests on an engine
+	tokens      int                           // generated since the last progress report
+	gapTime     time.Duration                 // sum of the gaps before those tokens
+	loadReports []home.Load                   // all load reports, oldest first
 }
 
-func newPool(w *world, d *decl.Pool, policy home.Policy) *pool {
-	p := &pool{w: w, decl: d, home: home.New(w.s.Set, d, policy), byName: make(map[string]*endpoint)}
-	n := w.s.Services
+func newPool(sim *simulation, d *decl.Pool, policy home.Policy) *pool {
+	p := &pool{sim: sim, spec: d, scheduler: home.New(sim.scenario.Set, d, policy), byName: make(map[string]*endpoint)}
+	n := sim.scenario.Services
 	if d.Kind == decl.Model {
-		n = w.s.Engines
+		n = sim.scenario.Engines
 	}
 	var specs []home.Endpoint
 	for i := range n {
-		e := &endpoint{w: w, pool: p, name: fmt.Sprintf("%s-%d", d.Name, i+1), held: make(map[*request]*engine.Sequence)}
+		e := &endpoint{sim: sim, pool: p, name: fmt.Sprintf("%s-%d", d.Name, i+1), running: make(map[*request]*engine.Sequence)}
 		if d.Kind == decl.Model {
-			e.engine = engine.New(w.s.Params)
+			e.engine = engine.New(sim.scenario.Params)
 		}
 		p.endpoints = append(p.endpoints, e)
 		p.byName[e.name] = e
 		specs = append(specs, home.Endpoint{Name: e.name, Addr: e.name})
 	}
-	p.home.SetEndpoints(0, specs)
-	p.report() // a new home asks its endpoints at once
-	w.every(tickEvery, func() { p.home.Tick(w.now); p.deliver() })
-	w.every(progressEvery, p.progress)
-	w.every(reportEvery, p.report)
+	p.scheduler.SetEndpoints(0, specs)
+	p.reportLoads() // a new scheduler polls its endpoints at once
+	sim.every(tickInterval, func() { p.scheduler.Tick(sim.now); p.applyDecisions() })
+	sim.every(progressInterval, p.reportProgress)
+	sim.every(reportInterval, p.reportLoads)
 	return p
 }
 
-// deliver acts on the home's decisions.
-func (p *pool) deliver() {
-	ds := append([]home.Decision(nil), p.home.Take()...)
-	for _, d := range ds {
-		r := p.w.byKey[d.Key]
+// applyDecisions applies the scheduler's decisions.
+func (p *pool) applyDecisions() {
+	decisions := append([]home.Decision(nil), p.scheduler.Take()...)
+	for _, d := range decisions {
+		r := p.sim.byKey[d.Key]
 		if r == nil {
 			continue
 		}
 		if d.Refusal != nil {
-			delete(p.w.byKey, d.Key)
-			r.outcome, r.end = refused, p.w.now
+			delete(p.sim.byKey, d.Key)
+			r.outcome, r.end = refused, p.sim.now
 			continue
 		}
-		r.granted, r.at = p.w.now, p.byName[d.Endpoint]
-		p.w.after(2*hop, func() { r.at.take(r) })
+		r.grantedAt, r.endpoint = p.sim.now, p.byName[d.Endpoint]
+		p.sim.after(2*networkLatency, func() { r.endpoint.start(r) })
 	}
 }
 
-func (p *pool) progress() {
+// reportProgress reports the endpoints' token rates to the scheduler.
+func (p *pool) reportProgress() {
 	for _, e := range p.endpoints {
 		if e.tokens > 0 {
-			p.home.Progress(p.w.now, home.Progress{Endpoint: e.name, Tokens: e.tokens, Elapsed: e.elapsed})
-			e.tokens, e.elapsed = 0, 0
+			p.scheduler.Progress(p.sim.now, home.Progress{Endpoint: e.name, Tokens: e.tokens, Elapsed: e.gapTime})
+			e.tokens, e.gapTime = 0, 0
 		}
 	}
-	p.deliver()
+	p.applyDecisions()
 }
 
-// report gives the home the endpoints' reports of a while ago, and renews
-// what their entries run.
-func (p *pool) report() {
-	back := int(p.w.s.Lag / reportEvery)
+// reportLoads sends the scheduler the endpoints' load reports, delayed by the
+// scenario's lag, and the list of requests in progress, which renews them.
+func (p *pool) reportLoads() {
+	lagReports := int(p.sim.scenario.Lag / reportInterval)
 	var runs []home.Running
 	for _, e := range p.endpoints {
 		if e.crashed {
-			p.home.Unreachable(p.w.now, e.name)
+			p.scheduler.Unreachable(p.sim.now, e.name)
 			continue
 		}
-		e.reports = append(e.reports, e.load())
-		p.home.Report(p.w.now, e.reports[max(0, len(e.reports)-1-back)])
+		e.loadReports = append(e.loadReports, e.load())
+		p.scheduler.Report(p.sim.now, e.loadReports[max(0, len(e.loadReports)-1-lagReports)])
 	}
-	for key, r := range p.w.byKey {
-		if r.pool == p && r.at != nil {
-			runs = append(runs, home.Running{Seq: key.Seq, Endpoint: r.at.name, Class: r.Class.Name})
+	for key, r := range p.sim.byKey {
+		if r.pool == p && r.endpoint != nil {
+			runs = append(runs, home.Running{Seq: key.Seq, Endpoint: r.endpoint.name, Class: r.Class.Name})
 		}
 	}
-	p.home.Sync(p.w.now, "entry", runs)
-	p.deliver()
+	p.scheduler.Sync(p.sim.now, "entry", runs)
+	p.applyDecisions()
 }
 
 func (e *endpoint) load() home.Load {
 	if e.engine != nil {
 		return home.Load{Endpoint: e.name, Running: e.engine.Running(), Waiting: e.engine.Waiting()}
 	}
-	return home.Load{Endpoint: e.name, Running: e.working, Waiting: len(e.line)}
+	return home.Load{Endpoint: e.name, Running: e.busyWorkers, Waiting: len(e.queue)}
 }
 
-// take begins a granted request.
-func (e *endpoint) take(r *request) {
+// start starts a granted request.
+func (e *endpoint) start(r *request) {
 	if e.crashed {
-		r.lost(e.w, true)
+		r.handleEndpointLoss(e.sim, true)
 		return
 	}
 	if e.engine == nil {
-		e.line = append(e.line, r)
-		e.work()
+		e.queue = append(e.queue, r)
+		e.startQueued()
 		return
 	}
 	s := &engine.Sequence{Priority: r.spec.Tier, Prompt: r.Class.Prompt, Length: r.Length, Tag: r, Prefix: r.prefix(), PrefixLen: r.Class.Shared}
-	e.held[r] = s
+	e.running[r] = s
 	e.engine.Add(s)
-	if !e.busy {
+	if !e.iterating {
 		e.step()
 	}
 }
 
-// work starts a service's waiting requests as workers are free.
-func (e *endpoint) work() {
-	for len(e.line) > 0 && e.working < e.w.s.Workers {
-		r := e.line[0]
-		e.line = e.line[1:]
-		e.working++
-		e.w.after(e.w.s.Work, func() {
-			e.working--
-			r.first = e.w.now
-			r.finish(e.w, served)
-			e.work()
+// startQueued starts a service's queued requests while workers are free.
+func (e *endpoint) startQueued() {
+	for len(e.queue) > 0 && e.busyWorkers < e.sim.scenario.Workers {
+		r := e.queue[0]
+		e.queue = e.queue[1:]
+		e.busyWorkers++
+		e.sim.after(e.sim.scenario.Work, func() {
+			e.busyWorkers--
+			r.firstToken = e.sim.now
+			r.finish(e.sim, served)
+			e.startQueued()
 		})
 	}
 }
 
-// step runs one iteration and delivers its tokens when it ends.
+// step runs one engine iteration and delivers its tokens when it ends.
 func (e *endpoint) step() {
 	if e.engine.Idle() || e.crashed {
-		e.busy = false
+		e.iterating = false
 		return
 	}
-	e.busy = true
-	took, out := e.engine.Step()
-	e.w.after(took, func() {
+	e.iterating = true
+	duration, out := e.engine.Step()
+	e.sim.after(duration, func() {
 		if e.crashed {
 			return
 		}
 		for _, s := range out {
-			e.token(s)
+			e.deliverToken(s)
 		}
 		e.step()
 	})
 }
 
-func (e *endpoint) token(s *engine.Sequence) {
+func (e *endpoint) deliverToken(s *engine.Sequence) {
 	r := s.Tag.(*request)
-	e.w.computed++
+	e.sim.computed++
 	r.tokens++
 	if r.tokens == 1 {
-		r.first = e.w.now
+		r.firstToken = e.sim.now
 	} else {
 		e.tokens++
-		e.elapsed += e.w.now - r.last
+		e.gapTime += e.sim.now - r.lastToken
 	}
-	r.last = e.w.now
+	r.lastToken = e.sim.now
 	if s.Produced == s.Length {
-		delete(e.held, r)
-		r.finish(e.w, served)
+		delete(e.running, r)
+		r.finish(e.sim, served)
 	}
 }
 
+// crash makes the endpoint unavailable and ends its requests, in a
+// deterministic order.
 func (e *endpoint) crash() {
 	e.crashed = true
 	var held []*request
-	for r := range e.held {
+	for r := range e.running {
 		held = append(held, r)
 	}
 	sort.Slice(held, func(i, j int) bool { return held[i].key.Seq < held[j].key.Seq })
-	clear(e.held)
+	clear(e.running)
 	for _, r := range held {
-		r.lost(e.w, false)
+		r.handleEndpointLoss(e.sim, false)
 	}
 }
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file runs the events of a scenario.
+// This file implements the event loop of the simulation.
 
 import (
 	"container/heap"
@@ -11,21 +11,23 @@
 	"ivyridge/load"
 )
 
-// Times of the modelled system.
+// Intervals and latencies of the simulated system.
 const (
-	tickEvery     = 20 * time.Millisecond
-	progressEvery = 100 * time.Millisecond
-	reportEvery   = 500 * time.Millisecond
-	hop           = time.Millisecond // from entry to home or endpoint
+	tickInterval     = 20 * time.Millisecond
+	progressInterval = 100 * time.Millisecond
+	reportInterval   = 500 * time.Millisecond
+	networkLatency   = time.Millisecond // one way, between a router instance and a scheduler or endpoint
 )
 
-// An event is something to do at an instant; equal ones keep their order.
+// An event is a callback at a virtual time. Events of equal time run in the
+// order in which they were scheduled.
 type event struct {
 	at  time.Duration
 	seq uint64
-	do  func()
+	run func()
 }
 
+// events is a heap ordered by time.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -41,34 +43,34 @@
 	return x
 }
 
-// A request is one arrival on its way.
+// A request is the state of one arrival.
 type request struct {
 	*load.Arrival
-	spec     *decl.Class
-	pool     *pool
-	key      home.Key
-	first    time.Duration
-	end      time.Duration
-	granted  time.Duration
-	last     time.Duration // of its last token
-	tokens   int
-	at       *endpoint
-	avoid    string
-	outcome  outcome
-	attempts int
+	spec       *decl.Class
+	pool       *pool
+	key        home.Key
+	firstToken time.Duration // time of the first token or the service's response
+	end        time.Duration
+	grantedAt  time.Duration
+	lastToken  time.Duration // time of the last token
+	tokens     int
+	endpoint   *endpoint // nil until granted
+	avoid      string    // endpoint that failed the previous attempt
+	outcome    outcome
+	attempts   int
 }
 
 type outcome int
 
 const (
-	left outcome = iota // not answered when the run ended
+	unfinished outcome = iota // at the end of the run
 	served
 	refused
 	failed
 )
 
-type world struct {
-	s        *Scenario
+type simulation struct {
+	scenario *Scenario
 	now      time.Duration
 	seq      uint64
 	events   events
@@ -80,53 +82,53 @@
 	end      time.Duration
 }
 
-func newWorld(s *Scenario, policy home.Policy, seed uint64) *world {
-	w := &world{s: s, pools: make(map[string]*pool), byKey: make(map[home.Key]*request)}
-	w.end = s.Workload.Duration + s.Workload.Drain
+func newSimulation(s *Scenario, policy home.Policy, seed uint64) *simulation {
+	sim := &simulation{scenario: s, pools: make(map[string]*pool), byKey: make(map[home.Key]*request)}
+	sim.end = s.Workload.Duration + s.Workload.Drain
 	for i := range s.Set.Pools {
 		p := &s.Set.Pools[i]
-		w.pools[p.Name] = newPool(w, p, policy)
+		sim.pools[p.Name] = newPool(sim, p, policy)
 	}
 	arrivals := s.Workload.Arrivals(seed)
 	for i := range arrivals {
 		a := &arrivals[i]
-		r := &request{Arrival: a, spec: s.Set.Class(a.Class.Name), pool: w.pools[a.Class.Model+a.Class.Service]}
-		w.requests = append(w.requests, r)
-		w.after(a.At, func() { w.ask(r) })
+		r := &request{Arrival: a, spec: s.Set.Class(a.Class.Name), pool: sim.pools[a.Class.Model+a.Class.Service]}
+		sim.requests = append(sim.requests, r)
+		sim.after(a.At, func() { sim.ask(r) })
 	}
 	for _, f := range s.Faults {
-		w.after(f.At, func() { w.fault(f) })
+		sim.after(f.At, func() { sim.injectFault(f) })
 	}
-	return w
+	return sim
 }
 
-// after plans f at a time from now.
-func (w *world) after(d time.Duration, f func()) {
-	w.seq++
-	heap.Push(&w.events, event{w.now + d, w.seq, f})
+// after schedules f to run once, d from now.
+func (sim *simulation) after(d time.Duration, f func()) {
+	sim.seq++
+	heap.Push(&sim.events, event{sim.now + d, sim.seq, f})
 }
 
-// every plans f again and again.
-func (w *world) every(d time.Duration, f func()) {
+// every schedules f to run periodically, first d from now.
+func (sim *simulation) every(d time.Duration, f func()) {
 	var again func()
 	again = func() {
 		f()
-		w.after(d, again)
+		sim.after(d, again)
 	}
-	w.after(d, again)
+	sim.after(d, again)
 }
 
-func (w *world) run() {
-	for len(w.events) > 0 && w.events[0].at <= w.end {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		e.do()
+func (sim *simulation) run() {
+	for len(sim.events) > 0 && sim.events[0].at <= sim.end {
+		e := heap.Pop(&sim.events).(event)
+		sim.now = e.at
+		e.run()
 	}
 }
 
-func (w *world) fault(f Fault) {
-	for _, p := range w.pools {
-		if p.decl.Kind != decl.Model {
+func (sim *simulation) injectFault(f Fault) {
+	for _, p := range sim.pools {
+		if p.spec.Kind != decl.Model {
 			continue
 		}
 		e := p.endpoints[f.Endpoint]
@@ -139,21 +141,23 @@
 	}
 }
 
-// ask sends a request to its pool's home.
-func (w *world) ask(r *request) {
-	w.keys++
-	r.key = home.Key{Entry: "entry", Seq: w.keys}
+// ask sends a request to its pool's scheduler.
+func (sim *simulation) ask(r *request) {
+	sim.keys++
+	r.key = home.Key{Entry: "entry", Seq: sim.keys}
 	r.attempts++
-	w.byKey[r.key] = r
-	w.after(hop, func() {
-		r.pool.home.Ask(w.now, home.Ask{
+	sim.byKey[r.key] = r
+	sim.after(networkLatency, func() {
+		r.pool.scheduler.Ask(sim.now, home.Ask{
 			Key: r.key, Class: r.Class.Name, Team: r.Team.Name, Prompt: r.Class.Prompt,
-			Age: w.now - r.At, Prefix: r.prefix(), Avoid: r.avoid,
+			Age: sim.now - r.At, Prefix: r.prefix(), Avoid: r.avoid,
 		})
-		r.pool.deliver()
+		r.pool.applyDecisions()
 	})
 }
 
+// prefix returns an FNV-1a hash of the team, whose requests share a prefix, or
+// zero if the class has no shared prefix.
 func (r *request) prefix() uint64 {
 	if r.Class.Shared == 0 {
 		return 0
@@ -165,67 +169,69 @@
 	return h
 }
 
-// finish ends a request and releases its run.
-func (r *request) finish(w *world, o outcome) {
-	r.outcome, r.end = o, w.now
+// finish ends a request and releases its slot.
+func (r *request) finish(sim *simulation, o outcome) {
+	r.outcome, r.end = o, sim.now
 	rel := home.Release{
-		Key: r.key, Team: r.Team.Name, Tokens: r.tokens, Held: w.now - r.granted,
+		Key: r.key, Team: r.Team.Name, Tokens: r.tokens, Held: sim.now - r.grantedAt,
 		Failed: o == failed, Whole: o == served, Late: !r.onTime(),
 	}
-	if r.first > 0 {
-		rel.FirstToken = r.first - r.granted
+	if r.firstToken > 0 {
+		rel.FirstToken = r.firstToken - r.grantedAt
 	}
-	w.release(r, rel)
+	sim.release(r, rel)
 }
 
-func (w *world) release(r *request, rel home.Release) {
-	delete(w.byKey, r.key)
-	w.after(hop, func() {
-		r.pool.home.Done(w.now, rel)
-		r.pool.deliver()
+func (sim *simulation) release(r *request, rel home.Release) {
+	delete(sim.byKey, r.key)
+	sim.after(networkLatency, func() {
+		r.pool.scheduler.Done(sim.now, rel)
+		r.pool.applyDecisions()
 	})
 }
 
-// onTime reports whether r was answered within its targets.
+// onTime reports whether r was served within the latency targets of its class.
 func (r *request) onTime() bool {
 	return r.outcome == served &&
-		(r.Class.FirstToken == 0 || r.first-r.At <= r.Class.FirstToken) &&
+		(r.Class.FirstToken == 0 || r.firstToken-r.At <= r.Class.FirstToken) &&
 		(r.Class.Whole == 0 || r.end-r.At <= r.Class.Whole)
 }
 
-// gapMet reports whether r's mean time between tokens met its target.
-func (r *request) gapMet() bool {
-	return r.tokens < 2 || r.spec.TokenGap == 0 || (r.last-r.first)/time.Duration(r.tokens-1) <= r.spec.TokenGap
+// tokenGapMet reports whether r's mean time between tokens met the class's
+// target.
+func (r *request) tokenGapMet() bool {
+	return r.tokens < 2 || r.spec.TokenGap == 0 || (r.lastToken-r.firstToken)/time.Duration(r.tokens-1) <= r.spec.TokenGap
 }
 
-// lost retries or fails a request whose endpoint broke.
-func (r *request) lost(w *world, unsent bool) {
+// handleEndpointLoss retries a request whose endpoint crashed if it is
+// repeatable or did not reach the endpoint, and fails it otherwise.
+func (r *request) handleEndpointLoss(sim *simulation, unsent bool) {
 	const attempts = 4
 	if (r.spec.Repeatable || unsent) && r.attempts < attempts {
-		w.release(r, home.Release{Key: r.key, Team: r.Team.Name, Failed: true})
-		r.avoid, r.at = r.at.name, nil
-		r.first, r.tokens = 0, 0
-		w.ask(r)
+		sim.release(r, home.Release{Key: r.key, Team: r.Team.Name, Failed: true})
+		r.avoid, r.endpoint = r.endpoint.name, nil
+		r.firstToken, r.tokens = 0, 0
+		sim.ask(r)
 		return
 	}
-	r.finish(w, failed)
+	r.finish(sim, failed)
 }
 
-func (w *world) result() *Result {
-	res := &Result{Computed: w.computed}
+func (sim *simulation) result() *Result {
+	res := &Result{Computed: sim.computed}
 	gaps, answers := 0, 0
-	for i := range w.s.Workload.Classes {
-		res.Classes = append(res.Classes, ClassResult{Class: w.s.Workload.Classes[i].Name, Teams: make(map[string]*TeamResult)})
+	for i := range sim.scenario.Workload.Classes {
+		res.Classes = append(res.Classes, ClassResult{Class: sim.scenario.Workload.Classes[i].Name, Teams: make(map[string]*TeamResult)})
 	}
-	for _, r := range w.requests {
+	for _, r := range sim.requests {
 		c := res.Class(r.Class.Name)
-		c.add(w.s, r)
+		c.add(sim.scenario, r)
 		if r.onTime() {
 			res.Good += int64(r.tokens)
 		}
 		if r.outcome == served && r.tokens > 1 {
 			answers++
-			if r.gapMet() {
+			if r.tokenGapMet() {
 				gaps++
 			}
 		}
@@ -235,31 +241,31 @@
 			c.Attainment = float64(c.OnTime) / float64(c.Offered)
 		}
 	}
-	res.Goodput = float64(res.Good) / w.s.Workload.Duration.Seconds()
+	res.Goodput = float64(res.Good) / sim.scenario.Workload.Duration.Seconds()
 	res.Gaps = float64(gaps) / float64(max(1, answers))
-	res.Normal = w.normal()
-	for _, p := range w.pools {
-		res.Slow += p.home.Counts.SlowSeen
+	res.Normal = sim.normal()
+	for _, p := range sim.pools {
+		res.Slow += p.scheduler.Counts.SlowSeen
 	}
 	return res
 }
 
-// normal returns how long after the surge the last second ended in which
-// fewer than normalShare of the arrivals were answered on time.
-func (w *world) normal() time.Duration {
+// normal returns the time from the end of the surge to the end of the last
+// second in which less than normalShare of the arrivals were served on time.
+func (sim *simulation) normal() time.Duration {
 	const normalShare = 0.9
-	if w.s.To == 0 {
+	if sim.scenario.To == 0 {
 		return 0
 	}
-	seconds := int((w.s.Workload.Duration - w.s.To) / time.Second)
+	seconds := int((sim.scenario.Workload.Duration - sim.scenario.To) / time.Second)
 	offered, onTime := make([]int, seconds+1), make([]int, seconds+1)
-	for _, r := range w.requests {
-		if r.At < w.s.To {
+	for _, r := range sim.requests {
+		if r.At < sim.scenario.To {
 			continue
 		}
-		offered[(r.At-w.s.To)/time.Second]++
+		offered[(r.At-sim.scenario.To)/time.Second]++
 		if r.onTime() {
-			onTime[(r.At-w.s.To)/time.Second]++
+			onTime[(r.At-sim.scenario.To)/time.Second]++
 		}
 	}
 	last := 0
--- a/experiment/suite.go
+++ b/experiment/suite.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file makes the scenarios of the policy benchmark out of a user's
+// This file builds the scenarios of the policy benchmark from a user's
 // declarations and workload.
 
 import (
@@ -17,17 +17,17 @@
 	"ivyridge/load"
 )
 
-// When things happen in a scenario.
+// Parameters of the scenarios.
 const (
-	surgeFrom = 15 * time.Second
-	surgeTo   = 35 * time.Second
-	faultAt   = 20 * time.Second
-	slowTimes = 4
-	longLag   = 5 * time.Second
-	usualLag  = 500 * time.Millisecond
+	surgeFrom        = 15 * time.Second
+	surgeTo          = 35 * time.Second
+	faultAt          = 20 * time.Second
+	slowFactor       = 4
+	longReportLag    = 5 * time.Second
+	defaultReportLag = 500 * time.Millisecond
 )
 
-// A User is one of the two first users, at the sizes of today.
+// A User is a deployment to simulate: its size, declarations and workload.
 type User struct {
 	Name              string
 	Engines, Services int
@@ -35,13 +35,13 @@
 	Workload          *load.Workload
 }
 
-// Sizes of today, from the brief.
 var userSizes = []struct {
 	name              string
 	engines, services int
 }{{"huurtoets", 9, 3}, {"inspection", 12, 3}}
 
-// Users reads the users' files below dir.
+// Users reads declarations.yaml and workload.yaml of each user from its
+// directory below dir.
 func Users(dir string) ([]User, error) {
 	var out []User
 	for _, size := range userSizes {
@@ -69,11 +69,12 @@
 	return &Scenario{
 		Name: u.Name + "/" + name, Set: u.Set, Workload: &w,
 		Engines: u.Engines, Services: u.Services, Workers: 16, Work: 15 * time.Millisecond,
-		Params: engine.Default(), Lag: usualLag,
+		Params: engine.Default(), Lag: defaultReportLag,
 	}
 }
 
-// surge adds a burst of a class to times what the whole fleet can do.
+// surge adds a burst in which the requests of a class arrive at a multiple of
+// the rate that its whole pool can serve.
 func (s *Scenario) surge(class string, times float64) {
 	for i := range s.Workload.Classes {
 		c := &s.Workload.Classes[i]
@@ -82,18 +83,19 @@
 		}
 		rate := float64(s.Services*s.Workers) / s.Work.Seconds()
 		if c.Model != "" {
-			rate = s.Capacity() / (c.Length * meanOver(c.Spread))
+			rate = s.Capacity() / (c.Length * meanToMedian(c.Spread))
 		}
 		s.SurgeClass, s.From, s.To = class, surgeFrom, surgeTo
 		s.Workload.Bursts = append(s.Workload.Bursts, load.Burst{Class: class, From: surgeFrom, To: surgeTo, Times: times * rate / c.Rate})
 	}
 }
 
-// meanOver is the mean of a log-normal distribution over its median.
-func meanOver(sigma float64) float64 { return math.Exp(sigma * sigma / 2) }
+// meanToMedian returns the ratio of mean to median of a log-normal distribution.
+func meanToMedian(sigma float64) float64 { return math.Exp(sigma * sigma / 2) }
 
-// Suite returns the scenarios of a user: a quiet day, a surge of each class
-// at 2, 5 and 10 times capacity, one team's rush, and faults in a wave.
+// Suite returns the scenarios of a user: normal load, a surge of each class to
+// 2, 5 and 10 times capacity, a surge of one team, a slow engine, and an engine
+// crash and lagging load reports during a surge.
 func (u *User) Suite() []*Scenario {
 	out := []*Scenario{u.scenario("quiet")}
 	for i := range u.Workload.Classes {
@@ -104,11 +106,12 @@
 			out = append(out, s)
 		}
 	}
-	return append(out, u.Rush(), u.slow(), u.crash(), u.lagging())
+	return append(out, u.Rush(), u.slowEngine(), u.engineCrash(), u.laggingReports())
 }
 
-// verdicts returns the class of the highest tier that models serve.
-func (u *User) verdicts() string {
+// tierZeroModelClass returns the first class of tier 0 that is served by a
+// model, or "".
+func (u *User) tierZeroModelClass() string {
 	for i := range u.Workload.Classes {
 		c := &u.Workload.Classes[i]
 		if c.Model != "" && u.Set.Class(c.Name).Tier == 0 {
@@ -118,10 +121,11 @@
 	return ""
 }
 
-// Rush is one team's verdicts at five times the whole fleet.
+// Rush returns a scenario in which one team alone sends tier-0 model requests
+// at five times the capacity of the pool.
 func (u *User) Rush() *Scenario {
 	s := u.scenario("one team's rush x5")
-	s.surge(u.verdicts(), 5)
+	s.surge(u.tierZeroModelClass(), 5)
 	b := &s.Workload.Bursts[len(s.Workload.Bursts)-1]
 	b.Team = u.Workload.Teams[0].Name
 	weights := 0.0
@@ -132,28 +136,28 @@
 	return s
 }
 
-func (u *User) slow() *Scenario {
+func (u *User) slowEngine() *Scenario {
 	s := u.scenario("engine slow 4x")
-	s.Faults = []Fault{{At: faultAt, Endpoint: 0, Slow: slowTimes}}
+	s.Faults = []Fault{{At: faultAt, Endpoint: 0, Slow: slowFactor}}
 	return s
 }
 
-func (u *User) crash() *Scenario {
+func (u *User) engineCrash() *Scenario {
 	s := u.scenario("engine crash in a wave")
-	s.surge(u.lowest(), 2)
+	s.surge(u.lowestPriorityClass(), 2)
 	s.Faults = []Fault{{At: faultAt, Endpoint: 0, Crash: true}}
 	return s
 }
 
-func (u *User) lagging() *Scenario {
+func (u *User) laggingReports() *Scenario {
 	s := u.scenario("reports lag 5s in a wave")
-	s.surge(u.lowest(), 5)
-	s.Lag = longLag
+	s.surge(u.lowestPriorityClass(), 5)
+	s.Lag = longReportLag
 	return s
 }
 
-// lowest returns the class of the lowest tier.
-func (u *User) lowest() string {
+// lowestPriorityClass returns the class with the highest tier number.
+func (u *User) lowestPriorityClass() string {
 	name, tier := "", -1
 	for i := range u.Set.Classes {
 		if c := &u.Set.Classes[i]; c.Tier > tier {
--- a/experiment/table.go
+++ b/experiment/table.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file runs a suite over seeds and prints medians with their spread.
+// This file runs scenarios with several seeds and prints the statistics.
 
 import (
 	"fmt"
@@ -13,37 +13,39 @@
 	"ivyridge/home"
 )
 
-// A Row is a scenario under one policy: medians over seeds, with the least
-// and the most.
+// A Row holds the statistics over seeds of a scenario under one policy.
 type Row struct {
 	Scenario, Policy string
 	Classes          []ClassRow
-	Goodput          Stat // part of the bound
-	Tokens           Stat // goodput, tokens a second
-	Wasted           Stat // part of the computed tokens
-	Surge            Stat // surging class, part of the bound
-	Blind            Stat // the same, of the bound without knowing lengths
-	Others           Stat // least attainment of verdicts of teams without a burst
-	Normal           Stat // seconds
-	Gaps             Stat
-	Left             Stat // accepted and never finished
+	Goodput          Stat // fraction of Bound.Goodput
+	Tokens           Stat // goodput in tokens per second
+	Wasted           Stat // fraction of the computed tokens
+	Surge            Stat // on-time requests of the surge, as a fraction of Bound.Surge
+	Blind            Stat // the same, as a fraction of Bound.Blind
+	Others           Stat // attainment of the tier-0 requests of teams that no burst names
+	Normal           Stat // Result.Normal in seconds
+	Gaps             Stat // Result.Gaps
+	Left             Stat // requests unfinished at the end of the run
 }
 
-// A ClassRow is one class of a Row.
+// A ClassRow holds the statistics of one class in a Row.
 type ClassRow struct {
 	Class      string
 	Attainment Stat
 }
 
-// A Stat is a median with the least and the most.
+// A Stat summarizes a sample. The median of an even number of values is the
+// lower of the middle two.
 type Stat struct{ Median, Min, Max float64 }
 
-func statOf(xs []float64) Stat {
+// newStat sorts xs, which must not be empty.
+func newStat(xs []float64) Stat {
 	sort.Float64s(xs)
 	return Stat{xs[(len(xs)-1)/2], xs[0], xs[len(xs)-1]}
 }
 
-// Measure runs a scenario under a policy over seeds 1 to n, several at once.
+// Measure runs a scenario under a policy with the seeds 1 to n, on up to half
+// of the CPUs, and returns the statistics under the policy's name.
 func Measure(s *Scenario, name string, p home.Policy, n int) Row {
 	results := make([]*Result, n)
 	bounds := make([]Bound, n)
@@ -69,7 +71,7 @@
 		for i := range results {
 			xs[i] = f(i)
 		}
-		return statOf(xs)
+		return newStat(xs)
 	}
 	row := Row{Scenario: s.Name, Policy: name}
 	for c := range results[0].Classes {
@@ -80,8 +82,8 @@
 	row.Wasted = stat(func(i int) float64 { return results[i].Wasted() })
 	row.Normal = stat(func(i int) float64 { return results[i].Normal.Seconds() })
 	row.Gaps = stat(func(i int) float64 { return results[i].Gaps })
-	row.Left = stat(func(i int) float64 { return float64(results[i].left()) })
-	row.Others = stat(func(i int) float64 { return s.others(results[i]) })
+	row.Left = stat(func(i int) float64 { return float64(results[i].unfinishedRequests()) })
+	row.Others = stat(func(i int) float64 { return s.otherTeamsAttainment(results[i]) })
 	row.Surge, row.Blind = Stat{1, 1, 1}, Stat{1, 1, 1}
 	if s.SurgeClass != "" {
 		onTime := func(i int) float64 { return float64(results[i].Class(s.SurgeClass).SurgeOnTime) }
@@ -91,7 +93,7 @@
 	return row
 }
 
-func (r *Result) left() int {
+func (r *Result) unfinishedRequests() int {
 	n := 0
 	for i := range r.Classes {
 		n += r.Classes[i].Left
@@ -99,9 +101,9 @@
 	return n
 }
 
-// others returns the attainment, together, of the highest tier's verdicts of
+// otherTeamsAttainment returns the total attainment of the tier-0 requests of
 // the teams that no burst names.
-func (s *Scenario) others(r *Result) float64 {
+func (s *Scenario) otherTeamsAttainment(r *Result) float64 {
 	rushing := make(map[string]bool)
 	for _, b := range s.Workload.Bursts {
 		rushing[b.Team] = true
@@ -122,8 +124,7 @@
 	return float64(onTime) / float64(max(1, offered))
 }
 
-// Write prints rows. A median stands alone where all seeds agree on it to
-// the printed digits, else with its spread.
+// Write prints rows as a table.
 func Write(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "scenario\tpolicy\tattainment by class\tsurge/bound\tsurge/blind\tgoodput/bound\ttokens/s\twasted\tgaps met\tothers\tnormal s\tunfinished")
@@ -138,7 +139,8 @@
 	return t.Flush()
 }
 
-// String returns the median, and the spread where there is one.
+// String returns the median, followed by the range unless it is below the
+// printed precision.
 func (s Stat) String() string {
 	if s.Max-s.Min < 0.0005 {
 		return fmt.Sprintf("%.3f", s.Median)
