--- a/api/api.go
+++ b/api/api.go
@@ -147,8 +147,8 @@
 }
 
 func (a *API) handleReady(w http.ResponseWriter, _ *http.Request) {
-	if ok, why := a.node.Ready(); !ok {
-		http.Error(w, why, http.StatusServiceUnavailable)
+	if ok, reason := a.node.Ready(); !ok {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	fmt.Fprintln(w, "ready")
--- a/api/bench_test.go
+++ b/api/bench_test.go
@@ -78,9 +78,9 @@
 	for range b.N {
 		began := time.Now()
 		mustPost(b, "http://"+addr+"/v1/chat/completions", body)
-		between := time.Now()
+		directDone := time.Now()
 		mustPost(b, "http://"+s.addr+"/v1/chat/completions", body)
-		direct, through = append(direct, between.Sub(began)), append(through, time.Since(between))
+		direct, through = append(direct, directDone.Sub(began)), append(through, time.Since(directDone))
 	}
 	d50, d99 := reportQuantiles(b, "direct", direct)
 	t50, t99 := reportQuantiles(b, "through", through)
--- a/experiment/table.go
+++ b/experiment/table.go
@@ -104,9 +104,9 @@
 // otherTeamsAttainment returns the total attainment of the tier-0 requests of
 // the teams that no burst names.
 func (s *Scenario) otherTeamsAttainment(r *Result) float64 {
-	rushing := make(map[string]bool)
+	burstTeams := make(map[string]bool)
 	for _, b := range s.Workload.Bursts {
-		rushing[b.Team] = true
+		burstTeams[b.Team] = true
 	}
 	offered, onTime := 0, 0
 	for i := range r.Classes {
@@ -115,7 +115,7 @@
 			continue
 		}
 		for name, t := range c.Teams {
-			if !rushing[name] {
+			if !burstTeams[name] {
 				offered += t.Offered
 				onTime += t.OnTime
 			}
--- a/load/client.go
+++ b/load/client.go
@@ -165,11 +165,11 @@
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	id := fmt.Sprintf("%s-%d", c.run, a.N)
-	for try := 0; ; try++ {
-		o := Outcome{Arrival: *a, ID: id, Repeats: try}
+	for retries := 0; ; retries++ {
+		o := Outcome{Arrival: *a, ID: id, Repeats: retries}
 		wait := c.attempt(ctx, &o, start)
 		o.End = time.Since(start)
-		if o.Whole || wait == 0 || try >= a.Class.Repeats || !sleepUntil(ctx, time.Now().Add(wait)) {
+		if o.Whole || wait == 0 || retries >= a.Class.Repeats || !sleepUntil(ctx, time.Now().Add(wait)) {
 			return o
 		}
 	}
@@ -178,7 +178,7 @@
 // attempt sends o once and records the response in it. It returns the delay
 // before a retry, or zero if the request must not be retried.
 func (c *Client) attempt(ctx context.Context, o *Outcome, start time.Time) time.Duration {
-	const reconnect = 100 * time.Millisecond
+	const reconnectDelay = 100 * time.Millisecond
 	var res *http.Response
 	var err error
 	sent := time.Now()
@@ -194,7 +194,7 @@
 		}
 	}
 	if err != nil {
-		return reconnect
+		return reconnectDelay
 	}
 	defer res.Body.Close()
 	o.Status = res.StatusCode
@@ -210,7 +210,7 @@
 		c.readBody(res.Body, o)
 	}
 	if !o.Whole {
-		return reconnect
+		return reconnectDelay
 	}
 	return 0
 }
--- a/rig/rig.go
+++ b/rig/rig.go
@@ -224,11 +224,11 @@
 // awaitRevision waits until all instances apply the configuration revision or
 // a newer one.
 func (b *benchmark) awaitRevision(revision int64) error {
-	const within = 30 * time.Second
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	const timeout = 30 * time.Second
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		n := 0
-		for _, x := range b.nodes {
-			if c := x.Config(); c.Revision >= revision && c.ListRevision > 0 {
+		for _, nd := range b.nodes {
+			if c := nd.Config(); c.Revision >= revision && c.ListRevision > 0 {
 				n++
 			}
 		}
@@ -236,7 +236,7 @@
 			return nil
 		}
 	}
-	return errors.Errorf("revision %d not applied by all instances within %s", revision, within)
+	return errors.Errorf("revision %d not applied by all instances within %s", revision, timeout)
 }
 
 // measure measures the running instances for the configured duration. It sets
@@ -246,14 +246,14 @@
 	began := time.Now()
 	time.Sleep(b.params.Duration)
 	s := time.Since(began).Seconds()
-	each := s * float64(b.params.Instances)
+	instanceSeconds := s * float64(b.params.Instances)
 	return Result{
 		Params: b.params,
-		CPU:    (cpuTime() - cpu).Seconds() / each,
+		CPU:    (cpuTime() - cpu).Seconds() / instanceSeconds,
 		// Connections are counted at the dialing end only, but each byte is
 		// sent by one instance and received by another.
-		Bytes:         2 * float64(b.bytes.Load()-bytes) / each,
-		Messages:      float64(b.calls.Load()-calls) / each,
+		Bytes:         2 * float64(b.bytes.Load()-bytes) / instanceSeconds,
+		Messages:      float64(b.calls.Load()-calls) / instanceSeconds,
 		PlatformCalls: float64(b.platform.Calls.Load()-platformCalls) / s * 60,
 		Done:          b.completed.Load() - done,
 	}
@@ -313,10 +313,10 @@
 	if err != nil {
 		return
 	}
-	const slice = 100 * time.Millisecond
-	for held := time.Duration(0); held < b.params.Hold && ctx.Err() == nil; held += slice {
-		time.Sleep(slice)
-		n.SawTokens(g, 3, slice)
+	const progressInterval = 100 * time.Millisecond
+	for held := time.Duration(0); held < b.params.Hold && ctx.Err() == nil; held += progressInterval {
+		time.Sleep(progressInterval)
+		n.SawTokens(g, 3, progressInterval)
 	}
 	n.Release(g, node.End{Tokens: 100, Whole: true})
 	if claim != nil {
