--- a/fleet/network_test.go
+++ b/fleet/network_test.go
@@ -1,7 +1,7 @@
 package fleet_test
 
-// This file is what an instance sees of the world: the platform, its peers and
-// the endpoints, with the faults that the world has put in force.
+// This file implements an instance's connections to the platform, its peers and
+// the endpoints, with the faults currently set in the simulation.
 
 import (
 	"bytes"
@@ -21,40 +21,40 @@
 	"ivyridge/publish"
 )
 
-// reader is the platform as an instance sees it.
-type reader struct {
-	w *world
-	x *instance
+// platformClient is an instance's client of the simulated platform.
+type platformClient struct {
+	sim  *simulation
+	inst *instance
 }
 
-func (r *reader) Watch(ctx context.Context, k publish.Kind, after int64, wait time.Duration) (*publish.Published, error) {
-	end := time.After(wait)
-	r.w.mu.Lock()
-	r.w.calls++
-	r.w.mu.Unlock()
+func (r *platformClient) Watch(ctx context.Context, k publish.Kind, after int64, wait time.Duration) (*publish.Published, error) {
+	timeout := time.After(wait)
+	r.sim.mu.Lock()
+	r.sim.platformCalls++
+	r.sim.mu.Unlock()
 	for {
-		r.w.mu.Lock()
-		doc, down, changed := r.w.config, r.w.down, r.w.changed
-		if r.w.old {
+		r.sim.mu.Lock()
+		doc, down, changed := r.sim.config, r.sim.platformDown, r.sim.updated
+		if r.sim.platformStale {
 			doc.Revision = 1
 		}
 		if k == publish.List {
-			data, err := json.Marshal(r.w.list)
+			data, err := json.Marshal(r.sim.list)
 			if err != nil {
 				panic(err)
 			}
-			doc = publish.Published{Revision: r.w.list.Revision, Value: string(data)}
+			doc = publish.Published{Revision: r.sim.list.Revision, Value: string(data)}
 		}
-		r.w.mu.Unlock()
-		if down || r.x.life.Err() != nil {
-			return nil, errors.New("the platform is down")
+		r.sim.mu.Unlock()
+		if down || r.inst.ctx.Err() != nil {
+			return nil, errors.New("platform unavailable")
 		}
 		if doc.Revision != after {
 			return &doc, nil
 		}
 		select {
 		case <-changed:
-		case <-end:
+		case <-timeout:
 			return nil, nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -62,88 +62,90 @@
 	}
 }
 
-// loads are the endpoints' reports as an instance sees them.
-type loads struct {
-	w *world
-	x *instance
+// loadClient is an instance's client for the load reports of endpoints.
+type loadClient struct {
+	sim  *simulation
+	inst *instance
 }
 
-func (l *loads) Load(_ context.Context, name, _ string) (home.Load, error) {
-	l.w.mu.Lock()
-	defer l.w.mu.Unlock()
-	e := l.w.endpoints[name]
+func (l *loadClient) Load(_ context.Context, name, _ string) (home.Load, error) {
+	l.sim.mu.Lock()
+	defer l.sim.mu.Unlock()
+	e := l.sim.endpoints[name]
 	if e.mode == "dead" {
 		return home.Load{}, errors.New("refused")
 	}
-	return home.Load{Endpoint: name, Leaving: !e.leaving.IsZero()}, nil
+	return home.Load{Endpoint: name, Leaving: !e.leavingSince.IsZero()}, nil
 }
 
-// link carries an instance's messages to peers and endpoints.
-type link struct {
-	w *world
-	x *instance
+// transport is an http.RoundTripper that carries an instance's requests to peers
+// and endpoints in the same process.
+type transport struct {
+	sim  *simulation
+	inst *instance
 }
 
-func (l *link) RoundTrip(r *http.Request) (*http.Response, error) {
+func (l *transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var body []byte
 	if r.Body != nil {
 		body, _ = io.ReadAll(r.Body)
 		_ = r.Body.Close()
 	}
-	if l.x.life.Err() != nil {
-		return nil, errors.New("this instance is dead")
+	if l.inst.ctx.Err() != nil {
+		return nil, errors.New("the sending instance has crashed")
 	}
-	l.w.mu.Lock()
-	e := l.w.endpoints[r.URL.Host]
-	peer := l.w.instances[r.URL.Host]
-	l.w.mu.Unlock()
+	l.sim.mu.Lock()
+	e := l.sim.endpoints[r.URL.Host]
+	peer := l.sim.instances[r.URL.Host]
+	l.sim.mu.Unlock()
 	if e != nil {
 		return l.toEndpoint(r, e, body)
 	}
-	if peer == nil || peer.life.Err() != nil {
+	if peer == nil || peer.ctx.Err() != nil {
 		return nil, syscall.ECONNREFUSED
 	}
 	return l.toPeer(r, peer, body)
 }
 
-func (l *link) toPeer(r *http.Request, peer *instance, body []byte) (*http.Response, error) {
-	l.w.mu.Lock()
-	cut := l.x.side != peer.side && l.w.weather(l.x.name, peer.name, l.w.rng).drop
-	sky := l.w.weather(l.x.name, peer.name, l.w.rng)
-	l.w.mu.Unlock()
-	if cut || sky.drop {
-		return nil, l.lose(r.Context())
+// toPeer sends a request to a peer with the link's faults.
+func (l *transport) toPeer(r *http.Request, peer *instance, body []byte) (*http.Response, error) {
+	l.sim.mu.Lock()
+	partitioned := l.inst.side != peer.side && l.sim.linkFault(l.inst.name, peer.name, l.sim.rng).drop
+	fault := l.sim.linkFault(l.inst.name, peer.name, l.sim.rng)
+	l.sim.mu.Unlock()
+	if partitioned || fault.drop {
+		return nil, l.awaitTimeout(r.Context())
 	}
-	if sky.delay > 0 {
-		time.Sleep(sky.delay)
+	if fault.delay > 0 {
+		time.Sleep(fault.delay)
 	}
-	if err := arrive(r.Context(), len(body), sky.rate); err != nil {
+	if err := awaitTransfer(r.Context(), len(body), fault.bytesPerSecond); err != nil {
 		return nil, err
 	}
-	if sky.double {
+	if fault.duplicate {
 		go func() { _, _ = l.serve(r, peer, body) }()
 	}
 	res, err := l.serve(r, peer, body)
-	if err == nil && sky.loseReply {
-		return nil, l.lose(r.Context())
+	if err == nil && fault.loseReply {
+		return nil, l.awaitTimeout(r.Context())
 	}
 	if err != nil {
 		return nil, err
 	}
-	answer, err := io.ReadAll(res.Body)
+	data, err := io.ReadAll(res.Body)
 	if err != nil {
 		return nil, err
 	}
-	if err := arrive(r.Context(), len(answer), sky.rate); err != nil {
+	if err := awaitTransfer(r.Context(), len(data), fault.bytesPerSecond); err != nil {
 		return nil, err
 	}
-	res.Body = io.NopCloser(bytes.NewReader(answer))
+	res.Body = io.NopCloser(bytes.NewReader(data))
 	return res, nil
 }
 
-// arrive returns once so many bytes have come at a rate, or with an error when
-// ctx ends. Without a rate they are there at once.
-func arrive(ctx context.Context, n, rate int) error {
+// awaitTransfer waits for the time that a transfer of n bytes takes at rate bytes
+// per second, or returns an error when ctx ends. A rate of zero takes no time.
+func awaitTransfer(ctx context.Context, n, rate int) error {
 	if rate == 0 {
 		return nil
 	}
@@ -155,20 +157,22 @@
 	}
 }
 
-// lose waits as a caller does whose message was lost.
-func (l *link) lose(ctx context.Context) error {
+// awaitTimeout waits as the sender of a lost message does, at most 500 ms, and
+// returns an error.
+func (l *transport) awaitTimeout(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-time.After(500 * time.Millisecond):
 		return errors.New("time-out")
-	case <-l.x.life.Done():
-		return errors.New("this instance is dead")
+	case <-l.inst.ctx.Done():
+		return errors.New("the sending instance has crashed")
 	}
 }
 
-// serve runs a peer's handler, until either process dies.
-func (l *link) serve(r *http.Request, peer *instance, body []byte) (*http.Response, error) {
+// serve runs a peer's handler and returns its response, or an error if either
+// instance crashes before the handler has finished.
+func (l *transport) serve(r *http.Request, peer *instance, body []byte) (*http.Response, error) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	rec := httptest.NewRecorder()
@@ -184,18 +188,18 @@
 		return rec.Result(), nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-peer.life.Done():
+	case <-peer.ctx.Done():
 		return nil, syscall.ECONNRESET
-	case <-l.x.life.Done():
-		return nil, errors.New("this instance is dead")
+	case <-l.inst.ctx.Done():
+		return nil, errors.New("the sending instance has crashed")
 	}
 }
 
-// toEndpoint runs a request on an endpoint, and books it.
-func (l *link) toEndpoint(r *http.Request, e *endpoint, body []byte) (*http.Response, error) {
-	l.w.mu.Lock()
-	mode, work, left := e.mode, e.work, e.leaving
-	l.w.mu.Unlock()
+// toEndpoint runs a request on an endpoint and records the execution.
+func (l *transport) toEndpoint(r *http.Request, e *endpoint, body []byte) (*http.Response, error) {
+	l.sim.mu.Lock()
+	mode, serviceTime, leavingSince := e.mode, e.serviceTime, e.leavingSince
+	l.sim.mu.Unlock()
 	if mode == "dead" {
 		return nil, syscall.ECONNREFUSED
 	}
@@ -203,40 +207,40 @@
 		t.GotConn(httptrace.GotConnInfo{})
 	}
 	if mode == "busy" {
-		return answer(http.StatusTooManyRequests, "busy"), nil
+		return newResponse(http.StatusTooManyRequests, "busy"), nil
 	}
 	id, attempt := string(body), r.Header.Get(dispatch.RequestIDHeader)
-	l.w.mu.Lock()
-	l.w.runs[id]++
-	l.w.trace("run %s as %s by %s on %s", id, attempt, l.x.name, e.name)
-	l.w.attempts[attempt] = append(l.w.attempts[attempt], e.name)
-	e.now++
-	e.most = max(e.most, e.now)
-	l.w.mu.Unlock()
+	l.sim.mu.Lock()
+	l.sim.runs[id]++
+	l.sim.trace("run %s as %s by %s on %s", id, attempt, l.inst.name, e.name)
+	l.sim.attempts[attempt] = append(l.sim.attempts[attempt], e.name)
+	e.inFlight++
+	e.maxInFlight = max(e.maxInFlight, e.inFlight)
+	l.sim.mu.Unlock()
 	defer func() {
-		l.w.mu.Lock()
-		e.now--
-		l.w.mu.Unlock()
+		l.sim.mu.Lock()
+		e.inFlight--
+		l.sim.mu.Unlock()
 	}()
-	if !left.IsZero() && time.Since(left) > 2*time.Second {
-		l.w.breach("endpoint %s got %s %s after it began to leave", e.name, id, time.Since(left))
+	if !leavingSince.IsZero() && time.Since(leavingSince) > 2*time.Second {
+		l.sim.recordViolation("endpoint %s received request %s %s after it announced that it leaves, want at most 2 s", e.name, id, time.Since(leavingSince))
 	}
 	if mode == "late" {
-		work = 5 * time.Second
+		serviceTime = 5 * time.Second
 	}
 	select {
-	case <-time.After(work):
+	case <-time.After(serviceTime):
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
-	case <-l.x.life.Done():
-		return nil, errors.New("this instance is dead")
+	case <-l.inst.ctx.Done():
+		return nil, errors.New("the sending instance has crashed")
 	}
 	if mode == "cut" {
 		return nil, syscall.ECONNRESET
 	}
-	return answer(http.StatusOK, id), nil
+	return newResponse(http.StatusOK, id), nil
 }
 
-func answer(status int, body string) *http.Response {
+func newResponse(status int, body string) *http.Response {
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Header: http.Header{"Content-Type": {"text/plain"}}, Body: io.NopCloser(bytes.NewReader([]byte(body)))}
 }
--- a/fleet/random_test.go
+++ b/fleet/random_test.go
@@ -15,19 +15,20 @@
 	"ivyridge/owner"
 )
 
-func replaceWhole(text string) string {
+func withLongerTarget(text string) string {
 	return strings.Replace(text, "whole: 2s", "whole: 4s", 1)
 }
 
-// TestRandomSchedules runs random schedules of faults and checks the books.
-// IVYRIDGE_SCHEDULES sets how many, IVYRIDGE_SEED the first seed.
+// TestRandomSchedules runs random schedules of faults and checks the guarantees
+// against the recorded executions. IVYRIDGE_SCHEDULES sets the number of
+// schedules, IVYRIDGE_SEED the first seed.
 func TestRandomSchedules(t *testing.T) {
-	n, first := envInt("IVYRIDGE_SCHEDULES", 24), envInt("IVYRIDGE_SEED", 1)
-	for i := range n {
-		seed := uint64(first + i)
+	count, firstSeed := envInt("IVYRIDGE_SCHEDULES", 24), envInt("IVYRIDGE_SEED", 1)
+	for i := range count {
+		seed := uint64(firstSeed + i)
 		t.Run(fmt.Sprintf("seed%d", seed), func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { schedule(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runSchedule(t, seed) })
 		})
 	}
 }
@@ -41,11 +42,11 @@
 	return value
 }
 
-// schedule runs one fleet through faults drawn from the seed.
-func schedule(t *testing.T, seed uint64) {
+// runSchedule runs one fleet under load with faults drawn from the seed.
+func runSchedule(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	w := newWorld(t, seed, 3+rng.IntN(4), 2+rng.IntN(3))
-	w.settle()
+	sim := newSimulation(t, seed, 3+rng.IntN(4), 2+rng.IntN(3))
+	sim.awaitSettled()
 	var wg sync.WaitGroup
 	for i := range 40 {
 		wg.Add(1)
@@ -53,95 +54,96 @@
 		go func() {
 			defer wg.Done()
 			time.Sleep(at)
-			w.persist(fmt.Sprintf("v%d", i), "verdict", 8)
+			sim.callWithRetries(fmt.Sprintf("v%d", i), "verdict", 8)
 		}()
 	}
-	faults := faultsOf(w)
+	faults := scheduleFaults(sim)
 	for range 2 + rng.IntN(4) {
 		time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 		k := rng.IntN(len(faults))
-		w.trace("fault %d", k)
+		sim.trace("fault %d", k)
 		faults[k](rng)
 	}
 	wg.Wait()
-	w.check()
+	sim.check()
 	if t.Failed() {
 		t.Logf("reproduce with IVYRIDGE_SEED=%d IVYRIDGE_SCHEDULES=1", seed)
 	}
-	w.close()
+	sim.close()
 }
 
-// faultsOf returns the faults that a schedule may draw.
-func faultsOf(w *world) []func(rng *rand.Rand) {
-	some := func(rng *rand.Rand) *instance {
-		all := w.all()
+// scheduleFaults returns the faults from which a schedule draws. Their order is
+// part of what a seed reproduces.
+func scheduleFaults(sim *simulation) []func(rng *rand.Rand) {
+	randomInstance := func(rng *rand.Rand) *instance {
+		all := sim.allInstances()
 		return all[rng.IntN(len(all))]
 	}
-	clear := func(string, string, *rand.Rand) weather { return weather{} }
+	noFault := func(string, string, *rand.Rand) linkFault { return linkFault{} }
 	return []func(rng *rand.Rand){
-		func(rng *rand.Rand) { w.crash(some(rng)) },
-		func(rng *rand.Rand) { // restart in place, with its memory gone
-			x := some(rng)
-			w.crash(x)
+		func(rng *rand.Rand) { sim.crash(randomInstance(rng)) },
+		func(rng *rand.Rand) { // restart under the same name with empty state
+			inst := randomInstance(rng)
+			sim.crash(inst)
 			time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
-			w.start(x.name, x.side, owner.Retention)
+			sim.start(inst.name, inst.side, owner.Retention)
 		},
-		func(rng *rand.Rand) { // two at once
-			a, b := some(rng), some(rng)
-			w.crash(a)
-			w.crash(b)
-			w.start(a.name, a.side, owner.Retention)
+		func(rng *rand.Rand) { // two instances crash at the same time and restart
+			a, b := randomInstance(rng), randomInstance(rng)
+			sim.crash(a)
+			sim.crash(b)
+			sim.start(a.name, a.side, owner.Retention)
 			if b != a {
-				w.start(b.name, b.side, owner.Retention)
+				sim.start(b.name, b.side, owner.Retention)
 			}
 		},
-		func(rng *rand.Rand) { // unlisted though alive
-			x := some(rng)
-			w.setInstance(x.name, "")
+		func(rng *rand.Rand) { // a running instance is missing from the list for a while
+			inst := randomInstance(rng)
+			sim.setInstance(inst.name, "")
 			time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
-			w.setInstance(x.name, member.Live)
+			sim.setInstance(inst.name, member.Live)
 		},
-		func(rng *rand.Rand) { // replaced by a new name
-			x := some(rng)
-			w.crash(x)
-			w.setInstance(x.name, "")
+		func(rng *rand.Rand) { // replacement by an instance with a new name
+			inst := randomInstance(rng)
+			sim.crash(inst)
+			sim.setInstance(inst.name, "")
 			name := fmt.Sprintf("n%d", 7+rng.IntN(3))
-			w.mu.Lock()
-			taken := w.instances[name] != nil
-			w.mu.Unlock()
+			sim.mu.Lock()
+			taken := sim.instances[name] != nil
+			sim.mu.Unlock()
 			if !taken {
-				w.setInstance(name, member.Live)
-				w.start(name, x.side, owner.Retention)
+				sim.setInstance(name, member.Live)
+				sim.start(name, inst.side, owner.Retention)
 			}
 		},
-		func(rng *rand.Rand) { w.cutFrom(0, time.Duration(rng.IntN(4000))*time.Millisecond) },
+		func(rng *rand.Rand) { sim.partition(0, time.Duration(rng.IntN(4000))*time.Millisecond) },
 		func(rng *rand.Rand) {
-			w.setWeather(rough)
+			sim.setLinkFault(lossyLink)
 			time.Sleep(time.Duration(rng.IntN(3000)) * time.Millisecond)
-			w.setWeather(clear)
+			sim.setLinkFault(noFault)
 		},
 		func(rng *rand.Rand) {
-			w.mu.Lock()
-			w.down = !w.down
-			w.stir()
-			w.mu.Unlock()
+			sim.mu.Lock()
+			sim.platformDown = !sim.platformDown
+			sim.notifyWatchers()
+			sim.mu.Unlock()
 		},
 		func(rng *rand.Rand) {
 			modes := []string{"", "dead", "cut", "busy", "late"}
-			w.mu.Lock()
-			w.endpoints["e1"].mode = modes[rng.IntN(len(modes))]
-			w.mu.Unlock()
+			sim.mu.Lock()
+			sim.endpoints["e1"].mode = modes[rng.IntN(len(modes))]
+			sim.mu.Unlock()
 		},
-		func(rng *rand.Rand) { w.publish(declarations + fmt.Sprintf("# %d\n", rng.IntN(1000))) },
+		func(rng *rand.Rand) { sim.publish(declarations + fmt.Sprintf("# %d\n", rng.IntN(1000))) },
 		func(rng *rand.Rand) {
-			w.mu.Lock()
-			if w.endpoints["e2"].leaving.IsZero() {
-				w.endpoints["e2"].leaving = time.Now()
+			sim.mu.Lock()
+			if sim.endpoints["e2"].leavingSince.IsZero() {
+				sim.endpoints["e2"].leavingSince = time.Now()
 			}
-			down := w.down
-			w.mu.Unlock()
+			down := sim.platformDown
+			sim.mu.Unlock()
 			if !down {
-				w.setEndpoint("e2", member.Leaving)
+				sim.setEndpoint("e2", member.Leaving)
 			}
 		},
 	}
--- /dev/null
+++ b/fleet/simulation_test.go
@@ -0,0 +1,423 @@
+// Package fleet_test runs complete fleets of instances in one process and in
+// virtual time, with a simulated network, platform and endpoints, and injects
+// faults. Whether a request ran is checked against the executions that the
+// endpoints recorded, not against what the instances report.
+package fleet_test
+
+import (
+	"bytes"
+	"context"
+	"expvar"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"os"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"go.uber.org/zap"
+
+	"ivyridge/clock"
+	"ivyridge/dispatch"
+	"ivyridge/home"
+	"ivyridge/member"
+	"ivyridge/node"
+	"ivyridge/owner"
+	"ivyridge/publish"
+	"ivyridge/verdict"
+)
+
+const declarations = `
+classes:
+  - {name: verdict, tier: 0, whole: 3s, repeatable: false}
+  - {name: lookup, tier: 0, whole: 2s, repeatable: true}
+  - {name: letter, tier: 2, whole: 20s, repeatable: true, finish_late: true}
+pools:
+  - {name: work, kind: service, slots: 4, class: lookup}
+teams:
+  - {name: a, class: verdict, classes: [lookup, letter]}
+`
+
+// A simulation is a fleet of instances with its simulated platform, network and
+// endpoints. mu guards the state that instances use concurrently.
+type simulation struct {
+	t             *testing.T
+	rng           *rand.Rand
+	mu            sync.Mutex
+	instances     map[string]*instance
+	endpoints     map[string]*endpoint
+	config        publish.Published
+	list          member.List
+	platformDown  bool          // watch calls fail
+	platformStale bool          // the platform serves the configuration as revision 1
+	platformCalls int           // watch calls received by the platform
+	updated       chan struct{} // closed and replaced by notifyWatchers
+	linkFault     func(from, to string, rng *rand.Rand) linkFault
+	attempts      map[string][]string // endpoints that ran each attempt, by attempt id
+	runs          map[string]int      // number of executions, by request id
+	seeds         []string            // seed addresses of instances started from now on
+	violations    []string            // violated guarantees
+}
+
+// A linkFault describes the faults applied to one message between instances.
+type linkFault struct {
+	drop, loseReply, duplicate bool
+	delay                      time.Duration
+	bytesPerSecond             int // in each direction; zero means unlimited
+}
+
+type instance struct {
+	sim        *simulation
+	name       string
+	side       int // side of a network partition, 0 or 1
+	node       *node.Node
+	dispatcher *dispatch.Dispatcher
+	handler    http.Handler
+	ctx        context.Context
+	cancel     context.CancelFunc
+	inFlight   sync.WaitGroup
+	leaving    bool // shutting down as planned
+}
+
+type endpoint struct {
+	name         string
+	side         int
+	serviceTime  time.Duration
+	mode         string    // "dead" refuses connections, "cut" resets them after the work, "busy" answers 429, "late" takes 5 s
+	leavingSince time.Time // zero if not leaving
+	inFlight     int       // requests in progress
+	maxInFlight  int       // highest inFlight seen
+}
+
+func newSimulation(t *testing.T, seed uint64, instances, endpoints int) *simulation {
+	sim := &simulation{
+		t: t, rng: rand.New(rand.NewPCG(seed, 7)),
+		instances: make(map[string]*instance), endpoints: make(map[string]*endpoint),
+		attempts: make(map[string][]string), runs: make(map[string]int),
+		updated:   make(chan struct{}),
+		linkFault: func(string, string, *rand.Rand) linkFault { return linkFault{} },
+	}
+	sim.config = publish.Published{Revision: 1, Value: declarations}
+	sim.list.Revision = 1
+	for i := range endpoints {
+		name := fmt.Sprintf("e%d", i+1)
+		sim.endpoints[name] = &endpoint{name: name, side: i % 2, serviceTime: 50 * time.Millisecond}
+		sim.list.Endpoints = append(sim.list.Endpoints, member.Endpoint{Name: name, Addr: name, DataCentre: "x", Region: "r", Pool: "work", State: member.Live})
+	}
+	for i := range instances {
+		name := fmt.Sprintf("n%d", i+1)
+		sim.list.Instances = append(sim.list.Instances, member.Instance{Name: name, Addr: name, DataCentre: dataCentreOf(name), State: member.Live})
+	}
+	for i, in := range sim.list.Instances {
+		sim.startCold(in.Name, i%2)
+	}
+	return sim
+}
+
+// dataCentreOf distributes instances over three data centres by their number.
+func dataCentreOf(name string) string { return string("xyz"[(name[1]-'1')%3]) }
+
+// startCold starts an instance as part of the first start of a fleet.
+func (sim *simulation) startCold(name string, side int) *instance {
+	return sim.launch(name, side, owner.Retention, true)
+}
+
+// start starts an instance that joins a running fleet, or restarts a killed one
+// with empty state.
+func (sim *simulation) start(name string, side int, quarantine time.Duration) *instance {
+	return sim.launch(name, side, quarantine, false)
+}
+
+func (sim *simulation) launch(name string, side int, quarantine time.Duration, cold bool) *instance {
+	inst := &instance{sim: sim, name: name, side: side}
+	sim.trace("start %s on side %d", name, side)
+	inst.ctx, inst.cancel = context.WithCancel(context.Background())
+	inst.node = node.New(node.Options{
+		Name: name, DataCentre: dataCentreOf(name), Addr: name, Policy: fullPolicy(), Quarantine: quarantine, ColdStart: cold,
+		Seeds: sim.seeds, Clock: clock.Monotonic(), Log: zap.NewNop(), Transport: &transport{sim, inst}, Platform: &platformClient{sim, inst}, Loads: &loadClient{sim, inst},
+	})
+	inst.handler = inst.node.Handler()
+	inst.dispatcher = dispatch.NewOver(inst.node, new(expvar.Map).Init(), &transport{sim, inst}, &transport{sim, inst})
+	sim.mu.Lock()
+	sim.instances[name] = inst
+	sim.mu.Unlock()
+	inst.node.Run()
+	return inst
+}
+
+func fullPolicy() home.Policy {
+	p, err := home.ParsePolicy(home.Full)
+	if err != nil {
+		panic(err)
+	}
+	return p
+}
+
+// trace logs an event if IVYRIDGE_TRACE is set.
+func (sim *simulation) trace(format string, args ...any) {
+	if os.Getenv("IVYRIDGE_TRACE") != "" {
+		sim.t.Logf(time.Now().Format("04:05.000 ")+format, args...)
+	}
+}
+
+// crash stops an instance without a shutdown sequence.
+func (sim *simulation) crash(inst *instance) {
+	sim.trace("crash %s", inst.name)
+	inst.cancel()
+	inst.node.Close()
+}
+
+// leave shuts an instance down as planned, in the same order as package daemon:
+// it is listed as leaving, finishes its open requests, hands over and stops.
+func (sim *simulation) leave(inst *instance) {
+	sim.mu.Lock()
+	inst.leaving = true
+	sim.mu.Unlock()
+	sim.setInstance(inst.name, member.Leaving)
+	inst.node.Leave()
+	time.Sleep(time.Second)
+	inst.inFlight.Wait()
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	defer cancel()
+	inst.node.AwaitHandOver(ctx)
+	sim.crash(inst)
+	sim.setInstance(inst.name, "")
+}
+
+func (sim *simulation) close() {
+	for _, inst := range sim.allInstances() {
+		inst.cancel()
+		inst.node.Close()
+	}
+	time.Sleep(10 * time.Minute) // lets all pending timers and calls expire
+}
+
+func (sim *simulation) allInstances() []*instance {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	var out []*instance
+	for _, in := range []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9"} {
+		if inst := sim.instances[in]; inst != nil {
+			out = append(out, inst)
+		}
+	}
+	return out
+}
+
+// readyInstances returns the instances to which a load balancer would send
+// requests: running, ready and not leaving.
+func (sim *simulation) readyInstances() []*instance {
+	var out []*instance
+	for _, inst := range sim.allInstances() {
+		sim.mu.Lock()
+		leaving := inst.leaving
+		sim.mu.Unlock()
+		if ready, _ := inst.node.Ready(); inst.ctx.Err() == nil && ready && !leaving {
+			out = append(out, inst)
+		}
+	}
+	return out
+}
+
+// publish publishes text as the next revision of the configuration.
+func (sim *simulation) publish(text string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.config.Revision++
+	sim.config.Value = text
+	sim.notifyWatchers()
+}
+
+// setInstance sets an instance's state in the published list. An empty state
+// removes the instance.
+func (sim *simulation) setInstance(name string, s member.State) {
+	sim.trace("list %s as %q", name, s)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	var kept []member.Instance
+	for _, in := range sim.list.Instances {
+		if in.Name != name {
+			kept = append(kept, in)
+		}
+	}
+	if s != "" {
+		kept = append(kept, member.Instance{Name: name, Addr: name, DataCentre: dataCentreOf(name), State: s})
+	}
+	sim.list.Instances = kept
+	sim.list.Revision++
+	sim.notifyWatchers()
+}
+
+// setEndpoint sets the state of a listed endpoint.
+func (sim *simulation) setEndpoint(name string, s member.State) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	list := append([]member.Endpoint(nil), sim.list.Endpoints...)
+	for i := range list {
+		if list[i].Name == name {
+			list[i].State = s
+		}
+	}
+	sim.list.Endpoints = list
+	sim.list.Revision++
+	sim.notifyWatchers()
+}
+
+// notifyWatchers wakes all pending watch calls. The caller holds sim.mu.
+func (sim *simulation) notifyWatchers() {
+	close(sim.updated)
+	sim.updated = make(chan struct{})
+}
+
+// recordViolation records a violated guarantee, which check reports.
+func (sim *simulation) recordViolation(format string, args ...any) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
+}
+
+// responseRecorder is a dispatch.Sink that keeps the response in memory.
+type responseRecorder struct {
+	status int
+	body   bytes.Buffer
+}
+
+func (s *responseRecorder) Start(status int, _ http.Header) { s.status = status }
+
+func (s *responseRecorder) Write(p []byte) error {
+	s.body.Write(p)
+	return nil
+}
+
+// A reply is the outcome of one attempt of a caller.
+type reply struct {
+	body string
+	err  *verdict.Error
+}
+
+// call sends one attempt of a request through an instance and checks its result.
+// Requests of class verdict carry a key made from id.
+func (sim *simulation) call(inst *instance, id, attempt, class string) reply {
+	set, ok := inst.node.Declarations()
+	if !ok {
+		return reply{err: verdict.Refuse(verdict.NoConfiguration, "")}
+	}
+	req := &dispatch.Request{
+		ID: attempt, Pool: set.Pool("work"), Class: set.Class(class), Team: "a", Method: http.MethodPost, Path: "/do",
+		Header: http.Header{}, Body: []byte(id), Repeatable: set.Class(class).Repeatable, Arrived: inst.node.Now(),
+	}
+	if class == "verdict" {
+		var k owner.Key
+		copy(k[:], id)
+		req.Key = &k
+	}
+	inst.inFlight.Add(1)
+	defer inst.inFlight.Done()
+	ctx, cancel := context.WithTimeout(inst.ctx, time.Minute)
+	defer cancel()
+	s := new(responseRecorder)
+	got := make(chan dispatch.Result, 1)
+	go func() { got <- inst.dispatcher.Do(ctx, req, s) }()
+	var res dispatch.Result
+	select {
+	case res = <-got:
+	case <-inst.ctx.Done():
+		return reply{err: verdict.Fail(verdict.MayHaveRun, verdict.CallerGone, "the instance crashed")}
+	}
+	if inst.ctx.Err() != nil {
+		return reply{err: verdict.Fail(verdict.MayHaveRun, verdict.CallerGone, "the instance crashed")}
+	}
+	sim.checkReply(id, attempt, s, res)
+	if res.Err != nil {
+		sim.trace("reply %s via %s: %v", attempt, inst.name, res.Err)
+	}
+	return reply{s.body.String(), res.Err}
+}
+
+// checkReply checks that a successful response belongs to its request and that
+// an attempt reported as not run was not run.
+func (sim *simulation) checkReply(id, attempt string, s *responseRecorder, res dispatch.Result) {
+	if res.Err == nil && s.body.String() != id {
+		sim.recordViolation("%s: got the response to another request: %q", attempt, s.body.String())
+	}
+	if res.Err != nil && res.Err.Verdict == verdict.NotRun {
+		sim.mu.Lock()
+		ran := len(sim.attempts[attempt])
+		sim.mu.Unlock()
+		if ran > 0 {
+			sim.recordViolation("%s: reported as not run (%v), but it ran", attempt, res.Err)
+		}
+	}
+}
+
+// callWithRetries sends a request to random ready instances until an attempt
+// succeeds, at most tries times, and returns the last reply.
+func (sim *simulation) callWithRetries(id, class string, tries int) reply {
+	var last reply
+	for try := range tries {
+		live := sim.readyInstances()
+		if len(live) == 0 {
+			time.Sleep(200 * time.Millisecond)
+			continue
+		}
+		sim.mu.Lock()
+		inst := live[sim.rng.IntN(len(live))]
+		sim.mu.Unlock()
+		last = sim.call(inst, id, fmt.Sprintf("%s/%d", id, try), class)
+		if last.err == nil {
+			return last
+		}
+		time.Sleep(max(last.err.RetryAfter, 50*time.Millisecond))
+	}
+	return last
+}
+
+// check fails the test for each recorded violation and for each keyed request,
+// whose id starts with v, that ran more than once.
+func (sim *simulation) check() {
+	sim.t.Helper()
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for id, n := range sim.runs {
+		if id[0] == 'v' && n > 1 {
+			sim.violations = append(sim.violations, fmt.Sprintf("keyed request %s ran %d times, want at most once", id, n))
+		}
+	}
+	for _, f := range sim.violations {
+		sim.t.Error(f)
+	}
+}
+
+// awaitSettled waits until all running instances are ready and settled as owners
+// of their keys. It fails the test after 10 s.
+func (sim *simulation) awaitSettled() {
+	sim.t.Helper()
+	for range 100 {
+		time.Sleep(100 * time.Millisecond)
+		done := true
+		for _, inst := range sim.allInstances() {
+			if inst.ctx.Err() == nil {
+				ready, _ := inst.node.Ready()
+				done = done && ready && inst.node.Config().Settled
+			}
+		}
+		if done {
+			return
+		}
+	}
+	sim.t.Fatal("the fleet was not ready and settled within 10 s")
+}
+
+// simulate runs f in virtual time on a settled fleet, then checks the guarantees.
+func simulate(t *testing.T, seed uint64, instances, endpoints int, f func(sim *simulation)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		sim := newSimulation(t, seed, instances, endpoints)
+		sim.awaitSettled()
+		f(sim)
+		sim.check()
+		sim.close()
+	})
+}
