--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,10 @@
-# All set-up on a fresh machine: make demo, make test.
+# On a fresh machine, make demo and make test need no further setup.
 GO ?= go
 BIN := bin
 
 SEEDS ?= 3
 
-# A soak: make soak SEED=7 FOR=60s INSTANCES=6
+# Parameters of make soak, for example: make soak SEED=7 FOR=60s INSTANCES=6
 SEED ?= 1
 FOR ?= 60s
 INSTANCES ?= 6
@@ -18,21 +18,21 @@
 build:
 	$(GO) build -o $(BIN)/ ./cmd/...
 
-# The main job: six instances carry the rental-season wave; report in out/demo.
+# Runs the rental-season load on six instances; the report is in out/demo.
 demo: build
 	BIN=$(BIN) OUT=out/demo demo/huurtoets/run.sh
 
-# The fleets of gossip's tests take more than go's ten minutes a package on a machine with other work.
+# Timeout per test package. On a busy machine, gossip's tests need more than Go's default of 10 minutes.
 TEST_FOR ?= 15m
 
 test:
 	$(GO) test -race -count=1 -timeout $(TEST_FOR) ./...
 
-# The same as test, for .ci/run to count.
+# The tests with JSON output, from which .ci/run counts results.
 test-json:
 	@$(GO) test -race -count=1 -timeout $(TEST_FOR) -json ./...
 
-# A run of each fuzz test on what comes from elsewhere; make test has changed bytes that are the same each time.
+# Fuzzes the decoders of external input. make test runs reproducible mutations instead.
 fuzz:
 	$(GO) test ./platform -run '^$$' -fuzz '^FuzzServer$$' -fuzztime $(FUZZ_FOR)
 	$(GO) test ./platform -run '^$$' -fuzz '^FuzzItem$$' -fuzztime $(FUZZ_FOR)
@@ -44,14 +44,15 @@
 	$(GO) vet ./...
 	$(GO) tool staticcheck ./...
 
-# The policy beside its baselines, and with each mechanism switched off; the
-# table of docs/design/policy.md. In virtual time: the same on any machine.
+# Compares the policy with its baselines and with each mechanism disabled, for the
+# table of docs/design/policy.md. Runs in virtual time, so results are the same on
+# any machine.
 bench-policy: build
 	@mkdir -p out
 	$(BIN)/ivyload policy -p full,fifo,strict -n $(SEEDS) | tee out/policy.txt
 	$(BIN)/ivyload policy -m "x5" -a -n 1 | tee out/policy-off.txt
 
-# What control costs an instance, for docs/CAPACITY.md.
+# Measures the control overhead per instance, for docs/CAPACITY.md.
 bench-capacity: build
 	$(BIN)/ivyload capacity -i 6,24,48,96
 	$(BIN)/ivyload capacity -i 24 -e 64
@@ -60,18 +61,19 @@
 	$(BIN)/ivyload capacity -i 24 -r 50
 	$(BIN)/ivyload capacity -i 24 -r 200
 
-# Real instances under faults that a seed draws; report in out/soak.
+# Runs instances under random faults drawn from SEED; the report is in out/soak.
 soak: build
 	$(BIN)/ivysoak -b $(BIN)/ivyentry -s $(SEED) -f $(FOR) -i $(INSTANCES)
 
-# A home killed at load; then the speed of single parts.
+# Kills a cell's home under load.
 bench-kill: build
 	BIN=$(BIN) bench/kill.sh
 
+# Go benchmarks of all packages.
 bench:
 	$(GO) test -run '^$$' -bench . -benchmem ./...
 
-# Needs protoc, protoc-gen-go and protoc-gen-twirp; the output is committed.
+# Requires protoc, protoc-gen-go and protoc-gen-twirp. Generated code is committed.
 generate:
 	$(GO) generate ./...
 
--- a/bench/kill.sh
+++ b/bench/kill.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Kills the home of the screening cell with SIGKILL at half the fleet's load,
-# and prints attainment in the ten seconds before and after. Everything it
-# starts it ends.
+# Kills the home of the screening cell with SIGKILL at about half of the fleet's
+# capacity and prints the attainment in the ten seconds before and after. All started
+# processes are terminated on exit.
 set -eu
 here=$(dirname "$0")
 demo=$here/../demo/huurtoets
--- a/bench/pairs.sh
+++ b/bench/pairs.sh
@@ -1,11 +1,13 @@
 #!/usr/bin/env bash
-# Plays days on which two kinds of trouble overlap, each pair once, in the
-# users' bench, and prints the pairs that break a rule or end a process.
+# Runs scenarios ("days") with two overlapping faults, one for each pair of fault
+# kinds, in the users' bench. Prints the pairs that violate a rule or terminate a
+# process.
 #
 #   bench/pairs.sh BENCH SITE [JOBS]
 #
-# BENCH is the bench's program and SITE a site file. The days are made in a
-# temporary folder; a day that is worth keeping belongs into deploy/days.
+# BENCH is the bench's program, SITE a site file and JOBS the number of parallel
+# runs, 4 by default. The scenarios are generated in a temporary directory; those to
+# be kept go to deploy/days.
 set -euo pipefail
 bench=$1
 site=$2
@@ -13,8 +15,8 @@
 days=$(mktemp -d)
 trap 'rm -rf "$days"' EXIT
 
-# The kinds, as faults that last six seconds from the tenth (A) or the
-# twelfth (B) second on.
+# Fault kinds. The first fault of a pair starts at 10 s, the second at 12 s; each
+# lasts 6 s.
 troubles=(
   'kind = "burst", x = 1.8'
   'kind = "shift", share = 0.6'
--- a/demo/huurtoets/fleet.sh
+++ b/demo/huurtoets/fleet.sh
@@ -1,16 +1,17 @@
-# Functions that the demo and the benchmarks share; to be sourced. They need
-# bin, out, demo and instances to be set.
+# Functions shared by the demo and the benchmarks, to be sourced. The caller sets
+# the variables bin, out, demo and instances.
 
 pids=
 
-# finish ends all that was started.
+# finish terminates all started processes and waits for them.
 finish() {
 	for p in $pids; do kill "$p" 2>/dev/null || true; done
 	for p in $pids; do wait "$p" 2>/dev/null || true; done
 }
 
-# start_fleet starts the stand-ins and the instances, and sets targets and a
-# variable router_N with the process of each instance.
+# start_fleet starts the fake endpoints and the instances and waits until all are
+# ready. It sets targets to the instances' addresses and router_N to the process id
+# of instance N.
 start_fleet() {
 	mkdir -p "$out"
 	trap finish EXIT INT TERM
--- a/demo/huurtoets/run.sh
+++ b/demo/huurtoets/run.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Runs the demo: stand-ins, six instances, the rental-season wave, a report.
-# Everything it starts it ends.
+# Runs the demo: starts fake endpoints and six instances, sends the rental-season
+# load and writes a report. All started processes are terminated on exit.
 set -eu
 demo=$(dirname "$0")
 bin=${BIN:-bin}
--- a/scripts/failed-output.sh
+++ b/scripts/failed-output.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Prints what the failed tests in a log of `go test -json` printed, the last lines
-# of each. Usage: failed-output.sh LOG [LINES]
+# Prints the last lines of output of each failed test in a `go test -json` log.
+# Usage: failed-output.sh LOG [LINES]
 set -euo pipefail
 log=$1
 lines=${2:-200}
--- a/scripts/scripts_test.go
+++ b/scripts/scripts_test.go
@@ -1,6 +1,6 @@
-// Package scripts_test runs whole sessions of the real programs: the scripts
-// in testdata start stand-ins and instances as processes, use and kill them,
-// and compare what they print with golden text.
+// Package scripts_test runs end-to-end tests of the built programs. The
+// testscripts in testdata start instances and fake endpoints as processes, call
+// and kill them, and compare their output with golden files.
 package scripts_test
 
 import (
@@ -19,8 +19,8 @@
 	"ivyridge/internal/freeport"
 )
 
-// bin is where the programs are built.
-var bin string
+// binDir holds the programs built for this run.
+var binDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(run(m))
@@ -33,7 +33,7 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	bin = dir
+	binDir = dir
 	build := exec.Command("go", "build", "-o", dir, "../cmd/...")
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
@@ -43,25 +43,22 @@
 	return m.Run()
 }
 
-// The first two of the five digits of the ports that scripts use.
+// First two of the five digits of the ports used by scripts.
 const (
-	scriptPorts = "17"
-	faultPorts  = "19"
+	scriptPortPrefix = "17"
+	faultsPortPrefix = "19"
 )
 
-// Symptom: zz-faults failed once in some dozen runs of all tests, and never by itself.
-//
-// Cause: its ports, 27101 to 27905, lay among those that freeport gives to tests of
-// other packages, which run at the same time. An instance whose port one of them held
-// ended with "bind: address already in use", and its fleet never became whole.
-func TestScriptsUsePortsOfTheirOwn(t *testing.T) {
-	for _, ports := range []string{scriptPorts, faultPorts} {
-		first, err := strconv.Atoi(ports + "000")
+// Guards against port conflicts ("bind: address already in use") with tests of other
+// packages that run at the same time on ports from freeport.
+func TestScriptPortsAreOutsideFreeportRange(t *testing.T) {
+	for _, prefix := range []string{scriptPortPrefix, faultsPortPrefix} {
+		first, err := strconv.Atoi(prefix + "000")
 		if err != nil {
 			t.Fatal(err)
 		}
 		if first+999 >= freeport.Lowest && first < freeport.Highest {
-			t.Errorf("ports from %d on are given to other tests", first)
+			t.Errorf("ports from %d on overlap the range of freeport", first)
 		}
 	}
 }
@@ -77,8 +74,8 @@
 	})
 }
 
-// serve answers HTTP at an address with the files of a directory until the script ends:
-// serve ADDRESS DIRECTORY.
+// serve is the script command "serve ADDRESS DIRECTORY". It serves the files of a
+// directory over HTTP until the script ends.
 func serve(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: serve ADDRESS DIRECTORY")
@@ -90,30 +87,33 @@
 	go func() { _ = server.Serve(l) }()
 }
 
-// setup puts the programs on the path and the demo's files beside the script.
-func setup(e *testscript.Env) error {
-	e.Setenv("PATH", bin+string(filepath.ListSeparator)+os.Getenv("PATH"))
-	e.Setenv("IVYCTL_TOKEN", "demo-operator")
-	// Scripts run side by side, each on ports of its own.
-	ports := scriptPorts
-	if strings.Contains(e.WorkDir, "faults") {
-		ports = faultPorts
+// setup puts the programs on the path, copies the demo's configuration into the
+// script's work directory and replaces its ports.
+func setup(env *testscript.Env) error {
+	env.Setenv("PATH", binDir+string(filepath.ListSeparator)+os.Getenv("PATH"))
+	env.Setenv("IVYCTL_TOKEN", "demo-operator")
+	// The fleet of zz-faults runs in parallel with that of session and needs other
+	// ports.
+	portPrefix := scriptPortPrefix
+	if strings.Contains(env.WorkDir, "faults") {
+		portPrefix = faultsPortPrefix
 	}
-	e.Setenv("P", ports)
+	env.Setenv("P", portPrefix)
 	for _, name := range []string{"declarations.yaml", "fakes.yaml", "settings.template.yaml"} {
 		data, err := os.ReadFile(filepath.Join("..", "demo", "huurtoets", name))
 		if err != nil {
 			return err
 		}
-		text := strings.ReplaceAll(string(data), "127.0.0.1:7", "127.0.0.1:"+ports)
-		if err := os.WriteFile(filepath.Join(e.WorkDir, name), []byte(text), 0o644); err != nil {
+		text := strings.ReplaceAll(string(data), "127.0.0.1:7", "127.0.0.1:"+portPrefix)
+		if err := os.WriteFile(filepath.Join(env.WorkDir, name), []byte(text), 0o644); err != nil {
 			return err
 		}
 	}
-	return writeSettings(e.WorkDir)
+	return writeSettings(env.WorkDir)
 }
 
-// writeSettings fills the demo's template in for three instances.
+// writeSettings writes the settings of three instances from the demo's template and
+// removes instances 4 to 6 from fakes.yaml.
 func writeSettings(dir string) error {
 	template, err := os.ReadFile(filepath.Join(dir, "settings.template.yaml"))
 	if err != nil {
@@ -138,8 +138,8 @@
 	return os.WriteFile(filepath.Join(dir, "fakes.yaml"), []byte(strings.Join(kept, "\n")), 0o644)
 }
 
-// until runs a command again and again until its output contains a text. It
-// waits for a state, however long the machine takes, within bounds.
+// until is the script command "until TEXT COMMAND...". It runs a command every 0.1 s
+// until its standard output contains the text, and fails after 300 attempts.
 func until(ts *testscript.TestScript, neg bool, args []string) {
 	const tries = 300
 	if neg || len(args) < 2 {
@@ -154,5 +154,5 @@
 		}
 		_ = ts.Exec("sleep", "0.1")
 	}
-	ts.Fatalf("%q never came; last:\n%s", args[0], out)
+	ts.Fatalf("output does not contain %q after all attempts; last output:\n%s", args[0], out)
 }
