--- a/balance/admit.go
+++ b/balance/admit.go
@@ -171,47 +171,47 @@
 }
 
 // recordHold adds the request's estimated slot hold time to the mean.
-func (f *serviceStats) recordHold(d *Demand, p *Placement) {
+func (s *serviceStats) recordHold(d *Demand, p *Placement) {
 	hold := float64(d.Prompt-p.Cached)*p.Pace.ReadTime + float64(d.Output)*p.Pace.TokenTime
-	if f.hold == 0 {
-		f.hold = hold
+	if s.hold == 0 {
+		s.hold = hold
 	}
-	f.hold += holdSampleWeight * (hold - f.hold)
+	s.hold += holdSampleWeight * (hold - s.hold)
 }
 
 // refuse returns the reason to refuse the request, or nil. Endpoint first is the cheapest, and p
 // the one chosen by chooseInTime. It records pressures and refusal rates.
-func (f *serviceStats) refuse(d *Demand, first, p *Placement, reportInterval time.Duration, now time.Time) *Refusal {
+func (s *serviceStats) refuse(d *Demand, first, p *Placement, reportInterval time.Duration, now time.Time) *Refusal {
 	level := d.level()
-	room := d.maxWait(first.prefillTime)
-	waits := f.waits(d, first.load, reportInterval, now)
-	f.pressures[level].add(now, level, &waits, room)
-	crowded := waits[levels-1] > refuseThreshold*room
-	room = d.maxWait(p.prefillTime)
-	waits = f.waits(d, p.load, reportInterval, now)
+	maxWait := d.maxWait(first.prefillTime)
+	waits := s.waits(d, first.load, reportInterval, now)
+	s.pressures[level].add(now, level, &waits, maxWait)
+	crowded := waits[levels-1] > refuseThreshold*maxWait
+	maxWait = d.maxWait(p.prefillTime)
+	waits = s.waits(d, p.load, reportInterval, now)
 	wait := waits[level]
-	own := wait / room
-	refusal := f.yieldRefusal(level, now)
-	if own > refuseThreshold {
-		refusal = &Refusal{Pressure: own}
+	ownPressure := wait / maxWait
+	refusal := s.yieldRefusal(level, now)
+	if ownPressure > refuseThreshold {
+		refusal = &Refusal{Pressure: ownPressure}
 	}
 	if refusal == nil || wait <= 0 {
-		f.refusalRates[level].count(now, level, false, crowded)
+		s.refusalRates[level].count(now, level, false, crowded)
 		return nil
 	}
-	f.refusalRates[level].count(now, level, true, crowded)
+	s.refusalRates[level].count(now, level, true, crowded)
 	refusal.Wait = time.Duration(wait * float64(time.Millisecond))
-	excess := max(0, wait-room/2)
+	excess := max(0, wait-maxWait/2)
 	refusal.RetryAfter = minRetryAfter + time.Duration(excess*float64(time.Millisecond)) + time.Duration(rand.Float64()*float64(retryAfterSpread))
 	return refusal
 }
 
 // yieldRefusal returns a refusal if requests of a level must yield to more urgent ones, or nil.
-func (f *serviceStats) yieldRefusal(level int, now time.Time) *Refusal {
-	for urgent := range level {
-		pressed := f.pressures[urgent][level].of(now)
-		if pressed > yieldThreshold || f.refusalRates[urgent][level].of(now) > yieldRefusalRate {
-			return &Refusal{Pressure: pressed}
+func (s *serviceStats) yieldRefusal(level int, now time.Time) *Refusal {
+	for moreUrgent := range level {
+		pressure := s.pressures[moreUrgent][level].of(now)
+		if pressure > yieldThreshold || s.refusalRates[moreUrgent][level].of(now) > yieldRefusalRate {
+			return &Refusal{Pressure: pressure}
 		}
 	}
 	return nil
@@ -219,7 +219,7 @@
 
 // slotWait returns the estimated wait, in ms, for a slot at a level. Only requests of the same or
 // more urgent levels are ahead.
-func (f *serviceStats) slotWait(t *Running, level, slots int) float64 {
+func (s *serviceStats) slotWait(t *Running, level, slots int) float64 {
 	ahead := 0
 	for _, n := range t.ByLevel[:level+1] {
 		ahead += n
@@ -227,5 +227,5 @@
 	if slots <= 0 {
 		return 0
 	}
-	return max(0, float64(ahead+1-slots)) * f.hold / float64(slots)
+	return max(0, float64(ahead+1-slots)) * s.hold / float64(slots)
 }
--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -176,13 +176,13 @@
 
 // Rests records that the endpoint asked this instance to back off for d. It reports whether the
 // endpoint was not in back-off before.
-func (p *Placement) Rests(d time.Duration) (news bool) {
+func (p *Placement) Rests(d time.Duration) (isNew bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	s := p.ensureDirective(now)
-	news = !now.Before(s.backoffUntil)
+	isNew = !now.Before(s.backoffUntil)
 	s.extendBackoff(d, now)
 	b.lastBackoffEnd = latest(b.lastBackoffEnd, s.backoffUntil)
 	if current := b.loadsByID[p.Endpoint.ID]; current != nil && current != p.load {
@@ -192,12 +192,12 @@
 			b.markChanged(current)
 		}
 	}
-	return news
+	return isNew
 }
 
 // Leaves records that the endpoint said it is draining; it is sent nothing new. It reports whether
 // that was not known before.
-func (p *Placement) Leaves() (news bool) {
+func (p *Placement) Leaves() (isNew bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -264,7 +264,7 @@
 // unavailableRefusal returns the refusal of a request for which all otherwise eligible endpoints
 // are in back-off or lack permits, or nil if there are none. The caller holds b.mu.
 func (b *Balancer) unavailableRefusal(endpoints []*belief.Endpoint, d *Demand, now time.Time) *Refusal {
-	var earliest time.Time
+	var firstFree time.Time
 	var limited bool // the earliest endpoint lacks a permit
 	r := b.workingSet(d.Service.Name, endpoints)
 	loads := r.loads
@@ -278,14 +278,14 @@
 		if l.directive != nil {
 			backoffEnd = l.directive.availableAt(now)
 		}
-		if room := latest(backoffEnd, permitAt); earliest.IsZero() || room.Before(earliest) {
-			earliest, limited = room, l.limitState.needsPermit(now) && !permitAt.Before(backoffEnd)
+		if availableAt := latest(backoffEnd, permitAt); firstFree.IsZero() || availableAt.Before(firstFree) {
+			firstFree, limited = availableAt, l.limitState.needsPermit(now) && !permitAt.Before(backoffEnd)
 		}
 	}
-	if earliest.IsZero() {
+	if firstFree.IsZero() {
 		return nil
 	}
-	wait := earliest.Sub(now)
+	wait := firstFree.Sub(now)
 	if limited {
 		return b.limitedRefusal(d, loads, wait, now)
 	}
@@ -312,15 +312,15 @@
 	if !now.Before(b.lastBackoffEnd) {
 		return closed[:min(len(closed), maxUnreachable)]
 	}
-	var lately []*directive
+	var recent []*directive
 	for _, s := range b.directives {
 		if now.Before(s.backoffUntil) && now.Sub(s.backoffAt) < recentBackoff {
-			lately = append(lately, s)
+			recent = append(recent, s)
 		}
 	}
-	slices.SortFunc(lately, func(x, y *directive) int { return cmp.Compare(y.backoffAt.UnixNano(), x.backoffAt.UnixNano()) })
+	slices.SortFunc(recent, func(x, y *directive) int { return cmp.Compare(y.backoffAt.UnixNano(), x.backoffAt.UnixNano()) })
 	var out []uint32
-	for _, s := range lately[:min(len(lately), maxUnreachable)] {
+	for _, s := range recent[:min(len(recent), maxUnreachable)] {
 		out = append(out, EndpointHash(s.incarnation))
 	}
 	out = append(out, closed...)
--- a/balance/backoff_test.go
+++ b/balance/backoff_test.go
@@ -204,20 +204,20 @@
 // instance, but do to others.
 func TestBackoffAppliesToOneInstance(t *testing.T) {
 	f := newFixture(1)
-	asks, scheduler := f.balancer(), f.balancer()
+	instance, scheduler := f.balancer(), f.balancer()
 	scheduler.Place(f.endpoints, f.stream()).Done(balance.Served)
-	f.requestBackoff(asks, 0, 3*time.Second)
-	if got := asks.Resting(f.stream()); len(got) != 1 || got[0] != balance.EndpointHash("e0") {
+	f.requestBackoff(instance, 0, 3*time.Second)
+	if got := instance.Resting(f.stream()); len(got) != 1 || got[0] != balance.EndpointHash("e0") {
 		t.Errorf("Resting() = %v, want e0", got)
 	}
-	reports, _ := asks.Reports(false, 0)
+	reports, _ := instance.Reports(false, 0)
 	scheduler.Merge(7, nil, reports, false)
 	if c := scheduler.Grant(7, f.endpoints, f.stream()); c.Endpoint != 0 || c.Refusal != nil {
 		t.Errorf("granted %+v to the instance in back-off", c)
 	}
 	if c := scheduler.Grant(8, f.endpoints, f.stream()); c.Endpoint == 0 {
 		t.Error("not granted to another instance")
-	} else if p, _ := asks.Adopt(c, f.endpoints, f.stream()); p != nil {
+	} else if p, _ := instance.Adopt(c, f.endpoints, f.stream()); p != nil {
 		t.Error("grant adopted by the instance in back-off")
 	}
 	f.now = f.now.Add(3*time.Second + maxJitter)
@@ -260,32 +260,32 @@
 
 func TestDrainIsReported(t *testing.T) {
 	f := newFixture(2)
-	knows, hears := f.balancer(), f.balancer()
-	hears.Place(f.endpoints, f.stream()).Done(balance.Served)
-	p := knows.Place(f.endpoints[:1], f.stream())
+	reporter, receiver := f.balancer(), f.balancer()
+	receiver.Place(f.endpoints, f.stream()).Done(balance.Served)
+	p := reporter.Place(f.endpoints[:1], f.stream())
 	if !p.Leaves() || p.Leaves() {
 		t.Error("Leaves() must report true once, then false")
 	}
 	p.Done(balance.Served)
-	tell := func() {
-		reports, _ := knows.Reports(true, 0)
-		hears.Merge(7, nil, reports, true)
+	report := func() {
+		reports, _ := reporter.Reports(true, 0)
+		receiver.Merge(7, nil, reports, true)
 	}
-	tell()
-	if knows.Place(f.endpoints[:1], f.stream()) != nil || hears.Place(f.endpoints[:1], f.stream()) != nil {
+	report()
+	if reporter.Place(f.endpoints[:1], f.stream()) != nil || receiver.Place(f.endpoints[:1], f.stream()) != nil {
 		t.Error("draining endpoint is chosen")
 	}
-	sums, _ := hears.Sums(func(uint64) bool { return false }, true, 0)
+	sums, _ := receiver.Sums(func(uint64) bool { return false }, true, 0)
 	for _, s := range sums {
 		if s.Leaves {
 			t.Error("drain reported by an excluded instance is included in the sum")
 		}
 	}
 	f.now = f.now.Add(20 * time.Second)
-	if knows.Place(f.endpoints[:1], f.stream()) != nil {
+	if reporter.Place(f.endpoints[:1], f.stream()) != nil {
 		t.Error("drain announced by the endpoint is forgotten")
 	}
-	if hears.Place(f.endpoints[:1], f.stream()) == nil {
+	if receiver.Place(f.endpoints[:1], f.stream()) == nil {
 		t.Error("drain reported by another instance does not expire")
 	}
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -237,7 +237,7 @@
 		params.paidCrossings = b.uses.paid(now, d.Parts)
 	}
 	if d.Service.Engine != nil && !r.complete() {
-		params.typicalReadTime = b.statsFor(d.Service.Name).readTime.Value()
+		params.typicalPrefillPerToken = b.statsFor(d.Service.Name).prefillPerToken.Value()
 	}
 	urgency := b.urgency(d, now)
 	var from donors
@@ -285,7 +285,7 @@
 
 // refreshLoads updates the load and speed estimates of a service's endpoints, and returns the
 // share of its recent requests that failed.
-func (b *Balancer) refreshLoads(loads []*load, service *catalog.Service, now time.Time) (failing float64) {
+func (b *Balancer) refreshLoads(loads []*load, service *catalog.Service, now time.Time) (failureRate float64) {
 	var sum Seen
 	for _, l := range loads {
 		l.refresh(now)
@@ -293,11 +293,11 @@
 		sum.Failed += l.observed.Failed
 	}
 	if service.Engine != nil {
-		f := b.statsFor(service.Name)
-		f.refresh(loads, now)
+		stats := b.statsFor(service.Name)
+		stats.refresh(loads, now)
 		for _, l := range loads {
-			if l.stats != f || l.refreshedAt.Equal(now) || f.updatedAt.Equal(now) {
-				l.updateSpeed(f)
+			if l.stats != stats || l.refreshedAt.Equal(now) || stats.updatedAt.Equal(now) {
+				l.updateSpeed(stats)
 			}
 		}
 	}
@@ -341,14 +341,14 @@
 	p.outputTokens = d.Output
 	p.charge = newCharge(d, p.Cached)
 	l.own.add(p.charge)
-	b.recordRead(l, now, b.storableParts(d), p.charge.uncached, p.Fetched)
+	b.recordPrefill(l, now, b.storableParts(d), p.charge.uncached, p.Fetched)
 	b.recordCrossing(p, d, now)
 	p.markDonor(now)
 }
 
-// recordRead accounts for a prompt placed at l: uncached tokens to prefill and fetched tokens to
+// recordPrefill accounts for a prompt placed at l: uncached tokens to prefill and fetched tokens to
 // copy from another endpoint.
-func (b *Balancer) recordRead(l *load, now time.Time, parts []Part, uncached, fetched int) {
+func (b *Balancer) recordPrefill(l *load, now time.Time, parts []Part, uncached, fetched int) {
 	l.tokensThrough += fetched
 	l.addPrompt(now, parts, uncached)
 	b.uses.add(now, parts)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -258,16 +258,16 @@
 	}{{20, true}, {900, false}} {
 		f := newFixture(2)
 		b := f.balancer()
-		kept := f.long(1)
-		b.Place(f.endpoints[:1], kept).Done(balance.Served)
+		cached := f.long(1)
+		b.Place(f.endpoints[:1], cached).Done(balance.Served)
 		b.Place(f.endpoints[1:], f.stream()).Done(balance.Served)
 		for part := range uint64(25) {
 			b.Place(f.endpoints[:1], f.long(100+part)).Done(balance.Served)
 			f.now = f.now.Add(150 * time.Millisecond)
 		}
-		kept.Output, kept.Deadline = c.output, 4*time.Second
+		cached.Output, cached.Deadline = c.output, 4*time.Second
 		f.now = f.now.Add(200 * time.Millisecond)
-		if p := b.Place(f.endpoints, kept); (p.Endpoint.ID == "e0") != c.stays {
+		if p := b.Place(f.endpoints, cached); (p.Endpoint.ID == "e0") != c.stays {
 			t.Errorf("request with an output of %d tokens placed at %s (cost %.2f)", c.output, p.Endpoint.ID, p.Cost)
 		}
 	}
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -15,7 +15,7 @@
 // Weights of cost terms, in units of the full credit of a request with weight 1.
 const (
 	failureCost         = 1.0
-	readCost            = 0.016 // per ms of prefill, which is unavailable to other requests
+	prefillCost         = 0.016 // per ms of prefill, which is unavailable to other requests
 	crossDataCentreCost = 0.004 // endpoint in another data centre
 	affinityCost        = 0.01  // endpoint other than the one that the prompt's parts hash to
 	slotsCost           = 2.0   // all slots in use
@@ -30,17 +30,17 @@
 
 // choiceParams are the inputs common to all endpoints of one choice.
 type choiceParams struct {
-	failureRate          float64 // share of requests failing across the service
-	firstPartShare       float64 // share of the prefill cost of the prompt's first part charged to the request
-	cachedTokens         int     // prompt tokens cached at the endpoint being estimated
-	crossRegionCost      float64 // cost of leaving the region; zero with a single region
-	uncongestedCrossCost float64 // crossRegionCost with an idle link
-	paidCrossings        float64 // spent so far on leaving the region for the prompt's first part; credited to local prefill
-	typicalReadTime      float64 // ms to prefill a token at a typical endpoint; zero unless idle endpoints exist outside the working set
+	failureRate            float64 // share of requests failing across the service
+	firstPartShare         float64 // share of the prefill cost of the prompt's first part charged to the request
+	cachedTokens           int     // prompt tokens cached at the endpoint being estimated
+	crossRegionCost        float64 // cost of leaving the region; zero with a single region
+	uncongestedCrossCost   float64 // crossRegionCost with an idle link
+	paidCrossings          float64 // spent so far on leaving the region for the prompt's first part; credited to local prefill
+	typicalPrefillPerToken float64 // ms to prefill a token at a typical endpoint; zero unless idle endpoints exist outside the working set
 }
 
 // estimate returns the placement of d at e with its cost. The cost is infinite if prefill alone
-// costs at least most, the best cost found so far.
+// costs at least maxCost, the best cost found so far.
 //
 // While idle endpoints exist outside the working set, prefill capacity is not scarce: an endpoint
 // that is faster than typical gets no advantage, and queueing costs as much as prefill of the same
@@ -54,24 +54,24 @@
 	}
 	engine := d.Service.Engine
 	p.Cached = params.cachedTokens
-	prefillTime := float64(d.Prompt-p.Cached) * l.readTime
-	perToken := max(l.readTime, params.typicalReadTime)
-	reads := readCost * float64(d.Prompt-p.Cached) * perToken
+	prefillTime := float64(d.Prompt-p.Cached) * l.prefillPerToken
+	perToken := max(l.prefillPerToken, params.typicalPrefillPerToken)
+	promptCost := prefillCost * float64(d.Prompt-p.Cached) * perToken
 	if p.Cached == 0 && len(d.Parts) > 0 {
-		first := readCost * float64(min(d.Parts[0].Tokens, d.Prompt)) * perToken
-		reads -= (1 - params.firstPartShare) * first
+		firstPartCost := prefillCost * float64(min(d.Parts[0].Tokens, d.Prompt)) * perToken
+		promptCost -= (1 - params.firstPartShare) * firstPartCost
 		if l.distance != Beyond {
-			reads -= min(params.paidCrossings, params.firstPartShare*first)
+			promptCost -= min(params.paidCrossings, params.firstPartShare*firstPartCost)
 		}
 	}
 	l.observe(now)
-	if reads >= maxCost {
+	if promptCost >= maxCost {
 		p.Cost = math.Inf(1)
 		return p
 	}
 	total := l.total()
 	l.capBacklog(now, total.Unread, b.reportInterval)
-	p.Pace.ReadTime = l.readTime
+	p.Pace.ReadTime = l.prefillPerToken
 	backlog := l.backlog(now)
 	p.Backlog = time.Duration(backlog * float64(time.Millisecond))
 	p.Ahead = backlog / p.Pace.ReadTime
@@ -83,24 +83,24 @@
 		p.Cost = math.Inf(1)
 		return p
 	}
-	w := d.weight()
+	weight := d.weight()
 	late := (p.Wait + prefillTime) / milliseconds(d.Objective)
-	p.Cost = w * lateness(late)
-	p.Cost += w * failureCost * l.observed.excess(params.failureRate)
+	p.Cost = weight * lateness(late)
+	p.Cost += weight * failureCost * l.observed.excess(params.failureRate)
 	p.Cost += total.Exposure * (lateness(backlog+prefillTime) - lateness(backlog))
 	if d.Pause > 0 {
-		p.Cost += w * l.contention / lateness(milliseconds(d.Pause))
+		p.Cost += weight * l.contention / lateness(milliseconds(d.Pause))
 	}
 	if d.Deadline > 0 && d.Output > 0 {
 		finish := p.Wait + prefillTime + float64(d.Output)*p.Pace.TokenTime
-		p.Cost += w * lateness(finish/milliseconds(d.Deadline))
+		p.Cost += weight * lateness(finish/milliseconds(d.Deadline))
 	}
-	p.Cost += reads
-	if params.typicalReadTime > 0 {
-		p.Cost += readCost * p.Wait
+	p.Cost += promptCost
+	if params.typicalPrefillPerToken > 0 {
+		p.Cost += prefillCost * p.Wait
 	}
-	p.Cost += w * slotsCost * overLimit(float64(total.Requests+1), slotsSoftLimit*float64(engine.Slots), float64(engine.Slots))
-	p.Cost += w * memoryCost * overLimit(float64(total.Memory+d.Prompt), memorySoftLimit*float64(engine.MemoryTokens), float64(engine.MemoryTokens))
+	p.Cost += weight * slotsCost * overLimit(float64(total.Requests+1), slotsSoftLimit*float64(engine.Slots), float64(engine.Slots))
+	p.Cost += weight * memoryCost * overLimit(float64(total.Memory+d.Prompt), memorySoftLimit*float64(engine.MemoryTokens), float64(engine.MemoryTokens))
 	p.Cost += affinityCost * affinity(l.hash, d.Parts)
 	p.Cost += params.locationCost(l, crossDataCentreCost, late/localAdvantageEnd)
 	return p
@@ -108,13 +108,13 @@
 
 // plainCost returns the cost of an endpoint without an engine.
 func (b *Balancer) plainCost(e *belief.Endpoint, l *load, params *choiceParams, now time.Time) float64 {
-	busy := float64(l.running + l.others.Requests)
-	ends := l.observed
+	running := float64(l.running + l.others.Requests)
+	observed := l.observed
 	slow := l.slowness.of(now)
-	taken := slow * (busy + 1) / float64(max(1, e.Slots))
-	cost := plainCost*lateness(taken) + failureCost*ends.excess(params.failureRate)
-	cost += rotationCost * ends.Ended * slow
-	cost += params.locationCost(l, plainCrossCost, taken)
+	utilization := slow * (running + 1) / float64(max(1, e.Slots))
+	cost := plainCost*lateness(utilization) + failureCost*observed.excess(params.failureRate)
+	cost += rotationCost * observed.Ended * slow
+	cost += params.locationCost(l, plainCrossCost, utilization)
 	return cost
 }
 
--- a/balance/distance.go
+++ b/balance/distance.go
@@ -59,8 +59,8 @@
 	// byteCost is the cost of a KB on the link between regions. Prefill of a short chat's shared
 	// parts costs less than sending the chat; that of a long prompt's costs several times more.
 	byteCost = 0.1
-	// roundTrip is the assumed round-trip time without a measurement.
-	roundTrip = 25 * time.Millisecond
+	// defaultRoundTrip is the assumed round-trip time without a measurement.
+	defaultRoundTrip = 25 * time.Millisecond
 	// queueDoublingTime is the queueing delay of the link at which the cost of a byte doubles.
 	queueDoublingTime = 20 * time.Millisecond
 	// linkTTL is how long a measurement is valid.
@@ -99,7 +99,7 @@
 // measured returns the last measurement if it is valid, else defaults.
 func (l *link) measured(now time.Time) (rtt, queue time.Duration) {
 	if l.at.IsZero() || now.Sub(l.at) > linkTTL {
-		return roundTrip, 0
+		return defaultRoundTrip, 0
 	}
 	return l.roundTrip, l.queue
 }
@@ -115,9 +115,9 @@
 		bytes += plainResponseBytes
 		uncongested = plainCrossRegionCost
 	}
-	onLink := byteCost * float64(bytes) / 1024
-	uncongested += onLink
-	cost = uncongested + onLink*float64(queue)/float64(queueDoublingTime)
+	linkCost := byteCost * float64(bytes) / 1024
+	uncongested += linkCost
+	cost = uncongested + linkCost*float64(queue)/float64(queueDoublingTime)
 	if d.Objective > 0 {
 		uncongested += d.weight() * float64(rtt) / float64(d.Objective)
 		cost += d.weight() * float64(rtt+queue) / float64(d.Objective)
--- a/balance/distance_test.go
+++ b/balance/distance_test.go
@@ -150,8 +150,8 @@
 		}
 		return beyond
 	}
-	if calm, full := spilled(0), spilled(200*time.Millisecond); 2*full > calm {
-		t.Errorf("of 60 concurrent requests %d cross an idle link and %d a congested one, want less than half as many", calm, full)
+	if idle, congested := spilled(0), spilled(200*time.Millisecond); 2*congested > idle {
+		t.Errorf("of 60 concurrent requests %d cross an idle link and %d a congested one, want less than half as many", idle, congested)
 	}
 }
 
--- a/balance/fair.go
+++ b/balance/fair.go
@@ -102,10 +102,10 @@
 	if d.Service.Engine == nil {
 		r.Congestion = b.plainCongestion(endpoints, d, now)
 	} else {
-		f := b.statsFor(d.Service.Name)
-		r.Congestion = f.congestion(r.Level, now)
+		stats := b.statsFor(d.Service.Name)
+		r.Congestion = stats.congestion(r.Level, now)
 		// Refusing it would help nobody, or only less urgent requests.
-		r.Fixed = r.Fixed || p.Wait <= 0 || !f.lessUrgentYield(r.Level, now)
+		r.Fixed = r.Fixed || p.Wait <= 0 || !stats.lessUrgentYield(r.Level, now)
 	}
 	if p.load.hasLimit() {
 		// Permits are granted to teams within their share first, so no refusal is needed.
@@ -148,10 +148,10 @@
 }
 
 // congestion returns the service's congestion for requests of a level; fair shares apply from 1.
-func (f *serviceStats) congestion(level int, now time.Time) float64 {
-	c := f.pressures[level][level].of(now) / shareThreshold
+func (s *serviceStats) congestion(level int, now time.Time) float64 {
+	c := s.pressures[level][level].of(now) / shareThreshold
 	for urgent := range level {
-		c = max(c, f.pressures[urgent][level].of(now)/shareYieldThreshold)
+		c = max(c, s.pressures[urgent][level].of(now)/shareYieldThreshold)
 	}
 	return c
 }
@@ -159,8 +159,8 @@
 // lessUrgentYield reports whether all requests less urgent than level are being refused. A fair
 // rate outlasts the congestion that caused it by a second or more; without this check, urgent
 // requests above their team's share would be refused while less urgent ones are admitted.
-func (f *serviceStats) lessUrgentYield(level int, now time.Time) bool {
-	return level >= levels-1 || f.yieldRefusal(level+1, now) != nil
+func (s *serviceStats) lessUrgentYield(level int, now time.Time) bool {
+	return level >= levels-1 || s.yieldRefusal(level+1, now) != nil
 }
 
 // sample records one value with fixed weight, however sparse the samples are, so that a single
@@ -172,24 +172,24 @@
 }
 
 // recordPlain records the outcome and duration of a request without an engine.
-func (f *serviceStats) recordPlain(now time.Time, lasted time.Duration, o Outcome) {
+func (s *serviceStats) recordPlain(now time.Time, lasted time.Duration, o Outcome) {
 	switch o {
 	case Refused:
-		f.plainRefusalRate.sample(now, 1)
+		s.plainRefusalRate.sample(now, 1)
 		return
 	case Served:
-		f.plainRefusalRate.sample(now, 0)
+		s.plainRefusalRate.sample(now, 0)
 	default:
 		return
 	}
 	took := milliseconds(lasted)
 	switch {
-	case f.hold == 0:
-		f.hold = took
-	case took < f.hold:
-		f.hold += holdShorterWeight * (took - f.hold)
+	case s.hold == 0:
+		s.hold = took
+	case took < s.hold:
+		s.hold += holdShorterWeight * (took - s.hold)
 	default:
-		f.hold += holdLongerWeight * (took - f.hold)
+		s.hold += holdLongerWeight * (took - s.hold)
 	}
 }
 
@@ -211,18 +211,18 @@
 	if slots == 0 {
 		return 0
 	}
-	f := b.statsFor(d.Service.Name)
-	hold := f.hold
+	stats := b.statsFor(d.Service.Name)
+	hold := stats.hold
 	if hold == 0 {
 		hold = defaultHold
 	}
 	running := float64(own) + float64(others)*hold/(hold+endReportDelay)
-	f.occupancy.add(now, running/float64(slots))
-	occupied := f.occupancy.of(now) - plainLevelStep*float64(levels-1-d.level())
+	stats.occupancy.add(now, running/float64(slots))
+	occupied := stats.occupancy.of(now) - plainLevelStep*float64(levels-1-d.level())
 	wait := plainWaitShare * milliseconds(d.Objective) / hold
 	c := occupied / (1 + min(max(wait, minPlainWait), maxPlainWait))
 	if occupied > 1 {
-		c = max(c, f.plainRefusalRate.of(now)/plainRefusalThreshold)
+		c = max(c, stats.plainRefusalRate.of(now)/plainRefusalThreshold)
 	}
 	return c
 }
--- a/balance/fair_test.go
+++ b/balance/fair_test.go
@@ -30,7 +30,7 @@
 // requests as the others. It returns the share of the other teams' requests served from the second
 // second on.
 func (r *surge) run(t *testing.T, times int) float64 {
-	asked, served := 0, 0
+	sent, served := 0, 0
 	last := make([]time.Time, 21)
 	start := r.now
 	for ; r.now.Sub(start) < 6*time.Second; r.now = r.now.Add(time.Millisecond) {
@@ -46,7 +46,7 @@
 				}
 				ok := r.ask(t, fmt.Sprint("team", team))
 				if team > 1 && r.now.Sub(start) > 2*time.Second {
-					asked++
+					sent++
 					if ok {
 						served++
 					}
@@ -54,7 +54,7 @@
 			}
 		}
 	}
-	return float64(served) / float64(asked)
+	return float64(served) / float64(sent)
 }
 
 func (r *surge) ask(t *testing.T, team string) bool {
@@ -104,7 +104,7 @@
 // One team sends thirty times its usual traffic to engines that run out of slots. Without fair
 // shares, all teams lose the same share of requests.
 func TestSurgeAtEnginesDoesNotHurtOtherTeams(t *testing.T) {
-	day := func() *surge {
+	newSurge := func() *surge {
 		r := &surge{fixture: newFixture(4), rate: 50, running: make(map[string]int), capacity: 1000}
 		r.engines.Engine.Slots = 8
 		r.demand = func(f *fixture) *balance.Demand {
@@ -116,13 +116,13 @@
 		}
 		return r
 	}
-	compareSurge(t, day)
+	compareSurge(t, newSurge)
 }
 
 // The same for endpoints without an engine, each with 8 slots and a queue for 8 more requests,
 // which refuse further requests of any team.
 func TestSurgeAtPlainEndpointsDoesNotHurtOtherTeams(t *testing.T) {
-	day := func() *surge {
+	newSurge := func() *surge {
 		r := &surge{fixture: newFixture(4), rate: 150, running: make(map[string]int), capacity: 16}
 		r.demand = func(f *fixture) *balance.Demand {
 			return &balance.Demand{Service: f.plain, Priority: 2, Objective: 300 * time.Millisecond}
@@ -132,17 +132,17 @@
 		}
 		return r
 	}
-	compareSurge(t, day)
+	compareSurge(t, newSurge)
 }
 
-func compareSurge(t *testing.T, day func() *surge) {
+func compareSurge(t *testing.T, newSurge func() *surge) {
 	t.Helper()
 	for _, n := range []int{1, 3} {
 		// Refusals are random, so use the mean of several runs.
 		const plays = 5
 		served := func(times int) (mean float64) {
 			for range plays {
-				r := day()
+				r := newSurge()
 				for range n {
 					r.balancers = append(r.balancers, r.balancer())
 				}
@@ -218,7 +218,7 @@
 	demand := func(priority int) *balance.Demand {
 		return &balance.Demand{Service: r.engines, Priority: priority, Objective: 500 * time.Millisecond, Prompt: 400, Output: 40}
 	}
-	refused, let := 0, 0
+	refused, admitted := 0, 0
 	for start := r.now; r.now.Sub(start) < 10*time.Second; r.now = r.now.Add(2 * time.Millisecond) {
 		r.complete()
 		team := "others"
@@ -245,13 +245,13 @@
 		less.Team = balance.TeamHash("another")
 		if p, _ := b.Admit(r.endpoints, less); p != nil {
 			p.Done(balance.Unknown)
-			let++
+			admitted++
 		}
 	}
 	if refused == 0 {
 		t.Error("no urgent request was refused for its team's share, so the test is void")
 	}
-	if let > 0 {
-		t.Errorf("in %d of %d cases a less urgent request was admitted", let, refused)
+	if admitted > 0 {
+		t.Errorf("in %d of %d cases a less urgent request was admitted", admitted, refused)
 	}
 }
--- a/balance/fetch.go
+++ b/balance/fetch.go
@@ -120,7 +120,7 @@
 	}
 	p.Cached += tokens
 	p.Fetched, p.Donor, p.donor = tokens, c.endpoint, c.load
-	p.prefillTime = float64(d.Prompt-p.Cached)*p.load.readTime + move + fetchOverhead
+	p.prefillTime = float64(d.Prompt-p.Cached)*p.load.prefillPerToken + move + fetchOverhead
 }
 
 // markDonor records the time of the fetch at its donor.
--- a/balance/fetch_test.go
+++ b/balance/fetch_test.go
@@ -79,15 +79,15 @@
 		b.Place([]*belief.Endpoint{e}, f.long(5)).Done(balance.Served)
 	}
 	d.Avoid = append(d.Avoid, balance.EndpointHash("e1"), balance.EndpointHash("e2"))
-	asked := make(map[string]int)
+	used := make(map[string]int)
 	for range 2 {
 		f.now = f.now.Add(time.Millisecond)
 		p := b.Place(f.endpoints, d)
-		asked[p.Donor.ID]++
+		used[p.Donor.ID]++
 		d.Avoid = append(d.Avoid, balance.EndpointHash(p.Endpoint.ID))
 	}
-	if asked["e1"] != 1 || asked["e2"] != 1 {
-		t.Errorf("donors used: %v, want e1 and e2 once each", asked)
+	if used["e1"] != 1 || used["e2"] != 1 {
+		t.Errorf("donors used: %v, want e1 and e2 once each", used)
 	}
 }
 
--- a/balance/grant.go
+++ b/balance/grant.go
@@ -47,7 +47,7 @@
 	l.remotes[instance] = r
 	b.markRemoteChanged(l)
 	if d.Service.Engine != nil {
-		b.recordRead(l, now, b.storableParts(d), p.charge.uncached, p.Fetched)
+		b.recordPrefill(l, now, b.storableParts(d), p.charge.uncached, p.Fetched)
 		b.recordCrossing(p, d, now)
 		p.markDonor(now)
 	}
@@ -85,7 +85,7 @@
 	if b.excluded(e, l, d, now) || l.avoided(e, now, false) {
 		return nil, nil
 	}
-	if _, rests := self.loadState(l, b.urgency(d, now), now); rests || d.Permitted && l.limitState.needsPermit(now) {
+	if _, closed := self.loadState(l, b.urgency(d, now), now); closed || d.Permitted && l.limitState.needsPermit(now) {
 		return nil, nil
 	}
 	if l.limitState.needsPermit(now) {
@@ -93,7 +93,7 @@
 	}
 	if d.Service.Engine != nil {
 		l.stats = b.statsFor(d.Service.Name)
-		l.stats.readTime.Hear(c.Pace.ReadTime)
+		l.stats.prefillPerToken.Hear(c.Pace.ReadTime)
 		l.stats.stepTime.Hear(c.Pace.StepTime)
 	}
 	p := &Placement{Endpoint: e, Cost: c.Cost, Cached: c.Cached, Backlog: c.Backlog, Ahead: c.Ahead, Wait: c.Wait, Pace: c.Pace, Granted: true, Spare: c.Spare, failureRate: c.Failing, excessFailures: c.Excess, load: l, Distance: l.distance}
--- a/balance/grant_test.go
+++ b/balance/grant_test.go
@@ -145,11 +145,11 @@
 	if down := first.Unreachable(); len(down) != 1 || down[0] != balance.EndpointHash("e0") {
 		t.Fatalf("unreachable endpoints %v, want e0", down)
 	}
-	tell := func(id uint64, b *balance.Balancer) {
+	report := func(id uint64, b *balance.Balancer) {
 		reports, _ := b.Reports(false, 0)
 		scheduler.Merge(id, nil, reports, false)
 	}
-	tell(1, first)
+	report(1, first)
 	got := make(map[string]bool)
 	for range 6 {
 		got[scheduler.Place(f.endpoints, d).Endpoint.ID] = true
@@ -157,7 +157,7 @@
 	if !got["e0"] {
 		t.Fatal("endpoint skipped although only one instance can't reach it")
 	}
-	tell(2, unreachable())
+	report(2, unreachable())
 	for range 6 {
 		if p := scheduler.Place(f.endpoints, d); p.Endpoint.ID == "e0" {
 			t.Fatal("placed at an endpoint that two instances can't reach")
--- a/balance/homes_test.go
+++ b/balance/homes_test.go
@@ -143,11 +143,11 @@
 // checkNotices fails the test if a region would be sent parts that must not be disclosed there.
 func checkNotices(t *rapid.T, notices []balance.Notice) {
 	for _, region := range regionNames {
-		told := balance.Withhold(notices, region)
-		if len(told) != len(notices) {
-			t.Fatalf("%d of %d notices passed on", len(told), len(notices))
+		disclosed := balance.Withhold(notices, region)
+		if len(disclosed) != len(notices) {
+			t.Fatalf("%d of %d notices passed on", len(disclosed), len(notices))
 		}
-		for i, n := range told {
+		for i, n := range disclosed {
 			if len(n.Parts) > 0 && !notices[i].Homes.Allows(region) {
 				t.Fatalf("region %q is sent parts %v, allowed %v", region, n.Parts, notices[i].Homes.Regions())
 			}
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -64,11 +64,11 @@
 	if !l.needsPermit(now) {
 		return now
 	}
-	room := latest(now, l.askPendingUntil)
-	for _, opens := range l.deniedUntil[:urgency+1] {
-		room = latest(room, opens)
+	available := latest(now, l.askPendingUntil)
+	for _, until := range l.deniedUntil[:urgency+1] {
+		available = latest(available, until)
 	}
-	return room
+	return available
 }
 
 // closed reports whether no permit is held and none may be requested yet at an urgency.
@@ -95,8 +95,8 @@
 	return l.limitState
 }
 
-// inheritLimit copies the limit state recorded under the endpoint's ID if the process may be the
-// same one whose start time only became known now. The caller holds b.mu.
+// inheritLimit shares the limit state recorded under the endpoint's ID if it may be that of the
+// same process, whose start time only became known now. The caller holds b.mu.
 func (l *load) inheritLimit(before *load, id string) {
 	if before == nil || before == l || before.limitState == nil || l.limitState != nil {
 		return
@@ -109,7 +109,7 @@
 
 // Limits records that the endpoint's response announces a rate limit, in requests/s. It reports
 // whether the change should be logged.
-func (p *Placement) Limits(rate float64) (news bool) {
+func (p *Placement) Limits(rate float64) (isNew bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -123,7 +123,7 @@
 
 // Unlimited records that the endpoint's own response announces no rate limit. It reports whether
 // the change should be logged.
-func (p *Placement) Unlimited() (news bool) {
+func (p *Placement) Unlimited() (isNew bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -319,9 +319,9 @@
 			rate += l.limitState.rateLimit.Rate / float64(b.instances)
 		}
 	}
-	f := b.statsFor(d.Service.Name)
-	f.unpermittedRate.add(now)
-	spread := time.Duration(f.unpermittedRate.n / max(rate, 1e-3) * float64(time.Second))
+	stats := b.statsFor(d.Service.Name)
+	stats.unpermittedRate.add(now)
+	spread := time.Duration(stats.unpermittedRate.n / max(rate, 1e-3) * float64(time.Second))
 	spread = min(max(spread, retryAfterSpread), maxRetrySpread)
 	return &Refusal{Cause: EndpointsLimited, Wait: wait, RetryAfter: wait + time.Duration(rand.Float64()*float64(spread))}
 }
@@ -331,10 +331,10 @@
 	if d.Offered {
 		return
 	}
-	f := b.statsFor(d.Service.Name)
-	f.permits.count(now, false)
-	atAny := &Placement{Pace: Pace{ReadTime: loads[0].readTime, StepTime: loads[0].stepTime}}
-	r := fair.Request{Team: d.Team, Level: d.level(), Work: work(d, atAny), Congestion: f.limitCongestion(now), Fixed: true}
+	stats := b.statsFor(d.Service.Name)
+	stats.permits.count(now, false)
+	atAny := &Placement{Pace: Pace{ReadTime: loads[0].prefillPerToken, StepTime: loads[0].stepTime}}
+	r := fair.Request{Team: d.Team, Level: d.level(), Work: work(d, atAny), Congestion: stats.limitCongestion(now), Fixed: true}
 	b.sharesOf(d.Service.Name).Offer(now, &r)
 }
 
@@ -349,8 +349,8 @@
 )
 
 // limitCongestion returns the service's shortage of permits; fair shares apply from 1.
-func (f *serviceStats) limitCongestion(now time.Time) float64 {
-	return f.permits.deniedShare(now) / unpermittedThreshold
+func (s *serviceStats) limitCongestion(now time.Time) float64 {
+	return s.permits.deniedShare(now) / unpermittedThreshold
 }
 
 // permitStats counts requests that found a permit, and those that did not at first, with
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -31,9 +31,9 @@
 	if p != nil || refusal.Cause != balance.PermitWanted || refusal.Limited != f.endpoints[0] {
 		t.Fatalf("got %+v, %+v, want refusal with cause PermitWanted", p, refusal)
 	}
-	endpoint, word, ok := b.WantPermit(refusal.Limited, urgency)
-	if !ok || !word.Named || word.Rate != 1.2 {
-		t.Fatalf("got %+v, %v, want a limit of 1.2", word, ok)
+	endpoint, known, ok := b.WantPermit(refusal.Limited, urgency)
+	if !ok || !known.Named || known.Rate != 1.2 {
+		t.Fatalf("got %+v, %v, want a limit of 1.2", known, ok)
 	}
 	if _, _, again := b.WantPermit(refusal.Limited, urgency); again {
 		t.Error("two permit requests in flight")
@@ -151,11 +151,11 @@
 	b, other := f.balancer(), f.balancer()
 	other.Place(f.endpoints, f.stream()).Done(balance.Served)
 	f.announceLimit(b, 0, 1.2)
-	tell := func() {
+	report := func() {
 		reports, _ := b.Reports(true, 0)
 		other.Merge(1, nil, reports, true)
 	}
-	tell()
+	report()
 	if _, refusal := other.Admit(f.endpoints, f.stream()); refusal == nil || refusal.Cause != balance.PermitWanted {
 		t.Errorf("another instance got %+v, want cause PermitWanted", refusal)
 	}
@@ -170,7 +170,7 @@
 	f.now = f.now.Add(time.Second)
 	p, _ = b.Admit(f.endpoints, f.stream()) // reported limits count as older than they are
 	p.Unlimited()
-	tell()
+	report()
 	if _, refusal := other.Admit(f.endpoints, f.stream()); refusal != nil {
 		t.Errorf("request refused after the limit was lifted: %+v", refusal)
 	}
@@ -200,20 +200,20 @@
 // permit.
 func TestGrantsOfLimitedEndpoints(t *testing.T) {
 	f := newFixture(1)
-	scheduler, asks := f.balancer(), f.balancer()
-	asks.Place(f.endpoints, f.stream()).Done(balance.Served)
-	f.announceLimit(asks, 0, 1.2)
+	scheduler, instance := f.balancer(), f.balancer()
+	instance.Place(f.endpoints, f.stream()).Done(balance.Served)
+	f.announceLimit(instance, 0, 1.2)
 	c := scheduler.Grant(7, f.endpoints, f.stream())
-	p, refusal := asks.Adopt(c, f.endpoints, f.stream())
+	p, refusal := instance.Adopt(c, f.endpoints, f.stream())
 	if p != nil || refusal == nil || refusal.Cause != balance.PermitWanted {
 		t.Fatalf("got %+v, %+v, want refusal with cause PermitWanted", p, refusal)
 	}
-	endpoint, _, _ := asks.WantPermit(f.endpoints[0], urgency)
-	asks.TakePermit(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
-	if p, _ = asks.Adopt(c, f.endpoints, f.stream()); p == nil || !p.MaySend() {
+	endpoint, _, _ := instance.WantPermit(f.endpoints[0], urgency)
+	instance.TakePermit(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	if p, _ = instance.Adopt(c, f.endpoints, f.stream()); p == nil || !p.MaySend() {
 		t.Error("grant is not adopted with a permit")
 	}
-	if p, refusal = asks.Adopt(c, f.endpoints, &balance.Demand{Service: f.stream().Service, Permitted: true}); p != nil || refusal != nil {
+	if p, refusal = instance.Adopt(c, f.endpoints, &balance.Demand{Service: f.stream().Service, Permitted: true}); p != nil || refusal != nil {
 		t.Errorf("request with Permitted set got %+v, %+v, want neither", p, refusal)
 	}
 }
--- a/balance/listing.go
+++ b/balance/listing.go
@@ -30,9 +30,9 @@
 	minWorkingSet = 256
 	// Target utilization of a set that fits the demand: shares of slots, of time spent on prefill,
 	// and of engines prefilling at one moment.
-	setSlotUse   = 0.1
-	setReadUse   = 0.1
-	setBusyShare = 0.25
+	setSlotUse    = 0.1
+	setPrefillUse = 0.1
+	setBusyShare  = 0.25
 	// growWaitShare is the share of the objective above which a wait at the best endpoint, with
 	// none of the prompt cached, doubles the set. growSlotUse is the share of an endpoint's slots
 	// for requests without an engine.
@@ -246,14 +246,14 @@
 		if s.Engine != nil {
 			slots = s.Engine.Slots
 			l.observe(now)
-			reading += l.readingShare
+			reading += l.prefillShare
 			if l.busyUntil.After(now) {
 				busy++
 			}
 		}
 		taken += float64(l.running+l.others.Requests) / float64(max(1, slots))
 	}
-	return max(minWorkingSet, int(math.Ceil(max(taken/setSlotUse, reading/setReadUse, busy/setBusyShare))))
+	return max(minWorkingSet, int(math.Ceil(max(taken/setSlotUse, reading/setPrefillUse, busy/setBusyShare))))
 }
 
 // grow doubles the working set if the best endpoint for a request is crowded or nil, and reports
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -110,17 +110,17 @@
 	f := newLargeFixture(6000)
 	b := f.balancer()
 	f.load(b, 50, 2*time.Second, 400*time.Millisecond, f.chat)
-	calm := b.WorkingSets()[0].Used
+	before := b.WorkingSets()[0].Used
 	_, worst := f.load(b, 2000, 2*time.Second, time.Second, f.chat)
-	rush := b.WorkingSets()[0].Used
+	during := b.WorkingSets()[0].Used
 	f.load(b, 10, 60*time.Second, 400*time.Millisecond, f.chat)
 	after := b.WorkingSets()[0].Used
-	t.Logf("%d endpoints used before, %d during and %d after the surge; longest wait %v", calm, rush, after, worst)
+	t.Logf("%d endpoints used before, %d during and %d after the surge; longest wait %v", before, during, after, worst)
 	if worst > 150*time.Millisecond {
 		t.Errorf("request waits for %v while other endpoints are idle", worst)
 	}
-	if rush < 2*calm || after > 2*calm {
-		t.Errorf("%d endpoints used before, %d during and %d after the surge", calm, rush, after)
+	if during < 2*before || after > 2*before {
+		t.Errorf("%d endpoints used before, %d during and %d after the surge", before, during, after)
 	}
 }
 
--- a/balance/load.go
+++ b/balance/load.go
@@ -138,14 +138,14 @@
 	busyUntil        time.Time         // end of the prefill backlog
 	remotePlacements []remotePlacement // recent placements by others that may be missing from their reports
 	contention       float64           // decayed mean lateness of the backlog
-	readingShare     float64           // decayed share of time spent on prefill
+	prefillShare     float64           // decayed share of time spent on prefill
 	observedAt       time.Time
 
 	tokensThrough int // tokens that have entered the cache
 	parts         map[uint64]cachedPart
 
 	stats              *serviceStats // of its service; nil until first considered for a request
-	readTime           float64       // ms to prefill a token, as of the last choice
+	prefillPerToken    float64       // ms to prefill a token, as of the last choice
 	stepTime           float64       // ms per token with neither prefill nor other requests, as of the last choice
 	ownObserved        Seen          // from own requests, as of decayedAt
 	decayedAt          time.Time
@@ -177,7 +177,7 @@
 
 func newLoad(id string) *load {
 	return &load{
-		id: id, hash: EndpointHash(id), readTime: defaultReadTime, stepTime: defaultStepTime,
+		id: id, hash: EndpointHash(id), prefillPerToken: defaultPrefillPerToken, stepTime: defaultStepTime,
 		remotes: make(map[uint64]remote), parts: make(map[uint64]cachedPart),
 	}
 }
@@ -227,7 +227,7 @@
 // not cover yet. Without the limit, an overestimated backlog would persist until it has run out.
 func (l *load) capBacklog(now time.Time, unread int, reportInterval time.Duration) {
 	waiting := unread + l.remoteTokensSince(now.Add(-reportInterval))
-	end := now.Add(time.Duration(float64(waiting) * l.readTime * float64(time.Millisecond)))
+	end := now.Add(time.Duration(float64(waiting) * l.prefillPerToken * float64(time.Millisecond)))
 	if end.Before(l.busyUntil) {
 		l.observe(now)
 		l.busyUntil = end
@@ -237,15 +237,15 @@
 // remoteTokensSince returns the prompt tokens that others placed after then, and drops earlier
 // placements.
 func (l *load) remoteTokensSince(then time.Time) int {
-	kept := l.remotePlacements[:0]
+	recent := l.remotePlacements[:0]
 	sum := 0
 	for _, n := range l.remotePlacements {
 		if n.at.After(then) {
-			kept = append(kept, n)
+			recent = append(recent, n)
 			sum += n.tokens
 		}
 	}
-	l.remotePlacements = kept
+	l.remotePlacements = recent
 	return sum
 }
 
@@ -253,7 +253,7 @@
 // backlog (that of a 1 ms backlog), and share of time spent on prefill.
 const (
 	minContention   = 1.0
-	minReadingShare = 1e-3
+	minPrefillShare = 1e-3
 )
 
 // observe updates the moving averages of contention and prefill time.
@@ -262,8 +262,8 @@
 	if passed <= 0 {
 		return
 	}
-	if !l.busyUntil.After(l.observedAt) && l.contention < minContention && l.readingShare < minReadingShare {
-		l.observedAt, l.contention, l.readingShare = now, 0, 0
+	if !l.busyUntil.After(l.observedAt) && l.contention < minContention && l.prefillShare < minPrefillShare {
+		l.observedAt, l.contention, l.prefillShare = now, 0, 0
 		return // idle
 	}
 	backlog := l.backlog(now)
@@ -271,9 +271,9 @@
 	l.contention = keep*l.contention + (1-keep)*lateness(backlog)
 	if l.busyUntil.After(l.observedAt) {
 		read := min(float64(l.busyUntil.Sub(l.observedAt))/float64(passed), 1)
-		l.readingShare = keep*l.readingShare + (1-keep)*read
+		l.prefillShare = keep*l.prefillShare + (1-keep)*read
 	} else {
-		l.readingShare *= keep
+		l.prefillShare *= keep
 	}
 	l.observedAt = now
 }
@@ -284,7 +284,7 @@
 	if l.busyUntil.Before(now) {
 		l.busyUntil = now
 	}
-	l.busyUntil = l.busyUntil.Add(time.Duration(float64(uncached) * l.readTime * float64(time.Millisecond)))
+	l.busyUntil = l.busyUntil.Add(time.Duration(float64(uncached) * l.prefillPerToken * float64(time.Millisecond)))
 	l.tokensThrough += uncached
 	for _, p := range parts {
 		l.parts[p.ID] = cachedPart{tokensThrough: l.tokensThrough, tokens: p.Tokens}
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -200,7 +200,7 @@
 	for _, n := range notices {
 		if l := b.loadByHash(n.Endpoint); l != nil {
 			l.lastUsed = now
-			b.recordRead(l, now, n.Parts, n.Uncached, n.Fetched)
+			b.recordPrefill(l, now, n.Parts, n.Uncached, n.Fetched)
 			if n.Suspect {
 				l.markSuspect(now)
 			}
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -10,8 +10,8 @@
 
 // Assumptions about engines without samples, and properties that are not learned.
 const (
-	// defaultReadTime is the prefill time per token, in ms.
-	defaultReadTime = 1 / 50.0
+	// defaultPrefillPerToken is the prefill time per token, in ms.
+	defaultPrefillPerToken = 1 / 50.0
 	// defaultStepTime is the inter-token time of a single request, in ms, for a model on one
 	// accelerator.
 	defaultStepTime = 3.5
@@ -29,8 +29,8 @@
 	// halfWeightTokens is the prompt size at which a sample has half its full weight. The step in
 	// progress when a prompt arrives takes as long as several hundred tokens.
 	halfWeightTokens = 800.0
-	// minReadTokens is the prompt size below which samples are ignored.
-	minReadTokens = 200.0
+	// minSampleTokens is the prompt size below which samples are ignored.
+	minSampleTokens = 200.0
 	// aheadPenalty reduces the weight of samples by the tokens queued ahead, whose number is
 	// uncertain.
 	aheadPenalty = 2.0
@@ -50,9 +50,9 @@
 
 // serviceStats holds the statistics of one service's endpoints.
 type serviceStats struct {
-	readTime  speed.Figure
-	stepTime  speed.Figure
-	updatedAt time.Time
+	prefillPerToken speed.Figure
+	stepTime        speed.Figure
+	updatedAt       time.Time
 
 	hold         float64 // mean time in ms that a request holds a slot; zero: unknown
 	pressures    [levels]levelPressures
@@ -68,7 +68,7 @@
 }
 
 func newServiceStats() *serviceStats {
-	return &serviceStats{readTime: speed.NewFigure(defaultReadTime), stepTime: speed.NewFigure(defaultStepTime)}
+	return &serviceStats{prefillPerToken: speed.NewFigure(defaultPrefillPerToken), stepTime: speed.NewFigure(defaultStepTime)}
 }
 
 // statsFor returns the statistics of a service, creating them if needed. The caller holds b.mu.
@@ -82,38 +82,38 @@
 }
 
 // refresh recomputes the service's speed from its endpoints' samples if statsTTL has passed.
-func (f *serviceStats) refresh(loads []*load, now time.Time) {
-	if now.Sub(f.updatedAt) < statsTTL {
+func (s *serviceStats) refresh(loads []*load, now time.Time) {
+	if now.Sub(s.updatedAt) < statsTTL {
 		return
 	}
-	passed := now.Sub(f.updatedAt)
-	if f.updatedAt.IsZero() {
+	passed := now.Sub(s.updatedAt)
+	if s.updatedAt.IsZero() {
 		passed = 0
 	}
-	f.updatedAt = now
-	reads, steps := f.readBuf[:0], f.stepBuf[:0]
+	s.updatedAt = now
+	reads, steps := s.readBuf[:0], s.stepBuf[:0]
 	for _, l := range loads {
 		reads = append(reads, l.observed.Reading)
 		steps = append(steps, l.observed.Stepping)
 	}
-	f.readTime.Update(reads, passed)
-	f.stepTime.Update(steps, passed)
-	f.readBuf, f.stepBuf = reads, steps
+	s.prefillPerToken.Update(reads, passed)
+	s.stepTime.Update(steps, passed)
+	s.readBuf, s.stepBuf = reads, steps
 }
 
 // updateSpeed recomputes the endpoint's speed.
-func (l *load) updateSpeed(f *serviceStats) {
-	l.stats = f
-	l.readTime = f.readTime.Of(l.observed.Reading)
-	l.stepTime = f.stepTime.Of(l.observed.Stepping)
+func (l *load) updateSpeed(stats *serviceStats) {
+	l.stats = stats
+	l.prefillPerToken = stats.prefillPerToken.Of(l.observed.Reading)
+	l.stepTime = stats.stepTime.Of(l.observed.Stepping)
 }
 
 // tokenTime returns the time per output token, in ms, beside this many requests and the recent
 // share of prefill.
 func (l *load) tokenTime(requests int) float64 {
 	alone := l.stepTime * (1 + stepPerRequest*float64(requests))
-	chunk := chunkTokens * l.readTime
-	return 1 / ((1-l.readingShare)/alone + l.readingShare/(alone+chunk))
+	chunk := chunkTokens * l.prefillPerToken
+	return 1 / ((1-l.prefillShare)/alone + l.prefillShare/(alone+chunk))
 }
 
 // Expected returns the estimated time to the first event, as of the choice. It is zero for an
@@ -126,13 +126,13 @@
 	return time.Duration((p.Wait + prefillTime + fixedOverhead) * float64(time.Millisecond))
 }
 
-// markRead records that the endpoint has prefilled the request's prompt. The caller holds the
+// markPrefilled records that the endpoint has prefilled the request's prompt. The caller holds the
 // balancer's lock.
-func (p *Placement) markRead() {
-	if p.done || p.promptRead {
+func (p *Placement) markPrefilled() {
+	if p.done || p.prefilled {
 		return
 	}
-	p.promptRead = true
+	p.prefilled = true
 	p.load.own.Unread -= p.charge.uncached
 	p.load.own.UnreadBy[p.charge.level] -= p.charge.uncached
 	p.balancer.markChanged(p.load)
@@ -144,15 +144,15 @@
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p.markRead()
+	p.markPrefilled()
 	tokens := p.Ahead + float64(p.charge.uncached)
-	if tokens < minReadTokens || p.load.stats == nil {
+	if tokens < minSampleTokens || p.load.stats == nil {
 		return
 	}
 	took := max(milliseconds(after)-fixedOverhead, 1) / tokens
 	weight := tokens / (tokens + halfWeightTokens) * tokens / (tokens + aheadPenalty*p.Ahead)
 	p.load.decay(b.now())
-	p.load.ownObserved.Reading.Add(p.load.stats.readTime.Bounded(took), weight)
+	p.load.ownObserved.Reading.Add(p.load.stats.prefillPerToken.Bounded(took), weight)
 	b.markChanged(p.load)
 }
 
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -49,7 +49,7 @@
 	plainStats     *serviceStats // statistics of a service without an engine; nil for engines
 	suspect        bool
 	done           bool
-	promptRead     bool // the response has begun
+	prefilled      bool // the response has begun
 	overdue        bool // already recorded as a failure
 }
 
@@ -61,7 +61,7 @@
 	if p.done {
 		return
 	}
-	p.markRead()
+	p.markPrefilled()
 	p.done = true
 	p.returnPermit()
 	p.load.running--
--- a/balance/restart_test.go
+++ b/balance/restart_test.go
@@ -21,13 +21,13 @@
 // State and reports of an endpoint's process don't apply to the next process with the same ID.
 func TestRestartedProcessStartsFresh(t *testing.T) {
 	f := newFixture(1)
-	first := f.restarted(1000)
+	previous := f.restarted(1000)
 	b := f.balancer()
 	f.now = f.now.Add(time.Second)
-	held := b.Place(first, f.long(55))
-	held.Started()
+	running := b.Place(previous, f.long(55))
+	running.Started()
 	f.now = f.now.Add(time.Second)
-	if p := b.Place(first, f.long(55)); p.Cached == 0 {
+	if p := b.Place(previous, f.long(55)); p.Cached == 0 {
 		t.Fatal("no part is cached after a prompt")
 	}
 	next := f.restarted(2000)
@@ -41,9 +41,9 @@
 	before.Done(balance.Unknown)
 
 	// Requests of the previous process that end now, with their failures, are attributed to it.
-	held.Unreachable()
-	held.Done(balance.Failed)
-	if got := b.Unreachable(); len(got) != 1 || got[0] != balance.EndpointHash(first[0].Incarnation()) {
+	running.Unreachable()
+	running.Done(balance.Failed)
+	if got := b.Unreachable(); len(got) != 1 || got[0] != balance.EndpointHash(previous[0].Incarnation()) {
 		t.Errorf("unreachable: %v, want only the previous process", got)
 	}
 	if p := b.Place(next, f.long(55)); p == nil || p.Endpoint.Born != 2000 {
@@ -53,15 +53,15 @@
 	// Reports about the previous process.
 	other := f.balancer()
 	other.Place(next, f.long(1)).Done(balance.Served)
-	other.Merge(7, []balance.Notice{{Endpoint: balance.EndpointHash(first[0].Incarnation()), Uncached: 90_000, Parts: []balance.Part{{ID: 1, Tokens: 2500}}}},
-		[]balance.Report{{Endpoint: balance.EndpointHash(first[0].Incarnation()), Gone: time.Second, Running: balance.Running{Requests: 64}}}, true)
+	other.Merge(7, []balance.Notice{{Endpoint: balance.EndpointHash(previous[0].Incarnation()), Uncached: 90_000, Parts: []balance.Part{{ID: 1, Tokens: 2500}}}},
+		[]balance.Report{{Endpoint: balance.EndpointHash(previous[0].Incarnation()), Gone: time.Second, Running: balance.Running{Requests: 64}}}, true)
 	f.now = f.now.Add(10 * time.Second)
 	if p := other.Place(next, &balance.Demand{Service: f.engines, Objective: time.Second, Prompt: 100, Output: 10}); p == nil || p.Backlog > 0 {
 		t.Errorf("reports about the previous process apply to the restarted one: %+v", p)
 	}
 
 	// A choice made by an instance that only knows the previous process is not adopted.
-	choice := b.Grant(7, first, f.long(9))
+	choice := b.Grant(7, previous, f.long(9))
 	if p, _ := other.Adopt(choice, next, f.long(9)); p != nil {
 		t.Errorf("choice of the previous process adopted for the restarted one: %+v", p)
 	}
--- a/balance/slowness_test.go
+++ b/balance/slowness_test.go
@@ -31,7 +31,7 @@
 // run simulates d with each requests per step. It returns the share of requests placed at the
 // first endpoint in each tenth of a second.
 func (f *slowFleet) run(d time.Duration, each int, rng *rand.Rand) (shares []float64) {
-	its, all := 0, 0
+	atSlow, total := 0, 0
 	for n := 0; time.Duration(n)*slowFleetStep < d; n++ {
 		f.now = f.now.Add(slowFleetStep)
 		f.complete()
@@ -41,15 +41,15 @@
 			slow := 1.0
 			if p.Endpoint == f.endpoints[0] {
 				slow = f.slowdown
-				its++
+				atSlow++
 			}
-			all++
+			total++
 			f.completions = append(f.completions, slowCompletion{f.now.Add(time.Duration(20 * slow * float64(time.Millisecond))), p, slow})
 		}
 		f.exchangeReports(n)
 		if f.now.UnixNano()%int64(slowFleetReportInterval) == 0 {
-			shares = append(shares, float64(its)/float64(max(1, all)))
-			its, all = 0, 0
+			shares = append(shares, float64(atSlow)/float64(max(1, total)))
+			atSlow, total = 0, 0
 		}
 	}
 	return shares
@@ -57,16 +57,16 @@
 
 // complete ends the requests that are done.
 func (f *slowFleet) complete() {
-	kept := f.completions[:0]
+	running := f.completions[:0]
 	for _, e := range f.completions {
 		if e.at.After(f.now) {
-			kept = append(kept, e)
+			running = append(running, e)
 			continue
 		}
 		e.placement.Tells(balance.ToldLoad{Slots: 8, Slowness: e.slow})
 		e.placement.Done(balance.Served)
 	}
-	f.completions = kept
+	f.completions = running
 }
 
 // exchangeReports reports each instance's load to the others, at staggered times.
@@ -97,14 +97,14 @@
 	f.slowdown = 4
 	slow := means(f.run(3*time.Second, each, rng))
 	f.slowdown = 1
-	back := means(f.run(5*time.Second, each, rng))
-	t.Logf("share of requests per half second: %.2f while slow, then %.2f", slow, back)
+	recovered := means(f.run(5*time.Second, each, rng))
+	t.Logf("share of requests per half second: %.2f while slow, then %.2f", slow, recovered)
 	for _, share := range slow {
 		if share > 0.2 {
 			t.Errorf("share %.2f of a half second's requests at the slow endpoint, want at most 0.2", share)
 		}
 	}
-	for i, share := range back {
+	for i, share := range recovered {
 		if share > 0.5 {
 			t.Errorf("share %.2f of a half second's requests at the recovering endpoint, want at most 0.5", share)
 		}
--- a/balance/spread_test.go
+++ b/balance/spread_test.go
@@ -33,12 +33,12 @@
 // at 1,500 engines of different speeds and exchange reports every 90 ms.
 func TestLongPromptsSpreadOverTheWorkingSet(t *testing.T) {
 	const (
-		schedulers = 15
-		step       = 3333 * time.Microsecond
-		lasts      = 6 * time.Second
-		toldEvery  = 90 * time.Millisecond
-		perToken   = 18 * time.Microsecond
-		late       = 1200 * time.Millisecond
+		schedulers     = 15
+		step           = 3333 * time.Microsecond
+		duration       = 6 * time.Second
+		reportInterval = 90 * time.Millisecond
+		perToken       = 18 * time.Microsecond
+		maxDelay       = 1200 * time.Millisecond
 	)
 	rng := rand.New(rand.NewPCG(1, 1))
 	f := newLargeFixture(1500)
@@ -47,20 +47,20 @@
 		balancers = append(balancers, f.balancer())
 	}
 	busy := make(map[string]time.Time)
-	held := make(map[string]map[uint64]bool)
+	cached := make(map[string]map[uint64]bool)
 	count := make(map[string]int)
-	under := new(prefills)
-	tooLate, all := 0, 0
-	told := f.now
-	for end := f.now.Add(lasts); f.now.Before(end); f.now = f.now.Add(step) {
-		for under.Len() > 0 && !(*under)[0].at.After(f.now) {
-			r := heap.Pop(under).(prefill)
+	inFlight := new(prefills)
+	late, total := 0, 0
+	lastReport := f.now
+	for end := f.now.Add(duration); f.now.Before(end); f.now = f.now.Add(step) {
+		for inFlight.Len() > 0 && !(*inFlight)[0].at.After(f.now) {
+			r := heap.Pop(inFlight).(prefill)
 			r.p.Started()
 			r.p.First(r.d)
 			r.p.Done(balance.Served)
 		}
-		if f.now.Sub(told) >= toldEvery {
-			told = f.now
+		if f.now.Sub(lastReport) >= reportInterval {
+			lastReport = f.now
 			for i, from := range balancers {
 				notices, reports := from.Placed(), reportsOf(from)
 				for j, to := range balancers {
@@ -75,17 +75,17 @@
 		p := balancers[rng.IntN(schedulers)].Place(f.endpoints, d)
 		id := p.Endpoint.ID
 		tokens := d.Prompt
-		if held[id] == nil {
-			held[id] = make(map[uint64]bool)
+		if cached[id] == nil {
+			cached[id] = make(map[uint64]bool)
 		}
 		for _, part := range d.Parts {
-			if !held[id][part.ID] {
+			if !cached[id][part.ID] {
 				break
 			}
 			tokens -= part.Tokens
 		}
 		for _, part := range d.Parts {
-			held[id][part.ID] = true
+			cached[id][part.ID] = true
 		}
 		took := time.Duration(tokens) * perToken
 		if id[len(id)-1]%3 == 0 {
@@ -97,23 +97,23 @@
 		}
 		busy[id] = begins.Add(took)
 		first := busy[id].Sub(f.now)
-		all++
+		total++
 		count[id]++
-		if first > late {
-			tooLate++
+		if first > maxDelay {
+			late++
 		}
-		heap.Push(under, prefill{busy[id], p, first})
+		heap.Push(inFlight, prefill{busy[id], p, first})
 	}
 	most := 0
 	for _, n := range count {
 		most = max(most, n)
 	}
-	t.Logf("%d of %d prompts late, %d engines used, at most %d at one", tooLate, all, len(count), most)
-	if tooLate > all/100 {
-		t.Errorf("%d of %d prompts start after %v while other engines are idle", tooLate, all, late)
+	t.Logf("%d of %d prompts late, %d engines used, at most %d at one", late, total, len(count), most)
+	if late > total/100 {
+		t.Errorf("%d of %d prompts start after %v while other engines are idle", late, total, maxDelay)
 	}
-	if mean := all / len(count); most > 8*mean {
-		t.Errorf("%d prompts at one engine, mean of %d is %d", most, len(count), mean)
+	if mean := total / len(count); most > 8*mean {
+		t.Errorf("%d prompts at one engine, the mean of %d engines is %d", most, len(count), mean)
 	}
 }
 
--- a/balance/starvation.go
+++ b/balance/starvation.go
@@ -58,24 +58,24 @@
 // starved reports whether too many requests were refused.
 func (t *tally) starved(now time.Time) bool {
 	t.advance(now)
-	asked, refused := 0, 0
+	requests, refused := 0, 0
 	for i := range t.requests {
-		asked += t.requests[i]
+		requests += t.requests[i]
 		refused += t.refused[i]
 	}
-	return refused >= minStarvedRefusals && float64(refused) > starvedRefusalRate*float64(asked)
+	return refused >= minStarvedRefusals && float64(refused) > starvedRefusalRate*float64(requests)
 }
 
 // starvationRefusal returns a refusal if more urgent requests are starved and the service is not
 // idle, or nil. The caller holds b.mu.
 func (b *Balancer) starvationRefusal(endpoints []*belief.Endpoint, d *Demand, p *Placement, now time.Time) *Refusal {
-	f := b.statsFor(d.Service.Name)
+	stats := b.statsFor(d.Service.Name)
 	for urgent := range d.level() {
-		if !f.tallies[urgent].starved(now) {
+		if !stats.tallies[urgent].starved(now) {
 			continue
 		}
 		if b.idle(endpoints, d, p) {
-			f.tallies = [levels]tally{} // no level is starved any more
+			stats.tallies = [levels]tally{} // no level is starved any more
 			return nil
 		}
 		after := minRetryAfter + time.Duration(rand.Float64()*float64(retryAfterSpread))
--- a/balance/urgency.go
+++ b/balance/urgency.go
@@ -21,9 +21,9 @@
 type levelPressures [levels]pressure
 
 // add records the waits of one request in ms, relative to maxWait.
-func (r *levelPressures) add(now time.Time, level int, waits *[levels]float64, room float64) {
+func (r *levelPressures) add(now time.Time, level int, waits *[levels]float64, maxWait float64) {
 	for by := level; by < levels; by++ {
-		r[by].add(now, waits[by]/room)
+		r[by].add(now, waits[by]/maxWait)
 	}
 }
 
@@ -32,11 +32,11 @@
 // urgent level: it starts in time elsewhere, but at an endpoint where streams stall.
 func (r *levelPressures) count(now time.Time, level int, refused, crowded bool) {
 	for by := level; by < levels; by++ {
-		part := 0.0
+		value := 0.0
 		if refused || crowded && by == levels-1 {
-			part = 1
+			value = 1
 		}
-		r[by].add(now, part)
+		r[by].add(now, value)
 	}
 }
 
@@ -44,18 +44,18 @@
 // more urgent levels were ahead. For the own level, that includes waiting for a slot and for the
 // prefill chunk in progress, which may be of any level. Placements by others within reportInterval
 // are added, since reports may not cover them.
-func (f *serviceStats) waits(d *Demand, l *load, reportInterval time.Duration, now time.Time) (waits [levels]float64) {
+func (s *serviceStats) waits(d *Demand, l *load, reportInterval time.Duration, now time.Time) (waits [levels]float64) {
 	total := l.total()
 	backlog := l.backlog(now)
-	noticed := l.remoteTokensByLevel(now.Add(-reportInterval))
+	announced := l.remoteTokensByLevel(now.Add(-reportInterval))
 	tokens := 0
 	for by := range waits {
-		tokens += total.UnreadBy[by] + noticed[by]
-		waits[by] = min(backlog, float64(tokens)*l.readTime)
+		tokens += total.UnreadBy[by] + announced[by]
+		waits[by] = min(backlog, float64(tokens)*l.prefillPerToken)
 	}
 	level := d.level()
-	slot := f.slotWait(&total, level, d.Service.Engine.Slots)
-	waits[level] = max(slot, min(backlog, waits[level]+chunkTokens*l.readTime))
+	slot := s.slotWait(&total, level, d.Service.Engine.Slots)
+	waits[level] = max(slot, min(backlog, waits[level]+chunkTokens*l.prefillPerToken))
 	waits[levels-1] = max(slot, backlog)
 	return waits
 }
@@ -80,9 +80,9 @@
 	if d.level() == levels-1 || !best.load.late(d, best.prefillTime, b.reportInterval, now) {
 		return best
 	}
-	hurried := *d
-	hurried.requireInTime = true
-	if p := b.choose(b.workingSet(d.Service.Name, endpoints), &hurried, now, by, false); p != nil {
+	inTime := *d
+	inTime.requireInTime = true
+	if p := b.choose(b.workingSet(d.Service.Name, endpoints), &inTime, now, by, false); p != nil {
 		return p
 	}
 	return best
--- a/balance/urgency_test.go
+++ b/balance/urgency_test.go
@@ -31,7 +31,7 @@
 // mixedLoad admits n rounds of a stream, a medium request and a long prompt. Streams and medium
 // requests use half the time of engines that prefill tokensPerMS, and start before the next round.
 // It returns how many of each were refused.
-func (f *fixture) mixedLoad(b *balance.Balancer, n int, tokensPerMS float64) (streams, letters, long int) {
+func (f *fixture) mixedLoad(b *balance.Balancer, n int, tokensPerMS float64) (streams, medium, long int) {
 	var begun []*balance.Placement
 	turn := time.Duration(5000 / tokensPerMS / float64(len(f.endpoints)) * float64(time.Millisecond))
 	for part := range uint64(n) {
@@ -41,10 +41,10 @@
 		}
 		begun = begun[:0]
 		begun = f.admitOrCount(b, f.stream(), &streams, begun)
-		begun = f.admitOrCount(b, f.mediumRequest(), &letters, begun)
+		begun = f.admitOrCount(b, f.mediumRequest(), &medium, begun)
 		f.admitOrCount(b, f.long(5000+part), &long, nil)
 	}
-	return streams, letters, long
+	return streams, medium, long
 }
 
 // admitOrCount admits a request and appends it to placed, or counts it as refused.
@@ -68,9 +68,9 @@
 			f.now = f.now.Add(time.Minute)
 			admitted := f.fillWithLong(t, f.b)
 			turns := int(speed) * engines / 10 // half a second
-			streams, letters, long := f.mixedLoad(f.b, turns, speed)
-			if streams > 0 || letters > 0 {
-				t.Errorf("%d engines of %.0f tokens/ms, %d long prompts: %d streams and %d medium requests refused", engines, speed, admitted, streams, letters)
+			streams, medium, long := f.mixedLoad(f.b, turns, speed)
+			if streams > 0 || medium > 0 {
+				t.Errorf("%d engines of %.0f tokens/ms, %d long prompts: %d streams and %d medium requests refused", engines, speed, admitted, streams, medium)
 			}
 			if long < turns/4 {
 				t.Errorf("%d engines of %.0f tokens/ms: %d of %d long prompts refused under overload", engines, speed, long, turns)
@@ -81,21 +81,21 @@
 
 // The same if another instance placed the long prompts and reported them in notices or reports.
 func TestRemoteUrgencyIsReported(t *testing.T) {
-	for _, told := range []string{"notices", "reports"} {
+	for _, via := range []string{"notices", "reports"} {
 		f := newFixture(4)
 		other, b := f.balancer(), f.balancer()
 		b.Place(f.endpoints, f.mediumRequest()).Done(balance.Served) // makes the endpoints known to b
 		f.fillWithLong(t, other)
 		reports, _ := other.Reports(true, 0)
-		if told == "notices" {
+		if via == "notices" {
 			reports = nil
 		}
 		b.Merge(1, other.Placed(), reports, true)
-		if told == "reports" {
+		if via == "reports" {
 			f.now = f.now.Add(100 * time.Millisecond) // the notices have expired
 		}
-		if streams, letters, _ := f.mixedLoad(b, 10, 50); streams > 0 || letters > 0 {
-			t.Errorf("reported by %s: %d streams and %d medium requests refused", told, streams, letters)
+		if streams, medium, _ := f.mixedLoad(b, 10, 50); streams > 0 || medium > 0 {
+			t.Errorf("reported by %s: %d streams and %d medium requests refused", via, streams, medium)
 		}
 	}
 }
