--- a/api/api.go
+++ b/api/api.go
@@ -277,7 +277,7 @@
 	a.counters.Requests.Add(1)
 	set, ok := a.node.Declarations()
 	if !ok {
-		return nil, decl.Identity{}, verdict.Refuse(verdict.NoConfiguration, "no configuration is in force yet").After(time.Second)
+		return nil, decl.Identity{}, verdict.Refuse(verdict.NoConfiguration, "no configuration is in force yet").WithRetryAfter(time.Second)
 	}
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -309,7 +309,7 @@
 		name = pool.Class
 	case name == "":
 		name = id.Team.Class
-	case !id.Team.May(name) && name != pool.Class:
+	case !id.Team.MayUse(name) && name != pool.Class:
 		return nil, verdict.Refuse(verdict.Forbidden, "team %q may not use class %q", id.Team.Name, name)
 	}
 	class := set.Class(name)
@@ -357,7 +357,7 @@
 func (a *API) run(w http.ResponseWriter, r *http.Request, req *dispatch.Request) {
 	select {
 	case <-a.stop:
-		a.refuse(w, verdict.Refuse(verdict.Leaving, "instance %s is shutting down", a.node.Name()).After(time.Second))
+		a.refuse(w, verdict.Refuse(verdict.Leaving, "instance %s is shutting down", a.node.Name()).WithRetryAfter(time.Second))
 		return
 	default:
 	}
@@ -365,7 +365,7 @@
 	case a.slots <- struct{}{}:
 		defer func() { <-a.slots }()
 	default:
-		a.refuse(w, verdict.Refuse(verdict.Overloaded, "instance %s reached its limit of %d concurrent requests", a.node.Name(), a.opt.Open).After(time.Second))
+		a.refuse(w, verdict.Refuse(verdict.Overloaded, "instance %s reached its limit of %d concurrent requests", a.node.Name(), a.opt.Open).WithRetryAfter(time.Second))
 		return
 	}
 	a.counters.Open.Add(1)
--- a/balance/admit.go
+++ b/balance/admit.go
@@ -12,7 +12,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 // levels is the number of urgency levels, derived from the route's priority.
@@ -54,23 +54,23 @@
 type Cause uint8
 
 const (
-	BeyondFleet      Cause = iota // no endpoint can start it in time, or it yields to more urgent requests
-	TeamShare                     // its team exceeds its fair share of a scarce service
-	RetriesSpent                  // the service's shared retry budget is exhausted
-	EndpointsRest                 // all eligible endpoints asked the instance to back off
-	EndpointsLimited              // no permit is available at any eligible endpoint
-	PermitWanted                  // local only: a permit for the chosen endpoint must be requested first
+	OverCapacity         Cause = iota // no endpoint can start it in time, or it yields to more urgent requests
+	TeamOverShare                     // its team exceeds its fair share of a scarce service
+	RetryBudgetExhausted              // the service's shared retry budget is exhausted
+	EndpointsInBackoff                // all eligible endpoints asked the instance to back off
+	EndpointsLimited                  // no permit is available at any eligible endpoint
+	PermitWanted                      // local only: a permit for the chosen endpoint must be requested first
 )
 
 // A Refusal says that a request should not be sent now.
 type Refusal struct {
 	Cause      Cause
-	Wait       time.Duration    // at the best endpoint
-	Pressure   float64          // on the requests that it yields to, or on its own level
-	RetryAfter time.Duration    // relative to now
-	Chooser    string           // instance that refused it; empty: this one
-	Limited    *belief.Endpoint // endpoint to request a permit for; nil: none
-	Urgency    int              // urgency of the permit request, below limit.Levels
+	Wait       time.Duration       // at the best endpoint
+	Pressure   float64             // on the requests that it yields to, or on its own level
+	RetryAfter time.Duration       // relative to now
+	Scheduler  string              // instance that refused it; empty: this one
+	Limited    *discovery.Endpoint // endpoint to request a permit for; nil: none
+	Urgency    int                 // urgency of the permit request, below limit.Levels
 }
 
 // A pressure is an exponentially decaying mean.
@@ -101,7 +101,7 @@
 
 // Admit chooses among a service's endpoints as Place does, but refuses requests that would only
 // delay others. It returns neither a placement nor a refusal if no endpoint is eligible.
-func (b *Balancer) Admit(endpoints []*belief.Endpoint, d *Demand) (*Placement, *Refusal) {
+func (b *Balancer) Admit(endpoints []*discovery.Endpoint, d *Demand) (*Placement, *Refusal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -110,7 +110,7 @@
 		return nil, refusal
 	}
 	b.spendCold(best.Endpoint, best.load, d.Service, now)
-	best.Spare = b.retries.account(d, now)
+	best.RetryAvailable = b.retries.account(d, now)
 	b.begin(best, d, now)
 	if d.needsNotice() {
 		b.queueNotice(best, d)
@@ -120,7 +120,7 @@
 
 // admit returns the best endpoint for the requester, or the reason for a refusal. The caller holds
 // b.mu.
-func (b *Balancer) admit(endpoints []*belief.Endpoint, d *Demand, now time.Time, by requester) (*Placement, *Refusal) {
+func (b *Balancer) admit(endpoints []*discovery.Endpoint, d *Demand, now time.Time, by requester) (*Placement, *Refusal) {
 	if refusal := b.retries.refuse(d, now); refusal != nil {
 		return nil, refusal
 	}
@@ -162,7 +162,7 @@
 
 // admitInTime returns an endpoint that starts the request in time, preferably first, or the reason
 // for a refusal. The caller holds b.mu.
-func (b *Balancer) admitInTime(endpoints []*belief.Endpoint, d *Demand, first *Placement, now time.Time, by requester) (*Placement, *Refusal) {
+func (b *Balancer) admitInTime(endpoints []*discovery.Endpoint, d *Demand, first *Placement, now time.Time, by requester) (*Placement, *Refusal) {
 	best := b.chooseInTime(endpoints, first, d, now, by)
 	if refusal := b.statsFor(d.Service.Name).refuse(d, first, best, b.reportInterval, now); refusal != nil {
 		return nil, refusal
@@ -172,7 +172,7 @@
 
 // recordHold adds the request's estimated slot hold time to the mean.
 func (s *serviceStats) recordHold(d *Demand, p *Placement) {
-	hold := float64(d.Prompt-p.Cached)*p.Pace.ReadTime + float64(d.Output)*p.Pace.TokenTime
+	hold := float64(d.Prompt-p.Cached)*p.Pace.PrefillPerToken + float64(d.Output)*p.Pace.TokenTime
 	if s.hold == 0 {
 		s.hold = hold
 	}
--- a/balance/admit_test.go
+++ b/balance/admit_test.go
@@ -52,7 +52,7 @@
 		if refusal != nil {
 			t.Fatalf("refused at idle engines: %+v", refusal)
 		}
-		p.First(time.Millisecond)
+		p.RecordFirstEvent(time.Millisecond)
 		p.Done(balance.Served)
 		f.now = f.now.Add(10 * time.Second)
 	}
@@ -103,7 +103,7 @@
 		placed = append(placed, b.Place(f.endpoints, f.shortRequest(2)))
 	}
 	for _, p := range placed {
-		p.First(10 * time.Millisecond) // prefill of all prompts is done
+		p.RecordFirstEvent(10 * time.Millisecond) // prefill of all prompts is done
 	}
 	f.now = f.now.Add(time.Second)
 	if refused := admit(t, f, b, 5, func() *balance.Demand { return f.shortRequest(0) }); refused != 0 {
@@ -168,7 +168,7 @@
 		}
 		f.now = f.now.Add(time.Duration(rapid.IntRange(10, 500).Draw(t, "later")) * time.Millisecond)
 		for i, p := range running {
-			p.First(100 * time.Millisecond) // prefill is done
+			p.RecordFirstEvent(100 * time.Millisecond) // prefill is done
 			if i >= 32*len(f.endpoints)-1 {
 				p.Done(balance.Served)
 			}
--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -19,7 +19,7 @@
 	"slices"
 	"time"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 const (
@@ -143,7 +143,7 @@
 
 // attachDirective sets l's directive from those recorded under the endpoint's ID. The caller holds
 // b.mu.
-func (b *Balancer) attachDirective(l *load, e *belief.Endpoint) {
+func (b *Balancer) attachDirective(l *load, e *discovery.Endpoint) {
 	l.inheritLimit(b.loadsByID[e.ID], e.ID)
 	b.loadsByID[e.ID], l.endpointID, l.dataCentre = l, e.ID, e.DataCentre
 	if l.limitState != nil {
@@ -174,9 +174,9 @@
 	return l.directive
 }
 
-// Rests records that the endpoint asked this instance to back off for d. It reports whether the
-// endpoint was not in back-off before.
-func (p *Placement) Rests(d time.Duration) (isNew bool) {
+// RecordBackoff records that the endpoint asked this instance to back off for d. It reports whether
+// the endpoint was not in back-off before.
+func (p *Placement) RecordBackoff(d time.Duration) (isNew bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -195,9 +195,9 @@
 	return isNew
 }
 
-// Leaves records that the endpoint said it is draining; it is sent nothing new. It reports whether
-// that was not known before.
-func (p *Placement) Leaves() (isNew bool) {
+// RecordDraining records that the endpoint said it is draining; it is sent nothing new. It reports
+// whether that was not known before.
+func (p *Placement) RecordDraining() (isNew bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -263,7 +263,7 @@
 
 // unavailableRefusal returns the refusal of a request for which all otherwise eligible endpoints
 // are in back-off or lack permits, or nil if there are none. The caller holds b.mu.
-func (b *Balancer) unavailableRefusal(endpoints []*belief.Endpoint, d *Demand, now time.Time) *Refusal {
+func (b *Balancer) unavailableRefusal(endpoints []*discovery.Endpoint, d *Demand, now time.Time) *Refusal {
 	var firstFree time.Time
 	var limited bool // the earliest endpoint lacks a permit
 	r := b.workingSet(d.Service.Name, endpoints)
@@ -289,22 +289,23 @@
 	if limited {
 		return b.limitedRefusal(d, loads, wait, now)
 	}
-	return &Refusal{Cause: EndpointsRest, Wait: wait, RetryAfter: wait + time.Duration(rand.Float64()*float64(retryAfterSpread))}
+	return &Refusal{Cause: EndpointsInBackoff, Wait: wait, RetryAfter: wait + time.Duration(rand.Float64()*float64(retryAfterSpread))}
 }
 
 // excluded reports whether the endpoint is ineligible for the request at any cost.
-func (b *Balancer) excluded(e *belief.Endpoint, l *load, d *Demand, now time.Time) bool {
-	return e.Closed() || l.draining(now) || slices.Contains(d.Avoid, l.hash) || !b.inAllowedRegion(e, d)
+func (b *Balancer) excluded(e *discovery.Endpoint, l *load, d *Demand, now time.Time) bool {
+	return e.RejectsNew() || l.draining(now) || slices.Contains(d.Avoid, l.hash) || !b.inAllowedRegion(e, d)
 }
 
 // recentBackoff is how long a back-off may take to reach schedulers through this instance's
 // reports.
 const recentBackoff = maxReportInterval
 
-// Resting returns the hashes of endpoints that are closed to a request from this instance although
-// schedulers may not know it: those that asked it for back-off within recentBackoff, latest first,
-// and those for which no permit may be requested now. It returns at most maxUnreachable.
-func (b *Balancer) Resting(d *Demand) []uint32 {
+// ClosedEndpoints returns the hashes of endpoints that are closed to a request from this instance
+// although schedulers may not know it: those that asked it for back-off within recentBackoff,
+// latest first, and those for which no permit may be requested now. It returns at most
+// maxUnreachable.
+func (b *Balancer) ClosedEndpoints(d *Demand) []uint32 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -327,26 +328,26 @@
 	return out[:min(len(out), maxUnreachable)]
 }
 
-// An Absence is an endpoint that is in back-off for this instance or draining.
-type Absence struct {
+// An UnavailableEndpoint is an endpoint that is in back-off for this instance or draining.
+type UnavailableEndpoint struct {
 	Endpoint string        // ID
-	Rest     time.Duration // time left of the back-off
-	Leaves   bool
+	Backoff  time.Duration // time left of the back-off
+	Draining bool
 }
 
-// Absences returns the endpoints in back-off or draining, longest back-off first.
-func (b *Balancer) Absences() []Absence {
+// UnavailableEndpoints returns the endpoints in back-off or draining, longest back-off first.
+func (b *Balancer) UnavailableEndpoints() []UnavailableEndpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	out := make([]Absence, 0, len(b.directives))
+	out := make([]UnavailableEndpoint, 0, len(b.directives))
 	for id, s := range b.directives {
 		if s.draining || now.Before(s.backoffUntil) {
-			out = append(out, Absence{Endpoint: id, Rest: max(0, s.backoffUntil.Sub(now)), Leaves: s.draining})
+			out = append(out, UnavailableEndpoint{Endpoint: id, Backoff: max(0, s.backoffUntil.Sub(now)), Draining: s.draining})
 		}
 	}
-	slices.SortFunc(out, func(x, y Absence) int {
-		return cmp.Or(cmp.Compare(y.Rest, x.Rest), cmp.Compare(x.Endpoint, y.Endpoint))
+	slices.SortFunc(out, func(x, y UnavailableEndpoint) int {
+		return cmp.Or(cmp.Compare(y.Backoff, x.Backoff), cmp.Compare(x.Endpoint, y.Endpoint))
 	})
 	return out
 }
--- a/balance/backoff_test.go
+++ b/balance/backoff_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 // maxJitter is the maximum extension of a back-off.
@@ -17,7 +17,7 @@
 // requestBackoff makes an endpoint refuse a request and ask for back-off.
 func (f *fixture) requestBackoff(b *balance.Balancer, endpoint int, d time.Duration) *balance.Placement {
 	p := b.Place(f.endpoints[endpoint:endpoint+1], f.stream())
-	p.Rests(d)
+	p.RecordBackoff(d)
 	p.Done(balance.Refused)
 	return p
 }
@@ -52,7 +52,7 @@
 		}
 		second.Done(balance.Unknown)
 		if answered {
-			first.Started()
+			first.RecordStart()
 		} else {
 			f.now = f.now.Add(200 * time.Millisecond)
 		}
@@ -88,7 +88,7 @@
 }
 
 func (f *fixture) extendBackoff(t *testing.T, p *balance.Placement, d time.Duration) {
-	if p.Rests(d) {
+	if p.RecordBackoff(d) {
 		t.Error("extension of a back-off is reported as new")
 	}
 }
@@ -105,7 +105,7 @@
 			if p.MaySend() {
 				sent++
 			}
-			p.Started()
+			p.RecordStart()
 			p.Done(balance.Served)
 		}
 	}
@@ -125,7 +125,7 @@
 		f := newFixture(3)
 		b := f.balancer()
 		type window struct {
-			endpoint *belief.Endpoint
+			endpoint *discovery.Endpoint
 			end      time.Time
 			sent     int
 		}
@@ -145,7 +145,7 @@
 				} else {
 					b.Forget(func(string) bool { return false })
 				}
-				f.endpoints = append([]*belief.Endpoint(nil), f.endpoints...) // new slice invalidates the listing
+				f.endpoints = append([]*discovery.Endpoint(nil), f.endpoints...) // new slice invalidates the listing
 			default:
 				if len(placed) == 0 {
 					continue
@@ -161,10 +161,10 @@
 					}
 					if rapid.Bool().Draw(rt, "refuses") {
 						d := time.Duration(rapid.IntRange(1, 100_000).Draw(rt, "rest")) * time.Millisecond
-						p.Rests(d)
+						p.RecordBackoff(d)
 						windows = append(windows, &window{endpoint: p.Endpoint, end: f.now.Add(d)})
 					} else {
-						p.Started()
+						p.RecordStart()
 					}
 				}
 				p.Done(balance.Unknown)
@@ -186,13 +186,13 @@
 		f.requestBackoff(b, i, d)
 	}
 	p, refusal := b.Admit(f.endpoints, f.stream())
-	if p != nil || refusal == nil || refusal.Cause != balance.EndpointsRest {
-		t.Fatalf("placement %v and refusal %+v, want cause EndpointsRest", p, refusal)
+	if p != nil || refusal == nil || refusal.Cause != balance.EndpointsInBackoff {
+		t.Fatalf("placement %v and refusal %+v, want cause EndpointsInBackoff", p, refusal)
 	}
 	if refusal.Wait < time.Second || refusal.Wait > time.Second+maxJitter || refusal.RetryAfter < refusal.Wait {
 		t.Errorf("wait %v and retry after %v, want the back-off that ends first", refusal.Wait, refusal.RetryAfter)
 	}
-	if got := len(b.Absences()); got != 3 {
+	if got := len(b.UnavailableEndpoints()); got != 3 {
 		t.Errorf("%d endpoints listed as absent, want 3", got)
 	}
 	if _, refusal := b.Admit(nil, f.stream()); refusal != nil {
@@ -207,8 +207,8 @@
 	instance, scheduler := f.balancer(), f.balancer()
 	scheduler.Place(f.endpoints, f.stream()).Done(balance.Served)
 	f.requestBackoff(instance, 0, 3*time.Second)
-	if got := instance.Resting(f.stream()); len(got) != 1 || got[0] != balance.EndpointHash("e0") {
-		t.Errorf("Resting() = %v, want e0", got)
+	if got := instance.ClosedEndpoints(f.stream()); len(got) != 1 || got[0] != balance.EndpointHash("e0") {
+		t.Errorf("ClosedEndpoints() = %v, want e0", got)
 	}
 	reports, _ := instance.Reports(false, 0)
 	scheduler.Merge(7, nil, reports, false)
@@ -236,8 +236,8 @@
 		first, next := f.restarted(1000), f.restarted(2000)
 		b := f.balancer()
 		p := b.Place(first, f.stream())
-		p.Rests(10 * time.Second)
-		p.Leaves()
+		p.RecordBackoff(10 * time.Second)
+		p.RecordDraining()
 		p.Done(balance.Refused)
 		f.now = f.now.Add(c.after)
 		b.Forget(func(string) bool { return false })
@@ -252,7 +252,7 @@
 	if b.Place(next, f.stream()) == nil {
 		t.Fatal("restarted process is ineligible")
 	}
-	old.Rests(time.Second) // the response may come from either process
+	old.RecordBackoff(time.Second) // the response may come from either process
 	if b.Place(next, f.stream()) != nil {
 		t.Error("restarted process is eligible although the response may be its own")
 	}
@@ -263,8 +263,8 @@
 	reporter, receiver := f.balancer(), f.balancer()
 	receiver.Place(f.endpoints, f.stream()).Done(balance.Served)
 	p := reporter.Place(f.endpoints[:1], f.stream())
-	if !p.Leaves() || p.Leaves() {
-		t.Error("Leaves() must report true once, then false")
+	if !p.RecordDraining() || p.RecordDraining() {
+		t.Error("RecordDraining() must report true once, then false")
 	}
 	p.Done(balance.Served)
 	report := func() {
@@ -275,9 +275,9 @@
 	if reporter.Place(f.endpoints[:1], f.stream()) != nil || receiver.Place(f.endpoints[:1], f.stream()) != nil {
 		t.Error("draining endpoint is chosen")
 	}
-	sums, _ := receiver.Sums(func(uint64) bool { return false }, true, 0)
+	sums, _ := receiver.AggregateReports(func(uint64) bool { return false }, true, 0)
 	for _, s := range sums {
-		if s.Leaves {
+		if s.Draining {
 			t.Error("drain reported by an excluded instance is included in the sum")
 		}
 	}
@@ -303,7 +303,7 @@
 			for bench.Loop() {
 				f.now = f.now.Add(time.Microsecond)
 				b.Place(f.endpoints, d).Done(balance.Served)
-				b.Placed()
+				b.TakeNotices()
 			}
 		})
 	}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -18,8 +18,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 	"ivyridge/fair"
 	"ivyridge/quota"
 )
@@ -33,25 +33,25 @@
 // A Demand describes a request to be placed.
 type Demand struct {
 	Service       *catalog.Service
-	Team          uint32        // TeamHash of the team's name; zero: none
-	Homes         catalog.Homes // regions where it may be served
-	Priority      int           // 0 is the most urgent
+	Team          uint32            // TeamHash of the team's name; zero: none
+	Residency     catalog.Residency // regions where it may be served
+	Priority      int               // 0 is the most urgent
 	Objective     time.Duration
-	Pause         time.Duration // longest acceptable gap in its stream; zero: not a stream
+	MaxGap        time.Duration // longest acceptable gap in its stream; zero: not a stream
 	Deadline      time.Duration // time until the caller gives up; zero: unknown
 	Prompt        int           // tokens
 	Output        int           // expected tokens
 	Parts         []Part
-	Avoid         []uint32      // hashes of endpoints that already received the request or that its instance can't reach
-	Sent          bool          // an endpoint may have received the request, or its response has begun: it can't be refused any more
-	Bytes         int           // size of the body
-	Earns         quota.Earning // how much the placement earns towards the service's retry budget
-	Retry         Retry         // kind of retry to charge to the shared retry budget, once the instance's own is spent
-	Suspect       bool          // an endpoint terminated while it was running the same request
-	Offered       bool          // already counted in its team's demand
-	Permit        uint32        // hash of the endpoint that a permit was granted for, which is preferred if eligible; zero: none
-	Permitted     bool          // only consider endpoints that need no permit, or for which one is held
-	requireInTime bool          // only consider endpoints that would start it in time
+	Avoid         []uint32          // hashes of endpoints that already received the request or that its instance can't reach
+	Sent          bool              // an endpoint may have received the request, or its response has begun: it can't be refused any more
+	Bytes         int               // size of the body
+	Deposit       quota.DepositKind // deposit of the placement into the service's shared retry budget
+	Retry         Retry             // kind of retry to charge to the shared retry budget, once the instance's own is spent
+	Suspect       bool              // an endpoint terminated while it was running the same request
+	Counted       bool              // already counted in its team's demand
+	Permit        uint32            // hash of the endpoint that a permit was granted for, which is preferred if eligible; zero: none
+	Permitted     bool              // only consider endpoints that need no permit, or for which one is held
+	requireInTime bool              // only consider endpoints that would start it in time
 }
 
 // TeamHash identifies a team in demands and in messages between instances. It is zero for no team.
@@ -104,7 +104,7 @@
 // New returns a Balancer for an instance in dataCentre.
 func New(dataCentre string, now func() time.Time) *Balancer {
 	return &Balancer{
-		dataCentre: dataCentre, now: now, instances: 1, reportInterval: ReportEvery(1),
+		dataCentre: dataCentre, now: now, instances: 1, reportInterval: ReportInterval(1),
 		loads: make(map[string]*load), loadsByHash: make(map[uint32]*load), directives: make(map[string]*directive), loadsByID: make(map[string]*load), limited: make(map[uint32]*load), stats: make(map[string]*serviceStats), listings: make(map[string]*listing), uses: make(uses),
 		shares: make(map[string]*fair.Shares), sharesByHash: make(map[uint32]string),
 		retries: retries{buckets: make(map[string]*retryBucket)},
@@ -170,7 +170,7 @@
 
 // Place chooses the cheapest of a service's endpoints and counts the request as running there. It
 // returns nil if no endpoint is eligible.
-func (b *Balancer) Place(endpoints []*belief.Endpoint, d *Demand) *Placement {
+func (b *Balancer) Place(endpoints []*discovery.Endpoint, d *Demand) *Placement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -191,12 +191,12 @@
 
 // queueNotice queues a notice of the placement for the other instances.
 func (b *Balancer) queueNotice(p *Placement, d *Demand) {
-	b.pendingNotices = append(b.pendingNotices, Notice{Endpoint: p.load.hash, Uncached: p.charge.uncached, Priority: d.Priority, Fetched: p.Fetched, Parts: d.Parts, Homes: d.Homes, Suspect: d.Suspect})
+	b.pendingNotices = append(b.pendingNotices, Notice{Endpoint: p.load.hash, Uncached: p.charge.uncached, Priority: d.Priority, Fetched: p.Fetched, Parts: d.Parts, Residency: d.Residency, Suspect: d.Suspect})
 }
 
 // cheapest returns the cheapest eligible endpoint for the requester, or nil. It enlarges the
 // working set while no endpoint in it has enough room. The caller holds b.mu.
-func (b *Balancer) cheapest(endpoints []*belief.Endpoint, d *Demand, now time.Time, by requester) *Placement {
+func (b *Balancer) cheapest(endpoints []*discovery.Endpoint, d *Demand, now time.Time, by requester) *Placement {
 	r := b.workingSet(d.Service.Name, endpoints)
 	b.resizeForDemand(r, d.Service, now)
 	best := b.choose(r, d, now, by, false)
@@ -274,8 +274,8 @@
 	if best.load == nil {
 		return nil
 	}
-	if best.Distance == Beyond {
-		best.Crossing = params.crossRegionCost
+	if best.Distance == OtherRegion {
+		best.CrossRegionCost = params.crossRegionCost
 	}
 	if d.Service.Engine != nil {
 		best.planFetch(&from, d, b.regions)
@@ -286,10 +286,10 @@
 // refreshLoads updates the load and speed estimates of a service's endpoints, and returns the
 // share of its recent requests that failed.
 func (b *Balancer) refreshLoads(loads []*load, service *catalog.Service, now time.Time) (failureRate float64) {
-	var sum Seen
+	var sum Observations
 	for _, l := range loads {
 		l.refresh(now)
-		sum.Ended += l.observed.Ended
+		sum.Completed += l.observed.Completed
 		sum.Failed += l.observed.Failed
 	}
 	if service.Engine != nil {
@@ -318,7 +318,7 @@
 	if s.MaxConns <= 0 {
 		return true
 	}
-	return running < quota.Each(s.MaxConns, maxConnShare, b.instances, minConns)
+	return running < quota.PerHolder(s.MaxConns, maxConnShare, b.instances, minConns)
 }
 
 func (b *Balancer) begin(p *Placement, d *Demand, now time.Time) {
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 type fixture struct {
 	now       time.Time
-	endpoints []*belief.Endpoint
+	endpoints []*discovery.Endpoint
 	engines   *catalog.Service
 	plain     *catalog.Service
 }
@@ -24,7 +24,7 @@
 		plain:   &catalog.Service{Name: "p", MaxConns: 1000},
 	}
 	for i := range n {
-		f.endpoints = append(f.endpoints, &belief.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprintf("e%d", i), DataCentre: "z", Slots: 8}})
+		f.endpoints = append(f.endpoints, &discovery.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprintf("e%d", i), DataCentre: "z", Slots: 8}})
 	}
 	return f
 }
@@ -35,14 +35,14 @@
 
 func (f *fixture) long(part uint64) *balance.Demand {
 	return &balance.Demand{
-		Service: f.engines, Priority: 2, Objective: 1200 * time.Millisecond, Pause: time.Second, Prompt: 9000, Output: 60,
+		Service: f.engines, Priority: 2, Objective: 1200 * time.Millisecond, MaxGap: time.Second, Prompt: 9000, Output: 60,
 		Parts: []balance.Part{{ID: 1, Tokens: 2500}, {ID: part, Tokens: 3700}, {ID: part<<32 | uint64(f.now.UnixNano()), Tokens: 2800}},
 	}
 }
 
 func (f *fixture) stream() *balance.Demand {
 	return &balance.Demand{
-		Service: f.engines, Priority: 0, Objective: 300 * time.Millisecond, Pause: 250 * time.Millisecond, Prompt: 500, Output: 300,
+		Service: f.engines, Priority: 0, Objective: 300 * time.Millisecond, MaxGap: 250 * time.Millisecond, Prompt: 500, Output: 300,
 		Parts: []balance.Part{{ID: 7, Tokens: 100}, {ID: 8, Tokens: 60}, {ID: uint64(f.now.UnixNano()), Tokens: 340}},
 	}
 }
@@ -95,7 +95,7 @@
 	f.now = f.now.Add(5 * time.Second)
 	p := a.Place(f.endpoints, f.long(77))
 	reports, _ := a.Reports(true, 0)
-	b.Merge(1, a.Placed(), reports, true)
+	b.Merge(1, a.TakeNotices(), reports, true)
 	f.now = f.now.Add(time.Second)
 	q := b.Place(f.endpoints, f.long(77))
 	if q.Endpoint != p.Endpoint || q.Cached != 6200 {
@@ -192,7 +192,7 @@
 	b := f.balancer()
 	d := &balance.Demand{Service: f.plain, Objective: 100 * time.Millisecond}
 	for range 12 {
-		b.Place(f.endpoints[:1], d).Overdue()
+		b.Place(f.endpoints[:1], d).RecordOverdue()
 		b.Place(f.endpoints[1:], d).Done(balance.Served)
 	}
 	if p := b.Place(f.endpoints, d); p.Endpoint.ID != "e1" {
@@ -240,7 +240,7 @@
 	b := f.balancer()
 	d := &balance.Demand{Service: f.plain}
 	p := b.Place(f.endpoints[:1], d)
-	p.Unreachable()
+	p.RecordUnreachable()
 	p.Done(balance.Failed)
 	for range 5 {
 		if p := b.Place(f.endpoints, d); p.Endpoint.ID == "e0" {
@@ -285,7 +285,7 @@
 			b.Place(f.endpoints, d).Done(balance.Served)
 			report := func(endpoint int) []balance.Report {
 				r := balance.Report{Endpoint: balance.EndpointHash(fmt.Sprint("e", endpoint))}
-				r.Requests, r.Memory, r.Ended = 1, 9000, 3
+				r.Requests, r.Memory, r.Completed = 1, 9000, 3
 				return []balance.Report{r}
 			}
 			for other := range others {
@@ -302,7 +302,7 @@
 					b.Merge(uint64(i%others+1), nil, report(i%n), false)
 				}
 				b.Place(f.endpoints, d).Done(balance.Served)
-				b.Placed()
+				b.TakeNotices()
 			}
 		})
 	}
@@ -318,7 +318,7 @@
 			for bench.Loop() {
 				f.now = f.now.Add(time.Millisecond)
 				b.Place(f.endpoints, d).Done(balance.Served)
-				b.Placed()
+				b.TakeNotices()
 			}
 		})
 	}
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -13,8 +13,8 @@
 import (
 	"time"
 
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 	"ivyridge/quota"
 )
 
@@ -34,7 +34,7 @@
 
 // A coldShare is this instance's share of the rate of cold endpoints.
 type coldShare struct {
-	quota.Part
+	quota.Lease
 	bounds ColdBounds
 }
 
@@ -45,12 +45,12 @@
 	b.coldShare.bounds = bounds
 }
 
-// SetColdPart sets the share of the cold endpoints' rate that this instance may use, valid from
+// SetColdShare sets the share of the cold endpoints' rate that this instance may use, valid from
 // now.
-func (b *Balancer) SetColdPart(part float64) {
+func (b *Balancer) SetColdShare(share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.coldShare.Hold(part, b.now())
+	b.coldShare.Renew(share, b.now())
 }
 
 // rate returns how many requests/s this instance may send to a cold endpoint of a service, beyond
@@ -66,7 +66,7 @@
 
 // coldAllows reports whether the endpoint may be sent a request: it is not cold, or this instance
 // has not used up its share. The caller holds b.mu.
-func (b *Balancer) coldAllows(e *belief.Endpoint, l *load, s *catalog.Service, now time.Time) bool {
+func (b *Balancer) coldAllows(e *discovery.Endpoint, l *load, s *catalog.Service, now time.Time) bool {
 	if s.ColdRate <= 0 || !e.Cold(now) {
 		return true
 	}
@@ -75,7 +75,7 @@
 }
 
 // spendCold charges a request to the endpoint's cold rate, if it is cold. The caller holds b.mu.
-func (b *Balancer) spendCold(e *belief.Endpoint, l *load, s *catalog.Service, now time.Time) {
+func (b *Balancer) spendCold(e *discovery.Endpoint, l *load, s *catalog.Service, now time.Time) {
 	if s.ColdRate <= 0 || !e.Cold(now) {
 		return
 	}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -45,7 +45,7 @@
 	f, service := coldFixture(1)
 	b := f.balancer()
 	b.SetColdBounds(balance.ColdBounds{Over: 1.5, Slack: 5})
-	b.SetColdPart(1)
+	b.SetColdShare(1)
 	f.now = f.now.Add(1100 * time.Millisecond)
 	if p := b.Place(f.endpoints, &balance.Demand{Service: service}); p != nil {
 		t.Fatal("placed at a cold endpoint with an expired share")
@@ -57,7 +57,7 @@
 	f, service := coldFixture(1)
 	scheduler, other := f.balancer(), f.balancer()
 	scheduler.SetColdBounds(balance.ColdBounds{Over: 1.5, Slack: 5})
-	scheduler.SetColdPart(1.0 / 3)
+	scheduler.SetColdShare(1.0 / 3)
 	d := &balance.Demand{Service: service}
 	c := scheduler.Grant(7, f.endpoints, d)
 	if p, _ := other.Adopt(c, f.endpoints, d); p == nil || !p.Cold {
@@ -90,7 +90,7 @@
 		for step := range 120 {
 			f.now = f.now.Add(time.Duration(rapid.IntRange(0, 60).Draw(rt, "ms")) * time.Millisecond)
 			b := fleet[rapid.IntRange(0, len(fleet)-1).Draw(rt, "who")]
-			b.SetColdPart(1 / float64(holders))
+			b.SetColdShare(1 / float64(holders))
 			for range rapid.IntRange(1, 8).Draw(rt, "requests") {
 				if p := b.Place(f.endpoints, &balance.Demand{Service: service}); p != nil {
 					p.Done(balance.Served)
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 // Weights of cost terms, in units of the full credit of a request with weight 1.
@@ -46,7 +46,7 @@
 // that is faster than typical gets no advantage, and queueing costs as much as prefill of the same
 // duration. Otherwise prompts pile up at the few endpoints that look fastest or cache their first
 // part while other endpoints are idle.
-func (b *Balancer) estimate(e *belief.Endpoint, l *load, d *Demand, params *choiceParams, maxCost float64, now time.Time) Placement {
+func (b *Balancer) estimate(e *discovery.Endpoint, l *load, d *Demand, params *choiceParams, maxCost float64, now time.Time) Placement {
 	p := Placement{Endpoint: e, load: l, Distance: l.distance, failureRate: params.failureRate}
 	if d.Service.Engine == nil {
 		p.Cost = b.plainCost(e, l, params, now)
@@ -60,7 +60,7 @@
 	if p.Cached == 0 && len(d.Parts) > 0 {
 		firstPartCost := prefillCost * float64(min(d.Parts[0].Tokens, d.Prompt)) * perToken
 		promptCost -= (1 - params.firstPartShare) * firstPartCost
-		if l.distance != Beyond {
+		if l.distance != OtherRegion {
 			promptCost -= min(params.paidCrossings, params.firstPartShare*firstPartCost)
 		}
 	}
@@ -70,11 +70,11 @@
 		return p
 	}
 	total := l.total()
-	l.capBacklog(now, total.Unread, b.reportInterval)
-	p.Pace.ReadTime = l.prefillPerToken
+	l.capBacklog(now, total.PendingPrefill, b.reportInterval)
+	p.Pace.PrefillPerToken = l.prefillPerToken
 	backlog := l.backlog(now)
 	p.Backlog = time.Duration(backlog * float64(time.Millisecond))
-	p.Ahead = backlog / p.Pace.ReadTime
+	p.BacklogTokens = backlog / p.Pace.PrefillPerToken
 	p.Pace.StepTime = l.stepTime
 	p.Pace.TokenTime = l.tokenTime(total.Requests)
 	p.prefillTime = prefillTime
@@ -88,8 +88,8 @@
 	p.Cost = weight * lateness(late)
 	p.Cost += weight * failureCost * l.observed.excess(params.failureRate)
 	p.Cost += total.Exposure * (lateness(backlog+prefillTime) - lateness(backlog))
-	if d.Pause > 0 {
-		p.Cost += weight * l.contention / lateness(milliseconds(d.Pause))
+	if d.MaxGap > 0 {
+		p.Cost += weight * l.contention / lateness(milliseconds(d.MaxGap))
 	}
 	if d.Deadline > 0 && d.Output > 0 {
 		finish := p.Wait + prefillTime + float64(d.Output)*p.Pace.TokenTime
@@ -107,13 +107,13 @@
 }
 
 // plainCost returns the cost of an endpoint without an engine.
-func (b *Balancer) plainCost(e *belief.Endpoint, l *load, params *choiceParams, now time.Time) float64 {
+func (b *Balancer) plainCost(e *discovery.Endpoint, l *load, params *choiceParams, now time.Time) float64 {
 	running := float64(l.running + l.others.Requests)
 	observed := l.observed
 	slow := l.slowness.of(now)
 	utilization := slow * (running + 1) / float64(max(1, e.Slots))
 	cost := plainCost*lateness(utilization) + failureCost*observed.excess(params.failureRate)
-	cost += rotationCost * observed.Ended * slow
+	cost += rotationCost * observed.Completed * slow
 	cost += params.locationCost(l, plainCrossCost, utilization)
 	return cost
 }
--- a/balance/distance.go
+++ b/balance/distance.go
@@ -25,7 +25,7 @@
 const (
 	SameDataCentre Distance = iota
 	SameRegion              // wide links between them
-	Beyond                  // different regions, with a narrow link between them
+	OtherRegion             // different regions, with a narrow link between them
 )
 
 // String returns the name of the distance used in logs.
@@ -51,7 +51,7 @@
 	case r[a] == r[b]:
 		return SameRegion
 	}
-	return Beyond
+	return OtherRegion
 }
 
 // Cost parameters of leaving a region.
--- a/balance/distance_test.go
+++ b/balance/distance_test.go
@@ -48,7 +48,7 @@
 		b.Place(f.endpoints[4:], f.prompt(5, c.shared, c.own, c.bytes)).Done(balance.Served)
 		f.now = f.now.Add(10 * time.Second)
 		p := b.Place(f.endpoints, f.prompt(5, c.shared, c.own, c.bytes))
-		if crosses := p.Distance == balance.Beyond; crosses != c.crosses {
+		if crosses := p.Distance == balance.OtherRegion; crosses != c.crosses {
 			t.Errorf("%s: placed at distance %v with %d tokens cached, want crossing: %v", c.name, p.Distance, p.Cached, c.crosses)
 		}
 	}
@@ -68,7 +68,7 @@
 		b.SetLink(25*time.Millisecond, c.queue)
 		f.now = f.now.Add(c.age)
 		p := b.Place(f.endpoints, f.prompt(5, 13300, 3720, 17000))
-		if crosses := p.Distance == balance.Beyond; crosses != c.crosses {
+		if crosses := p.Distance == balance.OtherRegion; crosses != c.crosses {
 			t.Errorf("queueing delay %v, measured %v ago: crossing: %v, want %v", c.queue, c.age, crosses, c.crosses)
 		}
 	}
@@ -96,7 +96,7 @@
 			}
 			p := b.Place(among, f.prompt(5, 13300, 3720, 17000))
 			p.Done(balance.Served)
-			if p.Distance == balance.Beyond {
+			if p.Distance == balance.OtherRegion {
 				crossed++
 			}
 		}
@@ -123,7 +123,7 @@
 			switch {
 			case refusal != nil:
 				refused++
-			case p.Distance == balance.Beyond:
+			case p.Distance == balance.OtherRegion:
 				beyond++
 			}
 		}
@@ -131,7 +131,7 @@
 			t.Errorf("priority %d: of 60 concurrent requests %d leave the region and %d are refused, want at least 15 and none", priority, beyond, refused)
 		}
 		f.now = f.now.Add(30 * time.Second)
-		if p, _ := b.Admit(f.endpoints, demand()); p == nil || p.Distance == balance.Beyond {
+		if p, _ := b.Admit(f.endpoints, demand()); p == nil || p.Distance == balance.OtherRegion {
 			t.Errorf("priority %d: placed %+v once the local region is idle, want a local endpoint", priority, p)
 		}
 	}
@@ -144,7 +144,7 @@
 		b.SetLink(25*time.Millisecond, queue)
 		for range 60 {
 			f.now = f.now.Add(time.Millisecond)
-			if p, _ := b.Admit(f.endpoints, f.prompt(uint64(f.now.UnixNano()), 6300, 3000, 9200)); p != nil && p.Distance == balance.Beyond {
+			if p, _ := b.Admit(f.endpoints, f.prompt(uint64(f.now.UnixNano()), 6300, 3000, 9200)); p != nil && p.Distance == balance.OtherRegion {
 				beyond++
 			}
 		}
@@ -213,8 +213,8 @@
 	}{
 		{regions, "a1", "a1", balance.SameDataCentre},
 		{regions, "a1", "a2", balance.SameRegion},
-		{regions, "a1", "b1", balance.Beyond},
-		{regions, "a1", "unknown", balance.Beyond},
+		{regions, "a1", "b1", balance.OtherRegion},
+		{regions, "a1", "unknown", balance.OtherRegion},
 		{regions, "unknown", "unknown", balance.SameDataCentre},
 		{nil, "a1", "b1", balance.SameRegion},
 	} {
@@ -234,7 +234,7 @@
 			for bench.Loop() {
 				f.now = f.now.Add(time.Millisecond)
 				b.Place(f.endpoints, d).Done(balance.Served)
-				b.Placed()
+				b.TakeNotices()
 			}
 		})
 	}
--- a/balance/fair.go
+++ b/balance/fair.go
@@ -18,8 +18,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 	"ivyridge/fair"
 )
 
@@ -94,30 +94,30 @@
 
 // shareRefusal counts a request that asks for this much work at its best endpoint p, and returns a
 // refusal if its team exceeds its share of an overloaded service, or nil. The caller holds b.mu.
-func (b *Balancer) shareRefusal(endpoints []*belief.Endpoint, d *Demand, p *Placement, requestedWork float64, now time.Time) *Refusal {
-	if d.Offered {
+func (b *Balancer) shareRefusal(endpoints []*discovery.Endpoint, d *Demand, p *Placement, requestedWork float64, now time.Time) *Refusal {
+	if d.Counted {
 		return nil
 	}
-	r := fair.Request{Team: d.Team, Level: d.level(), Work: requestedWork, Fixed: d.Sent, Chance: rand.Float64()}
+	r := fair.Request{Team: d.Team, Level: d.level(), Work: requestedWork, Unlimited: d.Sent, Chance: rand.Float64()}
 	if d.Service.Engine == nil {
 		r.Congestion = b.plainCongestion(endpoints, d, now)
 	} else {
 		stats := b.statsFor(d.Service.Name)
 		r.Congestion = stats.congestion(r.Level, now)
 		// Refusing it would help nobody, or only less urgent requests.
-		r.Fixed = r.Fixed || p.Wait <= 0 || !stats.lessUrgentYield(r.Level, now)
+		r.Unlimited = r.Unlimited || p.Wait <= 0 || !stats.lessUrgentYield(r.Level, now)
 	}
 	if p.load.hasLimit() {
 		// Permits are granted to teams within their share first, so no refusal is needed.
 		r.Congestion = max(r.Congestion, b.statsFor(d.Service.Name).limitCongestion(now))
-		r.Fixed = true
+		r.Unlimited = true
 	}
 	s := b.sharesOf(d.Service.Name)
 	over, refused := s.Offer(now, &r)
 	if !refused {
 		return nil
 	}
-	return &Refusal{Cause: TeamShare, Pressure: over, Wait: time.Duration(p.Wait * float64(time.Millisecond)), RetryAfter: shareRetryAfter(d)}
+	return &Refusal{Cause: TeamOverShare, Pressure: over, Wait: time.Duration(p.Wait * float64(time.Millisecond)), RetryAfter: shareRetryAfter(d)}
 }
 
 // grantShare counts a placed request with the work counted in its team's demand, which may differ
@@ -144,7 +144,7 @@
 		return 1
 	}
 	token := p.Pace.StepTime * (stepPerRequest + 1/float64(max(1, e.Slots)))
-	return float64(max(0, d.Prompt-p.Cached))*p.Pace.ReadTime + float64(d.Output)*token
+	return float64(max(0, d.Prompt-p.Cached))*p.Pace.PrefillPerToken + float64(d.Output)*token
 }
 
 // congestion returns the service's congestion for requests of a level; fair shares apply from 1.
@@ -196,12 +196,12 @@
 // plainCongestion returns the recent mean occupancy of a service without an engine, relative to
 // the occupancy at which fair shares apply to requests like d. It uses a mean because queues
 // absorb bursts. The caller holds b.mu.
-func (b *Balancer) plainCongestion(endpoints []*belief.Endpoint, d *Demand, now time.Time) float64 {
+func (b *Balancer) plainCongestion(endpoints []*discovery.Endpoint, d *Demand, now time.Time) float64 {
 	own, others, slots := 0, 0, 0
 	r := b.workingSet(d.Service.Name, endpoints)
 	for i, l := range r.loads {
 		e := r.endpoints[i]
-		if e.Closed() || !e.GraceUntil.IsZero() {
+		if e.RejectsNew() || !e.GraceUntil.IsZero() {
 			continue
 		}
 		own += l.running
@@ -230,7 +230,7 @@
 // A TeamUse is a team's use of a service, as reported by one instance.
 type TeamUse struct {
 	Service uint32 // hash of its name
-	fair.Use
+	fair.Usage
 }
 
 // TeamUses returns the use to report to other instances. It is empty while nothing is scarce.
@@ -239,8 +239,8 @@
 	defer b.mu.Unlock()
 	var out []TeamUse
 	for name, s := range b.shares {
-		for _, u := range s.Uses(b.now()) {
-			out = append(out, TeamUse{Service: serviceHash(name), Use: u})
+		for _, u := range s.Report(b.now()) {
+			out = append(out, TeamUse{Service: serviceHash(name), Usage: u})
 		}
 	}
 	return out
@@ -253,10 +253,10 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	byService := make(map[uint32][]fair.Use)
+	byService := make(map[uint32][]fair.Usage)
 	for _, u := range uses {
 		if u.Level >= 0 && u.Level < fair.Levels {
-			byService[u.Service] = append(byService[u.Service], u.Use)
+			byService[u.Service] = append(byService[u.Service], u.Usage)
 		}
 	}
 	for hash, serviceUses := range byService {
--- a/balance/fair_test.go
+++ b/balance/fair_test.go
@@ -111,7 +111,7 @@
 			return &balance.Demand{Service: f.engines, Priority: 2, Objective: 500 * time.Millisecond, Prompt: 400, Output: 40}
 		}
 		r.duration = func(p *balance.Placement) time.Duration {
-			p.First(16 * time.Millisecond)
+			p.RecordFirstEvent(16 * time.Millisecond)
 			return 200 * time.Millisecond * time.Duration(max(1, (r.running[p.Endpoint.ID]+7)/8))
 		}
 		return r
@@ -195,7 +195,7 @@
 					f.now = f.now.Add(time.Millisecond)
 					d.Team = uint32(i*7919%23000 + 1)
 					b.Grant(1, f.endpoints, d)
-					b.Placed()
+					b.TakeNotices()
 					if !short {
 						b.Merge(1, nil, nil, true)
 					}
@@ -237,7 +237,7 @@
 			r.completions = append(r.completions, completion{r.now.Add(r.duration(p)), p})
 			continue
 		}
-		if refusal.Cause != balance.TeamShare {
+		if refusal.Cause != balance.TeamOverShare {
 			continue
 		}
 		refused++
--- a/balance/fetch.go
+++ b/balance/fetch.go
@@ -10,7 +10,7 @@
 import (
 	"time"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 const (
@@ -24,7 +24,7 @@
 
 // A donor is an engine from which parts may be fetched.
 type donor struct {
-	endpoint *belief.Endpoint
+	endpoint *discovery.Endpoint
 	load     *load
 }
 
@@ -43,23 +43,23 @@
 	b.regions = regions
 	b.multiRegion = false
 	for dataCentre := range regions {
-		b.multiRegion = b.multiRegion || b.regions.Between(b.dataCentre, dataCentre) == Beyond
+		b.multiRegion = b.multiRegion || b.regions.Between(b.dataCentre, dataCentre) == OtherRegion
 	}
 	b.invalidateWorkingSets()
 }
 
 // donors returns the engines from which parts of a prompt may be fetched, and sets b.cachedTokens
 // per endpoint. The result is valid until the next call. The caller holds b.mu.
-func (b *Balancer) donors(endpoints []*belief.Endpoint, loads []*load, d *Demand, now time.Time) donors {
+func (b *Balancer) donors(endpoints []*discovery.Endpoint, loads []*load, d *Demand, now time.Time) donors {
 	out := donors{all: b.donorBuf[:0]}
 	b.cachedTokens = b.cachedTokens[:0]
 	memory := int(cacheMemoryShare * float64(d.Service.Engine.MemoryTokens))
-	fetches := d.Service.Engine.Fetches()
+	fetches := d.Service.Engine.CanFetchCache()
 	for i, e := range endpoints {
 		l := loads[i]
 		held := min(l.cached(d.Parts, memory), d.Prompt)
 		b.cachedTokens = append(b.cachedTokens, held)
-		if !fetches || held < max(minFetchTokens, out.tokens) || e.Closed() || l.draining(now) || l.backoffRemaining(now) > 0 || l.hasLimit() || e.Cold(now) || l.avoided(e, now, false) || !b.inAllowedRegion(e, d) {
+		if !fetches || held < max(minFetchTokens, out.tokens) || e.RejectsNew() || l.draining(now) || l.backoffRemaining(now) > 0 || l.hasLimit() || e.Cold(now) || l.avoided(e, now, false) || !b.inAllowedRegion(e, d) {
 			continue
 		}
 		if held > out.tokens {
@@ -114,7 +114,7 @@
 	if c == nil {
 		return
 	}
-	move := d.Service.Engine.MoveTime(tokens)
+	move := d.Service.Engine.CacheTransferMS(tokens)
 	if regions.Between(c.endpoint.DataCentre, p.Endpoint.DataCentre) != SameDataCentre {
 		move *= crossDataCentreFetchFactor
 	}
--- a/balance/fetch_test.go
+++ b/balance/fetch_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 // fetchFixture returns n engines that can fetch parts from each other. e0 caches the first 6,200
@@ -15,7 +15,7 @@
 	f.engines.Engine.TokenBytes, f.engines.Engine.LinkMbps = 18432, 550_000
 	b := f.balancer()
 	b.Place(f.endpoints[:1], f.long(5)).Done(balance.Served)
-	b.Placed()
+	b.TakeNotices()
 	f.now = f.now.Add(time.Second)
 	d := f.long(5)
 	d.Avoid = []uint32{balance.EndpointHash("e0")}
@@ -29,7 +29,7 @@
 	if p.Endpoint.ID != "e1" || p.Donor != f.endpoints[0] || p.Fetched != 6200 || p.Cached != 6200 {
 		t.Fatalf("placed at %s with %d tokens cached, %d fetched from %v, want e1, 6200 and 6200 from e0", p.Endpoint.ID, p.Cached, p.Fetched, p.Donor)
 	}
-	notices := b.Placed()
+	notices := b.TakeNotices()
 	if len(notices) != 1 || notices[0].Fetched != 6200 || notices[0].Uncached != 2800 {
 		t.Fatalf("notices %+v, want 6200 tokens fetched and 2800 to prefill", notices)
 	}
@@ -51,7 +51,7 @@
 			f.endpoints[0].ColdUntil = f.now.Add(time.Second)
 		}},
 		{"can't be reached", func(f *fixture, b *balance.Balancer, _ *balance.Demand) {
-			b.Place(f.endpoints[:1], f.long(5)).Unreachable()
+			b.Place(f.endpoints[:1], f.long(5)).RecordUnreachable()
 		}},
 		{"is in another region", func(f *fixture, b *balance.Balancer, _ *balance.Demand) {
 			f.endpoints[0].DataCentre = "far"
@@ -76,7 +76,7 @@
 	f, b, d := fetchFixture(5)
 	f.endpoints[0].DataCentre = "y"
 	for _, e := range f.endpoints[1:3] {
-		b.Place([]*belief.Endpoint{e}, f.long(5)).Done(balance.Served)
+		b.Place([]*discovery.Endpoint{e}, f.long(5)).Done(balance.Served)
 	}
 	d.Avoid = append(d.Avoid, balance.EndpointHash("e1"), balance.EndpointHash("e2"))
 	used := make(map[string]int)
--- a/balance/grant.go
+++ b/balance/grant.go
@@ -5,31 +5,31 @@
 import (
 	"time"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 // A Choice is an endpoint that one instance chose for another, with the estimates behind it.
 type Choice struct {
-	Endpoint uint32 // EndpointHash of its incarnation; zero: no endpoint is eligible
-	Cost     float64
-	Cached   int    // prompt tokens presumed cached at the endpoint, or fetched by it
-	Fetched  int    // tokens of Cached to fetch from Donor
-	Donor    uint32 // EndpointHash of its incarnation; zero: none
-	Backlog  time.Duration
-	Ahead    float64 // Backlog in tokens
-	Wait     float64 // ms before prefill of the prompt starts
-	Pace     Pace
-	Failing  float64 // failure rate of the service
-	Excess   float64 // failure rate of the endpoint above that of the service
-	Spare    bool    // the scheduler's retry budget covers another retry of the request
-	Lent     bool    // a retry was charged, but no endpoint chosen
+	Endpoint       uint32 // EndpointHash of its incarnation; zero: no endpoint is eligible
+	Cost           float64
+	Cached         int    // prompt tokens presumed cached at the endpoint, or fetched by it
+	Fetched        int    // tokens of Cached to fetch from Donor
+	Donor          uint32 // EndpointHash of its incarnation; zero: none
+	Backlog        time.Duration
+	BacklogTokens  float64 // Backlog in tokens
+	Wait           float64 // ms before prefill of the prompt starts
+	Pace           Pace
+	FailureRate    float64 // failure rate of the service
+	ExcessFailures float64 // failure rate of the endpoint above that of the service
+	RetryAvailable bool    // the scheduler's retry budget covers another retry of the request
+	RetryCharged   bool    // a retry was charged, but no endpoint chosen
 	// Refusal is set, and Endpoint zero, if the request is refused.
 	Refusal *Refusal
 }
 
 // Grant chooses an endpoint for another instance, and counts the request as running there until
 // that instance's next report about the endpoint.
-func (b *Balancer) Grant(instance uint64, endpoints []*belief.Endpoint, d *Demand) Choice {
+func (b *Balancer) Grant(instance uint64, endpoints []*discovery.Endpoint, d *Demand) Choice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -39,7 +39,7 @@
 	}
 	l := p.load
 	b.spendCold(p.Endpoint, l, d.Service, now)
-	spare := b.retries.account(d, now)
+	available := b.retries.account(d, now)
 	p.charge = newCharge(d, p.Cached)
 	r := l.remotes[instance]
 	r.add(p.charge)
@@ -58,8 +58,8 @@
 		l.markSuspect(now)
 	}
 	c := Choice{
-		Endpoint: l.hash, Cost: p.Cost, Cached: p.Cached, Backlog: p.Backlog, Ahead: p.Ahead, Wait: p.Wait, Pace: p.Pace,
-		Failing: p.failureRate, Excess: l.observed.excess(p.failureRate), Spare: spare,
+		Endpoint: l.hash, Cost: p.Cost, Cached: p.Cached, Backlog: p.Backlog, BacklogTokens: p.BacklogTokens, Wait: p.Wait, Pace: p.Pace,
+		FailureRate: p.failureRate, ExcessFailures: l.observed.excess(p.failureRate), RetryAvailable: available,
 	}
 	if p.donor != nil {
 		c.Fetched, c.Donor = p.Fetched, p.donor.hash
@@ -72,7 +72,7 @@
 // draining, unreachable from here, in back-off for this instance, already tried, or not allowed to
 // serve the request. If a permit must be requested first, it returns a refusal with cause
 // PermitWanted.
-func (b *Balancer) Adopt(c Choice, endpoints []*belief.Endpoint, d *Demand) (*Placement, *Refusal) {
+func (b *Balancer) Adopt(c Choice, endpoints []*discovery.Endpoint, d *Demand) (*Placement, *Refusal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -93,12 +93,12 @@
 	}
 	if d.Service.Engine != nil {
 		l.stats = b.statsFor(d.Service.Name)
-		l.stats.prefillPerToken.Hear(c.Pace.ReadTime)
-		l.stats.stepTime.Hear(c.Pace.StepTime)
+		l.stats.prefillPerToken.MergePeer(c.Pace.PrefillPerToken)
+		l.stats.stepTime.MergePeer(c.Pace.StepTime)
 	}
-	p := &Placement{Endpoint: e, Cost: c.Cost, Cached: c.Cached, Backlog: c.Backlog, Ahead: c.Ahead, Wait: c.Wait, Pace: c.Pace, Granted: true, Spare: c.Spare, failureRate: c.Failing, excessFailures: c.Excess, load: l, Distance: l.distance}
-	if p.Distance == Beyond {
-		p.Crossing, _ = b.crossingCosts(d, now)
+	p := &Placement{Endpoint: e, Cost: c.Cost, Cached: c.Cached, Backlog: c.Backlog, BacklogTokens: c.BacklogTokens, Wait: c.Wait, Pace: c.Pace, Granted: true, RetryAvailable: c.RetryAvailable, failureRate: c.FailureRate, excessFailures: c.ExcessFailures, load: l, Distance: l.distance}
+	if p.Distance == OtherRegion {
+		p.CrossRegionCost, _ = b.crossingCosts(d, now)
 	}
 	b.takeDonor(p, &c, r, d)
 	b.begin(p, d, now)
--- a/balance/grant_test.go
+++ b/balance/grant_test.go
@@ -38,9 +38,9 @@
 	f := newFixture(4)
 	a, b := f.balancer(), f.balancer()
 	b.Place(f.endpoints, f.long(5)).Done(balance.Served) // makes the endpoints known to b
-	b.Placed()
+	b.TakeNotices()
 	c := a.Grant(7, f.endpoints, f.long(77))
-	b.Merge(1, a.Placed(), nil, false)
+	b.Merge(1, a.TakeNotices(), nil, false)
 	f.now = f.now.Add(time.Second) // changes the last part
 	if got := b.Grant(9, f.endpoints, f.long(77)); got.Endpoint != c.Endpoint || got.Cached != 6200 {
 		t.Fatalf("granted %+v, want the endpoint of %+v with 6200 tokens cached", got, c)
@@ -53,7 +53,7 @@
 	if p, _ := b.Adopt(balance.Choice{Endpoint: balance.EndpointHash("e1")}, f.endpoints, f.long(5)); p == nil || !p.Granted {
 		t.Fatalf("got %+v, want a placement chosen by another instance", p)
 	}
-	if notices := b.Placed(); len(notices) != 0 {
+	if notices := b.TakeNotices(); len(notices) != 0 {
 		t.Fatalf("notices %+v, want none", notices)
 	}
 }
@@ -62,7 +62,7 @@
 func TestAdoptPrefersLocalKnowledge(t *testing.T) {
 	f := newFixture(3)
 	b := f.balancer()
-	b.Place(f.endpoints[:1], f.long(1)).Unreachable()
+	b.Place(f.endpoints[:1], f.long(1)).RecordUnreachable()
 	f.endpoints[1].Draining = true
 	demand := f.long(2)
 	demand.Avoid = []uint32{balance.EndpointHash("e2")}
@@ -95,14 +95,14 @@
 	b.Place(f.endpoints, d).Done(balance.Served) // makes the endpoints known to b
 	b.Place(f.endpoints, d).Done(balance.Served)
 	p := a.Place(f.endpoints[:1], d)
-	p.Gone()
+	p.RecordGone()
 	p.Done(balance.Refused)
-	for _, whole := range []bool{true, false} {
-		reports, _ := a.Reports(whole, 0)
+	for _, full := range []bool{true, false} {
+		reports, _ := a.Reports(full, 0)
 		if len(reports) != 1 || reports[0].Gone <= 0 {
-			t.Fatalf("whole %v: reports %+v", whole, reports)
+			t.Fatalf("full %v: reports %+v", full, reports)
 		}
-		b.Merge(1, nil, reports, whole)
+		b.Merge(1, nil, reports, full)
 	}
 	f.now = f.now.Add(4 * time.Second)
 	for range 4 {
@@ -137,7 +137,7 @@
 	unreachable := func() *balance.Balancer {
 		b := f.balancer()
 		p := b.Place(f.endpoints[:1], d)
-		p.Unreachable()
+		p.RecordUnreachable()
 		p.Done(balance.Failed)
 		return b
 	}
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -4,8 +4,8 @@
 // that this instance holds to send to them.
 //
 // An endpoint with a rate limit is eligible while a permit for it is held or may be requested.
-// Choosing it does not grant a permit: Admit returns PermitWanted, and the caller requests a
-// permit from the instance that divides the limit, records the answer with TakePermit, and chooses
+// Choosing it does not grant a permit: Admit returns PermitWanted, and the caller requests a permit
+// from the instance that allocates the limit, records the answer with EndPermitRequest, and chooses
 // again. Without a permit, the endpoint is ineligible until permits may be requested again. So no
 // request blocks on an unavailable permit, no load is counted at an endpoint that does not receive
 // the request, and MaySend finds the permit with the placement.
@@ -20,15 +20,15 @@
 	"slices"
 	"time"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 	"ivyridge/fair"
 	"ivyridge/limit"
 )
 
 const (
-	// PermitFor is how long a permit is valid after it was requested, which leaves time to open a
-	// connection. An expired permit is lost.
-	PermitFor = 500 * time.Millisecond
+	// PermitDuration is how long a permit is valid after it was requested, which leaves time to
+	// open a connection. An expired permit is lost.
+	PermitDuration = 500 * time.Millisecond
 	// permitAskTimeout is the timeout of a permit request. Only one is in flight per endpoint.
 	permitAskTimeout = 100 * time.Millisecond
 	// limitLogInterval is the minimum interval between log lines about an endpoint's limit.
@@ -37,18 +37,18 @@
 
 // A limitState is the state of the rate limit of one endpoint incarnation.
 type limitState struct {
-	rateLimit       limit.Word
+	rateLimit       limit.State
 	deniedUntil     [limit.Levels]time.Time // by urgency: no permit may be requested before then at this or lower urgency
 	askPendingUntil time.Time               // a permit request is in flight until then at the latest
 	permits         []time.Time             // expiry times of permits held
-	divider         string                  // address of the instance that answered last
+	allocator       string                  // address of the instance that answered last
 	loggedAt        time.Time
 }
 
 // needsPermit reports whether the endpoint has a limit and no permit for it is held. It drops
 // expired permits. l may be nil.
 func (l *limitState) needsPermit(now time.Time) bool {
-	if l == nil || !l.rateLimit.Named {
+	if l == nil || !l.rateLimit.Limited {
 		return false
 	}
 	l.permits = slices.DeleteFunc(l.permits, func(until time.Time) bool { return now.After(until) })
@@ -56,10 +56,10 @@
 }
 
 // hasLimit reports whether the endpoint has a rate limit.
-func (l *load) hasLimit() bool { return l.limitState != nil && l.limitState.rateLimit.Named }
+func (l *load) hasLimit() bool { return l.limitState != nil && l.limitState.rateLimit.Limited }
 
 // availableAt returns when a permit may be held or requested at an urgency. A denial does not
-// block requests that are more urgent, since the divider reserves permits for them.
+// block requests that are more urgent, since the allocator reserves permits for them.
 func (l *limitState) availableAt(urgency int, now time.Time) time.Time {
 	if !l.needsPermit(now) {
 		return now
@@ -78,7 +78,7 @@
 
 // takePermit removes a permit and returns its expiry; zero if there is none. l may be nil.
 func (l *limitState) takePermit(now time.Time) (until time.Time) {
-	if l == nil || !l.rateLimit.Named || l.needsPermit(now) {
+	if l == nil || !l.rateLimit.Limited || l.needsPermit(now) {
 		return time.Time{}
 	}
 	until = l.permits[0]
@@ -102,28 +102,28 @@
 		return
 	}
 	same := before.id == id || l.id == id // one of the two was recorded without a start time
-	if same || before.limitState.rateLimit.At.After(l.firstSeen.Add(-birthDelay)) {
+	if same || before.limitState.rateLimit.AsOf.After(l.firstSeen.Add(-birthDelay)) {
 		l.limitState = before.limitState
 	}
 }
 
-// Limits records that the endpoint's response announces a rate limit, in requests/s. It reports
-// whether the change should be logged.
-func (p *Placement) Limits(rate float64) (isNew bool) {
+// RecordLimit records that the endpoint's response announces a rate limit, in requests/s. It
+// reports whether the change should be logged.
+func (p *Placement) RecordLimit(rate float64) (isNew bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	l := b.ensureLimit(p.load)
-	if !l.rateLimit.Name(rate, now) {
+	if !l.rateLimit.Set(rate, now) {
 		return false
 	}
 	return p.limitChanged(l, now)
 }
 
-// Unlimited records that the endpoint's own response announces no rate limit. It reports whether
-// the change should be logged.
-func (p *Placement) Unlimited() (isNew bool) {
+// RecordNoLimit records that the endpoint's own response announces no rate limit. It reports
+// whether the change should be logged.
+func (p *Placement) RecordNoLimit() (isNew bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -146,23 +146,23 @@
 }
 
 // Limit returns the announced rate limit in requests/s, the time since it was announced, and the
-// address of the instance that last divided it; ok is false if there is no limit.
-func (p *Placement) Limit() (rate float64, age time.Duration, divider string, ok bool) {
+// address of the instance that last allocated it; ok is false if there is no limit.
+func (p *Placement) Limit() (rate float64, age time.Duration, allocator string, ok bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := p.load.limitState
-	if l == nil || !l.rateLimit.Named {
+	if l == nil || !l.rateLimit.Limited {
 		return 0, 0, "", false
 	}
-	return l.rateLimit.Rate, b.now().Sub(l.rateLimit.At), l.divider, true
+	return l.rateLimit.Rate, b.now().Sub(l.rateLimit.AsOf), l.allocator, true
 }
 
 // usePermit reports whether the request may be sent under the endpoint's rate limit, if any, and
 // consumes its permit.
 func (p *Placement) usePermit(now time.Time) bool {
 	l := p.load.limitState
-	if l == nil || !l.rateLimit.Named {
+	if l == nil || !l.rateLimit.Limited {
 		return true
 	}
 	until := p.permit
@@ -200,25 +200,25 @@
 	return &Refusal{Cause: PermitWanted, Limited: best.Endpoint, Urgency: b.urgency(d, now)}
 }
 
-// WantPermit records that the caller is about to request a permit for an endpoint, and returns the
-// endpoint's hash and the known limit. ok is false if no permit is needed, none may be requested
-// yet, or a request is already in flight.
-func (b *Balancer) WantPermit(e *belief.Endpoint, urgency int) (endpoint uint32, word limit.Word, ok bool) {
+// BeginPermitRequest records that the caller is about to request a permit for an endpoint, and
+// returns the endpoint's hash and the known limit. ok is false if no permit is needed, none may be
+// requested yet, or a request is already in flight.
+func (b *Balancer) BeginPermitRequest(e *discovery.Endpoint, urgency int) (endpoint uint32, state limit.State, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	l := b.load(e.Incarnation())
 	if !l.limitState.needsPermit(now) || l.limitState.closed(urgency, now) {
-		return 0, limit.Word{}, false
+		return 0, limit.State{}, false
 	}
 	l.limitState.askPendingUntil = now.Add(permitAskTimeout)
 	b.limitsClosedUntil = latest(b.limitsClosedUntil, l.limitState.askPendingUntil)
 	return l.hash, l.limitState.rateLimit, true
 }
 
-// TakePermit records the answer of the instance at address divider to a permit request that was
-// sent at asked.
-func (b *Balancer) TakePermit(endpoint uint32, urgency int, a limit.Answer, divider string, asked time.Time) {
+// EndPermitRequest records the answer of the instance at address allocator to a permit request that
+// was sent at asked.
+func (b *Balancer) EndPermitRequest(endpoint uint32, urgency int, a limit.Answer, allocator string, asked time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.loadsByHash[endpoint]
@@ -226,11 +226,11 @@
 		return
 	}
 	lim := l.limitState
-	lim.rateLimit.Merge(a.Word)
+	lim.rateLimit.Merge(a.State)
 	lim.askPendingUntil = time.Time{}
-	lim.divider = divider
+	lim.allocator = allocator
 	if a.Granted {
-		lim.permits = append(lim.permits, asked.Add(PermitFor))
+		lim.permits = append(lim.permits, asked.Add(PermitDuration))
 		return
 	}
 	until := b.now().Add(a.Wait)
@@ -238,48 +238,48 @@
 	b.limitsClosedUntil = latest(b.limitsClosedUntil, until)
 }
 
-// Word returns the known state of an endpoint's rate limit.
-func (b *Balancer) Word(endpoint uint32) limit.Word {
+// LimitState returns the known state of an endpoint's rate limit.
+func (b *Balancer) LimitState(endpoint uint32) limit.State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if l := b.loadsByHash[endpoint]; l != nil && l.limitState != nil {
 		return l.limitState.rateLimit
 	}
-	return limit.Word{}
+	return limit.State{}
 }
 
-// A ToldLimit is the rate limit of an endpoint as reported between instances. The zero value
+// A ReportedLimit is the rate limit of an endpoint as reported between instances. The zero value
 // reports nothing.
-type ToldLimit struct {
-	Known bool
-	Named bool
-	Rate  float64       // requests/s, if Named
-	Age   time.Duration // since the endpoint announced it
+type ReportedLimit struct {
+	Known   bool
+	Limited bool
+	Rate    float64       // requests/s, if Limited
+	Age     time.Duration // since the endpoint announced it
 }
 
-// Word converts the report to the limit's state as of now.
-func (t *ToldLimit) Word(now time.Time) limit.Word {
+// State converts the report to the limit's state as of now.
+func (t *ReportedLimit) State(now time.Time) limit.State {
 	if !t.Known {
-		return limit.Word{}
+		return limit.State{}
 	}
-	return limit.Told(t.Named, t.Rate, t.Age, now)
+	return limit.Received(t.Limited, t.Rate, t.Age, now)
 }
 
-// toldLimit returns the limit to report to other instances.
-func (l *load) toldLimit(now time.Time) ToldLimit {
-	if l.limitState == nil || !l.limitState.rateLimit.Matters(now) {
-		return ToldLimit{}
+// reportedLimit returns the limit to report to other instances.
+func (l *load) reportedLimit(now time.Time) ReportedLimit {
+	if l.limitState == nil || !l.limitState.rateLimit.Reportable(now) {
+		return ReportedLimit{}
 	}
 	w := &l.limitState.rateLimit
-	return ToldLimit{Known: true, Named: w.Named, Rate: w.Rate, Age: max(0, now.Sub(w.At))}
+	return ReportedLimit{Known: true, Limited: w.Limited, Rate: w.Rate, Age: max(0, now.Sub(w.AsOf))}
 }
 
 // mergeLimit merges another instance's report of l's limit. The caller holds b.mu.
-func (b *Balancer) mergeLimit(l *load, t *ToldLimit, now time.Time) {
-	if !t.Known || l.limitState == nil && !t.Named {
+func (b *Balancer) mergeLimit(l *load, t *ReportedLimit, now time.Time) {
+	if !t.Known || l.limitState == nil && !t.Limited {
 		return
 	}
-	b.ensureLimit(l).rateLimit.Merge(t.Word(now))
+	b.ensureLimit(l).rateLimit.Merge(t.State(now))
 }
 
 // closedLimits returns the hashes of endpoints for which no permit may be requested at an urgency
@@ -315,7 +315,7 @@
 	b.countUnpermitted(d, loads, now)
 	rate := 0.0
 	for _, l := range loads {
-		if l.limitState != nil && l.limitState.rateLimit.Named {
+		if l.limitState != nil && l.limitState.rateLimit.Limited {
 			rate += l.limitState.rateLimit.Rate / float64(b.instances)
 		}
 	}
@@ -328,13 +328,13 @@
 
 // countUnpermitted counts a request without a permit in its team's demand. The caller holds b.mu.
 func (b *Balancer) countUnpermitted(d *Demand, loads []*load, now time.Time) {
-	if d.Offered {
+	if d.Counted {
 		return
 	}
 	stats := b.statsFor(d.Service.Name)
 	stats.permits.count(now, false)
-	atAny := &Placement{Pace: Pace{ReadTime: loads[0].prefillPerToken, StepTime: loads[0].stepTime}}
-	r := fair.Request{Team: d.Team, Level: d.level(), Work: work(d, atAny), Congestion: stats.limitCongestion(now), Fixed: true}
+	atAny := &Placement{Pace: Pace{PrefillPerToken: loads[0].prefillPerToken, StepTime: loads[0].stepTime}}
+	r := fair.Request{Team: d.Team, Level: d.level(), Work: work(d, atAny), Congestion: stats.limitCongestion(now), Unlimited: true}
 	b.sharesOf(d.Service.Name).Offer(now, &r)
 }
 
@@ -394,7 +394,7 @@
 	DataCentre string
 	Rate       float64       // requests/s from all instances together
 	Age        time.Duration // since it was announced
-	Divider    string        // address of the instance that last divided it; empty: none was asked
+	Allocator  string        // address of the instance that last allocated it; empty: none was asked
 	Closed     time.Duration // time until a permit may be requested
 	Permits    int           // held
 }
@@ -406,9 +406,9 @@
 	now := b.now()
 	var out []Limit
 	for _, l := range b.limited {
-		if w := &l.limitState.rateLimit; w.Named {
+		if w := &l.limitState.rateLimit; w.Limited {
 			short := l.limitState.needsPermit(now)
-			lim := Limit{Endpoint: l.endpointID, Hash: l.hash, DataCentre: l.dataCentre, Rate: w.Rate, Age: now.Sub(w.At), Divider: l.limitState.divider, Permits: len(l.limitState.permits)}
+			lim := Limit{Endpoint: l.endpointID, Hash: l.hash, DataCentre: l.dataCentre, Rate: w.Rate, Age: now.Sub(w.AsOf), Allocator: l.limitState.allocator, Permits: len(l.limitState.permits)}
 			if short {
 				lim.Closed = l.limitState.availableAt(limit.Levels-1, now).Sub(now)
 			}
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
+	"ivyridge/discovery"
 	"ivyridge/limit"
 )
 
@@ -17,7 +17,7 @@
 // announceLimit makes an endpoint announce a rate limit in a response.
 func (f *fixture) announceLimit(b *balance.Balancer, endpoint int, rate float64) {
 	p := b.Place(f.endpoints[endpoint:endpoint+1], f.stream())
-	p.Limits(rate)
+	p.RecordLimit(rate)
 	p.Done(balance.Served)
 	f.now = f.now.Add(time.Millisecond)
 }
@@ -31,14 +31,14 @@
 	if p != nil || refusal.Cause != balance.PermitWanted || refusal.Limited != f.endpoints[0] {
 		t.Fatalf("got %+v, %+v, want refusal with cause PermitWanted", p, refusal)
 	}
-	endpoint, known, ok := b.WantPermit(refusal.Limited, urgency)
-	if !ok || !known.Named || known.Rate != 1.2 {
+	endpoint, known, ok := b.BeginPermitRequest(refusal.Limited, urgency)
+	if !ok || !known.Limited || known.Rate != 1.2 {
 		t.Fatalf("got %+v, %v, want a limit of 1.2", known, ok)
 	}
-	if _, _, again := b.WantPermit(refusal.Limited, urgency); again {
+	if _, _, again := b.BeginPermitRequest(refusal.Limited, urgency); again {
 		t.Error("two permit requests in flight")
 	}
-	b.TakePermit(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
 	p, refusal = b.Admit(f.endpoints, f.stream())
 	if refusal != nil || !p.MaySend() {
 		t.Fatalf("refused with a permit: %+v", refusal)
@@ -57,15 +57,15 @@
 	f := newFixture(2)
 	b := f.balancer()
 	f.announceLimit(b, 0, 1.2)
-	endpoint, _, _ := b.WantPermit(f.endpoints[0], urgency)
-	b.TakePermit(endpoint, urgency, limit.Answer{Wait: 700 * time.Millisecond}, "a", f.now)
+	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
+	b.EndPermitRequest(endpoint, urgency, limit.Answer{Wait: 700 * time.Millisecond}, "a", f.now)
 	for range 10 {
 		if p, refusal := b.Admit(f.endpoints, f.stream()); refusal != nil || p.Endpoint != f.endpoints[1] {
 			t.Fatalf("got %+v, want a placement at the other endpoint", refusal)
 		}
 	}
-	if got := b.Resting(f.stream()); len(got) != 1 || got[0] != endpoint {
-		t.Errorf("Resting() = %v, want the closed endpoint", got)
+	if got := b.ClosedEndpoints(f.stream()); len(got) != 1 || got[0] != endpoint {
+		t.Errorf("ClosedEndpoints() = %v, want the closed endpoint", got)
 	}
 	var longest time.Duration
 	for range 100 {
@@ -89,8 +89,8 @@
 	f := newFixture(1)
 	b := f.balancer()
 	f.announceLimit(b, 0, 1.2)
-	endpoint, _, _ := b.WantPermit(f.endpoints[0], 4)
-	b.TakePermit(endpoint, 4, limit.Answer{Wait: time.Second}, "a", f.now)
+	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], 4)
+	b.EndPermitRequest(endpoint, 4, limit.Answer{Wait: time.Second}, "a", f.now)
 	if _, refusal := b.Admit(f.endpoints, f.long(9)); refusal == nil || refusal.Cause != balance.EndpointsLimited {
 		t.Errorf("less urgent request got %+v, want cause EndpointsLimited", refusal)
 	}
@@ -109,8 +109,8 @@
 	if early.MaySend() {
 		t.Error("request may be sent without a permit")
 	}
-	endpoint, _, _ := b.WantPermit(f.endpoints[0], urgency)
-	b.TakePermit(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
+	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
 	p, _ := b.Admit(f.endpoints, f.stream())
 	p.Done(balance.Unknown) // connection failed
 	p, refusal := b.Admit(f.endpoints, f.stream())
@@ -130,14 +130,14 @@
 	early, _ := b.Admit(f.endpoints, f.stream())
 	f.now = f.now.Add(time.Millisecond)
 	f.announceLimit(b, 0, 1.2)
-	if early.Unlimited() {
+	if early.RecordNoLimit() {
 		t.Error("response that may predate the limit lifts it")
 	}
-	endpoint, _, _ := b.WantPermit(f.endpoints[0], urgency)
-	b.TakePermit(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
+	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
 	p, _ := b.Admit(f.endpoints, f.stream())
 	f.now = f.now.Add(2 * time.Second)
-	if !p.Unlimited() {
+	if !p.RecordNoLimit() {
 		t.Error("response without a limit does not lift it")
 	}
 	if _, refusal := b.Admit(f.endpoints, f.stream()); refusal != nil {
@@ -159,17 +159,17 @@
 	if _, refusal := other.Admit(f.endpoints, f.stream()); refusal == nil || refusal.Cause != balance.PermitWanted {
 		t.Errorf("another instance got %+v, want cause PermitWanted", refusal)
 	}
-	if sums, _ := other.Sums(func(uint64) bool { return true }, true, 0); len(sums) != 1 || !sums[0].Limit.Named {
+	if sums, _ := other.AggregateReports(func(uint64) bool { return true }, true, 0); len(sums) != 1 || !sums[0].Limit.Limited {
 		t.Errorf("sums %+v, want one with the limit", sums)
 	}
-	endpoint, _, _ := b.WantPermit(f.endpoints[0], urgency)
-	b.TakePermit(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
+	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
 	f.now = f.now.Add(400 * time.Millisecond)
 	p, _ := b.Admit(f.endpoints, f.stream())
-	p.Unlimited()
+	p.RecordNoLimit()
 	f.now = f.now.Add(time.Second)
 	p, _ = b.Admit(f.endpoints, f.stream()) // reported limits count as older than they are
-	p.Unlimited()
+	p.RecordNoLimit()
 	report()
 	if _, refusal := other.Admit(f.endpoints, f.stream()); refusal != nil {
 		t.Errorf("request refused after the limit was lifted: %+v", refusal)
@@ -184,14 +184,14 @@
 	f.announceLimit(b, 0, 1.2)
 	listed := *f.endpoints[0]
 	listed.Born = 1000
-	known := []*belief.Endpoint{&listed}
+	known := []*discovery.Endpoint{&listed}
 	if _, refusal := b.Admit(known, f.stream()); refusal == nil || refusal.Cause != balance.PermitWanted {
 		t.Errorf("request got %+v once the start time is known, want cause PermitWanted", refusal)
 	}
 	f.now = f.now.Add(time.Minute)
 	anew := listed
 	anew.Born = 61000
-	if _, refusal := b.Admit([]*belief.Endpoint{&anew}, f.stream()); refusal != nil {
+	if _, refusal := b.Admit([]*discovery.Endpoint{&anew}, f.stream()); refusal != nil {
 		t.Errorf("request to a restarted process refused: %+v", refusal)
 	}
 }
@@ -208,8 +208,8 @@
 	if p != nil || refusal == nil || refusal.Cause != balance.PermitWanted {
 		t.Fatalf("got %+v, %+v, want refusal with cause PermitWanted", p, refusal)
 	}
-	endpoint, _, _ := instance.WantPermit(f.endpoints[0], urgency)
-	instance.TakePermit(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	endpoint, _, _ := instance.BeginPermitRequest(f.endpoints[0], urgency)
+	instance.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
 	if p, _ = instance.Adopt(c, f.endpoints, f.stream()); p == nil || !p.MaySend() {
 		t.Error("grant is not adopted with a permit")
 	}
@@ -233,9 +233,9 @@
 				if p != nil {
 					placed = append(placed, p)
 				} else if refusal != nil && refusal.Cause == balance.PermitWanted {
-					if endpoint, _, ok := b.WantPermit(refusal.Limited, urgency); ok {
+					if endpoint, _, ok := b.BeginPermitRequest(refusal.Limited, urgency); ok {
 						answer := limit.Answer{Granted: rapid.Bool().Draw(rt, "granted"), Wait: time.Duration(rapid.IntRange(1, 500).Draw(rt, "wait")) * time.Millisecond}
-						b.TakePermit(endpoint, urgency, answer, "a", f.now)
+						b.EndPermitRequest(endpoint, urgency, answer, "a", f.now)
 						if answer.Granted {
 							granted[endpoint] = append(granted[endpoint], f.now)
 						}
@@ -245,7 +245,7 @@
 				f.now = f.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(rt, "ms")) * time.Millisecond)
 			case 3:
 				if len(placed) > 0 {
-					placed[0].Limits(rapid.Float64Range(0, 10).Draw(rt, "rate"))
+					placed[0].RecordLimit(rapid.Float64Range(0, 10).Draw(rt, "rate"))
 				}
 			default:
 				if len(placed) == 0 {
--- a/balance/listing.go
+++ b/balance/listing.go
@@ -20,8 +20,8 @@
 	"slices"
 	"time"
 
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 const (
@@ -47,13 +47,13 @@
 
 // A listing holds the listed endpoints of a service and their working set.
 type listing struct {
-	all    []*belief.Endpoint
-	byHash map[uint32]*belief.Endpoint // by hash of the incarnation
-	open   int                         // number of endpoints accepting new requests
+	all    []*discovery.Endpoint
+	byHash map[uint32]*discovery.Endpoint // by hash of the incarnation
+	open   int                            // number of endpoints accepting new requests
 
-	endpoints []*belief.Endpoint // working set, in the order of all
-	loads     []*load            // states of endpoints, in the same order
-	stale     bool               // endpoints and loads must be rebuilt
+	endpoints []*discovery.Endpoint // working set, in the order of all
+	loads     []*load               // states of endpoints, in the same order
+	stale     bool                  // endpoints and loads must be rebuilt
 
 	size      int       // target size of the working set, approximate
 	grownAt   time.Time // last time size grew
@@ -62,7 +62,7 @@
 }
 
 func newListing() *listing {
-	return &listing{byHash: make(map[uint32]*belief.Endpoint), size: minWorkingSet}
+	return &listing{byHash: make(map[uint32]*discovery.Endpoint), size: minWorkingSet}
 }
 
 // complete reports whether the working set includes all endpoints.
@@ -70,8 +70,8 @@
 
 // update replaces the listed endpoints. Unchanged endpoints keep their pointers and mostly their
 // order, so beyond one pointer comparison each, the cost is proportional to the changes.
-func (r *listing) update(endpoints []*belief.Endpoint) {
-	var removed, added []*belief.Endpoint
+func (r *listing) update(endpoints []*discovery.Endpoint) {
+	var removed, added []*discovery.Endpoint
 	i, j := 0, 0
 	for i < len(r.all) && j < len(endpoints) {
 		switch before, now := r.all[i], endpoints[j]; {
@@ -95,13 +95,13 @@
 		if hash := EndpointHash(e.Incarnation()); r.byHash[hash] == e {
 			delete(r.byHash, hash)
 		}
-		if !e.Closed() {
+		if !e.RejectsNew() {
 			r.open--
 		}
 	}
 	for _, e := range added {
 		r.byHash[EndpointHash(e.Incarnation())] = e
-		if !e.Closed() {
+		if !e.RejectsNew() {
 			r.open++
 		}
 	}
@@ -110,7 +110,7 @@
 }
 
 // isCurrent reports whether endpoints is the slice passed to the last update.
-func (r *listing) isCurrent(endpoints []*belief.Endpoint) bool {
+func (r *listing) isCurrent(endpoints []*discovery.Endpoint) bool {
 	if len(endpoints) != len(r.all) {
 		return false
 	}
@@ -136,7 +136,7 @@
 
 // listing returns the listing of a service, updated to endpoints. Its working set may be stale.
 // The caller holds b.mu.
-func (b *Balancer) listing(service string, endpoints []*belief.Endpoint) *listing {
+func (b *Balancer) listing(service string, endpoints []*discovery.Endpoint) *listing {
 	r := b.listings[service]
 	if r == nil {
 		r = newListing()
@@ -150,7 +150,7 @@
 
 // workingSet returns the listing of a service with a current working set. It is cached while
 // endpoints is the same slice. The caller holds b.mu.
-func (b *Balancer) workingSet(service string, endpoints []*belief.Endpoint) *listing {
+func (b *Balancer) workingSet(service string, endpoints []*discovery.Endpoint) *listing {
 	r := b.listing(service, endpoints)
 	if r.stale {
 		b.rebuild(r)
@@ -164,7 +164,7 @@
 	r.endpoints, r.loads = r.all, r.loads[:0]
 	bound := r.rankLimit()
 	if bound <= math.MaxUint32 {
-		r.endpoints = make([]*belief.Endpoint, 0, r.size+r.size/4)
+		r.endpoints = make([]*discovery.Endpoint, 0, r.size+r.size/4)
 		for _, e := range r.all {
 			if uint64(e.Rank()) < bound {
 				r.endpoints = append(r.endpoints, e)
@@ -177,7 +177,7 @@
 }
 
 // loadFor returns the state of a listed endpoint. The caller holds b.mu.
-func (b *Balancer) loadFor(e *belief.Endpoint) *load {
+func (b *Balancer) loadFor(e *discovery.Endpoint) *load {
 	l := b.load(e.Incarnation())
 	l.distance = b.regions.Between(b.dataCentre, e.DataCentre)
 	b.attachDirective(l, e)
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // newLargeFixture returns n endpoints in five data centres, ordered by ID.
@@ -16,7 +16,7 @@
 	f := newFixture(0)
 	f.engines.Engine.Slots = 32
 	for i := range n {
-		f.endpoints = append(f.endpoints, &belief.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprintf("e%06d", i), DataCentre: fmt.Sprint("dc", i%5), Slots: 8}})
+		f.endpoints = append(f.endpoints, &discovery.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprintf("e%06d", i), DataCentre: fmt.Sprint("dc", i%5), Slots: 8}})
 	}
 	return f
 }
@@ -39,7 +39,7 @@
 			ends = ends[1:]
 		}
 		p := b.Place(f.endpoints, request())
-		b.Placed()
+		b.TakeNotices()
 		at[p.Endpoint.ID]++
 		worst = max(worst, time.Duration(p.Wait*float64(time.Millisecond)))
 		ends = append(ends, runningRequest{f.now.Add(lasts), p})
@@ -132,13 +132,13 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	at, _ := f.load(b, 100, 5*time.Second, 20*time.Millisecond, f.lookup)
 	for range 10 {
-		next := append([]*belief.Endpoint(nil), f.endpoints...)
+		next := append([]*discovery.Endpoint(nil), f.endpoints...)
 		for range 60 {
 			i := rng.IntN(len(next))
 			leaves := *next[i]
 			leaves.Draining = true
 			next[i] = &leaves
-			next = append(next, &belief.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprintf("f%06d", len(next)), DataCentre: leaves.DataCentre, Slots: 8}})
+			next = append(next, &discovery.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprintf("f%06d", len(next)), DataCentre: leaves.DataCentre, Slots: 8}})
 		}
 		f.endpoints = next
 		at, _ = f.load(b, 200, time.Second, 20*time.Millisecond, f.lookup)
@@ -163,9 +163,9 @@
 // unreachable makes connections to an endpoint fail.
 func (f *fixture) unreachable(b *balance.Balancer, id string) {
 	for i, e := range f.endpoints {
-		if e.ID == id && !e.Closed() {
+		if e.ID == id && !e.RejectsNew() {
 			p := b.Place(f.endpoints[i:i+1], f.lookup())
-			p.Unreachable()
+			p.RecordUnreachable()
 			p.Done(balance.Failed)
 		}
 	}
@@ -199,7 +199,7 @@
 			b.Place(f.endpoints, d).Done(balance.Served)
 			report := func(i int) []balance.Report {
 				r := balance.Report{Endpoint: balance.EndpointHash(f.endpoints[i*(n/used)].ID)}
-				r.Requests, r.Memory, r.Ended = i%20/19, 9000, 3
+				r.Requests, r.Memory, r.Completed = i%20/19, 9000, 3
 				return []balance.Report{r}
 			}
 			for other := range others {
@@ -216,7 +216,7 @@
 					b.Merge(uint64(i%others+1), nil, report(i%used), false)
 				}
 				b.Place(f.endpoints, d).Done(balance.Served)
-				b.Placed()
+				b.TakeNotices()
 			}
 		})
 	}
--- a/balance/load.go
+++ b/balance/load.go
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 	"ivyridge/quota"
 	"ivyridge/speed"
 )
@@ -32,44 +32,44 @@
 
 func newCharge(d *Demand, cached int) charge {
 	c := charge{level: d.level(), uncached: max(0, d.Prompt-cached), memory: d.Prompt + d.Output}
-	if d.Pause > 0 {
-		c.exposure = d.weight() / lateness(milliseconds(d.Pause))
+	if d.MaxGap > 0 {
+		c.exposure = d.weight() / lateness(milliseconds(d.MaxGap))
 	}
 	return c
 }
 
 // Running sums the requests that an instance runs at an endpoint, and its recent observations.
 type Running struct {
-	Requests int
-	ByLevel  [levels]int // engine requests by urgency level
-	Unread   int         // prompt tokens of requests whose response has not begun
-	UnreadBy [levels]int // Unread by urgency level
-	Memory   int
-	Exposure float64
-	Down     bool // the instance recently failed to connect to the endpoint
-	Seen
+	Requests              int
+	ByLevel               [levels]int // engine requests by urgency level
+	PendingPrefill        int         // prompt tokens of requests whose response has not begun
+	PendingPrefillByLevel [levels]int // PendingPrefill by urgency level
+	Memory                int
+	Exposure              float64
+	Down                  bool // the instance recently failed to connect to the endpoint
+	Observations
 }
 
-// Seen holds exponentially decayed observations of an endpoint's requests.
-type Seen struct {
-	Ended    float64   // completed requests
-	Failed   float64   // requests of Ended that failed
-	Reading  speed.Sum // prefill times per token
-	Stepping speed.Sum // inter-token times of a request running alone
+// Observations holds exponentially decayed observations of an endpoint's requests.
+type Observations struct {
+	Completed float64       // completed requests
+	Failed    float64       // requests of Completed that failed
+	Prefill   speed.Samples // prefill times per token
+	Step      speed.Samples // inter-token times of a request running alone
 }
 
-func (s *Seen) merge(other *Seen) {
-	s.Ended += other.Ended
+func (s *Observations) merge(other *Observations) {
+	s.Completed += other.Completed
 	s.Failed += other.Failed
-	s.Reading.Merge(other.Reading)
-	s.Stepping.Merge(other.Stepping)
+	s.Prefill.Merge(other.Prefill)
+	s.Step.Merge(other.Step)
 }
 
 func (r *Running) add(c charge) {
 	r.Requests++
 	r.ByLevel[c.level]++
-	r.Unread += c.uncached
-	r.UnreadBy[c.level] += c.uncached
+	r.PendingPrefill += c.uncached
+	r.PendingPrefillByLevel[c.level] += c.uncached
 	r.Memory += c.memory
 	r.Exposure += c.exposure
 }
@@ -79,9 +79,9 @@
 	r.Requests += other.Requests
 	for level, n := range other.ByLevel {
 		r.ByLevel[level] += n
-		r.UnreadBy[level] += other.UnreadBy[level]
+		r.PendingPrefillByLevel[level] += other.PendingPrefillByLevel[level]
 	}
-	r.Unread += other.Unread
+	r.PendingPrefill += other.PendingPrefill
 	r.Memory += other.Memory
 	r.Exposure += other.Exposure
 }
@@ -89,10 +89,10 @@
 // addAll adds everything that another instance reports except Down.
 func (r *Running) addAll(other *Running) {
 	r.addRunning(other)
-	r.merge(&other.Seen)
+	r.merge(&other.Observations)
 }
 
-// remove subtracts a completed request, whose prompt was subtracted from Unread earlier.
+// remove subtracts a completed request, whose prompt was subtracted from PendingPrefill earlier.
 func (r *Running) remove(c charge) {
 	if c == (charge{}) {
 		return
@@ -147,13 +147,13 @@
 	stats              *serviceStats // of its service; nil until first considered for a request
 	prefillPerToken    float64       // ms to prefill a token, as of the last choice
 	stepTime           float64       // ms per token with neither prefill nor other requests, as of the last choice
-	ownObserved        Seen          // from own requests, as of decayedAt
+	ownObserved        Observations  // from own requests, as of decayedAt
 	decayedAt          time.Time
-	others             Running   // requests and observations of other instances, as of refreshedAt
-	observed           Seen      // observations of all instances, as of refreshedAt
-	refreshedAt        time.Time // zero: never
-	stale              bool      // a report or observation arrived since refreshedAt
-	distance           Distance  // from this instance
+	others             Running      // requests and observations of other instances, as of refreshedAt
+	observed           Observations // observations of all instances, as of refreshedAt
+	refreshedAt        time.Time    // zero: never
+	stale              bool         // a report or observation arrived since refreshedAt
+	distance           Distance     // from this instance
 	downUntil          time.Time
 	downFor            time.Duration
 	downReports        int // other instances that recently failed to connect, as of refreshedAt
@@ -163,7 +163,7 @@
 	limitState         *limitState // announced rate limit; nil: none known
 	drainReportedUntil time.Time   // draining until then, as reported by another instance
 	goneUntil          time.Time   // another endpoint has its address; not eligible until then
-	cold               quota.Timed
+	cold               quota.TokenBucket
 	slowness           slowness // self-reported; only for endpoints without an engine
 
 	suspects     int       // own suspect requests running there
@@ -204,7 +204,7 @@
 		}
 	}
 	l.observed = l.recent(now)
-	l.observed.merge(&l.others.Seen)
+	l.observed.merge(&l.others.Observations)
 	l.refreshedAt = now
 	l.stale = false
 }
@@ -336,26 +336,26 @@
 const downQuorum = 2
 
 // failureRate returns the share of completed requests that failed.
-func (s *Seen) failureRate() float64 {
-	if s.Ended == 0 {
+func (s *Observations) failureRate() float64 {
+	if s.Completed == 0 {
 		return 0
 	}
-	return s.Failed / s.Ended
+	return s.Failed / s.Completed
 }
 
 // excess returns how far the endpoint's failure rate exceeds that of its service, shrunk towards
 // zero when few requests have completed. Otherwise random variation would move all traffic to the
 // endpoint with the fewest failures so far.
-func (s *Seen) excess(service float64) float64 {
-	return max(0, (s.Failed+outcomePriorWeight*service)/(s.Ended+outcomePriorWeight)-service)
+func (s *Observations) excess(service float64) float64 {
+	return max(0, (s.Failed+outcomePriorWeight*service)/(s.Completed+outcomePriorWeight)-service)
 }
 
 // recent returns this instance's observations, decayed to now.
-func (l *load) recent(now time.Time) Seen {
+func (l *load) recent(now time.Time) Observations {
 	keep := math.Exp2(-float64(now.Sub(l.decayedAt)) / float64(outcomeHalfLife))
-	s := Seen{Reading: l.ownObserved.Reading.Faded(keep), Stepping: l.ownObserved.Stepping.Faded(keep)}
-	if keep*l.ownObserved.Ended >= minOutcomeWeight {
-		s.Ended, s.Failed = keep*l.ownObserved.Ended, keep*l.ownObserved.Failed
+	s := Observations{Prefill: l.ownObserved.Prefill.Decayed(keep), Step: l.ownObserved.Step.Decayed(keep)}
+	if keep*l.ownObserved.Completed >= minOutcomeWeight {
+		s.Completed, s.Failed = keep*l.ownObserved.Completed, keep*l.ownObserved.Failed
 	}
 	return s
 }
@@ -372,7 +372,7 @@
 		return
 	}
 	l.decay(now)
-	l.ownObserved.Ended++
+	l.ownObserved.Completed++
 	if o != Served {
 		l.ownObserved.Failed++
 	}
@@ -399,7 +399,7 @@
 
 // avoided reports whether the endpoint is skipped. With lastResort, endpoints that are presumed
 // down or whose listing has just expired are eligible, but not those that are gone.
-func (l *load) avoided(e *belief.Endpoint, now time.Time, lastResort bool) bool {
+func (l *load) avoided(e *discovery.Endpoint, now time.Time, lastResort bool) bool {
 	if l.goneUntil.After(now) {
 		return true
 	}
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -17,17 +17,17 @@
 	Parts    []Part
 	Suspect  bool // it was running at an endpoint that terminated
 
-	// Homes are the regions to which Parts may be disclosed. They are not sent.
-	Homes catalog.Homes
+	// Residency is the set of regions to which Parts may be disclosed. It is not sent.
+	Residency catalog.Residency
 }
 
 // A Report is the load of one instance, or of several, at an endpoint.
 type Report struct {
 	Endpoint uint32
 	Gone     time.Duration // time left to skip the endpoint because another one has its address
-	Rest     time.Duration // time left of the endpoint's back-off for that instance
-	Leaves   bool          // the endpoint said that it is draining
-	Limit    ToldLimit     // announced by the endpoint
+	Backoff  time.Duration // time left of the endpoint's back-off for that instance
+	Draining bool          // the endpoint said that it is draining
+	Limit    ReportedLimit // announced by the endpoint
 	Running
 }
 
@@ -39,15 +39,15 @@
 	reportPerInstance = 2 * time.Millisecond
 )
 
-// ReportEvery returns the interval between an instance's reports to the schedulers of its data
+// ReportInterval returns the interval between an instance's reports to the schedulers of its data
 // centre, for n instances in the data centre, or between the data centre's summary reports to
 // others, for n instances in the fleet.
-func ReportEvery(n int) time.Duration {
+func ReportInterval(n int) time.Duration {
 	return min(max(time.Duration(n)*reportPerInstance, minReportInterval), maxReportInterval)
 }
 
-// Placed returns the notices queued since the last call.
-func (b *Balancer) Placed() []Notice {
+// TakeNotices returns the notices queued since the last call.
+func (b *Balancer) TakeNotices() []Notice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	placed := b.pendingNotices
@@ -55,10 +55,10 @@
 	return placed
 }
 
-// Reports returns this instance's load and observations per endpoint. If whole, it returns all
+// Reports returns this instance's load and observations per endpoint. If full, it returns all
 // that are not empty; otherwise those changed after change number since. upTo is the number of the
 // latest change.
-func (b *Balancer) Reports(whole bool, since uint64) (reports []Report, upTo uint64) {
+func (b *Balancer) Reports(full bool, since uint64) (reports []Report, upTo uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -66,85 +66,85 @@
 		recent := l.recent(now)
 		down := l.downUntil.After(now)
 		gone := l.goneRemaining(now)
-		rest, leaves := l.backoffRemaining(now), l.directive != nil && l.directive.draining
-		lim := l.toldLimit(now)
-		idle := l.running == 0 && recent == (Seen{}) && gone == 0 && !down && rest == 0 && !leaves && !lim.Known
-		if whole && idle || !whole && l.changed <= since {
+		backoff, draining := l.backoffRemaining(now), l.directive != nil && l.directive.draining
+		lim := l.reportedLimit(now)
+		idle := l.running == 0 && recent == (Observations{}) && gone == 0 && !down && backoff == 0 && !draining && !lim.Known
+		if full && idle || !full && l.changed <= since {
 			continue
 		}
-		r := Report{Endpoint: l.hash, Gone: gone, Rest: rest, Leaves: leaves, Limit: lim, Running: l.own}
+		r := Report{Endpoint: l.hash, Gone: gone, Backoff: backoff, Draining: draining, Limit: lim, Running: l.own}
 		r.Down = down
 		r.Requests = l.running
-		r.Seen = recent
+		r.Observations = recent
 		reports = append(reports, r)
 	}
 	return reports, b.changes
 }
 
-// Sums returns, per endpoint, the combined reports of the instances for which share is true. If
-// whole, it returns all that are not empty; otherwise those changed after change number since.
-// upTo is the number of the latest change.
-func (b *Balancer) Sums(share func(instance uint64) bool, whole bool, since uint64) (sums []Report, upTo uint64) {
+// AggregateReports returns, per endpoint, the combined reports of the instances for which share is
+// true. If full, it returns all that are not empty; otherwise those changed after change number
+// since. upTo is the number of the latest change.
+func (b *Balancer) AggregateReports(share func(instance uint64) bool, full bool, since uint64) (aggregates []Report, upTo uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	for _, l := range b.loads {
-		if !whole && l.remotesChanged <= since {
+		if !full && l.remotesChanged <= since {
 			continue
 		}
 		r, down := l.sum(share, now)
 		r.Down = down >= downQuorum
-		if whole && r.empty() {
+		if full && r.empty() {
 			continue
 		}
-		sums = append(sums, r)
+		aggregates = append(aggregates, r)
 	}
-	return sums, b.remoteChanges
+	return aggregates, b.remoteChanges
 }
 
 // empty reports whether there is nothing to report.
 func (r *Report) empty() bool {
-	return r.Running == (Running{}) && r.Gone == 0 && r.Rest == 0 && !r.Leaves && !r.Limit.Known
+	return r.Running == (Running{}) && r.Gone == 0 && r.Backoff == 0 && !r.Draining && !r.Limit.Known
 }
 
-// SumsWithOwn is like Sums but includes this instance. If not whole, it returns sums changed after
-// since, or after ownSince for this instance's changes.
-func (b *Balancer) SumsWithOwn(share func(instance uint64) bool, whole bool, since, ownSince uint64) (sums []Report, upTo, ownUpTo uint64) {
+// AggregateReportsWithOwn is like AggregateReports but includes this instance. If not full, it
+// returns aggregates changed after since, or after ownSince for this instance's changes.
+func (b *Balancer) AggregateReportsWithOwn(share func(instance uint64) bool, full bool, since, ownSince uint64) (aggregates []Report, upTo, ownUpTo uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	for _, l := range b.loads {
-		if !whole && l.remotesChanged <= since && l.changed <= ownSince {
+		if !full && l.remotesChanged <= since && l.changed <= ownSince {
 			continue
 		}
 		r, down := l.sum(share, now)
 		own := l.own
 		own.Requests = l.running
-		own.Seen = l.recent(now)
+		own.Observations = l.recent(now)
 		r.Running.addAll(&own)
-		r.Leaves = r.Leaves || l.directive != nil && l.directive.draining
+		r.Draining = r.Draining || l.directive != nil && l.directive.draining
 		if l.downUntil.After(now) {
 			down++
 		}
 		r.Down = down >= downQuorum
-		if whole && r.empty() {
+		if full && r.empty() {
 			continue
 		}
-		sums = append(sums, r)
+		aggregates = append(aggregates, r)
 	}
-	return sums, b.remoteChanges, b.changes
+	return aggregates, b.remoteChanges, b.changes
 }
 
 // sum combines the unexpired reports about l of the instances for which share is true, and counts
 // those that failed to connect.
 func (l *load) sum(share func(instance uint64) bool, now time.Time) (r Report, down int) {
-	r = Report{Endpoint: l.hash, Gone: l.goneRemaining(now), Limit: l.toldLimit(now)}
+	r = Report{Endpoint: l.hash, Gone: l.goneRemaining(now), Limit: l.reportedLimit(now)}
 	for id, remote := range l.remotes {
 		if now.Sub(remote.at) >= remoteTTL || !share(id) {
 			continue
 		}
 		r.Running.addAll(&remote.Running)
-		r.Leaves = r.Leaves || remote.draining
+		r.Draining = r.Draining || remote.draining
 		if remote.Down {
 			down++
 		}
@@ -159,14 +159,14 @@
 	return b.changes
 }
 
-// Merge records another instance's notices and reports. If whole, reports replace all earlier ones
+// Merge records another instance's notices and reports. If full, reports replace all earlier ones
 // of that instance.
-func (b *Balancer) Merge(instance uint64, notices []Notice, reports []Report, whole bool) {
+func (b *Balancer) Merge(instance uint64, notices []Notice, reports []Report, full bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	b.mergeNotices(now, notices)
-	if whole {
+	if full {
 		for _, l := range b.loads {
 			if _, reported := l.remotes[instance]; reported {
 				delete(l.remotes, instance)
@@ -176,8 +176,8 @@
 	}
 	for _, r := range reports {
 		if l := b.loadByHash(r.Endpoint); l != nil {
-			l.remotes[instance] = remote{Running: r.Running, at: now, backoffUntil: now.Add(r.Rest), draining: r.Leaves}
-			if r.Leaves {
+			l.remotes[instance] = remote{Running: r.Running, at: now, backoffUntil: now.Add(r.Backoff), draining: r.Draining}
+			if r.Draining {
 				l.drainReportedUntil = now.Add(drainReportTTL)
 			}
 			b.mergeLimit(l, &r.Limit, now)
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -43,15 +43,15 @@
 
 // A Pace is the estimated speed of an engine when it was chosen.
 type Pace struct {
-	ReadTime  float64 // ms of prefill per prompt token
-	StepTime  float64 // ms per output token of a single request
-	TokenTime float64 // ms per output token at the endpoint's load
+	PrefillPerToken float64 // ms of prefill per prompt token
+	StepTime        float64 // ms per output token of a single request
+	TokenTime       float64 // ms per output token at the endpoint's load
 }
 
 // serviceStats holds the statistics of one service's endpoints.
 type serviceStats struct {
-	prefillPerToken speed.Figure
-	stepTime        speed.Figure
+	prefillPerToken speed.Estimate
+	stepTime        speed.Estimate
 	updatedAt       time.Time
 
 	hold         float64 // mean time in ms that a request holds a slot; zero: unknown
@@ -64,11 +64,11 @@
 	unpermittedRate  decayingCount // own requests refused for lack of a permit
 	permits          permitStats
 
-	readBuf, stepBuf []speed.Sum // reused by refresh
+	readBuf, stepBuf []speed.Samples // reused by refresh
 }
 
 func newServiceStats() *serviceStats {
-	return &serviceStats{prefillPerToken: speed.NewFigure(defaultPrefillPerToken), stepTime: speed.NewFigure(defaultStepTime)}
+	return &serviceStats{prefillPerToken: speed.NewEstimate(defaultPrefillPerToken), stepTime: speed.NewEstimate(defaultStepTime)}
 }
 
 // statsFor returns the statistics of a service, creating them if needed. The caller holds b.mu.
@@ -93,8 +93,8 @@
 	s.updatedAt = now
 	reads, steps := s.readBuf[:0], s.stepBuf[:0]
 	for _, l := range loads {
-		reads = append(reads, l.observed.Reading)
-		steps = append(steps, l.observed.Stepping)
+		reads = append(reads, l.observed.Prefill)
+		steps = append(steps, l.observed.Step)
 	}
 	s.prefillPerToken.Update(reads, passed)
 	s.stepTime.Update(steps, passed)
@@ -104,8 +104,8 @@
 // updateSpeed recomputes the endpoint's speed.
 func (l *load) updateSpeed(stats *serviceStats) {
 	l.stats = stats
-	l.prefillPerToken = stats.prefillPerToken.Of(l.observed.Reading)
-	l.stepTime = stats.stepTime.Of(l.observed.Stepping)
+	l.prefillPerToken = stats.prefillPerToken.ForEndpoint(l.observed.Prefill)
+	l.stepTime = stats.stepTime.ForEndpoint(l.observed.Step)
 }
 
 // tokenTime returns the time per output token, in ms, beside this many requests and the recent
@@ -122,7 +122,7 @@
 	if p.Pace == (Pace{}) {
 		return 0
 	}
-	prefillTime := float64(p.charge.uncached) * p.Pace.ReadTime
+	prefillTime := float64(p.charge.uncached) * p.Pace.PrefillPerToken
 	return time.Duration((p.Wait + prefillTime + fixedOverhead) * float64(time.Millisecond))
 }
 
@@ -133,31 +133,31 @@
 		return
 	}
 	p.prefilled = true
-	p.load.own.Unread -= p.charge.uncached
-	p.load.own.UnreadBy[p.charge.level] -= p.charge.uncached
+	p.load.own.PendingPrefill -= p.charge.uncached
+	p.load.own.PendingPrefillByLevel[p.charge.level] -= p.charge.uncached
 	p.balancer.markChanged(p.load)
 }
 
-// First records that the first event of the request's stream arrived this long after the request
-// was sent to the endpoint.
-func (p *Placement) First(after time.Duration) {
+// RecordFirstEvent records that the first event of the request's stream arrived this long after the
+// request was sent to the endpoint.
+func (p *Placement) RecordFirstEvent(after time.Duration) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p.markPrefilled()
-	tokens := p.Ahead + float64(p.charge.uncached)
+	tokens := p.BacklogTokens + float64(p.charge.uncached)
 	if tokens < minSampleTokens || p.load.stats == nil {
 		return
 	}
 	took := max(milliseconds(after)-fixedOverhead, 1) / tokens
-	weight := tokens / (tokens + halfWeightTokens) * tokens / (tokens + aheadPenalty*p.Ahead)
+	weight := tokens / (tokens + halfWeightTokens) * tokens / (tokens + aheadPenalty*p.BacklogTokens)
 	p.load.decay(b.now())
-	p.load.ownObserved.Reading.Add(p.load.stats.prefillPerToken.Bounded(took), weight)
+	p.load.ownObserved.Prefill.Add(p.load.stats.prefillPerToken.Clamp(took), weight)
 	b.markChanged(p.load)
 }
 
-// Streamed records that the request's stream completed this long after its first event.
-func (p *Placement) Streamed(events int, lasted time.Duration) {
+// RecordStreamEnd records that the request's stream completed this long after its first event.
+func (p *Placement) RecordStreamEnd(events int, lasted time.Duration) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -166,6 +166,6 @@
 	}
 	took := milliseconds(lasted) / float64(p.outputTokens)
 	p.load.decay(b.now())
-	p.load.ownObserved.Stepping.Add(p.load.stats.stepTime.Bounded(p.Pace.StepTime*took/p.Pace.TokenTime), 1)
+	p.load.ownObserved.Step.Add(p.load.stats.stepTime.Clamp(p.Pace.StepTime*took/p.Pace.TokenTime), 1)
 	b.markChanged(p.load)
 }
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -92,7 +92,7 @@
 		f.now = x.at
 		took := x.at.Sub(x.sent)
 		f.errors = append(f.errors, math.Abs(math.Log(float64(took)/float64(x.p.Expected()))))
-		x.p.First(took)
+		x.p.RecordFirstEvent(took)
 		x.p.Done(balance.Served)
 	}
 }
@@ -181,7 +181,7 @@
 	}
 	f.now = f.now.Add(100 * time.Millisecond)
 	for _, p := range placed {
-		p.First(100 * time.Millisecond)
+		p.RecordFirstEvent(100 * time.Millisecond)
 	}
 	if p := b.Place(f.endpoints, f.long(200)); p.Backlog != 0 {
 		t.Errorf("backlog of %s at an engine whose responses have all begun", p.Backlog)
@@ -194,7 +194,7 @@
 	a, b := f.balancer(), f.balancer()
 	b.Place(f.endpoints, f.stream()).Done(balance.Served) // makes the endpoint known to b
 	a.Place(f.endpoints, f.long(5))
-	b.Merge(1, a.Placed(), nil, false)
+	b.Merge(1, a.TakeNotices(), nil, false)
 	f.now = f.now.Add(5 * time.Millisecond)
 	if p := b.Place(f.endpoints, f.stream()); p.Backlog < 100*time.Millisecond {
 		t.Errorf("backlog of %s after another instance announced a long prompt", p.Backlog)
@@ -213,8 +213,8 @@
 	for range 80 {
 		f.now = f.now.Add(2 * time.Second)
 		p := b.Place(f.endpoints, f.stream())
-		p.First(20 * time.Millisecond)
-		p.Streamed(60, 300*12*time.Millisecond) // 300 tokens, 12 ms each
+		p.RecordFirstEvent(20 * time.Millisecond)
+		p.RecordStreamEnd(60, 300*12*time.Millisecond) // 300 tokens, 12 ms each
 		p.Done(balance.Served)
 	}
 	f.now = f.now.Add(time.Second)
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 // An Outcome says how an endpoint served a request.
@@ -21,36 +21,36 @@
 // A Placement is a request at an endpoint, until Done is called. Its methods are safe for
 // concurrent use.
 type Placement struct {
-	Endpoint       *belief.Endpoint
-	Cost           float64
-	Cached         int              // prompt tokens presumed cached at the endpoint, or fetched by it
-	Fetched        int              // tokens of Cached to fetch from Donor
-	Donor          *belief.Endpoint // nil: nothing is fetched
-	Backlog        time.Duration    // estimated time of prefill queued at the endpoint
-	Ahead          float64          // Backlog in tokens
-	Pace           Pace             // estimated speed of the endpoint; zero without an engine
-	Granted        bool             // chosen by another instance
-	Chooser        string           // that instance; empty: this one
-	Spare          bool             // the scheduler's retry budget covers another retry of the request
-	Cold           bool             // the endpoint was cold when the request was placed there
-	Distance       Distance         // from the instance that chose to the endpoint
-	Crossing       float64          // share of Cost for leaving the region
-	failureRate    float64          // failure rate of the service
-	excessFailures float64          // failure rate of the endpoint above that of the service, if another instance chose
-	outputTokens   int              // expected tokens
-	prefillTime    float64          // prefill time of the request in ms
-	Wait           float64          // ms before prefill of the prompt starts, for a slot or queued prompts
-	balancer       *Balancer
-	load           *load
-	donor          *load // nil: nothing is fetched, or chosen by another instance
-	charge         charge
-	startedAt      time.Time
-	permit         time.Time     // expiry of the permit for a rate-limited endpoint; zero: none, or used
-	plainStats     *serviceStats // statistics of a service without an engine; nil for engines
-	suspect        bool
-	done           bool
-	prefilled      bool // the response has begun
-	overdue        bool // already recorded as a failure
+	Endpoint        *discovery.Endpoint
+	Cost            float64
+	Cached          int                 // prompt tokens presumed cached at the endpoint, or fetched by it
+	Fetched         int                 // tokens of Cached to fetch from Donor
+	Donor           *discovery.Endpoint // nil: nothing is fetched
+	Backlog         time.Duration       // estimated time of prefill queued at the endpoint
+	BacklogTokens   float64             // Backlog in tokens
+	Pace            Pace                // estimated speed of the endpoint; zero without an engine
+	Granted         bool                // chosen by another instance
+	Scheduler       string              // that instance; empty: this one
+	RetryAvailable  bool                // the scheduler's retry budget covers another retry of the request
+	Cold            bool                // the endpoint was cold when the request was placed there
+	Distance        Distance            // from the instance that chose to the endpoint
+	CrossRegionCost float64             // share of Cost for leaving the region
+	failureRate     float64             // failure rate of the service
+	excessFailures  float64             // failure rate of the endpoint above that of the service, if another instance chose
+	outputTokens    int                 // expected tokens
+	prefillTime     float64             // prefill time of the request in ms
+	Wait            float64             // ms before prefill of the prompt starts, for a slot or queued prompts
+	balancer        *Balancer
+	load            *load
+	donor           *load // nil: nothing is fetched, or chosen by another instance
+	charge          charge
+	startedAt       time.Time
+	permit          time.Time     // expiry of the permit for a rate-limited endpoint; zero: none, or used
+	plainStats      *serviceStats // statistics of a service without an engine; nil for engines
+	suspect         bool
+	done            bool
+	prefilled       bool // the response has begun
+	overdue         bool // already recorded as a failure
 }
 
 // Done ends the placement and records its outcome. Calls after the first have no effect.
@@ -78,8 +78,8 @@
 	}
 }
 
-// Started records that the endpoint has begun its response.
-func (p *Placement) Started() {
+// RecordStart records that the endpoint has begun its response.
+func (p *Placement) RecordStart() {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,9 +89,9 @@
 	}
 }
 
-// Overdue records that the endpoint has not responded in time. It counts as a failure immediately,
-// before the request has ended.
-func (p *Placement) Overdue() {
+// RecordOverdue records that the endpoint has not responded in time. It counts as a failure
+// immediately, before the request has ended.
+func (p *Placement) RecordOverdue() {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -115,9 +115,9 @@
 	return max(p.excessFailures, p.load.observed.excess(p.failureRate)) > suspectExcess
 }
 
-// Unreachable records that the endpoint did not accept a connection. It is skipped for a while,
-// with exponential back-off.
-func (p *Placement) Unreachable() {
+// RecordUnreachable records that the endpoint did not accept a connection. It is skipped for a
+// while, with exponential back-off.
+func (p *Placement) RecordUnreachable() {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,9 +128,9 @@
 	b.markChanged(p.load)
 }
 
-// Gone records that another endpoint has this one's address. Every start has its own ID, so this
-// endpoint no longer exists. Other instances are told in reports.
-func (p *Placement) Gone() {
+// RecordGone records that another endpoint has this one's address. Every start has its own ID, so
+// this endpoint no longer exists. Other instances are told in reports.
+func (p *Placement) RecordGone() {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/popular.go
+++ b/balance/popular.go
@@ -98,9 +98,9 @@
 	switch {
 	case !known:
 		return
-	case p.Distance == Beyond && p.Cached > 0:
-		count.crossingsPaid += p.Crossing
-	case p.Distance != Beyond && p.Cached-p.Fetched == 0:
+	case p.Distance == OtherRegion && p.Cached > 0:
+		count.crossingsPaid += p.CrossRegionCost
+	case p.Distance != OtherRegion && p.Cached-p.Fetched == 0:
 		count.crossingsPaid = 0
 	default:
 		return
--- a/balance/homes.go
+++ b/balance/residency.go
@@ -8,30 +8,30 @@
 // allowed.
 
 import (
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 // inAllowedRegion reports whether the request may be served in the endpoint's region. The caller
 // holds b.mu.
-func (b *Balancer) inAllowedRegion(e *belief.Endpoint, d *Demand) bool {
-	return !d.Homes.Bound() || d.Homes.Allows(b.regions[e.DataCentre])
+func (b *Balancer) inAllowedRegion(e *discovery.Endpoint, d *Demand) bool {
+	return !d.Residency.Restricted() || d.Residency.Allows(b.regions[e.DataCentre])
 }
 
 // storableParts returns the prompt parts that this instance may store: none if the request may not
 // be served in the instance's region. The caller holds b.mu.
 func (b *Balancer) storableParts(d *Demand) []Part {
-	if d.Homes.Bound() && !d.Homes.Allows(b.regions[b.dataCentre]) {
+	if d.Residency.Restricted() && !d.Residency.Allows(b.regions[b.dataCentre]) {
 		return nil
 	}
 	return d.Parts
 }
 
-// Withhold returns notices with the prompt parts removed that must not be disclosed to region. It
-// does not modify its argument.
-func Withhold(notices []Notice, region string) []Notice {
+// RedactParts returns notices with the prompt parts removed that must not be disclosed to region.
+// It does not modify its argument.
+func RedactParts(notices []Notice, region string) []Notice {
 	var out []Notice
 	for i, n := range notices {
-		if len(n.Parts) == 0 || n.Homes.Allows(region) {
+		if len(n.Parts) == 0 || n.Residency.Allows(region) {
 			continue
 		}
 		if out == nil {
@@ -46,10 +46,10 @@
 }
 
 // restricted reports whether the notice has parts that may only be disclosed to certain regions.
-func (n *Notice) restricted() bool { return n.Homes.Bound() && len(n.Parts) > 0 }
+func (n *Notice) restricted() bool { return n.Residency.Restricted() && len(n.Parts) > 0 }
 
-// AnyBound reports whether any notice has parts that may only be disclosed to certain regions.
-func AnyBound(notices []Notice) bool {
+// AnyRestricted reports whether any notice has parts that may only be disclosed to certain regions.
+func AnyRestricted(notices []Notice) bool {
 	for i := range notices {
 		if notices[i].restricted() {
 			return true
--- a/balance/homes_test.go
+++ b/balance/residency_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // A topology is a random set of data centres, some of them in regions.
 type topology struct {
 	regions   map[string]string // by data centre
-	endpoints []*belief.Endpoint
+	endpoints []*discovery.Endpoint
 }
 
 var regionNames = []string{"north", "south", "east", ""}
@@ -28,7 +28,7 @@
 			p.regions[name] = rapid.SampledFrom(regionNames).Draw(t, "region")
 		}
 		for j := range rapid.IntRange(0, 3).Draw(t, "endpoints") {
-			e := &belief.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprintf("%s-%d", name, j), DataCentre: name, Slots: 4}}
+			e := &discovery.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprintf("%s-%d", name, j), DataCentre: name, Slots: 4}}
 			p.endpoints = append(p.endpoints, e)
 		}
 	}
@@ -41,13 +41,13 @@
 
 // allows reports whether an endpoint may serve a request restricted to homes. It is independent of
 // the code under test.
-func (p *topology) allows(homes []string, id string) bool {
+func (p *topology) allows(allowed []string, id string) bool {
 	for _, e := range p.endpoints {
 		region := p.regions[e.DataCentre]
 		if e.ID != id || region == "" {
 			continue
 		}
-		for _, home := range homes {
+		for _, home := range allowed {
 			if home == region {
 				return true
 			}
@@ -82,12 +82,12 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			homes := drawHomes(t)
 			d := &balance.Demand{
-				Service: rapid.SampledFrom([]*catalog.Service{service, plain}).Draw(t, "service"), Homes: catalog.NewHomes(homes),
+				Service: rapid.SampledFrom([]*catalog.Service{service, plain}).Draw(t, "service"), Residency: catalog.NewResidency(homes),
 				Objective: time.Second, Prompt: 9000, Output: 50, Sent: rapid.Bool().Draw(t, "sent before"),
 				Parts: []balance.Part{{ID: uint64(n % 2), Tokens: 5000}, {ID: uint64(100 + n), Tokens: 4000}},
 			}
 			if rapid.IntRange(0, 3).Draw(t, "unbound") == 0 {
-				d.Homes = catalog.Homes{}
+				d.Residency = catalog.Residency{}
 			}
 			var chosen, donor string
 			switch rapid.IntRange(0, 3).Draw(t, "who chooses") {
@@ -107,7 +107,7 @@
 				placement, _ := b.Admit(p.endpoints, d)
 				running = recordPlacement(placement, &chosen, &donor, running)
 			}
-			if !d.Homes.Bound() {
+			if !d.Residency.Restricted() {
 				continue
 			}
 			if chosen != "" && !p.allows(homes, chosen) {
@@ -118,13 +118,13 @@
 			}
 			if len(running) > 0 && rapid.Bool().Draw(t, "one ends") {
 				if rapid.Bool().Draw(t, "unreachable") {
-					running[0].Unreachable()
+					running[0].RecordUnreachable()
 				}
 				running[0].Done(balance.Failed)
 				running = running[1:]
 			}
 		}
-		checkNotices(t, b.Placed())
+		checkNotices(t, b.TakeNotices())
 	})
 }
 
@@ -143,18 +143,18 @@
 // checkNotices fails the test if a region would be sent parts that must not be disclosed there.
 func checkNotices(t *rapid.T, notices []balance.Notice) {
 	for _, region := range regionNames {
-		disclosed := balance.Withhold(notices, region)
+		disclosed := balance.RedactParts(notices, region)
 		if len(disclosed) != len(notices) {
 			t.Fatalf("%d of %d notices passed on", len(disclosed), len(notices))
 		}
 		for i, n := range disclosed {
-			if len(n.Parts) > 0 && !notices[i].Homes.Allows(region) {
-				t.Fatalf("region %q is sent parts %v, allowed %v", region, n.Parts, notices[i].Homes.Regions())
+			if len(n.Parts) > 0 && !notices[i].Residency.Allows(region) {
+				t.Fatalf("region %q is sent parts %v, allowed %v", region, n.Parts, notices[i].Residency.Regions())
 			}
 			if n.Endpoint != notices[i].Endpoint || n.Uncached != notices[i].Uncached {
 				t.Fatalf("notice without load: %+v, want %+v", n, notices[i])
 			}
-			if len(notices[i].Parts) > 0 && notices[i].Homes.Allows(region) && len(n.Parts) == 0 {
+			if len(notices[i].Parts) > 0 && notices[i].Residency.Allows(region) && len(n.Parts) == 0 {
 				t.Fatalf("region %q is not sent parts that it may know", region)
 			}
 		}
--- a/balance/restart_test.go
+++ b/balance/restart_test.go
@@ -5,15 +5,15 @@
 	"time"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // restarted returns the fixture's endpoints with the first one restarted under its ID.
-func (f *fixture) restarted(born int64) []*belief.Endpoint {
-	out := append([]*belief.Endpoint(nil), f.endpoints...)
+func (f *fixture) restarted(born int64) []*discovery.Endpoint {
+	out := append([]*discovery.Endpoint(nil), f.endpoints...)
 	e := *f.endpoints[0]
-	out[0] = &belief.Endpoint{Endpoint: e.Endpoint}
+	out[0] = &discovery.Endpoint{Endpoint: e.Endpoint}
 	out[0].Born = born
 	return out
 }
@@ -25,7 +25,7 @@
 	b := f.balancer()
 	f.now = f.now.Add(time.Second)
 	running := b.Place(previous, f.long(55))
-	running.Started()
+	running.RecordStart()
 	f.now = f.now.Add(time.Second)
 	if p := b.Place(previous, f.long(55)); p.Cached == 0 {
 		t.Fatal("no part is cached after a prompt")
@@ -41,7 +41,7 @@
 	before.Done(balance.Unknown)
 
 	// Requests of the previous process that end now, with their failures, are attributed to it.
-	running.Unreachable()
+	running.RecordUnreachable()
 	running.Done(balance.Failed)
 	if got := b.Unreachable(); len(got) != 1 || got[0] != balance.EndpointHash(previous[0].Incarnation()) {
 		t.Errorf("unreachable: %v, want only the previous process", got)
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -34,8 +34,8 @@
 
 // retries is the retry budget of this instance.
 type retries struct {
-	bound       quota.Retries
-	share       quota.Part
+	bound       quota.RetryLimit
+	share       quota.Lease
 	dataCentres int
 	instances   int                     // instances in the membership list
 	buckets     map[string]*retryBucket // by service name
@@ -43,39 +43,39 @@
 
 // A retryBucket is the remaining budget of one service, with counts of retries.
 type retryBucket struct {
-	quota.Earned
+	quota.RetryBudget
 	granted, denied int64
 }
 
 // SetRetries sets the bound on retries of all instances together.
-func (b *Balancer) SetRetries(bound quota.Retries) {
+func (b *Balancer) SetRetries(bound quota.RetryLimit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.retries.bound = bound
 }
 
-// SetRetryPart sets the share of all retries that this instance may grant, valid from now, and the
+// SetRetryShare sets the share of all retries that this instance may grant, valid from now, and the
 // number of data centres that divide the retries. The remaining budget of an expired share is
 // lost.
-func (b *Balancer) SetRetryPart(part float64, dataCentres int) {
+func (b *Balancer) SetRetryShare(share float64, dataCentres int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.retries.setShare(part, dataCentres, b.now())
+	b.retries.setShare(share, dataCentres, b.now())
 }
 
-func (r *retries) setShare(part float64, dataCentres int, now time.Time) {
+func (r *retries) setShare(share float64, dataCentres int, now time.Time) {
 	r.dataCentres = dataCentres
-	if !r.share.Hold(part, now) {
+	if !r.share.Renew(share, now) {
 		return
 	}
 	for _, p := range r.buckets {
-		p.Earned = quota.Earned{}
+		p.RetryBudget = quota.RetryBudget{}
 	}
 }
 
 // capacity returns the capacity of a bucket at now.
 func (r *retries) capacity(now time.Time) float64 {
-	return r.bound.Pooled(r.share.Share(now), r.dataCentres, r.instances)
+	return r.bound.PooledCapacity(r.share.Share(now), r.dataCentres, r.instances)
 }
 
 func (r *retries) bucket(service string) *retryBucket {
@@ -94,38 +94,38 @@
 		return nil
 	}
 	p := r.bucket(d.Service.Name)
-	if p.Has(r.capacity(now), d.Retry.reserve(), now) {
+	if p.CanSpend(r.capacity(now), d.Retry.reserve(), now) {
 		return nil
 	}
 	p.denied++
-	return &Refusal{Cause: RetriesSpent}
+	return &Refusal{Cause: RetryBudgetExhausted}
 }
 
 // account records a placement: it earns budget, and a retry is charged. It reports whether the
 // budget covers another retry of the request.
-func (r *retries) account(d *Demand, now time.Time) (spare bool) {
+func (r *retries) account(d *Demand, now time.Time) (available bool) {
 	most := r.capacity(now)
 	if most <= 0 {
 		return false
 	}
 	p := r.bucket(d.Service.Name)
-	p.Earn(r.bound.Earns(d.Earns), most, now)
+	p.Deposit(r.bound.PooledDeposit(d.Deposit), most, now)
 	if d.Retry != NoRetry {
 		p.Spend(most, now)
 		p.granted++
 	}
-	return p.Has(most, RetryLate.reserve(), now)
+	return p.CanSpend(most, RetryLate.reserve(), now)
 }
 
-// PayRetry charges a retry for a request that another instance has placed. It reports whether the
-// budget covered it.
-func (b *Balancer) PayRetry(service string, r Retry) bool {
+// ChargeRetry charges a retry for a request that another instance has placed. It reports whether
+// the budget covered it.
+func (b *Balancer) ChargeRetry(service string, r Retry) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.retries.bucket(service)
 	now := b.now()
 	most := b.retries.capacity(now)
-	if r == NoRetry || !p.Has(most, r.reserve(), now) {
+	if r == NoRetry || !p.CanSpend(most, r.reserve(), now) {
 		p.denied++
 		return false
 	}
@@ -134,10 +134,10 @@
 	return true
 }
 
-// Holdings are an instance's shares of limits that apply to all instances together.
-type Holdings struct {
-	ColdPart    float64               `json:"cold_part"` // share of the rate of cold endpoints
-	Part        float64               `json:"part"`      // share of retries
+// QuotaShares are an instance's shares of limits that apply to all instances together.
+type QuotaShares struct {
+	ColdShare   float64               `json:"cold_part"` // share of the rate of cold endpoints
+	RetryShare  float64               `json:"part"`      // share of retries
 	DataCentres int                   `json:"data_centres"`
 	Instances   int                   `json:"instances"` // that share endpoints' connections
 	Retries     map[string]RetryShare `json:"retries"`   // by service name
@@ -145,21 +145,21 @@
 
 // A RetryShare is an instance's retry budget for a service, with counts of retries.
 type RetryShare struct {
-	Left    float64 `json:"left"`
-	Most    float64 `json:"most"` // capacity, without what busy services earn
-	Granted int64   `json:"granted"`
-	Denied  int64   `json:"denied"`
+	Available float64 `json:"left"`
+	Capacity  float64 `json:"most"` // capacity, without what busy services earn
+	Granted   int64   `json:"granted"`
+	Denied    int64   `json:"denied"`
 }
 
-// Holdings returns the current shares.
-func (b *Balancer) Holdings() Holdings {
+// QuotaShares returns the current shares.
+func (b *Balancer) QuotaShares() QuotaShares {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	s := Holdings{ColdPart: b.coldShare.Share(now), Part: b.retries.share.Share(now), DataCentres: b.retries.dataCentres, Instances: b.instances, Retries: make(map[string]RetryShare)}
+	s := QuotaShares{ColdShare: b.coldShare.Share(now), RetryShare: b.retries.share.Share(now), DataCentres: b.retries.dataCentres, Instances: b.instances, Retries: make(map[string]RetryShare)}
 	most := b.retries.capacity(now)
 	for service, p := range b.retries.buckets {
-		s.Retries[service] = RetryShare{Left: p.Left(most, now), Most: most, Granted: p.granted, Denied: p.denied}
+		s.Retries[service] = RetryShare{Available: p.Available(most, now), Capacity: most, Granted: p.granted, Denied: p.denied}
 	}
 	return s
 }
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -13,8 +13,8 @@
 func retryFixture() (*fixture, *balance.Balancer) {
 	f := newFixture(2)
 	b := f.balancer()
-	b.SetRetries(quota.Retries{Ratio: 1, Extra: 45})
-	b.SetRetryPart(1, 1)
+	b.SetRetries(quota.RetryLimit{Ratio: 1, Extra: 45})
+	b.SetRetryShare(1, 1)
 	f.earn(b, 20)
 	return f, b
 }
@@ -22,11 +22,11 @@
 // earn places requests that earn budget, and lets the rate of earning decay.
 func (f *fixture) earn(b *balance.Balancer, requests int) {
 	for range requests {
-		b.Grant(7, f.endpoints, &balance.Demand{Service: f.plain, Earns: quota.EarnsWhole})
+		b.Grant(7, f.endpoints, &balance.Demand{Service: f.plain, Deposit: quota.DepositFull})
 	}
 	for range 7 {
 		f.now = f.now.Add(900 * time.Millisecond)
-		b.SetRetryPart(1, 1)
+		b.SetRetryShare(1, 1)
 	}
 }
 
@@ -38,7 +38,7 @@
 		if c.Endpoint != 0 {
 			continue
 		}
-		if c.Refusal == nil || c.Refusal.Cause != balance.RetriesSpent {
+		if c.Refusal == nil || c.Refusal.Cause != balance.RetryBudgetExhausted {
 			t.Fatalf("denied retry has refusal %+v", c.Refusal)
 		}
 		return n
@@ -57,7 +57,7 @@
 			t.Errorf("%d retries of kind %d granted, want %d", got, c.kind, c.want)
 		}
 	}
-	if s := b.Holdings().Retries["p"]; s.Granted != 10 || s.Denied != 3 {
+	if s := b.QuotaShares().Retries["p"]; s.Granted != 10 || s.Denied != 3 {
 		t.Errorf("counted %+v, want 10 granted and 3 denied", s)
 	}
 }
@@ -86,15 +86,15 @@
 		name  string
 		lapse func(*fixture, *balance.Balancer)
 	}{
-		{"paused", func(f *fixture, _ *balance.Balancer) { f.now = f.now.Add(quota.PartFor + time.Millisecond) }},
-		{"cut off", func(_ *fixture, b *balance.Balancer) { b.SetRetryPart(0, 1) }},
+		{"paused", func(f *fixture, _ *balance.Balancer) { f.now = f.now.Add(quota.LeaseDuration + time.Millisecond) }},
+		{"cut off", func(_ *fixture, b *balance.Balancer) { b.SetRetryShare(0, 1) }},
 	} {
 		f, b := retryFixture()
 		c.lapse(f, b)
-		if b.PayRetry("p", balance.RetryInTime) {
+		if b.ChargeRetry("p", balance.RetryInTime) {
 			t.Errorf("%s: retry granted without a share", c.name)
 		}
-		b.SetRetryPart(1, 1)
+		b.SetRetryShare(1, 1)
 		if got := f.granted(t, b, balance.RetryInTime); got != 0 {
 			t.Errorf("%s: %d retries granted with a new share, want 0", c.name, got)
 		}
@@ -110,13 +110,13 @@
 func TestLostStreamsAreSpread(t *testing.T) {
 	f := newFixture(9)
 	b := f.balancer()
-	b.SetRetries(quota.Retries{Ratio: 1, Extra: 1000})
-	b.SetRetryPart(1, 1)
+	b.SetRetries(quota.RetryLimit{Ratio: 1, Extra: 1000})
+	b.SetRetryShare(1, 1)
 	var on []string
 	for i := range 360 {
 		d := f.stream()
 		d.Parts[2].ID = uint64(i + 100)
-		d.Earns = quota.EarnsWhole
+		d.Deposit = quota.DepositFull
 		b.Admit(f.endpoints, d)
 	}
 	lost := f.endpoints[0]
--- a/balance/slowness.go
+++ b/balance/slowness.go
@@ -24,8 +24,8 @@
 	maxSlowness = 20.0
 )
 
-// ToldLoad is the load that an endpoint reports in its response headers.
-type ToldLoad struct {
+// ReportedLoad is the load that an endpoint reports in its response headers.
+type ReportedLoad struct {
 	Running, Waiting, Slots int
 	Slowness                float64 // duration of work relative to normal; zero: not reported
 }
@@ -45,8 +45,8 @@
 	return 1 + (s.ratio-1)*math.Exp2(-float64(age)/float64(slownessHalfLife))
 }
 
-// Tells records the load reported in the endpoint's response headers.
-func (p *Placement) Tells(load ToldLoad) {
+// RecordLoad records the load reported in the endpoint's response headers.
+func (p *Placement) RecordLoad(load ReportedLoad) {
 	if load.Slowness <= 0 {
 		return
 	}
@@ -63,14 +63,14 @@
 	Age      time.Duration
 }
 
-// Slow lists values up to slownessShownFor old and of at least minShownSlowness.
+// SlowEndpoints lists values up to slownessShownFor old and of at least minShownSlowness.
 const (
 	slownessShownFor = 10 * time.Second
 	minShownSlowness = 1.2
 )
 
-// Slow returns the endpoints that recently reported being slow, slowest first.
-func (b *Balancer) Slow() []SlowEndpoint {
+// SlowEndpoints returns the endpoints that recently reported being slow, slowest first.
+func (b *Balancer) SlowEndpoints() []SlowEndpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
--- a/balance/slowness_test.go
+++ b/balance/slowness_test.go
@@ -63,7 +63,7 @@
 			running = append(running, e)
 			continue
 		}
-		e.placement.Tells(balance.ToldLoad{Slots: 8, Slowness: e.slow})
+		e.placement.RecordLoad(balance.ReportedLoad{Slots: 8, Slowness: e.slow})
 		e.placement.Done(balance.Served)
 	}
 	f.completions = running
--- a/balance/spread_test.go
+++ b/balance/spread_test.go
@@ -55,14 +55,14 @@
 	for end := f.now.Add(duration); f.now.Before(end); f.now = f.now.Add(step) {
 		for inFlight.Len() > 0 && !(*inFlight)[0].at.After(f.now) {
 			r := heap.Pop(inFlight).(prefill)
-			r.p.Started()
-			r.p.First(r.d)
+			r.p.RecordStart()
+			r.p.RecordFirstEvent(r.d)
 			r.p.Done(balance.Served)
 		}
 		if f.now.Sub(lastReport) >= reportInterval {
 			lastReport = f.now
 			for i, from := range balancers {
-				notices, reports := from.Placed(), reportsOf(from)
+				notices, reports := from.TakeNotices(), reportsOf(from)
 				for j, to := range balancers {
 					if i != j {
 						to.Merge(uint64(i+1), notices, reports, true)
--- a/balance/starvation.go
+++ b/balance/starvation.go
@@ -11,7 +11,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 const (
@@ -68,7 +68,7 @@
 
 // starvationRefusal returns a refusal if more urgent requests are starved and the service is not
 // idle, or nil. The caller holds b.mu.
-func (b *Balancer) starvationRefusal(endpoints []*belief.Endpoint, d *Demand, p *Placement, now time.Time) *Refusal {
+func (b *Balancer) starvationRefusal(endpoints []*discovery.Endpoint, d *Demand, p *Placement, now time.Time) *Refusal {
 	stats := b.statsFor(d.Service.Name)
 	for urgent := range d.level() {
 		if !stats.tallies[urgent].starved(now) {
@@ -86,7 +86,7 @@
 
 // idle reports whether nothing is queued at the request's best endpoint and few slots of the
 // service are in use.
-func (b *Balancer) idle(endpoints []*belief.Endpoint, d *Demand, p *Placement) bool {
+func (b *Balancer) idle(endpoints []*discovery.Endpoint, d *Demand, p *Placement) bool {
 	if p.Wait > 0 {
 		return false
 	}
--- a/balance/starvation_test.go
+++ b/balance/starvation_test.go
@@ -33,7 +33,7 @@
 		t.Fatalf("%d of 60 urgent requests refused, want at least 10", refused)
 	}
 	for i, p := range running {
-		p.First(100 * time.Millisecond)
+		p.RecordFirstEvent(100 * time.Millisecond)
 		if i >= busySlots {
 			p.Done(balance.Served)
 		}
@@ -49,7 +49,7 @@
 		if p, _ := b.Admit(f.endpoints, f.stream()); p == nil {
 			t.Fatal("urgent request refused while slots are free")
 		} else {
-			p.First(100 * time.Millisecond)
+			p.RecordFirstEvent(100 * time.Millisecond)
 			p.Done(balance.Served)
 		}
 		if p, refusal := b.Admit(f.endpoints, f.long(5)); p != nil {
@@ -67,7 +67,7 @@
 	// An idle service resets starvation, so that requests are admitted once it is busy again.
 	for range busySlots {
 		p, _ := b.Admit(f.endpoints, f.stream())
-		p.First(100 * time.Millisecond)
+		p.RecordFirstEvent(100 * time.Millisecond)
 	}
 	f.now = f.now.Add(100 * time.Millisecond)
 	if p, _ := b.Admit(f.endpoints, f.long(6)); p == nil {
--- a/balance/suspect_test.go
+++ b/balance/suspect_test.go
@@ -43,7 +43,7 @@
 				t.Errorf("%s: two suspects placed at %s", service, p.Endpoint.ID)
 			}
 			seen[p.Endpoint.ID] = true
-			to.Merge(9, from.Placed(), nil, false)
+			to.Merge(9, from.TakeNotices(), nil, false)
 		}
 		// Granted suspects count too.
 		c := a.Grant(7, f.endpoints[3:], suspect())
--- a/balance/urgency.go
+++ b/balance/urgency.go
@@ -13,7 +13,7 @@
 import (
 	"time"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 // levelPressures are the pressures on the requests of one level. Element by is the pressure caused
@@ -50,7 +50,7 @@
 	announced := l.remoteTokensByLevel(now.Add(-reportInterval))
 	tokens := 0
 	for by := range waits {
-		tokens += total.UnreadBy[by] + announced[by]
+		tokens += total.PendingPrefillByLevel[by] + announced[by]
 		waits[by] = min(backlog, float64(tokens)*l.prefillPerToken)
 	}
 	level := d.level()
@@ -76,7 +76,7 @@
 // chooseInTime returns best, or an endpoint that starts the request in time if best does not. It
 // applies to levels above the least urgent one. Without it, streams queue for slots at the few
 // engines with the least prefill while others have free slots.
-func (b *Balancer) chooseInTime(endpoints []*belief.Endpoint, best *Placement, d *Demand, now time.Time, by requester) *Placement {
+func (b *Balancer) chooseInTime(endpoints []*discovery.Endpoint, best *Placement, d *Demand, now time.Time, by requester) *Placement {
 	if d.level() == levels-1 || !best.load.late(d, best.prefillTime, b.reportInterval, now) {
 		return best
 	}
--- a/balance/urgency_test.go
+++ b/balance/urgency_test.go
@@ -37,7 +37,7 @@
 	for part := range uint64(n) {
 		f.now = f.now.Add(turn)
 		for _, p := range begun {
-			p.First(turn)
+			p.RecordFirstEvent(turn)
 		}
 		begun = begun[:0]
 		begun = f.admitOrCount(b, f.stream(), &streams, begun)
@@ -90,7 +90,7 @@
 		if via == "notices" {
 			reports = nil
 		}
-		b.Merge(1, other.Placed(), reports, true)
+		b.Merge(1, other.TakeNotices(), reports, true)
 		if via == "reports" {
 			f.now = f.now.Add(100 * time.Millisecond) // the notices have expired
 		}
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -22,7 +22,7 @@
 // The kinds of requests.
 const (
 	Repeatable Kind = "repeatable" // may run more than once
-	Single     Kind = "single"     // runs at most once
+	AtMostOnce Kind = "single"     // runs at most once
 	Stream     Kind = "stream"     // answered by an event stream; runs at most once unless it is resumable
 )
 
@@ -49,8 +49,8 @@
 	HomeRegions    []string // regions in which its requests may be served; nil: all, empty: none
 }
 
-// MayRepeat reports whether a request of r may run more than once.
-func (r *Route) MayRepeat() bool {
+// Retryable reports whether a request of r may run more than once.
+func (r *Route) Retryable() bool {
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
@@ -82,12 +82,12 @@
 	LinkMbps   float64 // bandwidth of an engine's link to the others
 }
 
-// Fetches reports whether an engine can fetch cached prompt prefixes from another one.
-func (e *Engine) Fetches() bool { return e.TokenBytes > 0 && e.LinkMbps > 0 }
+// CanFetchCache reports whether an engine can fetch cached prompt prefixes from another one.
+func (e *Engine) CanFetchCache() bool { return e.TokenBytes > 0 && e.LinkMbps > 0 }
 
-// MoveTime returns how long, in ms, it takes to transfer the cache of so many tokens between
-// engines. It must be called only if Fetches reports true.
-func (e *Engine) MoveTime(tokens int) float64 {
+// CacheTransferMS returns how long, in ms, it takes to transfer the cache of so many tokens between
+// engines. It must be called only if CanFetchCache reports true.
+func (e *Engine) CacheTransferMS(tokens int) float64 {
 	const bitsPerMS = 1e3 // at 1 Mbit/s
 	return float64(tokens) * float64(e.TokenBytes) * 8 / (e.LinkMbps * bitsPerMS)
 }
--- a/catalog/residency_test.go
+++ b/catalog/residency_test.go
@@ -23,9 +23,9 @@
 		{"a team's empty list", []string{"north"}, []string{}, true, nil, []string{"north", ""}},
 		{"a region without a name", []string{""}, nil, true, nil, []string{""}},
 	} {
-		h := catalog.HomesOf(&catalog.Route{HomeRegions: c.route}, &catalog.Team{HomeRegions: c.team})
-		if h.Bound() != c.restricted {
-			t.Errorf("%s: Bound() = %t, want %t", c.name, h.Bound(), c.restricted)
+		h := catalog.ResidencyOf(&catalog.Route{HomeRegions: c.route}, &catalog.Team{HomeRegions: c.team})
+		if h.Restricted() != c.restricted {
+			t.Errorf("%s: Restricted() = %t, want %t", c.name, h.Restricted(), c.restricted)
 		}
 		for _, region := range c.allowed {
 			if !h.Allows(region) {
@@ -38,7 +38,7 @@
 			}
 		}
 	}
-	if catalog.HomesOf(&catalog.Route{}, nil).Bound() {
+	if catalog.ResidencyOf(&catalog.Route{}, nil).Restricted() {
 		t.Error("an unrestricted route without a team is restricted")
 	}
 }
--- a/cmd/ivyctl/blocked.go
+++ b/cmd/ivyctl/blocked.go
@@ -25,18 +25,18 @@
 	p.String(&output, "o", "output", "table or json")
 	p.String(&release, "r", "release", "ID (SAME AS) of a blocked request to allow again")
 	if err := p.ParseArgs(args); err != nil {
-		return cli.BadUsage, err
+		return cli.UsageError, err
 	}
 	switch {
 	case addr == "":
-		return cli.BadUsage, errors.New("ivyctl blocked: -a ADDR is needed; see --help")
+		return cli.UsageError, errors.New("ivyctl blocked: -a ADDR is needed; see --help")
 	case output != "table" && output != "json":
-		return cli.BadUsage, errors.Errorf("ivyctl blocked: -o %s: want table or json", output)
+		return cli.UsageError, errors.Errorf("ivyctl blocked: -o %s: want table or json", output)
 	}
 	client := inventory.Client{HTTP: fetch.NewClient(1, idleConnTimeout), Wait: inventoryTimeout}
 	ctx := context.Background()
 	if release != "" {
-		if err := client.Release(ctx, addr, release); err != nil {
+		if err := client.Unblock(ctx, addr, release); err != nil {
 			return cli.Failed, err
 		}
 		fmt.Printf("%s is released; it is blocked again if it crashes endpoints\n", release)
@@ -61,24 +61,24 @@
 	for _, r := range b.Requests {
 		state := "suspected"
 		switch {
-		case r.Known:
+		case r.Confirmed:
 			state = "blocked"
-		case r.Counted == 0:
+		case r.CountedStrikes == 0:
 			state = "cleared"
 		}
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s ago\t%s\t%s\n", state, r.ID, orDash(r.Team), r.Route, r.Counted,
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s ago\t%s\t%s\n", state, r.ID, orDash(r.Team), r.Route, r.CountedStrikes,
 			seconds(r.LastMS), seconds(r.ForMS), strings.Join(r.Endpoints, " "))
 	}
 	for _, t := range b.Teams {
 		fmt.Fprintf(tw, "slowed\t-\t%s\t-\t-\t-\t%s\t(service %s)\n", t.Team, seconds(t.ForMS), t.Service)
 	}
 	_ = tw.Flush()
-	for _, a := range b.Absent {
-		if a.Leaves {
+	for _, a := range b.Unavailable {
+		if a.Draining {
 			fmt.Printf("endpoint gets nothing new: %s says it leaves\n", a.ID)
 			continue
 		}
-		fmt.Printf("endpoint gets nothing: %s asked this instance for rest, %s more\n", a.ID, millis(a.RestMS))
+		fmt.Printf("endpoint gets nothing: %s asked this instance for rest, %s more\n", a.ID, millis(a.BackoffMS))
 	}
 	for _, l := range b.Limited {
 		fmt.Println(limitLine(&l))
@@ -91,9 +91,9 @@
 // limitLine describes an endpoint's announced limit and the instance that divides it.
 func limitLine(l *inventory.LimitedEndpoint) string {
 	line := fmt.Sprintf("endpoint names a limit: %s takes %v a second from all instances, as of %s ago; divided by %s",
-		l.ID, l.PerSecond, millis(l.AgeMS), orDash(l.Divider))
-	if l.Part > 0 {
-		line += fmt.Sprintf(" (this instance: %.2f of it, %d permits given out)", l.Part, l.Permits)
+		l.ID, l.PerSecond, millis(l.AgeMS), orDash(l.Allocator))
+	if l.Share > 0 {
+		line += fmt.Sprintf(" (this instance: %.2f of it, %d permits given out)", l.Share, l.Permits)
 	}
 	if l.AsksInMS > 0 {
 		line += fmt.Sprintf("; asked again in %s", millis(l.AsksInMS))
--- a/cmd/ivyctl/fleet.go
+++ b/cmd/ivyctl/fleet.go
@@ -47,18 +47,18 @@
 	p.String(&o.diff, "d", "diff", "peers' address of an instance whose settings to compare with those of INSTANCE")
 	p.AddPositionalValue(&o.with, "INSTANCE", 1, false, "peers' address of the other instance, with --diff")
 	if err := p.ParseArgs(args); err != nil {
-		return cli.BadUsage, err
+		return cli.UsageError, err
 	}
 	settings, waits := strings.CutPrefix(o.wait, "settings=")
 	switch {
 	case o.addr == "":
-		return cli.BadUsage, errors.New("ivyctl fleet: -a ADDR is needed; see --help")
+		return cli.UsageError, errors.New("ivyctl fleet: -a ADDR is needed; see --help")
 	case o.output != "table" && o.output != "json":
-		return cli.BadUsage, errors.Errorf("ivyctl fleet: -o %s: want table or json", o.output)
+		return cli.UsageError, errors.Errorf("ivyctl fleet: -o %s: want table or json", o.output)
 	case o.wait != "" && (!waits || settings == ""):
-		return cli.BadUsage, errors.Errorf("ivyctl fleet: --wait %s: want settings=HASH", o.wait)
+		return cli.UsageError, errors.Errorf("ivyctl fleet: --wait %s: want settings=HASH", o.wait)
 	case (o.diff == "") != (o.with == ""):
-		return cli.BadUsage, errors.New("ivyctl fleet: --diff needs two instances")
+		return cli.UsageError, errors.New("ivyctl fleet: --diff needs two instances")
 	case o.diff != "":
 		return o.compare()
 	case waits:
@@ -78,9 +78,9 @@
 	if o.output == "json" {
 		return printJSON(struct {
 			*inventory.Fleet
-			Groups []inventory.Group `json:"groups"`
-			Odd    []inventory.Odd   `json:"differing"`
-		}{f, f.Groups(), f.Odd()})
+			Groups []inventory.Group   `json:"groups"`
+			Odd    []inventory.Outlier `json:"differing"`
+		}{f, f.Groups(), f.Outliers()})
 	}
 	o.print(os.Stdout, f)
 	o.printDifferences(ctx, os.Stdout, f)
@@ -100,17 +100,17 @@
 	if f.Partial {
 		partial = " (partial: a region or all schedulers did not answer)"
 	}
-	fmt.Fprintf(w, "%d instances, listed by %s%s\n\n", len(f.Rows), f.Asked, partial)
+	fmt.Fprintf(w, "%d instances, listed by %s%s\n\n", len(f.Instances), f.Asked, partial)
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "INSTANCES\tBUILD\tSETTINGS\tCONFIGURATION\tDATA CENTRES")
 	for _, g := range f.Groups() {
-		if g.Told {
+		if g.Reported {
 			fmt.Fprintf(tw, "%d\t%s\t%s\t%d\t%s\n", g.Count, g.Build, g.Settings, g.Version, byDataCentre(g.DataCentres))
 		} else {
 			fmt.Fprintf(tw, "%d\t-\t-\t-\t%s\n", g.Count, byDataCentre(g.DataCentres))
 		}
 	}
-	odd := f.Odd()
+	odd := f.Outliers()
 	if len(odd) > 0 {
 		fmt.Fprintln(tw, "\nDIFFERING\tDATA CENTRE\tIN\tSETTINGS\tCONFIGURATION\tHEARD")
 	}
@@ -144,12 +144,12 @@
 // settings differ.
 func (o *fleetOptions) printDifferences(ctx context.Context, w io.Writer, f *inventory.Fleet) {
 	groups := f.Groups()
-	if len(groups) == 0 || !groups[0].Told {
+	if len(groups) == 0 || !groups[0].Reported {
 		return
 	}
 	seen := map[string]bool{"": true, groups[0].Settings: true}
 	common := addressRunning(f, groups[0].Settings)
-	for _, r := range f.Rows {
+	for _, r := range f.Instances {
 		if r.Lost || seen[r.Settings] {
 			continue
 		}
@@ -165,7 +165,7 @@
 
 // addressRunning returns the address of an instance that runs settings, or "" if there is none.
 func addressRunning(f *inventory.Fleet, settings string) string {
-	for _, r := range f.Rows {
+	for _, r := range f.Instances {
 		if r.Settings == settings && !r.Lost {
 			return r.Address
 		}
@@ -184,7 +184,7 @@
 	fmt.Fprintf(w, "\n%s (%s) and %s (%s):\n", a.Address, a.Settings, b.Address, b.Settings)
 	for _, d := range inventory.Diff(a, b) {
 		warning := ""
-		if d.Answers {
+		if d.AffectsResponses {
 			warning = "  (callers may be answered differently)"
 		}
 		fmt.Fprintf(w, "  %s: %q, %q%s\n", d.Path, d.A, d.B, warning)
@@ -193,8 +193,8 @@
 		if d.Refused != "" {
 			fmt.Fprintf(w, "  %s refused new settings: %s\n", d.Address, d.Refused)
 		}
-		if len(d.Waiting) > 0 {
-			fmt.Fprintf(w, "  %s needs a restart for: %s\n", d.Address, strings.Join(d.Waiting, ", "))
+		if len(d.PendingRestart) > 0 {
+			fmt.Fprintf(w, "  %s needs a restart for: %s\n", d.Address, strings.Join(d.PendingRestart, ", "))
 		}
 	}
 }
@@ -220,12 +220,12 @@
 	end := time.Now().Add(o.within)
 	for {
 		f, err := o.client.AskFleet(context.Background(), o.addr)
-		var lacking []inventory.Row
+		var lacking []inventory.Instance
 		if err == nil {
-			lacking = f.Lacking(settings)
+			lacking = f.WithoutSettings(settings)
 		}
 		if err == nil && len(lacking) == 0 && !f.Partial {
-			fmt.Printf("all %d instances run settings %s\n", len(f.Rows), settings)
+			fmt.Printf("all %d instances run settings %s\n", len(f.Instances), settings)
 			return cli.OK, nil
 		}
 		if time.Now().Add(fleetPollInterval).After(end) {
--- a/cmd/ivyctl/main.go
+++ b/cmd/ivyctl/main.go
@@ -64,7 +64,7 @@
 // checkAll checks files and prints every error.
 func checkAll(files []string) (int, error) {
 	if len(files) == 0 {
-		return cli.BadUsage, errors.New("ivyctl check: no files given")
+		return cli.UsageError, errors.New("ivyctl check: no files given")
 	}
 	code := cli.OK
 	for _, file := range files {
@@ -95,7 +95,7 @@
 
 func issueKeys(args []string) (int, error) {
 	if len(args) < 2 {
-		return cli.BadUsage, errors.New("ivyctl keys: want a directory and at least one instance name")
+		return cli.UsageError, errors.New("ivyctl keys: want a directory and at least one instance name")
 	}
 	dir := args[0]
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -117,10 +117,10 @@
 // runStatements sends one statement, or prompts for statements until the end of the input.
 func (o *options) runStatements() (int, error) {
 	if o.addr == "" {
-		return cli.BadUsage, errors.New("ivyctl: -a ADDR is needed; see --help")
+		return cli.UsageError, errors.New("ivyctl: -a ADDR is needed; see --help")
 	}
 	if o.output != "table" && o.output != "json" {
-		return cli.BadUsage, errors.Errorf("ivyctl: -o %s: want table or json", o.output)
+		return cli.UsageError, errors.Errorf("ivyctl: -o %s: want table or json", o.output)
 	}
 	c := operator.NewClient(o.addr, os.Getenv(tokenVariable))
 	if o.statement != "" {
--- a/cmd/ivyctl/sets.go
+++ b/cmd/ivyctl/sets.go
@@ -22,13 +22,13 @@
 	p.String(&addr, "a", "address", "metrics address of an instance")
 	p.String(&output, "o", "output", "table or json")
 	if err := p.ParseArgs(args); err != nil {
-		return cli.BadUsage, err
+		return cli.UsageError, err
 	}
 	switch {
 	case addr == "":
-		return cli.BadUsage, errors.New("ivyctl sets: -a ADDR is needed; see --help")
+		return cli.UsageError, errors.New("ivyctl sets: -a ADDR is needed; see --help")
 	case output != "table" && output != "json":
-		return cli.BadUsage, errors.Errorf("ivyctl sets: -o %s: want table or json", output)
+		return cli.UsageError, errors.Errorf("ivyctl sets: -o %s: want table or json", output)
 	}
 	client := inventory.Client{HTTP: fetch.NewClient(1, idleConnTimeout), Wait: inventoryTimeout}
 	s, err := client.AskSets(context.Background(), addr)
--- a/cmd/ivyentry/main.go
+++ b/cmd/ivyentry/main.go
@@ -47,7 +47,7 @@
 
 	s, err := instance.LoadSettings(file)
 	if err != nil {
-		cli.Exit(cli.BadUsage, err)
+		cli.Exit(cli.UsageError, err)
 	}
 	if check {
 		return
@@ -59,7 +59,7 @@
 	counters.Set("goroutines", expvar.Func(func() any { return runtime.NumGoroutine() }))
 	log, err := logs.New(s.Log.Level, logs.JSON, os.Stdout, dropped)
 	if err != nil {
-		cli.Exit(cli.BadUsage, err)
+		cli.Exit(cli.UsageError, err)
 	}
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
--- a/cmd/ivyfake/main.go
+++ b/cmd/ivyfake/main.go
@@ -21,7 +21,7 @@
 
 	c, err := fake.LoadConfig(file)
 	if err != nil {
-		cli.Exit(cli.BadUsage, err)
+		cli.Exit(cli.UsageError, err)
 	}
 	w, err := fake.Start(c)
 	if err != nil {
--- a/cmd/ivyload/main.go
+++ b/cmd/ivyload/main.go
@@ -35,7 +35,7 @@
 }
 
 func main() {
-	o := options{sizes: "6,24,96", rig: rig.Params{Endpoints: 16, Pools: 1, Teams: 10, Claimed: 0.5, Hold: 2 * time.Second, Duration: 5 * time.Second}, out: "out", control: "127.0.0.1:7900", seed: 1, dir: "bench", policies: "full", seeds: 3}
+	o := options{sizes: "6,24,96", rig: rig.Params{Endpoints: 16, Pools: 1, Teams: 10, KeyedFraction: 0.5, Hold: 2 * time.Second, Duration: 5 * time.Second}, out: "out", control: "127.0.0.1:7900", seed: 1, dir: "bench", policies: "full", seeds: 3}
 	p := cli.Parser("ivyload", "Open-loop load generator for ivyridge, with reports.")
 	run := flaggy.NewSubcommand("run")
 	run.Description = "send a workload and write a report"
@@ -84,18 +84,18 @@
 	case policy.Used:
 		code, err = o.policy()
 	default:
-		code, err = cli.BadUsage, errors.New("ivyload: want a subcommand: run, compare, policy or capacity; see --help")
+		code, err = cli.UsageError, errors.New("ivyload: want a subcommand: run, compare, policy or capacity; see --help")
 	}
 	cli.Exit(code, err)
 }
 
 func (o *options) run() (int, error) {
 	if o.workload == "" || o.targets == "" {
-		return cli.BadUsage, errors.New("ivyload run: -w and -t are needed")
+		return cli.UsageError, errors.New("ivyload run: -w and -t are needed")
 	}
 	w, err := load.Read(o.workload)
 	if err != nil {
-		return cli.BadUsage, err
+		return cli.UsageError, err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -105,7 +105,7 @@
 	arrivals := w.Arrivals(o.seed)
 	go progress(ctx, client, len(arrivals))
 	outs := client.Run(ctx, arrivals)
-	books, err := load.FetchBooks(o.control)
+	books, err := load.FetchRunLog(o.control)
 	if err != nil {
 		return cli.Failed, err
 	}
@@ -116,7 +116,7 @@
 	fmt.Println()
 	if o.mark > 0 {
 		const span = 10
-		if err := r.WriteAround(os.Stdout, o.mark, span); err != nil {
+		if err := r.WriteBeforeAfter(os.Stdout, o.mark, span); err != nil {
 			return cli.Failed, err
 		}
 	}
@@ -137,11 +137,11 @@
 func (o *options) compare() (int, error) {
 	a, err := load.ReadReport(o.a)
 	if err != nil {
-		return cli.BadUsage, err
+		return cli.UsageError, err
 	}
 	b, err := load.ReadReport(o.b)
 	if err != nil {
-		return cli.BadUsage, err
+		return cli.UsageError, err
 	}
 	return cli.OK, load.Compare(os.Stdout, a, b)
 }
@@ -150,11 +150,11 @@
 func (o *options) policy() (int, error) {
 	users, err := experiment.Users(o.dir)
 	if err != nil {
-		return cli.BadUsage, err
+		return cli.UsageError, err
 	}
 	variants, err := o.variants()
 	if err != nil {
-		return cli.BadUsage, err
+		return cli.UsageError, err
 	}
 	var rows []experiment.Row
 	for i := range users {
@@ -207,7 +207,7 @@
 	for _, size := range strings.Split(o.sizes, ",") {
 		n, err := strconv.Atoi(size)
 		if err != nil || n < 1 {
-			return cli.BadUsage, errors.Errorf("ivyload capacity: invalid number of instances %q", size)
+			return cli.UsageError, errors.Errorf("ivyload capacity: invalid number of instances %q", size)
 		}
 		p := o.rig
 		p.Instances = n
@@ -216,7 +216,7 @@
 			return cli.Failed, err
 		}
 		fmt.Printf("%9d  %9d  %5d  %5d  %10.0f  %6.2f  %4.1f  %10.1f  %7.2f  %18.0f  %9d\n", n, p.Endpoints, p.Pools, p.Teams,
-			float64(r.Done)/p.Duration.Seconds(), 100*r.CPU, r.Bytes/1000, r.Messages, r.Heap/1e6, r.PlatformCalls, r.Spread.Milliseconds())
+			float64(r.Done)/p.Duration.Seconds(), 100*r.CPU, r.Bytes/1000, r.Messages, r.Heap/1e6, r.PlatformCalls, r.PropagationDelay.Milliseconds())
 	}
 	return cli.OK, nil
 }
--- a/cmd/ivyrouted/main.go
+++ b/cmd/ivyrouted/main.go
@@ -21,11 +21,11 @@
 
 	s, err := settings.Load(file)
 	if err != nil {
-		cli.Exit(cli.BadUsage, err)
+		cli.Exit(cli.UsageError, err)
 	}
 	log, err := daemon.Logger(s.Log)
 	if err != nil {
-		cli.Exit(cli.BadUsage, err)
+		cli.Exit(cli.UsageError, err)
 	}
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
@@ -35,7 +35,7 @@
 	}
 	<-stop
 	signal.Stop(stop) // a second signal kills the process
-	if err := d.Leave(); err != nil {
+	if err := d.Shutdown(); err != nil {
 		log.Error("shutdown incomplete", zap.Error(err))
 		_ = log.Sync()
 		cli.Exit(cli.Failed, nil)
--- a/cmd/ivysoak/main.go
+++ b/cmd/ivysoak/main.go
@@ -33,10 +33,10 @@
 	p.Int(&net, "n", "net", "second octet of the loopback addresses, 1 to 254; concurrent soaks need different ones")
 	var kinds []string
 	list := false
-	var older soak.Older
+	var older soak.Build
 	p.String(&older.Binary, "p", "previous", "path of an earlier build of the daemon, which every second instance runs at first")
-	p.StringSlice(&older.Lacks, "x", "previous-lacks", "settings that the earlier build does not know")
-	p.StringSlice(&older.Rules, "u", "previous-breaks", "rules that the earlier build does not fulfil, checked for newer instances only")
+	p.StringSlice(&older.UnknownSettings, "x", "previous-lacks", "settings that the earlier build does not know")
+	p.StringSlice(&older.UnknownRules, "u", "previous-breaks", "rules that the earlier build does not fulfil, checked for newer instances only")
 	p.StringSlice(&kinds, "k", "kinds", "kinds of faults; all by default")
 	p.Bool(&list, "l", "list", "list the kinds of faults and the rules, and exit")
 	cli.Parse(p)
@@ -53,7 +53,7 @@
 		cli.Exit(cli.Failed, errors.Wrap(err, "soak"))
 	}
 	result, err := play(soak.Params{
-		Seed: seed, For: duration, Instances: instances, Rate: rate, Binary: binary, Dir: dir, Net: net, Kinds: kinds, Older: older,
+		Seed: seed, Duration: duration, Instances: instances, Rate: rate, Binary: binary, Dir: dir, Subnet: net, Kinds: kinds, PreviousBuild: older,
 	})
 	if err != nil {
 		cli.Exit(cli.Failed, err)
@@ -62,8 +62,8 @@
 	if err := write(result, dir); err != nil {
 		cli.Exit(cli.Failed, err)
 	}
-	if len(result.Breaches) > 0 {
-		cli.Exit(cli.Failed, errors.Errorf("%d promises were broken; logs and timeline: %s", len(result.Breaches), dir))
+	if len(result.Violations) > 0 {
+		cli.Exit(cli.Failed, errors.Errorf("%d promises were broken; logs and timeline: %s", len(result.Violations), dir))
 	}
 }
 
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	defer func(log *zap.Logger) { _ = log.Sync() }(p.Log)
-	return soak.Play(ctx, p)
+	return soak.Run(ctx, p)
 }
 
 // write writes the report and the timeline into dir.
--- a/command/command.go
+++ b/command/command.go
@@ -44,15 +44,15 @@
 	Value  string `json:"value,omitempty"`
 	// Base is the published value of the field when the command was given. The
 	// command is overridden once the published value differs.
-	Base    string `json:"base,omitempty"`
-	Who     string `json:"who"`
-	Origin  string `json:"origin"` // instance that received the command
-	Version int64  `json:"version"`
+	Base     string `json:"base,omitempty"`
+	Operator string `json:"who"`
+	Origin   string `json:"origin"` // instance that received the command
+	Version  int64  `json:"version"`
 }
 
-// Slot identifies what a command changes. A later command for the same slot
+// Key identifies what a command changes. A later command for the same slot
 // replaces an earlier one.
-func (c *Command) Slot() string {
+func (c *Command) Key() string {
 	switch c.Op {
 	case SetClass:
 		return "class/" + c.Target + "/" + c.Field
@@ -102,25 +102,25 @@
 		case now-p.madeAt >= promiseTimeout:
 			delete(s.promised, slot)
 		case p.version == c.Version && p.origin == c.Origin:
-		case p.version >= c.Version || slot == c.Slot():
+		case p.version >= c.Version || slot == c.Key():
 			return errors.Errorf("another command for %s is in progress", slot)
 		}
 	}
-	s.promised[c.Slot()] = promise{c.Version, c.Origin, now}
+	s.promised[c.Key()] = promise{c.Version, c.Origin, now}
 	return nil
 }
 
-// Abandon withdraws the promise of a command that was not accepted by all instances.
-func (s *Set) Abandon(c Command) {
-	if p, ok := s.promised[c.Slot()]; ok && p.version == c.Version && p.origin == c.Origin {
-		delete(s.promised, c.Slot())
+// Abort withdraws the promise of a command that was not accepted by all instances.
+func (s *Set) Abort(c Command) {
+	if p, ok := s.promised[c.Key()]; ok && p.version == c.Version && p.origin == c.Origin {
+		delete(s.promised, c.Key())
 	}
 }
 
 // Commit makes c effective and returns the command that it replaced, if any. ok is false
 // if the slot already has a command of this or a later version.
 func (s *Set) Commit(c Command) (old Command, ok bool) {
-	slot := c.Slot()
+	slot := c.Key()
 	old = s.accepted[slot]
 	if old.Version >= c.Version {
 		return old, false
@@ -186,7 +186,7 @@
 		if class == nil || fields[c.Field] == nil || fields[c.Field].read(class) != c.Base {
 			continue
 		}
-		next, ok := set.With(c.Target, func(k *decl.Class) { _ = fields[c.Field].write(k, c.Value) })
+		next, ok := set.WithClass(c.Target, func(k *decl.Class) { _ = fields[c.Field].write(k, c.Value) })
 		if ok {
 			set = next
 		}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -23,7 +23,7 @@
 	"ivyridge/node"
 	"ivyridge/operator"
 	"ivyridge/peer"
-	"ivyridge/publish"
+	"ivyridge/platformclient"
 	"ivyridge/settings"
 )
 
@@ -56,7 +56,7 @@
 
 // Logger returns a logger with the given settings that writes to standard error.
 func Logger(l settings.Log) (*zap.Logger, error) {
-	return logs.New(l.Level, logs.Form(l.Form), os.Stderr, droppedLogLines)
+	return logs.New(l.Level, logs.Format(l.Format), os.Stderr, droppedLogLines)
 }
 
 // Start opens an instance's listeners and starts it. If publish is set, its counters
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	policy, err := home.ParsePolicy(s.Policy.Name, s.Policy.Without...)
+	policy, err := home.ParsePolicy(s.Policy.Name, s.Policy.Disabled...)
 	if err != nil {
 		return nil, err
 	}
@@ -111,23 +111,23 @@
 		Addr:       s.Advertise,
 		Seeds:      s.Seeds,
 		Policy:     policy,
-		Alone:      s.Policy.Alone,
+		Alone:      s.Policy.Standalone,
 		Quarantine: *s.Quarantine,
 		ColdStart:  s.ColdStart,
 		Clock:      clock.Boot(),
 		Log:        d.log,
 		Transport:  peer.NewTransport(keys),
-		Platform:   publish.NewClient(s.Platform),
+		Platform:   platformclient.NewClient(s.Platform),
 		Loads:      NewLoadClient(),
 		Counters:   subMap(counts, "node"),
 	})
 	d.peers = peer.NewServer(keys, d.node.Handler())
-	d.node.SetQuery(operator.Local(d.node))
+	d.node.SetQuery(operator.QueryHandler(d.node))
 	disp := dispatch.New(d.node, subMap(counts, "retries"))
 	d.api = api.New(d.node, disp, api.Options{
 		MaxBody: int64(s.Limits.MaxBody),
 		MaxTime: s.Limits.MaxTime,
-		Open:    s.Limits.Waiting,
+		Open:    s.Limits.MaxOpenRequests,
 	}, api.NewCounters(subMap(counts, "callers")))
 	d.callers = &http.Server{
 		Handler:           d.api.Handler(),
@@ -155,12 +155,12 @@
 
 func (d *Daemon) Node() *node.Node { return d.node }
 
-// Leave shuts the instance down gracefully. It reports not ready, accepts requests
+// Shutdown shuts the instance down gracefully. It reports not ready, accepts requests
 // until the load balancer has noticed, completes those in flight and queued, hands
 // its cells and keys over, and stops. It returns when all is done or the drain_within
 // setting has passed, with an error if requests were then still in flight.
-func (d *Daemon) Leave() error {
-	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Drain)
+func (d *Daemon) Shutdown() error {
+	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTimeout)
 	defer cancel()
 	d.node.Leave()
 	time.Sleep(readinessDelay)
--- a/decl/check.go
+++ b/decl/check.go
@@ -158,9 +158,9 @@
 	return Identity{}, false
 }
 
-// With returns a copy of s in which change was applied to the class called name.
+// WithClass returns a copy of s in which change was applied to the class called name.
 // It returns s and false if there is no such class.
-func (s *Set) With(name string, change func(*Class)) (*Set, bool) {
+func (s *Set) WithClass(name string, change func(*Class)) (*Set, bool) {
 	old := s.classes[name]
 	if old == nil {
 		return s, false
--- a/decl/decl.go
+++ b/decl/decl.go
@@ -78,8 +78,8 @@
 	MaxWaiting int `yaml:"max_waiting"`
 }
 
-// May reports whether t may use the class named class.
-func (t *Team) May(class string) bool {
+// MayUse reports whether t may use the class named class.
+func (t *Team) MayUse(class string) bool {
 	if t.Class == class {
 		return true
 	}
--- a/decl/decl_test.go
+++ b/decl/decl_test.go
@@ -58,7 +58,7 @@
 
 func TestWithCopies(t *testing.T) {
 	s := read(t)
-	next, ok := s.With("letter", func(c *decl.Class) { c.Tier = 5 })
+	next, ok := s.WithClass("letter", func(c *decl.Class) { c.Tier = 5 })
 	if !ok || next.Class("letter").Tier != 5 || s.Class("letter").Tier != 2 {
 		t.Error("With changed the original set or did not change the copy")
 	}
--- a/belief/bootstrap.go
+++ b/discovery/bootstrap.go
@@ -1,4 +1,4 @@
-package belief
+package discovery
 
 // This file obtains the initial state of an instance with few calls to the store, which matters
 // when a whole fleet starts at once.
@@ -18,17 +18,17 @@
 	peerPollInterval     = 100 * time.Millisecond
 )
 
-// bootstrap loads the initial state from a peer if one becomes available within StartWithin
-// and Hurry is not closed. It then waits for an upstream instance. If it returns without any
-// state, the store is queried as usual.
+// bootstrap loads the initial state from a peer if one becomes available within
+// BootstrapTimeout and SkipBootstrap is not closed. It then waits for an upstream instance.
+// If it returns without any state, the store is queried as usual.
 func (f *Follower) bootstrap(ctx context.Context) {
-	if f.StartWithin <= 0 {
+	if f.BootstrapTimeout <= 0 {
 		return
 	}
-	callCtx, cancel := context.WithTimeout(ctx, f.StartWithin)
+	callCtx, cancel := context.WithTimeout(ctx, f.BootstrapTimeout)
 	defer cancel()
 	for callCtx.Err() == nil && f.Table.View().Revision == 0 {
-		newer := f.Newer()
+		newer := f.NewerRevision()
 		if f.loadFromPeer(ctx) {
 			f.waitForUpstream(ctx)
 			return
@@ -37,7 +37,7 @@
 		select {
 		case <-waitCtx.Done():
 		case <-newer:
-		case <-f.Hurry:
+		case <-f.SkipBootstrap:
 			cancelWait()
 			return
 		}
--- a/belief/changelog.go
+++ b/discovery/changelog.go
@@ -1,4 +1,4 @@
-package belief
+package discovery
 
 // This file keeps a log of recent endpoint changes, so that an instance that already has most of
 // them is sent only the rest. Sending a list of thousands of endpoints at each change would
@@ -88,9 +88,9 @@
 	now := t.now()
 	for _, id := range ids {
 		if e := t.entries[id]; e != nil && e.graceUntil.IsZero() {
-			u.Present = append(u.Present, e.record(now))
+			u.Endpoints = append(u.Endpoints, e.record(now))
 		} else if d, deleted := t.tombstones[id]; deleted {
-			u.Gone = append(u.Gone, Departure{ID: id, Revision: d.revision, Replaced: d.replaced})
+			u.Deleted = append(u.Deleted, Deletion{ID: id, Revision: d.revision, Replaced: d.replaced})
 		}
 	}
 	return u, true
--- a/belief/changelog_test.go
+++ b/discovery/changelog_test.go
@@ -1,4 +1,4 @@
-package belief_test
+package discovery_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 // An instance that receives only deltas lists the same endpoints as their source, for random
@@ -15,39 +15,39 @@
 func TestDeltasConvergeToSourceList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, clock := newTable()
-		follower := belief.NewTable(clock.now)
+		follower := discovery.NewTable(clock.now)
 		revision, fullUpdates := int64(1), 0
-		listed := make(map[string]belief.Record)
-		fullUpdate := func() *belief.Update {
-			u := &belief.Update{Revision: revision, Whole: true, Proved: clock.current}
+		listed := make(map[string]discovery.Record)
+		fullUpdate := func() *discovery.Update {
+			u := &discovery.Update{Revision: revision, Full: true, ValidatedAt: clock.current}
 			for _, r := range listed {
-				u.Present = append(u.Present, r)
+				u.Endpoints = append(u.Endpoints, r)
 			}
 			return u
 		}
 		_ = source.Apply(fullUpdate())
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			clock.advance(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
-			u := &belief.Update{Proved: clock.current}
+			u := &discovery.Update{ValidatedAt: clock.current}
 			for range rapid.IntRange(0, 4).Draw(t, "changes") {
 				revision++
 				id := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "id"))
 				if _, ok := listed[id]; ok && rapid.Bool().Draw(t, "gone") {
 					delete(listed, id)
-					u.Gone = append(u.Gone, belief.Departure{ID: id, Revision: revision, Replaced: rapid.Bool().Draw(t, "replaced")})
+					u.Deleted = append(u.Deleted, discovery.Deletion{ID: id, Revision: revision, Replaced: rapid.Bool().Draw(t, "replaced")})
 					continue
 				}
 				listed[id] = record(id, revision)
-				u.Present = append(u.Present, listed[id])
+				u.Endpoints = append(u.Endpoints, listed[id])
 			}
 			u.Revision = revision
 			switch rapid.IntRange(0, 9).Draw(t, "how") {
 			case 0:
 				u = fullUpdate()
 			case 1:
-				source.Trouble()
+				source.MarkStoreDown()
 			case 2:
-				source.Recovered()
+				source.MarkStoreUp()
 			}
 			_ = source.Apply(u)
 			if rapid.IntRange(0, 2).Draw(t, "asks") > 0 {
@@ -62,10 +62,10 @@
 			r1, d1 := source.Digest()
 			r2, d2 := follower.Digest()
 			if r1 != r2 || d1 != d2 {
-				t.Fatalf("lists differ at revisions %d and %d, full update: %v", r1, r2, update.Whole)
+				t.Fatalf("lists differ at revisions %d and %d, full update: %v", r1, r2, update.Full)
 			}
 			for id := range listed {
-				if !follower.Lists(id) {
+				if !follower.HasIncarnation(id) {
 					t.Fatalf("the follower lacks %s", id)
 				}
 			}
@@ -78,16 +78,16 @@
 func TestChangeCostIsIndependentOfListSize(t *testing.T) {
 	for _, n := range []int{1000, 4000} {
 		table, clock := newTable()
-		initial := &belief.Update{Revision: 1, Whole: true, Proved: clock.current}
+		initial := &discovery.Update{Revision: 1, Full: true, ValidatedAt: clock.current}
 		for i := range n {
-			initial.Present = append(initial.Present, record(fmt.Sprintf("e%05d", i), 1))
+			initial.Endpoints = append(initial.Endpoints, record(fmt.Sprintf("e%05d", i), 1))
 		}
 		_ = table.Apply(initial)
 		before := table.View().Endpoints("s")
-		change := &belief.Update{Revision: 2, Proved: clock.current, Present: []belief.Record{record("e00500", 2), record("new", 2)}, Gone: []belief.Departure{{ID: "e00700", Revision: 2}}}
+		change := &discovery.Update{Revision: 2, ValidatedAt: clock.current, Endpoints: []discovery.Record{record("e00500", 2), record("new", 2)}, Deleted: []discovery.Deletion{{ID: "e00700", Revision: 2}}}
 		_ = table.Apply(change)
 		after := table.View().Endpoints("s")
-		kept := make(map[*belief.Endpoint]bool, n)
+		kept := make(map[*discovery.Endpoint]bool, n)
 		for _, e := range before {
 			kept[e] = true
 		}
@@ -101,10 +101,10 @@
 			t.Errorf("%d endpoints, %d of them rebuilt; want %d and 2", len(after), rebuilt, n)
 		}
 		delta, ok := table.Since(1)
-		if !ok || len(delta.Present) != 2 || len(delta.Gone) != 1 || delta.Whole {
+		if !ok || len(delta.Endpoints) != 2 || len(delta.Deleted) != 1 || delta.Full {
 			t.Errorf("delta is %+v, %v", delta, ok)
 		}
-		_ = table.Apply(&belief.Update{Revision: 3, Proved: clock.current})
+		_ = table.Apply(&discovery.Update{Revision: 3, ValidatedAt: clock.current})
 		if unchanged := table.View().Endpoints("s"); &unchanged[0] != &after[0] {
 			t.Error("the list was rebuilt though no endpoint changed")
 		}
@@ -114,16 +114,16 @@
 // Old changes are dropped from the log, and later ones are still available.
 func TestChangeLogExpires(t *testing.T) {
 	table, clock := newTable()
-	_ = table.Apply(&belief.Update{Revision: 1, Whole: true, Proved: clock.current})
+	_ = table.Apply(&discovery.Update{Revision: 1, Full: true, ValidatedAt: clock.current})
 	for revision := int64(2); revision <= 50; revision++ {
 		clock.advance(time.Second)
-		_ = table.Apply(&belief.Update{Revision: revision, Proved: clock.current, Present: []belief.Record{record(fmt.Sprint(revision), revision)}})
+		_ = table.Apply(&discovery.Update{Revision: revision, ValidatedAt: clock.current, Endpoints: []discovery.Record{record(fmt.Sprint(revision), revision)}})
 	}
 	if _, ok := table.Since(5); ok {
 		t.Error("changes made 45 s ago are still in the log")
 	}
 	u, ok := table.Since(40)
-	if !ok || len(u.Present) != 10 {
+	if !ok || len(u.Endpoints) != 10 {
 		t.Errorf("delta is %+v, %v; want 10 endpoints", u, ok)
 	}
 	if _, ok := table.Since(0); ok {
--- a/belief/compile_test.go
+++ b/discovery/compile_test.go
@@ -1,4 +1,4 @@
-package belief
+package discovery
 
 import (
 	"testing"
@@ -19,18 +19,18 @@
 		}
 		return catalog.Compile(d)
 	}
-	if err := table.Apply(&Update{Revision: 1, Whole: true, Proved: time.Now(), Config: &catalog.Document{Version: 1}}); err != nil {
+	if err := table.Apply(&Update{Revision: 1, Full: true, ValidatedAt: time.Now(), Config: &catalog.Document{Version: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	applied := make(chan error, 1)
 	go func() {
-		applied <- table.Apply(&Update{Revision: 2, Proved: time.Now(), Config: &catalog.Document{Version: 2}})
+		applied <- table.Apply(&Update{Revision: 2, ValidatedAt: time.Now(), Config: &catalog.Document{Version: 2}})
 	}()
 	<-compiling
-	validated := make(chan Proof, 1)
+	validated := make(chan Validation, 1)
 	go func() {
 		table.Confirm(1, time.Now())
-		p, _ := table.Proof()
+		p, _ := table.Validation()
 		validated <- p
 	}()
 	select {
--- a/belief/digest_test.go
+++ b/discovery/digest_test.go
@@ -1,4 +1,4 @@
-package belief
+package discovery
 
 import (
 	"context"
@@ -19,13 +19,13 @@
 
 func (s *lossySource) Load(context.Context) (*Update, error) {
 	s.loads++
-	return &Update{Revision: 3, Whole: true, Proved: s.now(), Present: []Record{
+	return &Update{Revision: 3, Full: true, ValidatedAt: s.now(), Endpoints: []Record{
 		{Endpoint: catalog.Endpoint{ID: "a"}, Revision: 1}, {Endpoint: catalog.Endpoint{ID: "b"}, Revision: 2}, {Endpoint: catalog.Endpoint{ID: "c"}, Revision: 3},
 	}}, nil
 }
 
 func (s *lossySource) Watch(context.Context, Query) (*Update, error) {
-	return &Update{Revision: 3, Proved: s.now(), Digest: s.digest, Present: []Record{{Endpoint: catalog.Endpoint{ID: "c"}, Revision: 3}}}, nil
+	return &Update{Revision: 3, ValidatedAt: s.now(), Digest: s.digest, Endpoints: []Record{{Endpoint: catalog.Endpoint{ID: "c"}, Revision: 3}}}, nil
 }
 
 // Guards against an instance that has missed a change never receiving it. A differing digest must
@@ -34,7 +34,7 @@
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	table := NewTable(clock)
-	_ = table.Apply(&Update{Revision: 2, Whole: true, Proved: now, Present: []Record{{Endpoint: catalog.Endpoint{ID: "a"}, Revision: 1}}})
+	_ = table.Apply(&Update{Revision: 2, Full: true, ValidatedAt: now, Endpoints: []Record{{Endpoint: catalog.Endpoint{ID: "a"}, Revision: 1}}})
 	other := NewTable(clock)
 	source := &lossySource{now: clock}
 	full, _ := source.Load(context.Background())
--- a/belief/belief.go
+++ b/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package belief maintains an instance's local copy of the published
+// Package discovery maintains an instance's local copy of the published
 // configuration and endpoint list, together with the time at which that copy
 // was last validated, that is, known to contain every published change.
 //
@@ -12,7 +12,7 @@
 // to an older version.
 //
 // A Table is safe for concurrent use. Views are immutable.
-package belief
+package discovery
 
 import (
 	"context"
@@ -31,8 +31,8 @@
 // revision are no longer retained. The caller must load the full state.
 var ErrHistoryGone = errors.New("changes since the requested revision are no longer retained")
 
-// ErrBusy is returned by a Source that rejects the call because of load.
-var ErrBusy = errors.New("source rejected the call because of load")
+// ErrOverloaded is returned by a Source that rejects the call because of load.
+var ErrOverloaded = errors.New("source rejected the call because of load")
 
 // A Record is an endpoint and the revision of its entry in the store.
 type Record struct {
@@ -40,8 +40,8 @@
 	Revision int64
 }
 
-// A Departure records that the entry of an endpoint was deleted at a revision.
-type Departure struct {
+// A Deletion records that the entry of an endpoint was deleted at a revision.
+type Deletion struct {
 	ID       string
 	Revision int64
 	// Replaced is set if the entry was overwritten by a value that describes no endpoint.
@@ -59,33 +59,33 @@
 
 // An Update is a response of a Source.
 type Update struct {
-	Revision int64 // the update covers all changes up to this revision
-	Whole    bool  // Present and Evacuations are complete, not a delta
-	Config   *catalog.Document
-	Present  []Record
-	Gone     []Departure
+	Revision  int64 // the update covers all changes up to this revision
+	Full      bool  // Endpoints and Evacuations are complete, not a delta
+	Config    *catalog.Document
+	Endpoints []Record
+	Deleted   []Deletion
 
 	Evacuations []Evacuation
 
 	Digest uint64 // of all endpoints at Revision; zero if not sent
 
-	Proved time.Time // when the state was last validated, on the receiver's clock
+	ValidatedAt time.Time // when the state was last validated, on the receiver's clock
 
-	Bytes   int           // size of the response body
-	Arrival time.Duration // from the response header to the end of the body
+	Bytes        int           // size of the response body
+	TransferTime time.Duration // from the response header to the end of the body
 }
 
 // A Query asks a Source for changes.
 type Query struct {
 	After int64         // return changes after this revision
 	Wait  time.Duration // how long to wait for a change if there is none yet
-	// Overtaken, once closed, ends the wait with an error that matches
+	// Superseded, once closed, ends the wait with an error that matches
 	// fetch.ErrAbandoned; nil never does. A response that has begun to arrive
 	// is still read to its end: if it were aborted, it would be requested again,
 	// and a large response would never complete while changes are frequent.
-	Overtaken <-chan struct{}
-	// Begun, if set, is called once a response has begun to arrive.
-	Begun func()
+	Superseded <-chan struct{}
+	// OnResponse, if set, is called once a response has begun to arrive.
+	OnResponse func()
 }
 
 // A Source provides the published configuration, endpoints and evacuations.
@@ -138,9 +138,9 @@
 // Cold reports whether e is still warming up at now.
 func (e *Endpoint) Cold(now time.Time) bool { return now.Before(e.ColdUntil) }
 
-// Closed reports whether e must not receive new requests because it is draining or its data
+// RejectsNew reports whether e must not receive new requests because it is draining or its data
 // centre is being evacuated.
-func (e *Endpoint) Closed() bool { return e.Draining || e.Evacuated }
+func (e *Endpoint) RejectsNew() bool { return e.Draining || e.Evacuated }
 
 // A View is an immutable snapshot of a Table.
 type View struct {
@@ -230,20 +230,20 @@
 	return t.now().Sub(t.epoch) - time.Duration(validatedAt), true
 }
 
-// A Proof states that no change after Revision had been made at the instant At.
-type Proof struct {
+// A Validation states that no change after Revision had been made at the instant At.
+type Validation struct {
 	Revision int64
 	At       time.Time
 }
 
-// Proof returns the last validation and the current revision; ok is false if there was no
+// Validation returns the last validation and the current revision; ok is false if there was no
 // validation. Both are read under one lock, since a revision and an age that are read
 // separately may not belong together.
-func (t *Table) Proof() (p Proof, ok bool) {
+func (t *Table) Validation() (p Validation, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	validatedAt := t.validatedAt.Load()
-	return Proof{Revision: t.view.Load().Revision, At: t.epoch.Add(time.Duration(validatedAt))}, validatedAt != 0
+	return Validation{Revision: t.view.Load().Revision, At: t.epoch.Add(time.Duration(validatedAt))}, validatedAt != 0
 }
 
 // Changed returns a channel that is closed at the next change of the view.
@@ -265,9 +265,9 @@
 	t.markValidated(revision, validatedAt)
 }
 
-// Trouble records that the store is unavailable. Entries that are missing when
+// MarkStoreDown records that the store is unavailable. Entries that are missing when
 // it is next read get a grace period; entries that are deleted after that do not.
-func (t *Table) Trouble() { t.outageSince.CompareAndSwap(0, int64(t.now().Sub(t.epoch))) }
+func (t *Table) MarkStoreDown() { t.outageSince.CompareAndSwap(0, int64(t.now().Sub(t.epoch))) }
 
 // detectOutage records an outage since the last validation if that is older than outageAge.
 func (t *Table) detectOutage() {
@@ -276,8 +276,8 @@
 	}
 }
 
-// Recovered records that the store is available again. Call it after Apply.
-func (t *Table) Recovered() { t.outageSince.Store(0) }
+// MarkStoreUp records that the store is available again. Call it after Apply.
+func (t *Table) MarkStoreUp() { t.outageSince.Store(0) }
 
 // storeUnavailable reports whether the store has been unavailable since it was last read.
 func (t *Table) storeUnavailable() bool { return t.outageSince.Load() != 0 }
@@ -306,7 +306,7 @@
 		close(t.changed)
 		t.changed = make(chan struct{})
 	}
-	t.markValidated(u.Revision, u.Proved)
+	t.markValidated(u.Revision, u.ValidatedAt)
 	return err
 }
 
@@ -341,11 +341,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.newUpdate()
-	u.Whole = true
+	u.Full = true
 	now := t.now()
 	for _, e := range t.entries {
 		if e.graceUntil.IsZero() {
-			u.Present = append(u.Present, e.record(now))
+			u.Endpoints = append(u.Endpoints, e.record(now))
 		}
 	}
 	return u
@@ -354,7 +354,7 @@
 // newUpdate returns an Update for another instance, without endpoints. The caller holds t.mu.
 func (t *Table) newUpdate() *Update {
 	v := t.view.Load()
-	u := &Update{Revision: v.Revision, Digest: t.digest, Proved: t.epoch.Add(time.Duration(t.validatedAt.Load()))}
+	u := &Update{Revision: v.Revision, Digest: t.digest, ValidatedAt: t.epoch.Add(time.Duration(t.validatedAt.Load()))}
 	if v.Catalog != nil {
 		u.Config = v.Catalog.Document()
 	}
@@ -364,8 +364,9 @@
 	return u
 }
 
-// Lists reports whether the endpoint process with an incarnation is listed, grace period included.
-func (t *Table) Lists(incarnation string) bool {
+// HasIncarnation reports whether the endpoint process with an incarnation is listed, grace period
+// included.
+func (t *Table) HasIncarnation(incarnation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[incarnation]; e != nil && e.Incarnation() == incarnation {
--- a/belief/belief_test.go
+++ b/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package belief_test
+package discovery_test
 
 import (
 	"sort"
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // fakeClock is a clock that a test advances.
@@ -17,13 +17,13 @@
 func (c *fakeClock) now() time.Time          { return c.current }
 func (c *fakeClock) advance(d time.Duration) { c.current = c.current.Add(d) }
 
-func newTable() (*belief.Table, *fakeClock) {
+func newTable() (*discovery.Table, *fakeClock) {
 	c := &fakeClock{current: time.Unix(1000, 0)}
-	return belief.NewTable(c.now), c
+	return discovery.NewTable(c.now), c
 }
 
-func record(id string, revision int64) belief.Record {
-	return belief.Record{Endpoint: catalog.Endpoint{ID: id, Service: "s", Address: "10.0.0.1:1"}, Revision: revision}
+func record(id string, revision int64) discovery.Record {
+	return discovery.Record{Endpoint: catalog.Endpoint{ID: id, Service: "s", Address: "10.0.0.1:1"}, Revision: revision}
 }
 
 func testDocument(version int64) *catalog.Document {
@@ -34,7 +34,7 @@
 	}
 }
 
-func ids(t *belief.Table) []string {
+func ids(t *discovery.Table) []string {
 	var out []string
 	for _, e := range t.View().Endpoints("s") {
 		out = append(out, e.ID)
@@ -42,7 +42,7 @@
 	return out
 }
 
-func wantIDs(t *testing.T, table *belief.Table, want ...string) {
+func wantIDs(t *testing.T, table *discovery.Table, want ...string) {
 	t.Helper()
 	got := ids(table)
 	if len(got) != len(want) {
@@ -62,7 +62,7 @@
 	}
 	sent := c.now()
 	c.advance(700 * time.Millisecond) // response time
-	_ = table.Apply(&belief.Update{Revision: 5, Whole: true, Config: testDocument(1), Proved: sent})
+	_ = table.Apply(&discovery.Update{Revision: 5, Full: true, Config: testDocument(1), ValidatedAt: sent})
 	if age, ok := table.Age(); !ok || age != 700*time.Millisecond {
 		t.Fatalf("age is %v, %v; want 700ms since the request was sent", age, ok)
 	}
@@ -76,12 +76,12 @@
 // 25 must also validate a table that has meanwhile received revision 26 from another instance.
 func TestOutOfOrderResponseValidatesLaterRevision(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 24, Whole: true, Config: testDocument(1), Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 24, Full: true, Config: testDocument(1), ValidatedAt: c.now()})
 	c.advance(time.Second)
 	sent := c.now()
-	_ = table.Apply(&belief.Update{Revision: 26, Proved: c.now().Add(-5 * time.Second)})
+	_ = table.Apply(&discovery.Update{Revision: 26, ValidatedAt: c.now().Add(-5 * time.Second)})
 	c.advance(100 * time.Millisecond)
-	_ = table.Apply(&belief.Update{Revision: 25, Proved: sent})
+	_ = table.Apply(&discovery.Update{Revision: 25, ValidatedAt: sent})
 	if age, _ := table.Age(); age != 100*time.Millisecond {
 		t.Fatalf("age is %v, want 100ms since the earlier request was sent", age)
 	}
@@ -90,7 +90,7 @@
 // A validation applies only to tables that are at its revision or a later one.
 func TestConfirmIgnoresLaterRevision(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 24, Whole: true, Config: testDocument(1), Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 24, Full: true, Config: testDocument(1), ValidatedAt: c.now()})
 	c.advance(time.Second)
 	table.Confirm(25, c.now())
 	if age, _ := table.Age(); age != time.Second {
@@ -111,7 +111,7 @@
 		revisionAt := func(at time.Time) int64 {
 			return int64(sort.Search(len(changeTimes), func(i int) bool { return changeTimes[i].After(at) }))
 		}
-		_ = table.Apply(&belief.Update{Revision: 1, Config: testDocument(1), Proved: c.now()})
+		_ = table.Apply(&discovery.Update{Revision: 1, Config: testDocument(1), ValidatedAt: c.now()})
 		var sent []time.Time
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			c.advance(time.Duration(rapid.IntRange(1, 900).Draw(t, "pause")) * time.Millisecond)
@@ -124,7 +124,7 @@
 				if len(sent) > 0 {
 					at := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "call")]
 					answered := at.Add(time.Duration(rapid.Int64Range(0, int64(c.now().Sub(at))).Draw(t, "answered")))
-					_ = table.Apply(&belief.Update{Revision: revisionAt(answered), Proved: at})
+					_ = table.Apply(&discovery.Update{Revision: revisionAt(answered), ValidatedAt: at})
 				}
 			case 3: // another instance's validation at any earlier instant
 				at := c.now().Add(-time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond)
@@ -138,18 +138,19 @@
 	})
 }
 
-// Proof returns a revision and a validation time that belong together, during concurrent updates.
-func TestProofIsReadAtomically(t *testing.T) {
+// Validation returns a revision and a validation time that belong together, during concurrent
+// updates.
+func TestValidationIsReadAtomically(t *testing.T) {
 	origin := time.Now()
-	table := belief.NewTable(time.Now)
-	_ = table.Apply(&belief.Update{Revision: 1, Config: testDocument(1), Proved: origin})
+	table := discovery.NewTable(time.Now)
+	_ = table.Apply(&discovery.Update{Revision: 1, Config: testDocument(1), ValidatedAt: origin})
 	const changes = 20_000
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for n := int64(2); n < changes; n++ {
 			// Revision n is made n us after the origin, and validated as of then.
-			_ = table.Apply(&belief.Update{Revision: n, Proved: origin.Add(time.Duration(n) * time.Microsecond)})
+			_ = table.Apply(&discovery.Update{Revision: n, ValidatedAt: origin.Add(time.Duration(n) * time.Microsecond)})
 		}
 	}()
 	for {
@@ -158,7 +159,7 @@
 			return
 		default:
 		}
-		p, ok := table.Proof()
+		p, ok := table.Validation()
 		if next := origin.Add(time.Duration(p.Revision+1) * time.Microsecond); ok && !p.At.Before(next) {
 			t.Fatalf("revision %d returned with a validation %v after revision %d was made", p.Revision, p.At.Sub(next), p.Revision+1)
 		}
@@ -167,8 +168,8 @@
 
 func TestConfigurationVersionIsMonotonic(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 3, Config: testDocument(7), Proved: c.now()})
-	_ = table.Apply(&belief.Update{Revision: 4, Config: testDocument(6), Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 3, Config: testDocument(7), ValidatedAt: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 4, Config: testDocument(6), ValidatedAt: c.now()})
 	if got := table.View().Catalog.Version(); got != 7 {
 		t.Fatalf("version in force is %d, want 7", got)
 	}
@@ -176,10 +177,10 @@
 
 func TestInvalidConfigurationIsRejected(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 3, Config: testDocument(1), Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 3, Config: testDocument(1), ValidatedAt: c.now()})
 	bad := testDocument(2)
 	bad.Routes[0].Targets[0].Service = "unknown"
-	if err := table.Apply(&belief.Update{Revision: 4, Config: bad, Proved: c.now()}); err == nil {
+	if err := table.Apply(&discovery.Update{Revision: 4, Config: bad, ValidatedAt: c.now()}); err == nil {
 		t.Fatal("a route to an undeclared service was accepted")
 	}
 	if got := table.View().Catalog.Version(); got != 1 {
@@ -189,18 +190,18 @@
 
 func TestDeletedEntryIsRemoved(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 3, Whole: true, Present: []belief.Record{record("a", 1), record("b", 2)}, Proved: c.now()})
-	_ = table.Apply(&belief.Update{Revision: 5, Gone: []belief.Departure{{ID: "a", Revision: 4}}, Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 3, Full: true, Endpoints: []discovery.Record{record("a", 1), record("b", 2)}, ValidatedAt: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 5, Deleted: []discovery.Deletion{{ID: "a", Revision: 4}}, ValidatedAt: c.now()})
 	wantIDs(t, table, "b")
 }
 
 func TestOutOfOrderChanges(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 6, Present: []belief.Record{record("a", 6)}, Gone: []belief.Departure{{ID: "a", Revision: 5}}, Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 6, Endpoints: []discovery.Record{record("a", 6)}, Deleted: []discovery.Deletion{{ID: "a", Revision: 5}}, ValidatedAt: c.now()})
 	wantIDs(t, table, "a")
 	old := record("a", 2)
 	old.Draining = true
-	_ = table.Apply(&belief.Update{Revision: 7, Present: []belief.Record{old}, Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 7, Endpoints: []discovery.Record{old}, ValidatedAt: c.now()})
 	if table.View().Endpoints("s")[0].Draining {
 		t.Fatal("an older entry replaced a newer one")
 	}
@@ -210,13 +211,13 @@
 // grace period, during which requests are sent to a server that has left.
 func TestDeletionAfterOutageGetsNoGracePeriod(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 3, Whole: true, Present: []belief.Record{record("a", 1), record("b", 2)}, Proved: c.now()})
-	table.Trouble()
+	_ = table.Apply(&discovery.Update{Revision: 3, Full: true, Endpoints: []discovery.Record{record("a", 1), record("b", 2)}, ValidatedAt: c.now()})
+	table.MarkStoreDown()
 	c.advance(2 * time.Second)
-	_ = table.Apply(&belief.Update{Revision: 3, Proved: c.now()})
-	table.Recovered()
+	_ = table.Apply(&discovery.Update{Revision: 3, ValidatedAt: c.now()})
+	table.MarkStoreUp()
 	c.advance(500 * time.Millisecond)
-	_ = table.Apply(&belief.Update{Revision: 5, Gone: []belief.Departure{{ID: "a", Revision: 5}}, Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 5, Deleted: []discovery.Deletion{{ID: "a", Revision: 5}}, ValidatedAt: c.now()})
 	wantIDs(t, table, "b")
 }
 
@@ -224,41 +225,41 @@
 	table, c := newTable()
 	draining := record("b", 2)
 	draining.Draining = true
-	_ = table.Apply(&belief.Update{Revision: 3, Whole: true, Present: []belief.Record{record("a", 1), draining}, Proved: c.now()})
-	table.Trouble()
-	_ = table.Apply(&belief.Update{Revision: 9, Whole: true, Proved: c.now()})
-	table.Recovered()
+	_ = table.Apply(&discovery.Update{Revision: 3, Full: true, Endpoints: []discovery.Record{record("a", 1), draining}, ValidatedAt: c.now()})
+	table.MarkStoreDown()
+	_ = table.Apply(&discovery.Update{Revision: 9, Full: true, ValidatedAt: c.now()})
+	table.MarkStoreUp()
 	wantIDs(t, table, "a")
 	if at := table.View().Endpoints("s")[0].GraceUntil; !at.After(c.now()) {
 		t.Fatalf("the grace period ends at %v, want later than %v", at, c.now())
 	}
 	c.advance(3 * time.Second)
-	_ = table.Apply(&belief.Update{Revision: 9, Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 9, ValidatedAt: c.now()})
 	wantIDs(t, table)
 }
 
 func TestEntryRestoredDuringGracePeriod(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 3, Whole: true, Present: []belief.Record{record("a", 1)}, Proved: c.now()})
-	table.Trouble()
-	_ = table.Apply(&belief.Update{Revision: 9, Gone: []belief.Departure{{ID: "a", Revision: 8}}, Proved: c.now()})
-	table.Recovered()
-	_ = table.Apply(&belief.Update{Revision: 10, Present: []belief.Record{record("a", 10)}, Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 3, Full: true, Endpoints: []discovery.Record{record("a", 1)}, ValidatedAt: c.now()})
+	table.MarkStoreDown()
+	_ = table.Apply(&discovery.Update{Revision: 9, Deleted: []discovery.Deletion{{ID: "a", Revision: 8}}, ValidatedAt: c.now()})
+	table.MarkStoreUp()
+	_ = table.Apply(&discovery.Update{Revision: 10, Endpoints: []discovery.Record{record("a", 10)}, ValidatedAt: c.now()})
 	if at := table.View().Endpoints("s")[0].GraceUntil; !at.IsZero() {
 		t.Fatalf("an endpoint that was published again has a grace period until %v", at)
 	}
 }
 
-// The calls of the follower and the prover to the store overlap. Guards against a stale response,
-// which contains the creation of an entry but not its deletion, restoring that entry.
+// The calls of the follower and the validator to the store overlap. Guards against a stale
+// response, which contains the creation of an entry but not its deletion, restoring that entry.
 func TestStaleResponseDoesNotRestoreEntry(t *testing.T) {
 	table, _ := newTable()
-	_ = table.Apply(&belief.Update{Revision: 10, Whole: true, Config: testDocument(1), Present: []belief.Record{record("a", 3)}})
-	_ = table.Apply(&belief.Update{Revision: 12, Present: []belief.Record{record("b", 11)}, Gone: []belief.Departure{{ID: "b", Revision: 12}}})
-	_ = table.Apply(&belief.Update{Revision: 11, Present: []belief.Record{record("b", 11)}})
+	_ = table.Apply(&discovery.Update{Revision: 10, Full: true, Config: testDocument(1), Endpoints: []discovery.Record{record("a", 3)}})
+	_ = table.Apply(&discovery.Update{Revision: 12, Endpoints: []discovery.Record{record("b", 11)}, Deleted: []discovery.Deletion{{ID: "b", Revision: 12}}})
+	_ = table.Apply(&discovery.Update{Revision: 11, Endpoints: []discovery.Record{record("b", 11)}})
 	wantIDs(t, table, "a")
-	_ = table.Apply(&belief.Update{Revision: 11, Whole: true, Present: []belief.Record{record("a", 3), record("b", 11)}})
+	_ = table.Apply(&discovery.Update{Revision: 11, Full: true, Endpoints: []discovery.Record{record("a", 3), record("b", 11)}})
 	wantIDs(t, table, "a")
-	_ = table.Apply(&belief.Update{Revision: 13, Present: []belief.Record{record("c", 13)}})
+	_ = table.Apply(&discovery.Update{Revision: 13, Endpoints: []discovery.Record{record("c", 13)}})
 	wantIDs(t, table, "a", "c")
 }
--- a/belief/entries.go
+++ b/discovery/entries.go
@@ -1,4 +1,4 @@
-package belief
+package discovery
 
 // This file applies endpoint changes to the entries of a Table, and keeps entries that disappear
 // during a store outage for a grace period.
@@ -16,12 +16,12 @@
 }
 
 func (t *Table) applyEndpointChanges(u *Update) (changed bool) {
-	if u.Whole && u.Revision >= t.view.Load().Revision {
+	if u.Full && u.Revision >= t.view.Load().Revision {
 		changed = t.removeMissing(u)
 		defer t.changeLog.reset(t.nextRevision)
 	}
-	for i := range u.Present {
-		r := &u.Present[i]
+	for i := range u.Endpoints {
+		r := &u.Endpoints[i]
 		e := t.entries[r.ID]
 		if e != nil && e.Revision >= r.Revision && e.graceUntil.IsZero() {
 			continue
@@ -41,7 +41,7 @@
 		t.putEntry(next)
 		changed = true
 	}
-	for _, d := range u.Gone {
+	for _, d := range u.Deleted {
 		t.recordTombstone(d)
 		e := t.entries[d.ID]
 		switch {
@@ -66,11 +66,11 @@
 type tombstone struct {
 	revision int64
 	at       time.Time
-	replaced bool // see Departure.Replaced
+	replaced bool // see Deletion.Replaced
 }
 
 // recordTombstone stores a deletion unless a later one is known. The caller holds t.mu.
-func (t *Table) recordTombstone(d Departure) {
+func (t *Table) recordTombstone(d Deletion) {
 	if d.Revision > t.tombstones[d.ID].revision {
 		t.tombstones[d.ID] = tombstone{revision: d.Revision, at: t.now(), replaced: d.Replaced}
 	}
@@ -87,13 +87,13 @@
 }
 
 func (t *Table) removeMissing(u *Update) (changed bool) {
-	present := make(map[string]bool, len(u.Present))
-	for i := range u.Present {
-		present[u.Present[i].ID] = true
+	present := make(map[string]bool, len(u.Endpoints))
+	for i := range u.Endpoints {
+		present[u.Endpoints[i].ID] = true
 	}
 	for id, e := range t.entries {
 		if !present[id] && e.Revision <= u.Revision && e.graceUntil.IsZero() {
-			t.recordTombstone(Departure{ID: id, Revision: u.Revision})
+			t.recordTombstone(Deletion{ID: id, Revision: u.Revision})
 			t.removeEntry(e)
 			changed = true
 		}
--- a/belief/evacuate.go
+++ b/discovery/evacuate.go
@@ -1,4 +1,4 @@
-package belief
+package discovery
 
 // This file tracks which data centres operators want evacuated.
 
@@ -14,7 +14,7 @@
 
 // applyEvacuations applies the evacuations of u. The caller holds t.mu.
 func (t *Table) applyEvacuations(u *Update, c *catalog.Catalog) (changed bool) {
-	if u.Whole && u.Revision >= t.view.Load().Revision {
+	if u.Full && u.Revision >= t.view.Load().Revision {
 		changed = t.endMissingEvacuations(u, c)
 	}
 	for _, e := range u.Evacuations {
