--- a/belief/evacuate_test.go
+++ b/discovery/evacuate_test.go
@@ -1,12 +1,12 @@
-package belief_test
+package discovery_test
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // coldDocument declares a service whose endpoints warm up for 3 s.
@@ -16,64 +16,64 @@
 	return d
 }
 
-func recordIn(id, dataCentre string, revision int64) belief.Record {
+func recordIn(id, dataCentre string, revision int64) discovery.Record {
 	r := record(id, revision)
 	r.DataCentre = dataCentre
 	return r
 }
 
-func mustApply(t *testing.T, table *belief.Table, u *belief.Update) {
+func mustApply(t *testing.T, table *discovery.Table, u *discovery.Update) {
 	t.Helper()
 	if err := table.Apply(u); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func wantEvacuated(t *testing.T, table *belief.Table, want ...string) {
+func wantEvacuated(t *testing.T, table *discovery.Table, want ...string) {
 	t.Helper()
 	if got := table.View().Evacuated(); !slices.Equal(got, want) {
 		t.Fatalf("evacuated data centres are %q, want %q", got, want)
 	}
 	for _, e := range table.View().Endpoints("s") {
-		if e.Closed() != slices.Contains(want, e.DataCentre) {
-			t.Errorf("endpoint %s in %s: Closed() = %t", e.ID, e.DataCentre, e.Closed())
+		if e.RejectsNew() != slices.Contains(want, e.DataCentre) {
+			t.Errorf("endpoint %s in %s: RejectsNew() = %t", e.ID, e.DataCentre, e.RejectsNew())
 		}
 	}
 }
 
 func TestEvacuationClosesDataCentre(t *testing.T) {
 	table, _ := newTable()
-	mustApply(t, table, &belief.Update{Revision: 3, Whole: true, Config: coldDocument(1),
-		Present: []belief.Record{recordIn("a1", "a", 1), recordIn("b1", "b", 2)}})
+	mustApply(t, table, &discovery.Update{Revision: 3, Full: true, Config: coldDocument(1),
+		Endpoints: []discovery.Record{recordIn("a1", "a", 1), recordIn("b1", "b", 2)}})
 	wantEvacuated(t, table)
-	mustApply(t, table, &belief.Update{Revision: 4, Evacuations: []belief.Evacuation{{DataCentre: "a", Revision: 4}}})
+	mustApply(t, table, &discovery.Update{Revision: 4, Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 4}}})
 	wantEvacuated(t, table, "a")
-	mustApply(t, table, &belief.Update{Revision: 5, Present: []belief.Record{recordIn("a2", "a", 5)}})
+	mustApply(t, table, &discovery.Update{Revision: 5, Endpoints: []discovery.Record{recordIn("a2", "a", 5)}})
 	wantEvacuated(t, table, "a")
-	mustApply(t, table, &belief.Update{Revision: 6, Evacuations: []belief.Evacuation{{DataCentre: "b", Revision: 6}}})
+	mustApply(t, table, &discovery.Update{Revision: 6, Evacuations: []discovery.Evacuation{{DataCentre: "b", Revision: 6}}})
 	wantEvacuated(t, table, "a", "b")
-	mustApply(t, table, &belief.Update{Revision: 7, Evacuations: []belief.Evacuation{{DataCentre: "a", Revision: 7, Over: true}}})
+	mustApply(t, table, &discovery.Update{Revision: 7, Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 7, Over: true}}})
 	wantEvacuated(t, table, "b")
 }
 
 // A stale update neither restarts an evacuation that has ended nor ends one that is in force.
 func TestStaleEvacuationUpdatesAreIgnored(t *testing.T) {
 	table, _ := newTable()
-	started := belief.Evacuation{DataCentre: "a", Revision: 4}
-	mustApply(t, table, &belief.Update{Revision: 4, Whole: true, Config: coldDocument(1), Evacuations: []belief.Evacuation{started}})
-	mustApply(t, table, &belief.Update{Revision: 3, Whole: true})
+	started := discovery.Evacuation{DataCentre: "a", Revision: 4}
+	mustApply(t, table, &discovery.Update{Revision: 4, Full: true, Config: coldDocument(1), Evacuations: []discovery.Evacuation{started}})
+	mustApply(t, table, &discovery.Update{Revision: 3, Full: true})
 	wantEvacuated(t, table, "a")
-	mustApply(t, table, &belief.Update{Revision: 7, Evacuations: []belief.Evacuation{{DataCentre: "a", Revision: 6, Over: true}}})
-	mustApply(t, table, &belief.Update{Revision: 5, Whole: true, Evacuations: []belief.Evacuation{started}})
+	mustApply(t, table, &discovery.Update{Revision: 7, Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 6, Over: true}}})
+	mustApply(t, table, &discovery.Update{Revision: 5, Full: true, Evacuations: []discovery.Evacuation{started}})
 	wantEvacuated(t, table)
 }
 
 // An evacuation that ended during a store outage is missing from the next full update.
 func TestFullUpdateEndsMissingEvacuation(t *testing.T) {
 	table, _ := newTable()
-	mustApply(t, table, &belief.Update{Revision: 4, Whole: true, Config: coldDocument(1), Evacuations: []belief.Evacuation{{DataCentre: "a", Revision: 4}}})
-	table.Trouble()
-	mustApply(t, table, &belief.Update{Revision: 9, Whole: true})
+	mustApply(t, table, &discovery.Update{Revision: 4, Full: true, Config: coldDocument(1), Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 4}}})
+	table.MarkStoreDown()
+	mustApply(t, table, &discovery.Update{Revision: 9, Full: true})
 	wantEvacuated(t, table)
 }
 
@@ -82,8 +82,8 @@
 	table, c := newTable()
 	cold := recordIn("a1", "a", 1)
 	cold.ColdLeft = 2 * time.Second
-	mustApply(t, table, &belief.Update{Revision: 4, Whole: true, Config: coldDocument(1), Present: []belief.Record{cold},
-		Evacuations: []belief.Evacuation{{DataCentre: "b", Revision: 4}}})
+	mustApply(t, table, &discovery.Update{Revision: 4, Full: true, Config: coldDocument(1), Endpoints: []discovery.Record{cold},
+		Evacuations: []discovery.Evacuation{{DataCentre: "b", Revision: 4}}})
 	c.advance(500 * time.Millisecond)
 	other, _ := newTable()
 	mustApply(t, other, table.Snapshot())
@@ -97,9 +97,9 @@
 // Endpoints may have become cold during an evacuation, before they report it.
 func TestEndpointsAreColdAfterEvacuation(t *testing.T) {
 	table, c := newTable()
-	mustApply(t, table, &belief.Update{Revision: 4, Whole: true, Config: coldDocument(1),
-		Present: []belief.Record{recordIn("a1", "a", 1), recordIn("b1", "b", 2)}, Evacuations: []belief.Evacuation{{DataCentre: "a", Revision: 4}}})
-	mustApply(t, table, &belief.Update{Revision: 5, Evacuations: []belief.Evacuation{{DataCentre: "a", Revision: 5, Over: true}}})
+	mustApply(t, table, &discovery.Update{Revision: 4, Full: true, Config: coldDocument(1),
+		Endpoints: []discovery.Record{recordIn("a1", "a", 1), recordIn("b1", "b", 2)}, Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 4}}})
+	mustApply(t, table, &discovery.Update{Revision: 5, Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 5, Over: true}}})
 	for _, e := range table.View().Endpoints("s") {
 		if e.Cold(c.now()) != (e.DataCentre == "a") {
 			t.Errorf("endpoint %s: Cold() = %t", e.ID, e.Cold(c.now()))
--- a/belief/follow.go
+++ b/discovery/follow.go
@@ -1,4 +1,4 @@
-package belief
+package discovery
 
 // This file keeps a Table synchronized with its sources.
 
@@ -26,17 +26,17 @@
 	maxBackoff             = 1200 * time.Millisecond
 )
 
-// A NamedSource is a Source with its name in logs. Origin marks the store itself;
+// A NamedSource is a Source with its name in logs. IsStore marks the store itself;
 // a successful read of it ends an outage.
 type NamedSource struct {
-	Name   string
-	Origin bool
-	Source Source
+	Name    string
+	IsStore bool
+	Source  Source
 }
 
 // eventName returns the name of a call to the source in the counters.
 func (s *NamedSource) eventName(call string) string {
-	if s.Origin {
+	if s.IsStore {
 		return call
 	}
 	return "relay-" + call
@@ -44,7 +44,7 @@
 
 // A Follower keeps a Table up to date. It long-polls the store, or an instance
 // that follows the store, for changes, and loads the state of other instances
-// while neither answers. A Prover separately validates that the state is current.
+// while neither answers. A Validator separately validates that the state is current.
 type Follower struct {
 	Table *Table
 	Store NamedSource
@@ -54,18 +54,18 @@
 	Upstream func(overtaken bool) (NamedSource, bool)
 	// Peers returns the instances to load the full state from, in order of preference.
 	Peers func() []NamedSource
-	// Newer returns a channel that is closed when another instance has a newer
+	// NewerRevision returns a channel that is closed when another instance has a newer
 	// revision.
-	Newer func() <-chan struct{}
-	// StartWithin is how long an instance without any state waits for a peer to load
+	NewerRevision func() <-chan struct{}
+	// BootstrapTimeout is how long an instance without any state waits for a peer to load
 	// it from before it queries the store; zero disables the wait.
-	StartWithin time.Duration
-	// Hurry, once closed, ends that wait, because requests are waiting.
-	Hurry <-chan struct{}
-	// Readers returns the number of instances known to follow the store itself.
-	Readers func() int
-	Log     *zap.Logger
-	Count   func(event string) // counts calls and failures
+	BootstrapTimeout time.Duration
+	// SkipBootstrap, once closed, ends that wait, because requests are waiting.
+	SkipBootstrap <-chan struct{}
+	// StoreReaders returns the number of instances known to follow the store itself.
+	StoreReaders func() int
+	Log          *zap.Logger
+	Count        func(event string) // counts calls and failures
 
 	failing map[string]bool // sources whose last call failed, by name
 	backoff time.Duration
@@ -77,9 +77,9 @@
 	receiving atomic.Bool // a response of the store is arriving
 }
 
-// Arriving reports whether a response of the store is being received. It is safe for
+// Receiving reports whether a response of the store is being received. It is safe for
 // concurrent use.
-func (f *Follower) Arriving() bool { return f.receiving.Load() }
+func (f *Follower) Receiving() bool { return f.receiving.Load() }
 
 // Run keeps the Table up to date until ctx is done. Only one Run may be active at a time.
 func (f *Follower) Run(ctx context.Context) {
@@ -90,7 +90,7 @@
 		if f.sync(ctx) {
 			f.backoff = 0
 			if f.Table.View().Revision != before {
-				sleep(ctx, coalesceDelay(f.Readers()))
+				sleep(ctx, coalesceDelay(f.StoreReaders()))
 			}
 			continue
 		}
@@ -131,7 +131,7 @@
 		return true
 	}
 	f.behind = false
-	f.Table.Trouble()
+	f.Table.MarkStoreDown()
 	f.loadFromPeer(ctx)
 	return false
 }
@@ -158,7 +158,7 @@
 	if v.Revision == 0 {
 		return f.load(ctx, s)
 	}
-	if f.needFullLoad && !s.Origin {
+	if f.needFullLoad && !s.IsStore {
 		f.needFullLoad, f.lastFullLoad = false, f.Table.now()
 		return f.load(ctx, s)
 	}
@@ -173,12 +173,12 @@
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	q := Query{After: after, Wait: wait}
-	if s.Origin {
-		q.Begun = func() { f.receiving.Store(true) }
+	if s.IsStore {
+		q.OnResponse = func() { f.receiving.Store(true) }
 		defer f.receiving.Store(false)
 	}
 	if wait > 0 {
-		q.Overtaken = f.newerRevisionSignal(callCtx)
+		q.Superseded = f.newerRevisionSignal(callCtx)
 	}
 	f.Count(s.eventName("watch"))
 	u, err := s.Source.Watch(callCtx, q)
@@ -195,7 +195,7 @@
 // connection is silently broken.
 func (f *Follower) newerRevisionSignal(ctx context.Context) <-chan struct{} {
 	overtaken := make(chan struct{})
-	newer := f.Newer()
+	newer := f.NewerRevision()
 	go func() {
 		select {
 		case <-ctx.Done():
@@ -236,7 +236,7 @@
 // the source, as happens when a change was missed.
 func (f *Follower) checkDigest(s NamedSource, u *Update) {
 	revision, digest := f.Table.Digest()
-	if u.Whole || u.Digest == 0 || u.Revision != revision || u.Digest == digest {
+	if u.Full || u.Digest == 0 || u.Revision != revision || u.Digest == digest {
 		return
 	}
 	f.Count("differs")
@@ -263,14 +263,14 @@
 	if after.Catalog != before.Catalog {
 		log.Info("configuration applied", zap.String("source", s.Name),
 			zap.Int64("version", after.Catalog.Version()), zap.Int64("revision", after.Revision),
-			zap.Int("bytes", u.Bytes), zap.Int64("arrival_ms", u.Arrival.Milliseconds()))
+			zap.Int("bytes", u.Bytes), zap.Int64("arrival_ms", u.TransferTime.Milliseconds()))
 	}
 	logEvacuations(s, before, after, log)
 	if after.Revision != before.Revision {
 		logEndpoints(s, u, before.Revision, log, t.storeUnavailable())
 	}
-	if s.Origin || t.validatedSinceOutage(u.Proved) {
-		t.Recovered()
+	if s.IsStore || t.validatedSinceOutage(u.ValidatedAt) {
+		t.MarkStoreUp()
 	}
 }
 
@@ -298,8 +298,8 @@
 // those that were deleted.
 func logEndpoints(s NamedSource, u *Update, after int64, log *zap.Logger, outage bool) {
 	logged := 0
-	for i := range u.Present {
-		r := &u.Present[i]
+	for i := range u.Endpoints {
+		r := &u.Endpoints[i]
 		if r.Revision <= after {
 			continue
 		}
@@ -313,7 +313,7 @@
 	if logged > maxLoggedEndpoints {
 		log.Info("further endpoint updates not logged", zap.String("source", s.Name), zap.Int("not_logged", logged-maxLoggedEndpoints), zap.Int64("revision", u.Revision))
 	}
-	for _, d := range u.Gone[:min(len(u.Gone), maxLoggedEndpoints)] {
+	for _, d := range u.Deleted[:min(len(u.Deleted), maxLoggedEndpoints)] {
 		log.Info("endpoint deleted", zap.String("source", s.Name), zap.String("id", d.ID),
 			zap.Int64("revision", d.Revision), zap.Bool("after_trouble", outage))
 	}
@@ -327,13 +327,13 @@
 
 // logTruncatedAnswer logs and counts a response that began to arrive but was not completed.
 func logTruncatedAnswer(s NamedSource, err error, log *zap.Logger, count func(string)) {
-	var cut *fetch.CutError
-	if !errors.As(err, &cut) || !cut.Begun {
+	var cut *fetch.TruncatedError
+	if !errors.As(err, &cut) || !cut.HeaderReceived {
 		return
 	}
 	count("answer-cut")
 	log.Warn("response truncated", zap.String("source", s.Name), zap.Int("bytes", cut.Bytes),
-		zap.Int64("first_ms", cut.First.Milliseconds()), zap.Int64("took_ms", cut.Took.Milliseconds()),
+		zap.Int64("first_ms", cut.HeaderTime.Milliseconds()), zap.Int64("took_ms", cut.Elapsed.Milliseconds()),
 		zap.String("error", cut.Err.Error()))
 }
 
--- a/belief/follow_test.go
+++ b/discovery/follow_test.go
@@ -1,4 +1,4 @@
-package belief
+package discovery
 
 import (
 	"context"
@@ -38,20 +38,21 @@
 	}
 }
 
-// Guards against all instances of a fleet calling the store at the same time once none of them has a
-// recent validation. A rank counts only recently validated instances, so all of them would be first.
+// Guards against all instances of a fleet calling the store at the same time once none of them has
+// a recent validation. A rank counts only recently validated instances, so all of them would be
+// first.
 func TestUnrankedInstancesLimitStoreCalls(t *testing.T) {
 	const unranked = 280
 	now := time.Unix(1000, 0)
 	calls := 0
-	provers := make([]*Prover, unranked)
-	for i := range provers {
-		provers[i] = &Prover{Turn: func() Turn { return Turn{Crowd: unranked} }}
+	validators := make([]*Validator, unranked)
+	for i := range validators {
+		validators[i] = &Validator{Turn: func() ValidationTurn { return ValidationTurn{Unranked: unranked} }}
 	}
 	const seconds = 3
 	for tick := range int(seconds * time.Second / validationPollInterval) {
 		at := now.Add(time.Duration(tick) * validationPollInterval)
-		for _, p := range provers {
+		for _, p := range validators {
 			if p.due(at, maxValidationAge-time.Millisecond) {
 				t.Fatal("an unranked instance calls before the maximum validation age")
 			}
@@ -59,7 +60,7 @@
 	}
 	for tick := range int(seconds * time.Second / validationPollInterval) {
 		at := now.Add(time.Duration(tick) * validationPollInterval)
-		for _, p := range provers {
+		for _, p := range validators {
 			if p.due(at, maxValidationAge) {
 				p.randomDue = time.Time{}
 				calls++
@@ -74,7 +75,7 @@
 
 // An instance that hears no scheduler calls as soon as the maximum validation age is reached.
 func TestLoneUnrankedInstanceCallsImmediately(t *testing.T) {
-	p := &Prover{Turn: func() Turn { return Turn{Crowd: 1} }}
+	p := &Validator{Turn: func() ValidationTurn { return ValidationTurn{Unranked: 1} }}
 	now := time.Unix(1000, 0)
 	if p.due(now, maxValidationAge-time.Millisecond) || !p.due(now, maxValidationAge) {
 		t.Fatal("want it to be due exactly from the maximum validation age on")
@@ -99,18 +100,18 @@
 }
 
 func fullUpdate(revision int64) *Update {
-	return &Update{Revision: revision, Whole: true, Config: &catalog.Document{Version: revision}, Proved: time.Now()}
+	return &Update{Revision: revision, Full: true, Config: &catalog.Document{Version: revision}, ValidatedAt: time.Now()}
 }
 
 // blockingWatch does not answer until its context is done or its wait is abandoned.
 func blockingWatch(ctx context.Context, q Query) (*Update, error) {
 	if q.Wait == 0 {
-		return &Update{Revision: 1, Proved: time.Now()}, nil
+		return &Update{Revision: 1, ValidatedAt: time.Now()}, nil
 	}
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-q.Overtaken:
+	case <-q.Superseded:
 		return nil, fetch.ErrAbandoned
 	}
 }
@@ -128,14 +129,14 @@
 	t.Helper()
 	table := NewTable(time.Now)
 	f := &Follower{
-		Table:    table,
-		Store:    NamedSource{Name: "store", Origin: true, Source: store},
-		Upstream: upstream,
-		Peers:    func() []NamedSource { return nil },
-		Newer:    newer,
-		Readers:  func() int { return 1 },
-		Log:      zap.NewNop(),
-		Count:    func(string) {},
+		Table:         table,
+		Store:         NamedSource{Name: "store", IsStore: true, Source: store},
+		Upstream:      upstream,
+		Peers:         func() []NamedSource { return nil },
+		NewerRevision: newer,
+		StoreReaders:  func() int { return 1 },
+		Log:           zap.NewNop(),
+		Count:         func(string) {},
 	}
 	runFollower(t, f)
 	return table
@@ -215,14 +216,14 @@
 func TestWaitForFirstConfiguration(t *testing.T) {
 	published := make(chan struct{})
 	store := &fakeSource{
-		load: func() (*Update, error) { return &Update{Revision: 1, Whole: true, Proved: time.Now()}, nil },
+		load: func() (*Update, error) { return &Update{Revision: 1, Full: true, ValidatedAt: time.Now()}, nil },
 		watch: func(ctx context.Context, q Query) (*Update, error) {
 			if q.After > 1 {
 				return blockingWatch(ctx, q)
 			}
 			select {
 			case <-published:
-				return &Update{Revision: 2, Config: &catalog.Document{Version: 1}, Proved: time.Now()}, nil
+				return &Update{Revision: 2, Config: &catalog.Document{Version: 1}, ValidatedAt: time.Now()}, nil
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
@@ -243,10 +244,10 @@
 	t.Helper()
 	table := NewTable(time.Now)
 	f := &Follower{
-		Table: table, Store: NamedSource{Name: "store", Origin: true, Source: store},
-		Upstream: upstream, Peers: peers, Newer: newer,
-		Readers: func() int { return 1 }, Log: zap.NewNop(), Count: func(string) {},
-		StartWithin: 300 * time.Millisecond,
+		Table: table, Store: NamedSource{Name: "store", IsStore: true, Source: store},
+		Upstream: upstream, Peers: peers, NewerRevision: newer,
+		StoreReaders: func() int { return 1 }, Log: zap.NewNop(), Count: func(string) {},
+		BootstrapTimeout: 300 * time.Millisecond,
 	}
 	runFollower(t, f)
 	return table
@@ -279,7 +280,7 @@
 	}
 }
 
-// Without peers, an instance queries the store after StartWithin.
+// Without peers, an instance queries the store after BootstrapTimeout.
 func TestBootstrapWithoutPeers(t *testing.T) {
 	store := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
 	start := time.Now()
@@ -290,16 +291,17 @@
 	}
 }
 
-// Guards against a restarted fleet refusing requests while its instances wait for each other's state.
+// Guards against a restarted fleet refusing requests while its instances wait for each other's
+// state.
 func TestBootstrapSkipsWaitForPendingRequests(t *testing.T) {
 	store := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
 	hurry := make(chan struct{})
 	table := NewTable(time.Now)
 	f := &Follower{
-		Table: table, Store: NamedSource{Name: "store", Origin: true, Source: store},
-		Upstream: noUpstream, Peers: func() []NamedSource { return nil }, Newer: neverNewer,
-		Readers: func() int { return 1 }, Log: zap.NewNop(), Count: func(string) {},
-		StartWithin: time.Minute, Hurry: hurry,
+		Table: table, Store: NamedSource{Name: "store", IsStore: true, Source: store},
+		Upstream: noUpstream, Peers: func() []NamedSource { return nil }, NewerRevision: neverNewer,
+		StoreReaders: func() int { return 1 }, Log: zap.NewNop(), Count: func(string) {},
+		BootstrapTimeout: time.Minute, SkipBootstrap: hurry,
 	}
 	runFollower(t, f)
 	time.Sleep(50 * time.Millisecond)
@@ -325,7 +327,7 @@
 func TestSilentUpstreamIsReplacedByStore(t *testing.T) {
 	overtaken := make(chan struct{})
 	store := &fakeSource{watch: func(_ context.Context, q Query) (*Update, error) {
-		return &Update{Revision: max(q.After, 2), Proved: time.Now()}, nil
+		return &Update{Revision: max(q.After, 2), ValidatedAt: time.Now()}, nil
 	}}
 	upstream := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
 	table := startFollowerWithUpstream(t, store, func() <-chan struct{} { return overtaken }, func(behind bool) (NamedSource, bool) {
@@ -337,22 +339,22 @@
 }
 
 // An instance that follows another one gives entries that disappear during a store outage a grace
-// period, like one that reads the store itself, since all entries of a service may expire then though
-// its endpoints are alive. After the outage, deleted entries are removed at once.
+// period, like one that reads the store itself, since all entries of a service may expire then
+// though its endpoints are alive. After the outage, deleted entries are removed at once.
 func TestFollowerKeepsEntriesDeletedDuringOutage(t *testing.T) {
 	at := time.Unix(1000, 0)
 	table := NewTable(func() time.Time { return at })
 	upstream := NamedSource{Name: "upstream"}
 	apply := func(u *Update) { Apply(table, upstream, u, zap.NewNop(), func(string) {}) }
 	entries := []Record{{Endpoint: catalog.Endpoint{ID: "a", Service: "s"}, Revision: 1}, {Endpoint: catalog.Endpoint{ID: "b", Service: "s"}, Revision: 2}}
-	apply(&Update{Revision: 2, Whole: true, Config: &catalog.Document{Version: 1}, Present: entries, Proved: at})
+	apply(&Update{Revision: 2, Full: true, Config: &catalog.Document{Version: 1}, Endpoints: entries, ValidatedAt: at})
 	at = at.Add(4 * time.Second)
-	apply(&Update{Revision: 3, Whole: true, Present: entries[:1], Proved: at})
+	apply(&Update{Revision: 3, Full: true, Endpoints: entries[:1], ValidatedAt: at})
 	if got := table.View().Endpoints("s"); len(got) != 2 || got[1].GraceUntil.IsZero() {
 		t.Fatalf("%d endpoints after the outage, want two, the second in its grace period", len(got))
 	}
 	at = at.Add(100 * time.Millisecond)
-	apply(&Update{Revision: 4, Whole: true, Proved: at})
+	apply(&Update{Revision: 4, Full: true, ValidatedAt: at})
 	for _, e := range table.View().Endpoints("s") {
 		if e.ID == "a" {
 			t.Fatal("an entry that was deleted after the outage is kept")
@@ -360,10 +362,11 @@
 	}
 }
 
-// No validating call is made while a response of the store arrives, unless the last validation is old.
+// No validating call is made while a response of the store arrives, unless the last validation is
+// old.
 func TestValidationWaitsForArrivingResponse(t *testing.T) {
 	arriving := true
-	p := &Prover{Turn: func() Turn { return Turn{} }, Arriving: func() bool { return arriving }}
+	p := &Validator{Turn: func() ValidationTurn { return ValidationTurn{} }, Receiving: func() bool { return arriving }}
 	now := time.Unix(1000, 0)
 	if p.due(now, maxValidationAge-time.Millisecond) {
 		t.Error("due while a response arrives")
--- a/belief/restart_test.go
+++ b/discovery/restart_test.go
@@ -1,15 +1,15 @@
-package belief_test
+package discovery_test
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 // recordBornAt returns a record of an endpoint whose process started at an instant; zero: not sent.
-func recordBornAt(id string, revision, at int64) belief.Record {
+func recordBornAt(id string, revision, at int64) discovery.Record {
 	r := record(id, revision)
 	r.Born = at
 	return r
@@ -17,14 +17,14 @@
 
 func TestEarlierProcessDoesNotReplaceLaterOne(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 1, Config: testDocument(1), Present: []belief.Record{recordBornAt("a", 1, 2000)}, Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 1, Config: testDocument(1), Endpoints: []discovery.Record{recordBornAt("a", 1, 2000)}, ValidatedAt: c.now()})
 	earlier := recordBornAt("a", 2, 1000)
 	earlier.Draining = true
-	_ = table.Apply(&belief.Update{Revision: 2, Present: []belief.Record{earlier}, Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 2, Endpoints: []discovery.Record{earlier}, ValidatedAt: c.now()})
 	if e := table.View().Endpoints("s")[0]; e.Born != 2000 || e.Draining {
 		t.Errorf("an earlier process replaced the current one: %+v", e)
 	}
-	_ = table.Apply(&belief.Update{Revision: 3, Present: []belief.Record{recordBornAt("a", 3, 3000)}, Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 3, Endpoints: []discovery.Record{recordBornAt("a", 3, 3000)}, ValidatedAt: c.now()})
 	if e := table.View().Endpoints("s")[0]; e.Born != 3000 {
 		t.Errorf("a later process did not replace the earlier one: %+v", e)
 	}
@@ -33,10 +33,10 @@
 // Instances whose build does not know start times forward entries without them.
 func TestStartTimeIsKeptIfOmitted(t *testing.T) {
 	table, c := newTable()
-	_ = table.Apply(&belief.Update{Revision: 1, Config: testDocument(1), Present: []belief.Record{recordBornAt("a", 1, 2000)}, Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 1, Config: testDocument(1), Endpoints: []discovery.Record{recordBornAt("a", 1, 2000)}, ValidatedAt: c.now()})
 	draining := recordBornAt("a", 2, 0)
 	draining.Draining = true
-	_ = table.Apply(&belief.Update{Revision: 2, Whole: true, Present: []belief.Record{draining}, Proved: c.now()})
+	_ = table.Apply(&discovery.Update{Revision: 2, Full: true, Endpoints: []discovery.Record{draining}, ValidatedAt: c.now()})
 	if e := table.View().Endpoints("s")[0]; e.Born != 2000 || !e.Draining {
 		t.Errorf("got %+v, want the same process, draining", e)
 	}
@@ -46,12 +46,12 @@
 func TestStartTimeNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, c := newTable()
-		_ = table.Apply(&belief.Update{Revision: 1, Config: testDocument(1), Proved: c.now()})
+		_ = table.Apply(&discovery.Update{Revision: 1, Config: testDocument(1), ValidatedAt: c.now()})
 		last := int64(0)
 		for range rapid.IntRange(1, 40).Draw(t, "updates") {
 			revision := rapid.Int64Range(1, 30).Draw(t, "revision")
 			r := recordBornAt("a", revision, rapid.Int64Range(0, 3).Draw(t, "born"))
-			_ = table.Apply(&belief.Update{Revision: revision, Whole: rapid.Bool().Draw(t, "whole"), Present: []belief.Record{r}, Proved: c.now()})
+			_ = table.Apply(&discovery.Update{Revision: revision, Full: rapid.Bool().Draw(t, "whole"), Endpoints: []discovery.Record{r}, ValidatedAt: c.now()})
 			endpoints := table.View().Endpoints("s")
 			if len(endpoints) != 1 {
 				t.Fatalf("%d endpoints, want one", len(endpoints))
--- a/belief/prove.go
+++ b/discovery/validate.go
@@ -1,4 +1,4 @@
-package belief
+package discovery
 
 // This file validates the state of a Table against the store, with few calls.
 
@@ -31,39 +31,39 @@
 	unrankedMeanInterval = 50 * time.Millisecond
 )
 
-// A Turn is an instance's position in the order in which instances validate.
-type Turn struct {
+// A ValidationTurn is an instance's position in the order in which instances validate.
+type ValidationTurn struct {
 	Rank int // number of recently validated instances that call before this one
-	// Crowd is the number of unranked instances, this one included; zero for an instance that
+	// Unranked is the number of unranked instances, this one included; zero for an instance that
 	// has a rank. The larger it is, the less often each of them calls, since one response
 	// serves all of them.
-	Crowd int
+	Unranked int
 }
 
-// A Prover keeps the validation of a Table recent.
-type Prover struct {
+// A Validator keeps the validation of a Table recent.
+type Validator struct {
 	Table *Table
 	Store NamedSource
 	// Turn returns this instance's position.
-	Turn func() Turn
-	// Arriving, if set, reports whether a response of the store is being received. A validating
+	Turn func() ValidationTurn
+	// Receiving, if set, reports whether a response of the store is being received. A validating
 	// call also returns all changes, so one made meanwhile would transfer a large configuration
 	// a second time over the same link and delay both responses.
-	Arriving func() bool
-	Log      *zap.Logger
-	Count    func(event string)
+	Receiving func() bool
+	Log       *zap.Logger
+	Count     func(event string)
 
 	nextAttempt time.Time
 	randomDue   time.Time // when this instance calls while it is unranked; zero: not drawn
 }
 
 // due reports whether the instance should call the store now, given the age of its last validation.
-func (p *Prover) due(now time.Time, age time.Duration) bool {
-	if age < maxValidationAge && p.Arriving != nil && p.Arriving() {
+func (p *Validator) due(now time.Time, age time.Duration) bool {
+	if age < maxValidationAge && p.Receiving != nil && p.Receiving() {
 		return false
 	}
 	turn := p.Turn()
-	if turn.Crowd == 0 {
+	if turn.Unranked == 0 {
 		p.randomDue = time.Time{}
 		return age >= validationAgeFor(turn.Rank)
 	}
@@ -72,7 +72,7 @@
 		return false
 	}
 	if p.randomDue.IsZero() {
-		p.randomDue = now.Add(time.Duration(rand.ExpFloat64() * float64(turn.Crowd-1) * float64(unrankedMeanInterval)))
+		p.randomDue = now.Add(time.Duration(rand.ExpFloat64() * float64(turn.Unranked-1) * float64(unrankedMeanInterval)))
 	}
 	return !now.Before(p.randomDue)
 }
@@ -86,7 +86,7 @@
 }
 
 // Run validates the Table until ctx is done. Only one Run may be active at a time.
-func (p *Prover) Run(ctx context.Context) {
+func (p *Validator) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, validationPollInterval)
 		now := p.Table.now()
@@ -98,13 +98,13 @@
 		p.randomDue = time.Time{}
 		if err := p.validate(ctx); err != nil && ctx.Err() == nil {
 			p.Count("failed")
-			p.Table.Trouble()
+			p.Table.MarkStoreDown()
 			p.nextAttempt = now.Add(validationRetryDelay)
 		}
 	}
 }
 
-func (p *Prover) validate(ctx context.Context) error {
+func (p *Validator) validate(ctx context.Context) error {
 	callCtx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	p.Count("prove")
--- a/belief/view.go
+++ b/discovery/view.go
@@ -1,4 +1,4 @@
-package belief
+package discovery
 
 // This file builds the endpoint lists of a View from the entries of a Table. Endpoints that did
 // not change are shared with the previous View, so that a change costs little more than copying
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -35,12 +35,12 @@
 type Fleet interface {
 	Now() time.Duration
 	Acquire(ctx context.Context, r *node.Request) (*node.Grant, error)
-	May(g *node.Grant) bool
-	Release(g *node.Grant, e node.End)
-	SawTokens(g *node.Grant, count int, elapsed time.Duration)
+	GrantValid(g *node.Grant) bool
+	Release(g *node.Grant, e node.Outcome)
+	RecordTokens(g *node.Grant, count int, elapsed time.Duration)
 	Claim(ctx context.Context, k owner.Key) (*node.Claim, error)
 	Withdraw(c *node.Claim)
-	Keep(c *node.Claim, a *node.Answer)
+	StoreAnswer(c *node.Claim, a *node.Answer)
 	Join(ctx context.Context, r *owner.Record) (*node.Answer, error)
 }
 
@@ -73,14 +73,14 @@
 
 // A Result is the outcome of a request.
 type Result struct {
-	Endpoint string
-	Tokens   int
-	First    time.Duration // from arrival to the first token or byte
-	Total    time.Duration
-	Late     bool
-	Joined   bool // the answer or failure is that of an earlier attempt
-	Started  bool // Sink.Start was called
-	Err      *verdict.Error
+	Endpoint   string
+	Tokens     int
+	FirstToken time.Duration // from arrival to the first token or byte
+	Total      time.Duration
+	Late       bool
+	Joined     bool // the answer or failure is that of an earlier attempt
+	Started    bool // Sink.Start was called
+	Err        *verdict.Error
 }
 
 // A Dispatcher runs requests. It is safe for concurrent use.
@@ -98,12 +98,12 @@
 
 // New returns a Dispatcher. Retries are counted by reason in retries.
 func New(f Fleet, retries *expvar.Map) *Dispatcher {
-	return NewOver(f, retries, transport(true), transport(false))
+	return NewWithTransports(f, retries, transport(true), transport(false))
 }
 
-// NewOver returns a Dispatcher that reaches endpoints over the transport pooled, and
+// NewWithTransports returns a Dispatcher that reaches endpoints over the transport pooled, and
 // over unpooled for requests that must not be sent on a reused connection.
-func NewOver(f Fleet, retries *expvar.Map, pooled, unpooled http.RoundTripper) *Dispatcher {
+func NewWithTransports(f Fleet, retries *expvar.Map, pooled, unpooled http.RoundTripper) *Dispatcher {
 	return &Dispatcher{
 		fleet:       f,
 		pooled:      &http.Client{Transport: pooled, CheckRedirect: noRedirect},
@@ -186,12 +186,12 @@
 		if err != nil {
 			return false, err
 		}
-		if c.Other == nil {
+		if c.Holder == nil {
 			r.claim = c
 			r.machine.Step(evClaim)
 			return false, nil
 		}
-		ans, err := r.d.fleet.Join(ctx, c.Other)
+		ans, err := r.d.fleet.Join(ctx, c.Holder)
 		if err != nil {
 			r.res.Joined = true // the failure concerns the other attempt
 			return false, err
@@ -201,7 +201,7 @@
 		}
 		r.d.retries.Add("claim-withdrawn", 1)
 	}
-	return false, verdict.Refuse(verdict.KeyConflict, "concurrent attempts kept claiming the same key").After(time.Second)
+	return false, verdict.Refuse(verdict.KeyConflict, "concurrent attempts kept claiming the same key").WithRetryAfter(time.Second)
 }
 
 // replay sends the caller the answer of an earlier attempt.
@@ -232,13 +232,13 @@
 		return err
 	}
 	r.machine.Step(evGrant)
-	if !r.d.fleet.May(g) {
-		r.d.fleet.Release(g, node.End{})
+	if !r.d.fleet.GrantValid(g) {
+		r.d.fleet.Release(g, node.Outcome{})
 		r.machine.Step(evExpire)
 		return verdict.Refuse(verdict.GrantExpired, "grant for endpoint %s is no longer valid", g.Endpoint)
 	}
 	if r.claim != nil && r.d.fleet.Now()-r.claim.At > claimTTL {
-		r.d.fleet.Release(g, node.End{})
+		r.d.fleet.Release(g, node.Outcome{})
 		return verdict.Refuse(verdict.GrantExpired, "the claim of the key expired before the request was sent")
 	}
 	end, err := r.send(ctx, g)
@@ -310,12 +310,12 @@
 	if r.res.Err == nil {
 		ans = r.recorder.answer()
 	}
-	r.d.fleet.Keep(r.claim, ans)
+	r.d.fleet.StoreAnswer(r.claim, ans)
 }
 
 func (r *run) late() bool {
 	c := r.req.Class
-	return c.FirstToken > 0 && r.res.First > c.FirstToken || c.Whole > 0 && r.res.Total > c.Whole
+	return c.FirstToken > 0 && r.res.FirstToken > c.FirstToken || c.Whole > 0 && r.res.Total > c.Whole
 }
 
 func (r *run) start(status int, h http.Header) {
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -45,7 +45,7 @@
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // send makes one attempt on the endpoint of g.
-func (r *run) send(caller context.Context, g *node.Grant) (node.End, error) {
+func (r *run) send(caller context.Context, g *node.Grant) (node.Outcome, error) {
 	r.machine.Step(evSend)
 	r.res.Endpoint = g.Endpoint
 	ctx, cancel := context.WithCancelCause(caller)
@@ -64,7 +64,7 @@
 	}
 	r.machine.Step(evHeaders)
 	timer.reset(stallTimeout)
-	var end node.End
+	var end node.Outcome
 	if r.req.Stream && res.StatusCode == http.StatusOK {
 		end, err = r.stream(res, g, sent, timer)
 	} else {
@@ -117,35 +117,35 @@
 }
 
 // classifyError returns the outcome of an attempt without a response.
-func (r *run) classifyError(ctx context.Context, connected bool, err error) (node.End, error) {
+func (r *run) classifyError(ctx context.Context, connected bool, err error) (node.Outcome, error) {
 	if !connected {
 		r.machine.Step(evUnsent)
 		if ctx.Err() != nil {
-			return node.End{}, errors.Wrap(err, "connect")
+			return node.Outcome{}, errors.Wrap(err, "connect")
 		}
-		return node.End{Failed: true}, verdict.Fail(verdict.NotRun, verdict.EndpointConnect, "%v", err).After(time.Second)
+		return node.Outcome{Failed: true}, verdict.Fail(verdict.NotRun, verdict.EndpointConnect, "%v", err).WithRetryAfter(time.Second)
 	}
 	if ctx.Err() != nil && context.Cause(ctx) != errStalled {
-		return node.End{}, errors.Wrap(err, "send")
+		return node.Outcome{}, errors.Wrap(err, "send")
 	}
 	r.machine.Step(evCut)
-	return node.End{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "no response: %v", err)
+	return node.Outcome{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "no response: %v", err)
 }
 
 // classifyStatus handles the status codes that mean that the endpoint failed. Only 429
 // means that the request was not run; after a 5xx it may have run.
-func (r *run) classifyStatus(res *http.Response) (end node.End, err error, failed bool) {
+func (r *run) classifyStatus(res *http.Response) (end node.Outcome, err error, failed bool) {
 	switch {
 	case res.StatusCode == http.StatusTooManyRequests:
 		r.machine.Step(evRefusedUnrun)
 		e := verdict.Fail(verdict.NotRun, verdict.EndpointBusy, "endpoint refused the request with 429")
-		return node.End{Busy: true}, e.After(retryAfter(res)), true
+		return node.Outcome{Busy: true}, e.WithRetryAfter(retryAfter(res)), true
 	case res.StatusCode >= http.StatusInternalServerError:
 		r.machine.Step(evCut)
 		_, _ = io.CopyN(io.Discard, res.Body, 4<<10)
-		return node.End{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointError, "endpoint returned %s", res.Status), true
+		return node.Outcome{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointError, "endpoint returned %s", res.Status), true
 	}
-	return node.End{}, nil, false
+	return node.Outcome{}, nil, false
 }
 
 func retryAfter(res *http.Response) time.Duration {
@@ -164,17 +164,17 @@
 }
 
 // readWhole reads the entire response before it forwards any of it.
-func (r *run) readWhole(res *http.Response, sent time.Duration) (node.End, error) {
+func (r *run) readWhole(res *http.Response, sent time.Duration) (node.Outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(res.Body, r.d.answerLimit+1))
 	if err != nil {
-		return node.End{Failed: true}, verdict.Fail(verdict.Ran, verdict.EndpointCut, "response truncated: %v", err)
+		return node.Outcome{Failed: true}, verdict.Fail(verdict.Ran, verdict.EndpointCut, "response truncated: %v", err)
 	}
 	if int64(len(body)) > r.d.answerLimit {
-		return node.End{}, verdict.Fail(verdict.Ran, verdict.EndpointError, "response is larger than %d bytes", r.d.answerLimit)
+		return node.Outcome{}, verdict.Fail(verdict.Ran, verdict.EndpointError, "response is larger than %d bytes", r.d.answerLimit)
 	}
 	now := r.d.fleet.Now()
-	r.res.First = now - r.req.Arrived
-	end := node.End{Whole: true, Late: r.lateAt(now, now)}
+	r.res.FirstToken = now - r.req.Arrived
+	end := node.Outcome{Complete: true, Late: r.lateAt(now, now)}
 	if r.req.Pool.Kind == decl.Model {
 		var u usage
 		if json.Unmarshal(body, &u) == nil {
--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -76,16 +76,16 @@
 }
 
 // stream forwards an answer as it is read.
-func (r *run) stream(res *http.Response, g *node.Grant, sent time.Duration, timer *watchdog) (node.End, error) {
+func (r *run) stream(res *http.Response, g *node.Grant, sent time.Duration, timer *watchdog) (node.Outcome, error) {
 	var scan Scanner
-	var end node.End
+	var end node.Outcome
 	var lastEvent, reported time.Duration
 	var pendingTokens int
 	var pendingTime time.Duration
 	buf := make([]byte, readSize)
 	defer func() {
 		if pendingTokens > 0 {
-			r.d.fleet.SawTokens(g, pendingTokens, pendingTime)
+			r.d.fleet.RecordTokens(g, pendingTokens, pendingTime)
 		}
 	}()
 	for {
@@ -96,7 +96,7 @@
 			events := scan.Scan(buf[:n])
 			switch {
 			case !r.res.Started:
-				r.res.First = now - r.req.Arrived
+				r.res.FirstToken = now - r.req.Arrived
 				end.FirstToken = now - sent
 				lastEvent, reported = now, now
 				r.start(res.StatusCode, res.Header)
@@ -105,7 +105,7 @@
 				pendingTime += now - lastEvent
 				lastEvent = now
 				if now-reported > tokenReportInterval {
-					r.d.fleet.SawTokens(g, pendingTokens, pendingTime)
+					r.d.fleet.RecordTokens(g, pendingTokens, pendingTime)
 					pendingTokens, pendingTime, reported = 0, 0, now
 				}
 			}
@@ -121,8 +121,8 @@
 			end.Failed = true
 			return end, verdict.Fail(verdict.Ran, verdict.EndpointCut, "stream truncated after %d tokens", scan.Events)
 		}
-		end.Whole = true
-		end.Late = r.lateAt(r.res.First+r.req.Arrived, r.d.fleet.Now())
+		end.Complete = true
+		end.Late = r.lateAt(r.res.FirstToken+r.req.Arrived, r.d.fleet.Now())
 		return end, nil
 	}
 }
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -19,26 +19,26 @@
 
 // Params are the parameters of an Engine.
 type Params struct {
-	Base        time.Duration // duration of an iteration without sequences
-	PerSequence time.Duration // added by each decoding sequence
-	PrefillRate float64       // prompt tokens per second
-	Chunk       int           // maximum number of prompt tokens per iteration
-	MaxRunning  int
-	Memory      int // tokens of all running sequences
-	CacheTokens int // tokens of cached prompt prefixes
+	Base         time.Duration // duration of an iteration without sequences
+	PerSequence  time.Duration // added by each decoding sequence
+	PrefillRate  float64       // prompt tokens per second
+	PrefillChunk int           // maximum number of prompt tokens per iteration
+	MaxRunning   int
+	MemoryTokens int // tokens of all running sequences
+	CacheTokens  int // tokens of cached prompt prefixes
 }
 
 // Default returns the parameters of the simulated endpoints: 30 ms between tokens at 25
 // sequences.
 func Default() Params {
 	return Params{
-		Base:        10 * time.Millisecond,
-		PerSequence: 800 * time.Microsecond,
-		PrefillRate: 20_000,
-		Chunk:       256,
-		MaxRunning:  128,
-		Memory:      60_000,
-		CacheTokens: 8_000,
+		Base:         10 * time.Millisecond,
+		PerSequence:  800 * time.Microsecond,
+		PrefillRate:  20_000,
+		PrefillChunk: 256,
+		MaxRunning:   128,
+		MemoryTokens: 60_000,
+		CacheTokens:  8_000,
 	}
 }
 
@@ -127,7 +127,7 @@
 	var out []*Sequence
 	for _, s := range e.running {
 		if s.prefill > 0 {
-			n := min(s.prefill, e.params.Chunk-prefilled)
+			n := min(s.prefill, e.params.PrefillChunk-prefilled)
 			s.prefill -= n
 			prefilled += n
 			if s.prefill > 0 {
@@ -161,7 +161,7 @@
 	})
 	n := 0
 	for _, s := range e.waiting {
-		if len(e.running) >= e.params.MaxRunning || e.used+s.size() > e.params.Memory && len(e.running) > 0 {
+		if len(e.running) >= e.params.MaxRunning || e.used+s.size() > e.params.MemoryTokens && len(e.running) > 0 {
 			break
 		}
 		e.lastID++
@@ -176,7 +176,7 @@
 
 // preempt returns sequences to the queue while memory is exceeded.
 func (e *Engine) preempt() {
-	for e.used > e.params.Memory && len(e.running) > 1 {
+	for e.used > e.params.MemoryTokens && len(e.running) > 1 {
 		victim := e.running[0]
 		for _, s := range e.running {
 			if s.Priority > victim.Priority || s.Priority == victim.Priority && s.admission > victim.admission {
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -51,7 +51,7 @@
 
 func TestPreemptionWhenMemoryIsFull(t *testing.T) {
 	p := engine.Default()
-	p.Memory = 300
+	p.MemoryTokens = 300
 	e := engine.New(p)
 	for i := range 4 {
 		e.Add(&engine.Sequence{Priority: i, Prompt: 50, Length: 100})
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -12,8 +12,8 @@
 	"github.com/pkg/errors"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 	"ivyridge/upstream"
 	"ivyridge/verdict"
 )
@@ -22,10 +22,10 @@
 // the retry budget allows it.
 func (f *exchange) mayRetry(err *verdict.Error) bool {
 	switch err.Reason {
-	case verdict.NoEndpoint, verdict.NoHomeEndpoint, verdict.EndpointsRest, verdict.EndpointsLimited, verdict.DemandBeyond, verdict.TeamLimit, verdict.RetryBudget, verdict.AnswerNoMemory, verdict.CallerGone, verdict.CallerSlow:
+	case verdict.NoEndpoint, verdict.NoHomeEndpoint, verdict.EndpointsInBackoff, verdict.EndpointsLimited, verdict.OverCapacity, verdict.TeamLimit, verdict.RetryBudget, verdict.ResponseNoMemory, verdict.CallerGone, verdict.CallerSlow:
 		return false
 	}
-	if err.Verdict != verdict.NotRun && !f.route.MayRepeat() {
+	if err.Verdict != verdict.NotRun && !f.route.Retryable() {
 		return false
 	}
 	if f.headSent && !f.route.Resumable {
@@ -34,7 +34,7 @@
 	switch err.Reason {
 	case verdict.EndpointConnect, verdict.EndpointGone:
 		return f.attempts < maxConnectAttempts
-	case verdict.EndpointRests:
+	case verdict.EndpointInBackoff:
 		return f.attempts < maxUnsentChoices
 	}
 	return len(f.tried) < f.route.MaxAttempts
@@ -52,27 +52,27 @@
 // returns nil if the caller has received a complete response.
 func (f *exchange) attempt(ctx context.Context) *verdict.Error {
 	f.attempts++
-	view := f.entry.Beliefs.View()
+	view := f.entry.State.View()
 	d := f.demand()
 	placement, refusal := f.place(ctx, view.Endpoints(f.service.Name), d)
-	if refusal != nil && refusal.Cause == balance.RetriesSpent && f.retry.cause != nil {
+	if refusal != nil && refusal.Cause == balance.RetryBudgetExhausted && f.retry.cause != nil {
 		return f.retryDenied(refusal)
 	}
 	f.placement = placement
 	if refusal != nil {
-		f.scheduler = refusal.Chooser
+		f.scheduler = refusal.Scheduler
 		return placementError(f.service.Name, refusal)
 	}
 	if f.placement == nil {
 		return noEndpointError(d)
 	}
 	f.retryGranted()
-	f.scheduler = f.placement.Chooser
+	f.scheduler = f.placement.Scheduler
 	f.entry.Counters.placed(f.placement)
 	f.placedAt = f.entry.Now()
 	f.inFlight.location.Store(f.currentLocation())
 	timeout := f.responseTimeout()
-	overdueTimer := time.AfterFunc(timeout, f.placement.Overdue)
+	overdueTimer := time.AfterFunc(timeout, f.placement.RecordOverdue)
 	defer overdueTimer.Stop()
 	attemptCtx, cancel := f.withResponseTimeout(ctx, timeout)
 	defer cancel()
@@ -84,12 +84,12 @@
 			e = verdict.Fail(e.Verdict, verdict.EndpointSilent, "%s: no response within %s", f.placement.Endpoint.ID, timeout)
 		}
 		switch e.Reason {
-		case verdict.EndpointRests:
+		case verdict.EndpointInBackoff:
 			f.entry.Counters.feedback(feedbackNotSent, f.service.Name)
 			f.placement.Done(balance.Unknown)
-			return e.After(retryAfterShort)
+			return e.WithRetryAfter(retryAfterShort)
 		case verdict.EndpointConnect:
-			f.placement.Unreachable()
+			f.placement.RecordUnreachable()
 		default:
 			f.markSent()
 		}
@@ -97,7 +97,7 @@
 		return e
 	}
 	f.markSent()
-	f.placement.Started()
+	f.placement.RecordStart()
 	f.responseStarted()
 	return f.handleResponse(ctx, x)
 }
@@ -125,45 +125,45 @@
 
 // refusalReasons maps the cause of a refused placement to the reason sent to callers.
 var refusalReasons = map[balance.Cause]verdict.Reason{
-	balance.BeyondFleet:  verdict.DemandBeyond,
-	balance.TeamShare:    verdict.TeamLimit,
-	balance.RetriesSpent: verdict.RetryBudget,
+	balance.OverCapacity:         verdict.OverCapacity,
+	balance.TeamOverShare:        verdict.TeamLimit,
+	balance.RetryBudgetExhausted: verdict.RetryBudget,
 
-	balance.EndpointsRest:    verdict.EndpointsRest,
-	balance.EndpointsLimited: verdict.EndpointsLimited,
+	balance.EndpointsInBackoff: verdict.EndpointsInBackoff,
+	balance.EndpointsLimited:   verdict.EndpointsLimited,
 }
 
 // placementError returns the error of a request that was refused an endpoint. Causes that
-// this build does not know, from a newer instance, map to DemandBeyond. A refusal without
+// this build does not know, from a newer instance, map to OverCapacity. A refusal without
 // RetryAfter gets a default.
 func placementError(service string, refusal *balance.Refusal) *verdict.Error {
 	reason, ok := refusalReasons[refusal.Cause]
 	if !ok {
-		reason = verdict.DemandBeyond
+		reason = verdict.OverCapacity
 	}
 	retryAfter := refusal.RetryAfter
 	if retryAfter <= 0 {
 		retryAfter = retryAfterLong
 	}
 	switch refusal.Cause {
-	case balance.EndpointsRest:
-		return verdict.Refuse(reason, "service %s: all endpoints asked this instance to back off, the first for %s more", service, refusal.Wait.Round(time.Millisecond)).After(retryAfter)
+	case balance.EndpointsInBackoff:
+		return verdict.Refuse(reason, "service %s: all endpoints asked this instance to back off, the first for %s more", service, refusal.Wait.Round(time.Millisecond)).WithRetryAfter(retryAfter)
 	case balance.EndpointsLimited:
-		return verdict.Refuse(reason, "service %s: all endpoints have reached their rate limits, next permit in %s", service, refusal.Wait.Round(time.Millisecond)).After(retryAfter)
-	case balance.TeamShare:
-		return verdict.Refuse(reason, "service %s: the team's usage is %.1f times its share", service, refusal.Pressure).After(retryAfter)
+		return verdict.Refuse(reason, "service %s: all endpoints have reached their rate limits, next permit in %s", service, refusal.Wait.Round(time.Millisecond)).WithRetryAfter(retryAfter)
+	case balance.TeamOverShare:
+		return verdict.Refuse(reason, "service %s: the team's usage is %.1f times its share", service, refusal.Pressure).WithRetryAfter(retryAfter)
 	}
 	return verdict.Refuse(reason, "service %s: over capacity: shortest wait %s, pressure %.2f", service,
-		refusal.Wait.Round(time.Millisecond), refusal.Pressure).After(retryAfter)
+		refusal.Wait.Round(time.Millisecond), refusal.Pressure).WithRetryAfter(retryAfter)
 }
 
 // noEndpointError returns the error of a request that no endpoint may serve.
 func noEndpointError(demand *balance.Demand) *verdict.Error {
-	if demand.Homes.Bound() {
+	if demand.Residency.Restricted() {
 		return verdict.Refuse(verdict.NoHomeEndpoint, "service %s has no endpoint in the allowed regions %v",
-			demand.Service.Name, demand.Homes.Regions()).After(retryAfterLong)
+			demand.Service.Name, demand.Residency.Regions()).WithRetryAfter(retryAfterLong)
 	}
-	return verdict.Refuse(verdict.NoEndpoint, "service %s has no endpoint", demand.Service.Name).After(retryAfterLong)
+	return verdict.Refuse(verdict.NoEndpoint, "service %s has no endpoint", demand.Service.Name).WithRetryAfter(retryAfterLong)
 }
 
 // Response timeouts, as factors of the route's objective.
@@ -188,7 +188,7 @@
 // canReroute reports whether the request may be retried elsewhere if its
 // endpoint does not respond.
 func (f *exchange) canReroute() bool {
-	return f.route.MayRepeat() && !f.headSent && len(f.tried)+1 < f.route.MaxAttempts
+	return f.route.Retryable() && !f.headSent && len(f.tried)+1 < f.route.MaxAttempts
 }
 
 // errResponseTimeout is the cancellation cause of an attempt that timed out.
@@ -205,7 +205,7 @@
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	stop := func() { cancel(nil) }
 	f.responseStarted = func() {}
-	if !f.canReroute() || !f.placement.Spare && !f.entry.retryBudgets.available(f.service.Name) {
+	if !f.canReroute() || !f.placement.RetryAvailable && !f.entry.retryBudgets.available(f.service.Name) {
 		return attemptCtx, stop
 	}
 	placement, isModel := f.placement, f.service.Engine != nil
@@ -249,16 +249,16 @@
 
 // mismatched reports whether a response belongs to another request.
 func (f *exchange) mismatched(h http.Header) bool {
-	id := f.entry.Codec.Answer(http.StatusOK, h).RequestID
+	id := f.entry.Codec.DecodeResponse(http.StatusOK, h).RequestID
 	return id != "" && id != f.call.ID
 }
 
-func (f *exchange) upstreamRequest(endpoint *belief.Endpoint) *upstream.Request {
+func (f *exchange) upstreamRequest(endpoint *discovery.Endpoint) *upstream.Request {
 	forward := Forward{
-		Endpoint:  endpoint.ID,
-		Remaining: f.deadline.Sub(f.entry.Now()),
-		Rank:      catalog.Rank(f.route, f.team),
-		LastEvent: f.call.LastEvent,
+		Endpoint:    endpoint.ID,
+		Remaining:   f.deadline.Sub(f.entry.Now()),
+		Rank:        catalog.Rank(f.route, f.team),
+		LastEventID: f.call.LastEventID,
 	}
 	if f.team != nil {
 		forward.Team = f.team.Name
@@ -281,13 +281,13 @@
 func (f *exchange) demand() *balance.Demand {
 	d := &balance.Demand{
 		Service:   f.service,
-		Homes:     catalog.HomesOf(f.route, f.team),
+		Residency: catalog.ResidencyOf(f.route, f.team),
 		Priority:  f.route.Priority,
-		Earns:     f.attemptEarning(),
+		Deposit:   f.attemptDeposit(),
 		Retry:     f.retry.kind,
-		Sent:      f.headSent || len(f.tried) > 0 || f.call.LastEvent != "",
+		Sent:      f.headSent || len(f.tried) > 0 || f.call.LastEventID != "",
 		Objective: f.route.Objective,
-		Pause:     f.route.PauseObjective,
+		MaxGap:    f.route.PauseObjective,
 		Deadline:  f.deadline.Sub(f.entry.Now()),
 		Bytes:     len(f.call.Body),
 		Suspect:   f.suspected,
@@ -299,8 +299,8 @@
 	if g := f.call.Generation; g != nil {
 		d.Prompt = g.PromptTokens
 		d.Output = g.MaxTokens
-		if g.Hint > 0 {
-			d.Output = min(g.Hint, d.Output)
+		if g.OutputHint > 0 {
+			d.Output = min(g.OutputHint, d.Output)
 		}
 		for _, p := range g.Parts {
 			d.Parts = append(d.Parts, balance.Part{ID: p.ID, Tokens: p.Tokens})
--- a/entry/body.go
+++ b/entry/body.go
@@ -28,7 +28,7 @@
 
 // readBody reads the request body within the configured limits.
 func (f *exchange) readBody() *verdict.Error {
-	limits := f.entry.Beliefs.View().Catalog.Limits()
+	limits := f.entry.State.View().Catalog.Limits()
 	length, limit := f.r.ContentLength, int64(limits.MaxBodyBytes)
 	if limit > 0 && length > limit {
 		return verdict.Refuse(verdict.TooLarge, "body of %d bytes exceeds the limit of %d", length, limit)
@@ -63,7 +63,7 @@
 // (zero: no limit).
 func (f *exchange) readLimited(body io.Reader, length, limit int64) ([]byte, error) {
 	if length > 0 {
-		if !f.mem.Take(memory.Bodies, length) {
+		if !f.mem.Grow(memory.Bodies, length) {
 			return nil, errBodyMemory
 		}
 		data := make([]byte, length)
@@ -77,12 +77,12 @@
 	for {
 		if len(data) == cap(data) {
 			size := max(initialBodyBytes, 2*cap(data))
-			if !f.mem.Take(memory.Bodies, int64(size)) {
+			if !f.mem.Grow(memory.Bodies, int64(size)) {
 				return nil, errBodyMemory
 			}
 			oldCap := cap(data)
 			data = append(make([]byte, 0, size), data...)
-			f.mem.Give(memory.Bodies, int64(oldCap))
+			f.mem.Shrink(memory.Bodies, int64(oldCap))
 		}
 		n, err := body.Read(data[len(data):cap(data)])
 		data = data[:len(data)+n]
--- a/entry/chunk_source.go
+++ b/entry/chunk_source.go
@@ -40,11 +40,11 @@
 			return nil, err
 		}
 		s.timing.recordEvent(s.f.entry.Now())
-		if alreadySent(event.id, s.f.call.LastEvent) {
+		if alreadySent(event.id, s.f.call.LastEventID) {
 			continue
 		}
 		if event.id != "" {
-			s.f.call.LastEvent = event.id
+			s.f.call.LastEventID = event.id
 		}
 		return event.data, nil
 	}
--- a/entry/codec.go
+++ b/entry/codec.go
@@ -22,47 +22,47 @@
 	Model        string
 	PromptTokens int
 	MaxTokens    int
-	Hint         int // the caller's estimate of the output in tokens; zero: none
+	OutputHint   int // the caller's estimate of the output in tokens; zero: none
 	Parts        []Part
 }
 
 // A Call is a decoded request.
 type Call struct {
-	ID         string
-	Method     string
-	Host       string
-	Target     string // request target, as in the request line
-	Path       string
-	Key        string        // API key; empty: none
-	Deadline   time.Duration // how long the caller waits; zero: not stated
-	Generation *Generation   // nil: not a model request
-	LastEvent  string        // ID of the last event that the caller has; the stream resumes after it
-	Header     http.Header   // headers to forward
-	Body       []byte
+	ID          string
+	Method      string
+	Host        string
+	Target      string // request target, as in the request line
+	Path        string
+	Key         string        // API key; empty: none
+	Deadline    time.Duration // how long the caller waits; zero: not stated
+	Generation  *Generation   // nil: not a model request
+	LastEventID string        // ID of the last event that the caller has; the stream resumes after it
+	Header      http.Header   // headers to forward
+	Body        []byte
 }
 
 // A Forward holds what the proxy adds to a Call for one attempt.
 type Forward struct {
-	Endpoint  string
-	Team      string        // empty: the caller has no key
-	Remaining time.Duration // until the deadline
-	Rank      int           // scheduling priority in an engine; 0 is the most urgent
-	LastEvent string        // as in Call, updated by events already relayed
-	FetchFrom string        // IP:port of an endpoint whose cache holds parts of the prompt; empty: none
+	Endpoint    string
+	Team        string        // empty: the caller has no key
+	Remaining   time.Duration // until the deadline
+	Rank        int           // scheduling priority in an engine; 0 is the most urgent
+	LastEventID string        // as in Call, updated by events already relayed
+	FetchFrom   string        // IP:port of an endpoint whose cache holds parts of the prompt; empty: none
 }
 
-// An Answer is the decoded head of an endpoint's response.
-type Answer struct {
+// A ResponseHead is the decoded head of an endpoint's response.
+type ResponseHead struct {
 	RequestID   string
-	NotRun      bool              // the endpoint guarantees that it did not run the request
-	Misdirected bool              // the address belongs to a different endpoint by now
-	Sealed      bool              // the response bears the endpoint's seal, so that no proxy in between made it
-	KeepAlive   time.Duration     // idle timeout of the connection; zero: not stated
-	Rest        time.Duration     // the endpoint asks this instance to send nothing for this long; zero: not stated
-	Leaving     bool              // the endpoint is shutting down
-	Limit       *Rate             // rate limit over all instances; nil: not stated
-	Load        *balance.ToldLoad // load of the endpoint when it responded; nil: not stated
-	OddLoad     bool              // the load could not be parsed
+	NotRun      bool                  // the endpoint guarantees that it did not run the request
+	Misdirected bool                  // the address belongs to a different endpoint by now
+	Sealed      bool                  // the response bears the endpoint's seal, so that no proxy in between made it
+	KeepAlive   time.Duration         // idle timeout of the connection; zero: not stated
+	Backoff     time.Duration         // the endpoint asks this instance to send nothing for this long; zero: not stated
+	Leaving     bool                  // the endpoint is shutting down
+	RateLimit   *Rate                 // rate limit over all instances; nil: not stated
+	Load        *balance.ReportedLoad // load of the endpoint when it responded; nil: not stated
+	InvalidLoad bool                  // the load could not be parsed
 }
 
 // A Rate is in requests per second.
@@ -76,11 +76,11 @@
 	Decode(r *http.Request) (*Call, error)
 	// Encode returns the headers of a request to an endpoint.
 	Encode(c *Call, f Forward) http.Header
-	// Answer decodes the head of an endpoint's response.
-	Answer(status int, h http.Header) Answer
-	// PassOn copies those headers of an endpoint's response that are meant for
+	// DecodeResponse decodes the head of an endpoint's response.
+	DecodeResponse(status int, h http.Header) ResponseHead
+	// CopyResponseHeaders copies those headers of an endpoint's response that are meant for
 	// the caller.
-	PassOn(to, from http.Header)
-	// Refuse writes the response to a request that failed or was rejected.
-	Refuse(w http.ResponseWriter, id string, e *verdict.Error)
+	CopyResponseHeaders(to, from http.Header)
+	// WriteError writes the response to a request that failed or was rejected.
+	WriteError(w http.ResponseWriter, id string, e *verdict.Error)
 }
--- a/entry/counters.go
+++ b/entry/counters.go
@@ -1,6 +1,6 @@
 package entry
 
-// This file holds the metrics of an Entry.
+// This file holds the metrics of a Proxy.
 
 import (
 	"expvar"
@@ -20,7 +20,7 @@
 	latencySignificantDigits = 2
 )
 
-// Counters are the metrics of an Entry. Refusals and retries are counted by reason;
+// Counters are the metrics of a Proxy. Refusals and retries are counted by reason;
 // latencies are histograms in milliseconds.
 type Counters struct {
 	requests         *expvar.Map
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -20,7 +20,7 @@
 	"go.uber.org/zap"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
+	"ivyridge/discovery"
 	"ivyridge/poison"
 	"ivyridge/upstream"
 	"ivyridge/verdict"
@@ -52,7 +52,7 @@
 
 // A suspectedCrash is an endpoint that broke off requests and may have crashed.
 type suspectedCrash struct {
-	endpoint        *belief.Endpoint
+	endpoint        *discovery.Endpoint
 	service         string
 	placement       *balance.Placement
 	at              time.Time     // when the first request broke off
@@ -82,7 +82,7 @@
 	if err.Reason != verdict.EndpointCut || ctx.Err() != nil || f.placement == nil {
 		return nil
 	}
-	endpoints := f.entry.Beliefs.View().Endpoints(f.service.Name)
+	endpoints := f.entry.State.View().Endpoints(f.service.Name)
 	current := findEndpoint(endpoints, f.placement.Endpoint.ID)
 	if current == nil || current.Draining || !current.GraceUntil.IsZero() {
 		return nil
@@ -91,7 +91,7 @@
 }
 
 // findEndpoint returns the endpoint with an ID, or nil.
-func findEndpoint(endpoints []*belief.Endpoint, id string) *belief.Endpoint {
+func findEndpoint(endpoints []*discovery.Endpoint, id string) *discovery.Endpoint {
 	for _, e := range endpoints {
 		if e.ID == id {
 			return e
@@ -105,7 +105,7 @@
 	r := f.poisonRequest()
 	suspect := poison.Entry{
 		ID: f.requestPoisonID(), Outline: r.Outline(), Service: f.service.Name, Route: f.route.Name, Team: r.Team,
-		Strikes: []poison.Strike{{Endpoint: balance.EndpointHash(f.placement.Endpoint.ID), At: f.entry.Now(), Began: f.placedAt, Of: listedEndpoints}},
+		Strikes: []poison.Strike{{Endpoint: balance.EndpointHash(f.placement.Endpoint.ID), CrashedAt: f.entry.Now(), SentAt: f.placedAt, ListedEndpoints: listedEndpoints}},
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 	sentAfter := crash != nil && f.placedAt.After(crash.at) // it was sent after the crash
 	switch {
 	case crash == nil || crash.awaitsRestart && sentAfter:
-		crash = &suspectedCrash{endpoint: f.placement.Endpoint, service: f.service.Name, placement: f.placement, at: suspect.Strikes[0].At, listedEndpoints: listedEndpoints, resolvedCh: make(chan struct{})}
+		crash = &suspectedCrash{endpoint: f.placement.Endpoint, service: f.service.Name, placement: f.placement, at: suspect.Strikes[0].CrashedAt, listedEndpoints: listedEndpoints, resolvedCh: make(chan struct{})}
 		if !sentAfter {
 			s.byEndpoint[crash.endpoint.ID] = crash
 		}
@@ -131,11 +131,11 @@
 // probeEndpoint determines whether an endpoint has crashed and records its requests if so. If
 // a proxy accepts connections in its place, only a later start time shows; mayRestart is set if
 // that counts, which it does not for requests that may have reached the proxy alone.
-func (e *Entry) probeEndpoint(crash *suspectedCrash, mayRestart bool) {
+func (e *Proxy) probeEndpoint(crash *suspectedCrash, mayRestart bool) {
 	presence := e.Pool.Probe(context.Background(), crash.endpoint.Incarnation(), crash.endpoint.Address)
-	crashed := presence == upstream.Refused || e.restartedSince(crash)
+	crashed := presence == upstream.ProbeRefused || e.restartedSince(crash)
 	if crashed {
-		crash.placement.Unreachable()
+		crash.placement.RecordUnreachable()
 		time.Sleep(gatherDelay)
 	}
 	mayRestart = mayRestart && crash.endpoint.Born != 0
@@ -147,7 +147,7 @@
 }
 
 // resolveCrash records whether an endpoint has crashed.
-func (e *Entry) resolveCrash(crash *suspectedCrash, crashed, mayRestart bool) {
+func (e *Proxy) resolveCrash(crash *suspectedCrash, crashed, mayRestart bool) {
 	e.crashes.mu.Lock()
 	defer e.crashes.mu.Unlock()
 	crash.resolved, crash.crashed, crash.awaitsRestart = true, crashed, mayRestart && !crashed
@@ -163,12 +163,12 @@
 
 // awaitRestart handles a crash that the probe missed, because the endpoint had restarted by
 // then or was unreachable, and waits for its new start time.
-func (e *Entry) awaitRestart(crash *suspectedCrash) {
+func (e *Proxy) awaitRestart(crash *suspectedCrash) {
 	defer e.crashes.remove(crash)
 	timer := time.NewTimer(restartTimeout)
 	defer timer.Stop()
 	for {
-		changed := e.Beliefs.Changed()
+		changed := e.State.Changed()
 		if e.restartedSince(crash) {
 			e.crashes.mu.Lock()
 			defer e.crashes.mu.Unlock()
@@ -185,14 +185,14 @@
 
 // restartedSince reports whether the endpoint is listed with a later start time than when it
 // was chosen.
-func (e *Entry) restartedSince(crash *suspectedCrash) bool {
-	current := findEndpoint(e.Beliefs.View().Endpoints(crash.service), crash.endpoint.ID)
+func (e *Proxy) restartedSince(crash *suspectedCrash) bool {
+	current := findEndpoint(e.State.View().Endpoints(crash.service), crash.endpoint.ID)
 	return current != nil && crash.endpoint.Born != 0 && current.Born > crash.endpoint.Born
 }
 
 // reportCrash logs and counts a crash, and records strikes against the requests that were in
 // progress there. The caller holds e.crashes.mu.
-func (e *Entry) reportCrash(crash *suspectedCrash) {
+func (e *Proxy) reportCrash(crash *suspectedCrash) {
 	requests := crash.requests
 	crash.requests = nil
 	e.Counters.poison.Add("ended", 1)
@@ -211,38 +211,38 @@
 }
 
 // recordStrikes adds requests to the poison table and sends what changed to the other instances.
-func (e *Entry) recordStrikes(crash *suspectedCrash, requests []poison.Entry) {
+func (e *Proxy) recordStrikes(crash *suspectedCrash, requests []poison.Entry) {
 	if len(requests) == 0 {
 		return
 	}
 	byTeam := e.inFlight.endpointsByTeam(crash.service, crash.endpoint.ID)
-	running := max(1, crash.listedEndpoints-e.Poison.Away(e.Now(), crash.service))
+	running := max(1, crash.listedEndpoints-e.Poison.DownEndpoints(e.Now(), crash.service))
 	for i := range requests {
 		// Assumes that the other instances run as many of the team's requests.
 		teamEndpoints := (float64(byTeam[requests[i].Team]) + unseenEndpoints) * float64(e.retryBudgets.instanceCount())
-		requests[i].Strikes[0].Spread = min(1, teamEndpoints/float64(running))
-		requests[i].Strikes[0].At = crash.at
-		requests[i].Strikes[0].Among = len(requests)
+		requests[i].Strikes[0].TeamSpread = min(1, teamEndpoints/float64(running))
+		requests[i].Strikes[0].CrashedAt = crash.at
+		requests[i].Strikes[0].InFlight = len(requests)
 	}
 	e.Counters.poison.Add("suspected", int64(len(requests)))
-	changed := e.Poison.Ended(e.Now(), requests)
+	changed := e.Poison.EndpointCrashed(e.Now(), requests)
 	e.logPoison(changed)
 	e.publishPoison(changed)
 }
 
-// HearPoison must be called with poison entries received from other instances that changed
+// LogPoisonUpdate must be called with poison entries received from other instances that changed
 // the table. It logs and counts them.
-func (e *Entry) HearPoison(entries []poison.Entry) { e.logPoison(entries) }
+func (e *Proxy) LogPoisonUpdate(entries []poison.Entry) { e.logPoison(entries) }
 
 // logPoison logs and counts suspects that were confirmed or cleared.
-func (e *Entry) logPoison(entries []poison.Entry) {
+func (e *Proxy) logPoison(entries []poison.Entry) {
 	for i := range entries {
 		s := &entries[i]
 		switch {
-		case s.Known:
+		case s.Confirmed:
 			e.Counters.poison.Add("known", 1)
 			e.Log.Warn("poison request identified", zap.Stringer("same_as", s.ID), zap.String("team", s.Team), zap.String("route", s.Route),
-				zap.Int("strikes", s.Counted()), zap.Uint32s("endpoints", s.Endpoints()))
+				zap.Int("strikes", s.CountedStrikes()), zap.Uint32s("endpoints", s.Endpoints()))
 		case s.Cleared():
 			e.Counters.poison.Add("cleared", 1)
 			e.Log.Info("poison request suspect cleared", zap.Stringer("same_as", s.ID), zap.String("team", s.Team), zap.String("route", s.Route))
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -18,23 +18,23 @@
 	"go.uber.org/zap"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
+	"ivyridge/discovery"
 	"ivyridge/memory"
 	"ivyridge/poison"
 	"ivyridge/upstream"
 	"ivyridge/verdict"
 )
 
-// Bounds are the limits that an Entry enforces.
+// Bounds are the limits that a Proxy enforces.
 type Bounds struct {
 	Propagation  time.Duration // a configuration change must be in force within this time
 	StrictRevoke bool          // a revoked key must be rejected within Revoke
 	Revoke       time.Duration // see StrictRevoke
 	RetryRatio   float64       // retries per request, over all instances
 	RetryExtra   int           // retries allowed on top of the ratio, over all instances
-	MaxOpen      int           // concurrent requests whose bodies have been read; zero: no limit
+	MaxRunning   int           // concurrent requests whose bodies have been read; zero: no limit
 
-	CallerStall time.Duration // a caller that reads nothing of its response for this long is disconnected; zero: a default
+	StallTimeout time.Duration // a caller that reads nothing of its response for this long is disconnected; zero: a default
 }
 
 // revokeMargin is how much earlier than Bounds.Revoke a configuration counts as too old.
@@ -45,12 +45,12 @@
 	// Place chooses an endpoint and counts the request as running there, or
 	// returns a refusal. It returns neither if no endpoint may serve the
 	// request.
-	Place(ctx context.Context, endpoints []*belief.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal)
+	Place(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal)
 }
 
-// Options are the dependencies and settings of an Entry.
+// Options are the dependencies and settings of a Proxy.
 type Options struct {
-	Beliefs  *belief.Table
+	State    *discovery.Table
 	Placer   Placer
 	Pool     *upstream.Pool
 	Codec    Codec
@@ -62,14 +62,15 @@
 	Settings func() string
 	Memory   *memory.Account // nil: no limit
 	Poison   *poison.Table   // nil: an empty table
-	// TellPoison, if set, sends new findings about poison requests to the other instances.
-	TellPoison func([]poison.Entry)
-	// Awaited, if set, is called for each request that waits for the first configuration.
-	Awaited func()
+	// PublishPoison, if set, sends new findings about poison requests to the other instances.
+	PublishPoison func([]poison.Entry)
+	// OnConfigurationWait, if set, is called for each request that waits for the first
+	// configuration.
+	OnConfigurationWait func()
 }
 
-// An Entry is the http.Handler for callers' requests. It is safe for concurrent use.
-type Entry struct {
+// A Proxy is the http.Handler for callers' requests. It is safe for concurrent use.
+type Proxy struct {
 	Options
 	bounds       atomic.Pointer[Bounds]
 	retryBudgets *retryBudgets
@@ -86,39 +87,39 @@
 	invalidLoadLogged sync.Once
 }
 
-// New returns an Entry.
-func New(o Options) *Entry {
+// New returns a Proxy.
+func New(o Options) *Proxy {
 	if o.Memory == nil {
 		o.Memory = memory.New(0)
 	}
 	if o.Poison == nil {
 		o.Poison = poison.NewTable()
 	}
-	e := &Entry{Options: o, crashes: newCrashTracker(), monitor: newRelayMonitor(o.Now), origin: o.Now().Add(-time.Nanosecond), retryBudgets: newRetryBudgets(o.Bounds.RetryRatio, o.Bounds.RetryExtra, o.Now)}
+	e := &Proxy{Options: o, crashes: newCrashTracker(), monitor: newRelayMonitor(o.Now), origin: o.Now().Add(-time.Nanosecond), retryBudgets: newRetryBudgets(o.Bounds.RetryRatio, o.Bounds.RetryExtra, o.Now)}
 	e.SetBounds(o.Bounds)
 	return e
 }
 
 // SetBounds replaces the bounds. Requests in progress use the new ones too.
-func (e *Entry) SetBounds(b Bounds) {
+func (e *Proxy) SetBounds(b Bounds) {
 	e.bounds.Store(&b)
 	e.retryBudgets.setBounds(b.RetryRatio, b.RetryExtra)
 }
 
 // SetInstances sets how many instances, this one included, share the retry
 // budget. Zero means unknown.
-func (e *Entry) SetInstances(n int) { e.retryBudgets.setInstances(n) }
+func (e *Proxy) SetInstances(n int) { e.retryBudgets.setInstances(n) }
 
 // drainDelay is how long a leaving instance still accepts requests: the load
 // balancer in front needs that long to notice that it is not ready.
 const drainDelay = 2600 * time.Millisecond
 
 // Leave makes Ready return false. Requests are accepted for drainDelay more.
-func (e *Entry) Leave() { e.leaving.CompareAndSwap(0, int64(e.Now().Sub(e.origin))) }
+func (e *Proxy) Leave() { e.leaving.CompareAndSwap(0, int64(e.Now().Sub(e.origin))) }
 
 // Leaving reports whether Leave was called, and whether new requests are
 // rejected by now.
-func (e *Entry) Leaving() (leaving, stopped bool) {
+func (e *Proxy) Leaving() (leaving, stopped bool) {
 	at := e.leaving.Load()
 	if at == 0 {
 		return false, false
@@ -127,25 +128,25 @@
 }
 
 // Ready reports whether a load balancer should send requests to this instance.
-func (e *Entry) Ready() bool {
+func (e *Proxy) Ready() bool {
 	if leaving, _ := e.Leaving(); leaving {
 		return false
 	}
-	return e.Beliefs.View().Catalog != nil && e.fresh()
+	return e.State.View().Catalog != nil && e.fresh()
 }
 
 // fresh reports whether the configuration is recent enough to authenticate callers.
-func (e *Entry) fresh() bool {
-	age, ok := e.Beliefs.Age()
+func (e *Proxy) fresh() bool {
+	age, ok := e.State.Age()
 	b := e.bounds.Load()
 	return ok && (!b.StrictRevoke || age < b.Revoke-revokeMargin)
 }
 
 // Open returns the number of requests being handled.
-func (e *Entry) Open() int { return int(e.open.Load()) }
+func (e *Proxy) Open() int { return int(e.open.Load()) }
 
 // Wait returns when no request is being handled or ctx is done.
-func (e *Entry) Wait(ctx context.Context) {
+func (e *Proxy) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		e.handlers.Wait()
@@ -157,18 +158,18 @@
 	}
 }
 
-// atLimit reports whether MaxOpen requests are running. Requests whose bodies
+// atLimit reports whether MaxRunning requests are running. Requests whose bodies
 // are still being read are limited by the number of connections instead.
-func (e *Entry) atLimit() bool {
-	limit := e.bounds.Load().MaxOpen
+func (e *Proxy) atLimit() bool {
+	limit := e.bounds.Load().MaxRunning
 	return limit > 0 && int(e.running.Load()) >= limit
 }
 
 // acquireRunning counts a request whose body has been read as running. It
-// returns false if MaxOpen is exceeded, which atLimit cannot rule out: several
+// returns false if MaxRunning is exceeded, which atLimit cannot rule out: several
 // bodies may be complete at once. Pair with releaseRunning.
-func (e *Entry) acquireRunning() bool {
-	n, limit := int(e.running.Add(1)), e.bounds.Load().MaxOpen
+func (e *Proxy) acquireRunning() bool {
+	n, limit := int(e.running.Add(1)), e.bounds.Load().MaxRunning
 	if limit > 0 && n > limit {
 		e.releaseRunning()
 		return false
@@ -176,16 +177,16 @@
 	return true
 }
 
-func (e *Entry) releaseRunning() { e.running.Add(-1) }
+func (e *Proxy) releaseRunning() { e.running.Add(-1) }
 
-// overloaded returns the error of a request rejected because of MaxOpen.
-func (e *Entry) overloaded() *verdict.Error {
-	return verdict.Refuse(verdict.Overloaded, "%d requests in progress", e.Open()).After(retryAfterLong)
+// overloaded returns the error of a request rejected because of MaxRunning.
+func (e *Proxy) overloaded() *verdict.Error {
+	return verdict.Refuse(verdict.Overloaded, "%d requests in progress", e.Open()).WithRetryAfter(retryAfterLong)
 }
 
 // stallTimeout returns how long a caller may read nothing of its response.
-func (e *Entry) stallTimeout() time.Duration {
-	if d := e.bounds.Load().CallerStall; d > 0 {
+func (e *Proxy) stallTimeout() time.Duration {
+	if d := e.bounds.Load().StallTimeout; d > 0 {
 		return d
 	}
 	return defaultStallTimeout
@@ -193,7 +194,7 @@
 
 // ServeHTTP handles a caller's request. It panics with http.ErrAbortHandler
 // to break the connection if a response was truncated.
-func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.handlers.Add(1)
 	defer e.handlers.Done()
 	defer e.open.Add(-1)
@@ -209,7 +210,7 @@
 	case err != nil:
 		f.refuse(verdict.Of(err))
 	case stopped:
-		f.refuse(verdict.Refuse(verdict.Leaving, "this instance is shutting down").After(retryAfterShort))
+		f.refuse(verdict.Refuse(verdict.Leaving, "this instance is shutting down").WithRetryAfter(retryAfterShort))
 	case e.atLimit():
 		f.refuse(e.overloaded())
 	default:
--- a/entry/events.go
+++ b/entry/events.go
@@ -29,7 +29,7 @@
 type eventReader struct {
 	r    *bufio.Reader
 	data []byte
-	mem  *memory.Holding // reservation for long events; nil: no limit
+	mem  *memory.Reservation // reservation for long events; nil: no limit
 }
 
 func newEventReader(r io.Reader) *eventReader {
@@ -48,7 +48,7 @@
 	if n > eventBuffer {
 		size = max(n, 2*cap(e.data))
 	}
-	if size > eventBuffer && e.mem != nil && !e.mem.Take(memory.Answers, int64(size)) {
+	if size > eventBuffer && e.mem != nil && !e.mem.Grow(memory.Responses, int64(size)) {
 		return false
 	}
 	e.data = append(make([]byte, 0, size), e.data...)
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -31,7 +31,7 @@
 
 // An exchange is one request and its response.
 type exchange struct {
-	entry    *Entry
+	entry    *Proxy
 	w        http.ResponseWriter
 	r        *http.Request
 	call     *Call
@@ -51,8 +51,8 @@
 	scheduler string // instance that last chose an endpoint or refused; empty: this one
 	placedAt  time.Time
 
-	mem          *memory.Holding // memory reserved for this request
-	peakBuffered int             // peak size of the relay buffer, in bytes
+	mem          *memory.Reservation // memory reserved for this request
+	peakBuffered int                 // peak size of the relay buffer, in bytes
 
 	firstEventAfter time.Duration // time from the choice of the endpoint to the first event
 	longestPause    time.Duration // between two events
@@ -61,13 +61,13 @@
 	backoff         time.Duration // requested by the last endpoint; zero: none
 	rateLimit       *Rate         // stated by the last endpoint; nil: none
 
-	earning    quota.Earning // what the first attempt adds to the shared retry budget
+	deposit    quota.DepositKind // what the first attempt adds to the shared retry budget
 	retry      retryState
 	retryPayer string // budget that paid for the last retry; empty: no retry
 
 	mayHaveRun bool // on an endpoint of an earlier attempt
 
-	inFlight  *inFlightRequest // entry in Entry.inFlight
+	inFlight  *inFlightRequest // entry in Proxy.inFlight
 	poisonID  poison.ID        // see requestPoisonID; zero: not computed yet
 	suspected bool             // an endpoint crashed while it was running the same request
 
@@ -85,7 +85,7 @@
 		f.refuse(err)
 		return
 	}
-	f.earning = f.entry.retryBudgets.earn(f.service.Name)
+	f.deposit = f.entry.retryBudgets.deposit(f.service.Name)
 	f.setDeadline()
 	ctx, cancel := f.register()
 	defer cancel()
@@ -116,17 +116,17 @@
 // awaitConfiguration waits for the first configuration of a starting
 // instance, for configurationWait at most.
 func (f *exchange) awaitConfiguration() {
-	if f.entry.Beliefs.View().Catalog != nil {
+	if f.entry.State.View().Catalog != nil {
 		return
 	}
-	if f.entry.Awaited != nil {
-		f.entry.Awaited()
+	if f.entry.OnConfigurationWait != nil {
+		f.entry.OnConfigurationWait()
 	}
 	timer := time.NewTimer(configurationWait)
 	defer timer.Stop()
-	for f.entry.Beliefs.View().Catalog == nil {
-		changed := f.entry.Beliefs.Changed()
-		if f.entry.Beliefs.View().Catalog != nil {
+	for f.entry.State.View().Catalog == nil {
+		changed := f.entry.State.Changed()
+		if f.entry.State.View().Catalog != nil {
 			return
 		}
 		select {
@@ -144,10 +144,10 @@
 // before every retry, as the configuration may have changed.
 func (f *exchange) admit() *verdict.Error {
 	e := f.entry
-	view := e.Beliefs.View()
-	age, proved := e.Beliefs.Age()
-	if view.Catalog == nil || !proved {
-		return verdict.Refuse(verdict.NoConfiguration, "no configuration received yet").After(retryAfterLong)
+	view := e.State.View()
+	age, validated := e.State.Age()
+	if view.Catalog == nil || !validated {
+		return verdict.Refuse(verdict.NoConfiguration, "no configuration received yet").WithRetryAfter(retryAfterLong)
 	}
 	f.version, f.configAge = view.Catalog.Version(), age
 	f.route = view.Catalog.Route(f.call.Host, f.call.Path)
@@ -159,7 +159,7 @@
 		return f.weakenIfStale(verdict.Refuse(verdict.Unauthenticated, "unknown API key"))
 	}
 	if f.team != nil && !e.fresh() {
-		return verdict.Refuse(verdict.StaleBelief, "API keys were last confirmed %s ago", age).After(retryAfterLong)
+		return verdict.Refuse(verdict.StaleState, "API keys were last confirmed %s ago", age).WithRetryAfter(retryAfterLong)
 	}
 	f.service = view.Catalog.Service(f.route.Target(xxhash.Sum64String(f.call.ID)))
 	return nil
@@ -171,7 +171,7 @@
 	if f.configAge <= f.entry.bounds.Load().Propagation {
 		return refusal
 	}
-	return verdict.Refuse(verdict.StaleBelief, "%s in a configuration that is %s old", refusal.Detail, f.configAge).After(retryAfterLong)
+	return verdict.Refuse(verdict.StaleState, "%s in a configuration that is %s old", refusal.Detail, f.configAge).WithRetryAfter(retryAfterLong)
 }
 
 func (f *exchange) setDeadline() {
@@ -226,7 +226,7 @@
 			f.fail(refusal)
 			return
 		}
-		if err.Reason == verdict.EndpointConnect || err.Reason == verdict.EndpointRests {
+		if err.Reason == verdict.EndpointConnect || err.Reason == verdict.EndpointInBackoff {
 			f.retry = retryState{cause: err} // nothing was sent: no budget is charged
 		} else {
 			f.reserveRetry(err)
@@ -268,8 +268,8 @@
 	if f.mayHaveRun && err.Verdict == verdict.NotRun {
 		// The last endpoint did not run the request; an earlier one may have.
 		reason := verdict.EndpointCut
-		if err.Reason == verdict.EndsEndpoints {
-			reason = verdict.EndedEndpoints
+		if err.Reason == verdict.CrashesEndpoints {
+			reason = verdict.CrashedEndpoints
 		}
 		err = verdict.Fail(verdict.MayHaveRun, reason, "%s", err.Detail)
 	}
@@ -288,7 +288,7 @@
 	if err.Verdict == verdict.NotRun && err.Reason == verdict.EndpointConnect {
 		// Nothing was sent to any endpoint. A 502 would not tell the caller
 		// that a retry is safe.
-		err = verdict.Refuse(verdict.NoEndpoint, "%s", err.Detail).After(retryAfterShort)
+		err = verdict.Refuse(verdict.NoEndpoint, "%s", err.Detail).WithRetryAfter(retryAfterShort)
 	}
 	f.refuse(err)
 }
@@ -303,7 +303,7 @@
 		id = f.call.ID
 	}
 	f.drain()
-	f.entry.Codec.Refuse(f.w, id, err)
+	f.entry.Codec.WriteError(f.w, id, err)
 }
 
 // maxDrainBytes is how much of an unread body is read before an error
@@ -354,13 +354,13 @@
 	}
 	if p := f.placement; p != nil {
 		fields = append(fields, zap.String("endpoint", p.Endpoint.ID), zap.Bool("granted", p.Granted), zap.Float64("cost", p.Cost), zap.Int("cached", p.Cached), zap.Int("fetched", p.Fetched),
-			zap.Duration("backlog", p.Backlog), zap.Duration("first", f.firstByteAfter), zap.Duration("expected", p.Expected()), zap.Duration("heard_after", f.firstEventAfter), zap.Duration("pause", f.longestPause), zap.Float64("read_us", 1e3*p.Pace.ReadTime))
+			zap.Duration("backlog", p.Backlog), zap.Duration("first", f.firstByteAfter), zap.Duration("expected", p.Expected()), zap.Duration("heard_after", f.firstEventAfter), zap.Duration("pause", f.longestPause), zap.Float64("read_us", 1e3*p.Pace.PrefillPerToken))
 	}
 	if f.retryPayer != "" {
 		fields = append(fields, zap.String("retry", f.retryPayer))
 	}
-	if p := f.placement; p != nil && p.Distance == balance.Beyond {
-		fields = append(fields, zap.Stringer("distance", p.Distance), zap.Float64("crossing", p.Crossing), zap.Int("body", len(f.call.Body)))
+	if p := f.placement; p != nil && p.Distance == balance.OtherRegion {
+		fields = append(fields, zap.Stringer("distance", p.Distance), zap.Float64("crossing", p.CrossRegionCost), zap.Int("body", len(f.call.Body)))
 	}
 	if p := f.placement; p != nil && p.Cold {
 		fields = append(fields, zap.Bool("cold", true))
@@ -375,8 +375,8 @@
 		fields = append(fields, zap.Float64("named_limit", float64(*f.rateLimit)))
 	}
 	if p := f.placement; p != nil {
-		if rate, age, divider, ok := p.Limit(); ok {
-			fields = append(fields, zap.Float64("limit", rate), zap.Duration("limit_age", age), zap.String("limit_divider", divider))
+		if rate, age, allocator, ok := p.Limit(); ok {
+			fields = append(fields, zap.Float64("limit", rate), zap.Duration("limit_age", age), zap.String("limit_divider", allocator))
 		}
 	}
 	if f.peakBuffered > 0 {
--- a/entry/feedback.go
+++ b/entry/feedback.go
@@ -10,12 +10,12 @@
 	"go.uber.org/zap"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 // Kinds of feedback from endpoints, as counted.
 const (
-	feedbackRest        = "rest"       // the endpoint asks for a back-off
+	feedbackBackoff     = "rest"       // the endpoint asks for a back-off
 	feedbackLeaving     = "leaving"    // it is shutting down
 	feedbackLimit       = "limit"      // it states a rate limit
 	feedbackLimitLifted = "limit-over" // it no longer states one
@@ -25,37 +25,37 @@
 )
 
 // applyFeedback applies the feedback in a response head, before the next choice of an endpoint.
-func (f *exchange) applyFeedback(head *Answer) {
-	f.backoff, f.rateLimit = head.Rest, head.Limit
+func (f *exchange) applyFeedback(head *ResponseHead) {
+	f.backoff, f.rateLimit = head.Backoff, head.RateLimit
 	if head.Misdirected {
 		return // sent by a different endpoint
 	}
 	f.applyLimit(head)
 	f.applyLoad(head)
-	if head.Leaving && f.placement.Leaves() {
+	if head.Leaving && f.placement.RecordDraining() {
 		f.entry.Counters.feedback(feedbackLeaving, f.service.Name)
 		f.entry.Log.Info("endpoint announced its shutdown", zap.String("id", f.placement.Endpoint.ID), zap.String("service", f.service.Name), zap.String("request", f.call.ID))
 	}
-	if head.Rest == 0 {
+	if head.Backoff == 0 {
 		return
 	}
-	f.entry.Counters.feedback(feedbackRest, f.service.Name)
-	if f.placement.Rests(head.Rest) {
-		f.entry.Log.Info("endpoint asked for a back-off", zap.String("id", f.placement.Endpoint.ID), zap.String("service", f.service.Name), zap.Duration("rest", head.Rest), zap.String("request", f.call.ID))
+	f.entry.Counters.feedback(feedbackBackoff, f.service.Name)
+	if f.placement.RecordBackoff(head.Backoff) {
+		f.entry.Log.Info("endpoint asked for a back-off", zap.String("id", f.placement.Endpoint.ID), zap.String("service", f.service.Name), zap.Duration("rest", head.Backoff), zap.String("request", f.call.ID))
 	}
 }
 
 // applyLimit applies the rate limit in a response head. A limit is lifted only by a response
 // of the endpoint's own.
-func (f *exchange) applyLimit(head *Answer) {
+func (f *exchange) applyLimit(head *ResponseHead) {
 	switch {
-	case head.Limit != nil:
+	case head.RateLimit != nil:
 		f.entry.Counters.feedback(feedbackLimit, f.service.Name)
-		if f.placement.Limits(float64(*head.Limit)) {
-			f.logLimitChange("endpoint announced a rate limit", zap.Float64("per_second", float64(*head.Limit)))
+		if f.placement.RecordLimit(float64(*head.RateLimit)) {
+			f.logLimitChange("endpoint announced a rate limit", zap.Float64("per_second", float64(*head.RateLimit)))
 		}
 	case head.Sealed || head.NotRun:
-		if f.placement.Unlimited() {
+		if f.placement.RecordNoLimit() {
 			f.entry.Counters.feedback(feedbackLimitLifted, f.service.Name)
 			f.logLimitChange("endpoint withdrew its rate limit")
 		}
@@ -63,11 +63,11 @@
 }
 
 // applyLoad applies the load in a response head.
-func (f *exchange) applyLoad(head *Answer) {
+func (f *exchange) applyLoad(head *ResponseHead) {
 	if head.Load != nil {
-		f.placement.Tells(*head.Load)
+		f.placement.RecordLoad(*head.Load)
 	}
-	if !head.OddLoad {
+	if !head.InvalidLoad {
 		return
 	}
 	f.entry.Counters.feedback(feedbackInvalidLoad, f.service.Name)
@@ -92,11 +92,11 @@
 
 // place chooses an endpoint. If all are backed off or at their rate limits, it waits for
 // the first one to become available, if that is soon.
-func (f *exchange) place(ctx context.Context, endpoints []*belief.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
+func (f *exchange) place(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
 	waitUntil := f.entry.Now().Add(time.Duration(backoffWaitShare * float64(f.route.Objective)))
 	for {
 		p, refusal := f.entry.Placer.Place(ctx, endpoints, d)
-		if refusal == nil || refusal.Cause != balance.EndpointsRest && refusal.Cause != balance.EndpointsLimited {
+		if refusal == nil || refusal.Cause != balance.EndpointsInBackoff && refusal.Cause != balance.EndpointsLimited {
 			return p, refusal
 		}
 		wait := refusal.Wait + time.Duration(d.Priority)*priorityWaitStep
@@ -104,8 +104,8 @@
 			return p, refusal
 		}
 		f.entry.Counters.feedback(feedbackWaited, f.service.Name)
-		d.Offered = refusal.Cause == balance.EndpointsLimited
-		endpoints = f.entry.Beliefs.View().Endpoints(f.service.Name)
+		d.Counted = refusal.Cause == balance.EndpointsLimited
+		endpoints = f.entry.State.View().Endpoints(f.service.Name)
 		d.Deadline = f.deadline.Sub(f.entry.Now())
 	}
 }
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// Woke must be called after the machine was suspended. It cancels requests whose deadlines
+// HandleResume must be called after the machine was suspended. It cancels requests whose deadlines
 // have passed, and the others at their deadlines.
-func (e *Entry) Woke() {
+func (e *Proxy) HandleResume() {
 	now := e.Now()
 	e.inFlight.mu.Lock()
 	defer e.inFlight.mu.Unlock()
--- a/entry/poison.go
+++ b/entry/poison.go
@@ -39,19 +39,19 @@
 		return refusal
 	}
 	r := f.poisonRequest()
-	if !f.entry.Poison.Knows(&r) {
+	if !f.entry.Poison.MayContain(&r) {
 		f.suspected = false
 		return nil
 	}
 	id := f.requestPoisonID()
 	standing := f.entry.Poison.Standing(id)
 	f.suspected = standing == poison.Suspected
-	if standing != poison.Known {
+	if standing != poison.Confirmed {
 		return nil
 	}
-	f.entry.publishPoison(f.entry.Poison.Came(f.entry.Now(), id))
+	f.entry.publishPoison(f.entry.Poison.Seen(f.entry.Now(), id))
 	known, _ := f.entry.Poison.Entry(id)
-	return verdict.Refuse(verdict.EndsEndpoints, "the request has crashed %d endpoints (%s)", known.Counted(), id)
+	return verdict.Refuse(verdict.CrashesEndpoints, "the request has crashed %d endpoints (%s)", known.CountedStrikes(), id)
 }
 
 // The rate at which all instances together admit a throttled team's requests: if each crashes
@@ -74,12 +74,12 @@
 	if f.team == nil || f.mayHaveRun || !e.Poison.Slowed(e.Now(), f.service.Name, f.team.Name) {
 		return nil
 	}
-	interval := throttleInterval(e.retryBudgets.instanceCount(), len(e.Beliefs.View().Endpoints(f.service.Name)))
+	interval := throttleInterval(e.retryBudgets.instanceCount(), len(e.State.View().Endpoints(f.service.Name)))
 	wait := e.throttles.acquire(f.service.Name+"/"+f.team.Name, e.Now(), interval)
 	if wait <= 0 {
 		return nil
 	}
-	return verdict.Refuse(verdict.TeamLimit, "service %s: the team is throttled because its requests crash endpoints", f.service.Name).After(wait)
+	return verdict.Refuse(verdict.TeamLimit, "service %s: the team is throttled because its requests crash endpoints", f.service.Name).WithRetryAfter(wait)
 }
 
 // teamThrottles holds when each throttled team may send its next request, by service and team.
@@ -106,25 +106,25 @@
 // a poison request.
 func (f *exchange) clearSuspect() {
 	r := f.poisonRequest()
-	if !f.entry.Poison.Knows(&r) {
+	if !f.entry.Poison.MayContain(&r) {
 		return
 	}
-	if changed := f.entry.Poison.Answered(f.requestPoisonID()); len(changed) > 0 {
+	if changed := f.entry.Poison.Clear(f.requestPoisonID()); len(changed) > 0 {
 		f.entry.logPoison(changed)
 		f.entry.publishPoison(changed)
 	}
 }
 
-func (e *Entry) publishPoison(entries []poison.Entry) {
-	if e.TellPoison != nil && len(entries) > 0 {
-		e.TellPoison(entries)
+func (e *Proxy) publishPoison(entries []poison.Entry) {
+	if e.PublishPoison != nil && len(entries) > 0 {
+		e.PublishPoison(entries)
 	}
 }
 
-// Release clears a suspect at an operator's request and tells the other instances. It
+// ClearSuspect clears a suspect at an operator's request and tells the other instances. It
 // returns false if id is not a suspect.
-func (e *Entry) Release(id poison.ID) bool {
-	changed := e.Poison.Answered(id)
+func (e *Proxy) ClearSuspect(id poison.ID) bool {
+	changed := e.Poison.Clear(id)
 	if len(changed) == 0 {
 		return false
 	}
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -6,7 +6,7 @@
 // takes longer than a check of the monitor (relay_monitor.go), a second goroutine takes
 // over the reading and queues chunks in a bounded buffer, while the first one goes on
 // writing. The endpoint's slot is freed when its response ends. When the buffer is full,
-// reading stops until the caller reads more; a caller that reads nothing for CallerStall is
+// reading stops until the caller reads more; a caller that reads nothing for StallTimeout is
 // disconnected.
 //
 // Reading and writing in turn avoids a goroutine switch for each event, and checking from
@@ -27,7 +27,7 @@
 
 // How long a caller may read nothing of the data that waits for it.
 const (
-	// defaultStallTimeout applies if the operator sets no CallerStall. It should exceed
+	// defaultStallTimeout applies if the operator sets no StallTimeout. It should exceed
 	// short outages of the caller's link.
 	defaultStallTimeout = 8 * time.Second
 	// lateStallTimeout applies instead once the request's deadline has passed.
@@ -40,7 +40,7 @@
 	f              *exchange
 	ctx            context.Context
 	x              *upstream.Exchange
-	head           Answer
+	head           ResponseHead
 	src            chunkSource
 	successOutcome balance.Outcome // recorded if the response is complete
 	flush          *http.ResponseController
@@ -71,7 +71,7 @@
 }
 
 // relay forwards src, the body of x. On success it records successOutcome for the endpoint.
-func (f *exchange) relay(ctx context.Context, x *upstream.Exchange, head Answer, src chunkSource, successOutcome balance.Outcome) *verdict.Error {
+func (f *exchange) relay(ctx context.Context, x *upstream.Exchange, head ResponseHead, src chunkSource, successOutcome balance.Outcome) *verdict.Error {
 	r := &relay{f: f, ctx: ctx, x: x, head: head, src: src, successOutcome: successOutcome, flush: http.NewResponseController(f.w), buffer: relayBuffer{mem: f.mem}}
 	r.changed.L = &r.mu
 	f.entry.monitor.add(r)
@@ -295,7 +295,7 @@
 		return nil
 	case errEventMemory:
 		r.releaseEndpoint(false, balance.Unknown)
-		return verdict.Fail(verdict.MayHaveRun, verdict.AnswerNoMemory, "%s: %s", r.f.placement.Endpoint.ID, err)
+		return verdict.Fail(verdict.MayHaveRun, verdict.ResponseNoMemory, "%s: %s", r.f.placement.Endpoint.ID, err)
 	default:
 		r.releaseEndpoint(false, r.f.outcome(r.ctx))
 	}
--- a/entry/relay_bench_test.go
+++ b/entry/relay_bench_test.go
@@ -16,8 +16,8 @@
 	"go.uber.org/zap"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 	"ivyridge/upstream"
 	"ivyridge/verdict"
 )
@@ -35,8 +35,8 @@
 		}
 	}))
 	defer server.Close()
-	table := belief.NewTable(time.Now)
-	err := table.Apply(&belief.Update{Revision: 1, Whole: true, Proved: time.Now(), Config: &catalog.Document{
+	table := discovery.NewTable(time.Now)
+	err := table.Apply(&discovery.Update{Revision: 1, Full: true, ValidatedAt: time.Now(), Config: &catalog.Document{
 		Version: 1, Services: []catalog.Service{{Name: "m"}},
 		Routes: []catalog.Route{{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Stream, Targets: []catalog.Target{{Service: "m", Weight: 1}}}},
 	}})
@@ -44,7 +44,7 @@
 		b.Fatal(err)
 	}
 	e := New(Options{
-		Beliefs: table, Placer: fixedPlacer{balance.New("a", time.Now), &belief.Endpoint{Endpoint: catalog.Endpoint{ID: "e", Address: server.Listener.Addr().String()}}},
+		State: table, Placer: fixedPlacer{balance.New("a", time.Now), &discovery.Endpoint{Endpoint: catalog.Endpoint{ID: "e", Address: server.Listener.Addr().String()}}},
 		Pool: upstream.NewPool(func(string) {}, time.Now), Codec: stubCodec{}, Log: zap.NewNop(),
 		Counters: NewCounters(new(expvar.Map).Init()), Now: time.Now, Bounds: Bounds{Propagation: time.Minute},
 	})
@@ -72,11 +72,11 @@
 
 type fixedPlacer struct {
 	b *balance.Balancer
-	e *belief.Endpoint
+	e *discovery.Endpoint
 }
 
-func (p fixedPlacer) Place(_ context.Context, _ []*belief.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
-	return p.b.Place([]*belief.Endpoint{p.e}, d), nil
+func (p fixedPlacer) Place(_ context.Context, _ []*discovery.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
+	return p.b.Place([]*discovery.Endpoint{p.e}, d), nil
 }
 
 type stubCodec struct{}
@@ -84,9 +84,9 @@
 func (stubCodec) Decode(r *http.Request) (*Call, error) {
 	return &Call{ID: "1", Method: r.Method, Host: r.Host, Path: "/", Target: "/", Header: http.Header{}}, nil
 }
-func (stubCodec) Encode(*Call, Forward) http.Header { return http.Header{} }
-func (stubCodec) Answer(int, http.Header) Answer    { return Answer{Sealed: true} }
-func (stubCodec) PassOn(to, from http.Header)       {}
-func (stubCodec) Refuse(w http.ResponseWriter, _ string, e *verdict.Error) {
+func (stubCodec) Encode(*Call, Forward) http.Header            { return http.Header{} }
+func (stubCodec) DecodeResponse(int, http.Header) ResponseHead { return ResponseHead{Sealed: true} }
+func (stubCodec) CopyResponseHeaders(to, from http.Header)     {}
+func (stubCodec) WriteError(w http.ResponseWriter, _ string, e *verdict.Error) {
 	w.WriteHeader(e.Reason.Status())
 }
--- a/entry/relay_buffer.go
+++ b/entry/relay_buffer.go
@@ -9,7 +9,7 @@
 
 // A relayBuffer is a queue of chunks whose memory is taken from the request's reservation.
 type relayBuffer struct {
-	mem    *memory.Holding
+	mem    *memory.Reservation
 	chunks [][]byte
 	size   int // in bytes
 	peak   int // largest size so far, in bytes
@@ -19,7 +19,7 @@
 
 // add copies a chunk into the queue. It returns false if there is no room.
 func (a *relayBuffer) add(chunk []byte) bool {
-	if a.size+len(chunk) > maxRelayBuffer || !a.mem.Take(memory.Waiting, chunkMemory(len(chunk))) {
+	if a.size+len(chunk) > maxRelayBuffer || !a.mem.Grow(memory.Buffered, chunkMemory(len(chunk))) {
 		return false
 	}
 	a.chunks = append(a.chunks, append(make([]byte, 0, len(chunk)), chunk...))
@@ -42,7 +42,7 @@
 	a.chunks[0] = nil
 	a.chunks = a.chunks[1:]
 	a.size -= n
-	a.mem.Give(memory.Waiting, chunkMemory(n))
+	a.mem.Shrink(memory.Buffered, chunkMemory(n))
 }
 
 func (a *relayBuffer) clear() {
--- a/entry/response.go
+++ b/entry/response.go
@@ -22,20 +22,20 @@
 
 // handleResponse forwards a response, or returns an error if it is not final.
 func (f *exchange) handleResponse(ctx context.Context, x *upstream.Exchange) *verdict.Error {
-	head := f.entry.Codec.Answer(x.Status, x.Header)
+	head := f.entry.Codec.DecodeResponse(x.Status, x.Header)
 	f.applyFeedback(&head)
 	switch {
 	case head.Misdirected:
 		x.Close(false, 0)
-		f.placement.Gone()
+		f.placement.RecordGone()
 		f.placement.Done(balance.Unknown)
 		f.unmarkSent()
-		return verdict.Refuse(verdict.EndpointGone, "%s answered %d", f.placement.Endpoint.ID, x.Status).After(retryAfterShort)
+		return verdict.Refuse(verdict.EndpointGone, "%s answered %d", f.placement.Endpoint.ID, x.Status).WithRetryAfter(retryAfterShort)
 	case head.NotRun:
 		_, err := io.Copy(io.Discard, io.LimitReader(x.Body, maxBuffered))
 		x.Close(err == nil, head.KeepAlive)
 		f.placement.Done(balance.Refused)
-		return verdict.Refuse(verdict.EndpointRefused, "%s answered %d", f.placement.Endpoint.ID, x.Status).After(retryAfterShort)
+		return verdict.Refuse(verdict.EndpointRefused, "%s answered %d", f.placement.Endpoint.ID, x.Status).WithRetryAfter(retryAfterShort)
 	case !head.Sealed || x.Header.Get("Content-Encoding") != "":
 		x.Close(false, 0)
 		f.placement.Done(balance.Failed)
@@ -54,13 +54,13 @@
 // forwardPlain forwards a response that is not a stream. A response of up to
 // maxBuffered bytes is read completely first, which frees the endpoint before
 // the caller has read it.
-func (f *exchange) forwardPlain(ctx context.Context, x *upstream.Exchange, head Answer) *verdict.Error {
+func (f *exchange) forwardPlain(ctx context.Context, x *upstream.Exchange, head ResponseHead) *verdict.Error {
 	data, complete, err := f.readPrefix(x)
 	if err != nil {
 		return f.responseBroken(ctx, x, err)
 	}
 	failed := x.Status >= http.StatusInternalServerError
-	if complete && failed && f.route.MayRepeat() && len(f.tried) < f.route.MaxAttempts {
+	if complete && failed && f.route.Retryable() && len(f.tried) < f.route.MaxAttempts {
 		x.Close(true, head.KeepAlive)
 		f.placement.Done(balance.Failed)
 		f.reserveRetry(verdict.Fail(verdict.Ran, verdict.EndpointError, "%s answered %d", f.placement.Endpoint.ID, x.Status))
@@ -110,7 +110,7 @@
 	if length, err := strconv.Atoi(x.Header.Get("Content-Length")); err == nil && 0 <= length && length < maxBuffered {
 		size = length + 1 // one more byte, to read up to EOF
 	}
-	if !f.mem.Take(memory.Waiting, int64(size)) {
+	if !f.mem.Grow(memory.Buffered, int64(size)) {
 		return nil, false, nil
 	}
 	data = make([]byte, 0, size)
@@ -142,7 +142,7 @@
 	f.headSent = true
 	f.status = x.Status
 	f.firstByteAfter = f.entry.Now().Sub(f.arrived)
-	f.entry.Codec.PassOn(f.w.Header(), x.Header)
+	f.entry.Codec.CopyResponseHeaders(f.w.Header(), x.Header)
 	if f.leaving() {
 		f.w.Header().Set("Connection", "close")
 	}
@@ -162,7 +162,7 @@
 }
 
 // forwardStream forwards a stream, event by event.
-func (f *exchange) forwardStream(ctx context.Context, x *upstream.Exchange, head Answer) *verdict.Error {
+func (f *exchange) forwardStream(ctx context.Context, x *upstream.Exchange, head ResponseHead) *verdict.Error {
 	// The stream may be made of complete events from several endpoints.
 	delete(x.Header, "Content-Length")
 	err := f.relay(ctx, x, head, f.newEventSource(x.Body), balance.Served)
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -38,12 +38,12 @@
 	}
 }
 
-// attemptEarning returns what the current attempt adds to the fleet's retry budget.
-func (f *exchange) attemptEarning() quota.Earning {
+// attemptDeposit returns what the current attempt adds to the fleet's retry budget.
+func (f *exchange) attemptDeposit() quota.DepositKind {
 	if f.attempts > 1 {
-		return quota.EarnsNothing
+		return quota.DepositNone
 	}
-	return f.earning
+	return f.deposit
 }
 
 // retryKind returns the kind of the retry, by which the fleet's budget ranks retries.
@@ -80,10 +80,10 @@
 func (f *exchange) retryDenied(refusal *balance.Refusal) *verdict.Error {
 	f.attempts--
 	f.retryPayer = payerNone
-	f.scheduler = refusal.Chooser
+	f.scheduler = refusal.Scheduler
 	f.entry.Counters.retryPaid(payerNone, f.service.Name)
 	if f.entry.retryBudgets.noteDenied(f.service.Name) {
-		f.entry.Log.Warn("retry budget exhausted", zap.String("service", f.service.Name), zap.String("scheduler", refusal.Chooser))
+		f.entry.Log.Warn("retry budget exhausted", zap.String("service", f.service.Name), zap.String("scheduler", refusal.Scheduler))
 	}
 	return placementError(f.service.Name, refusal)
 }
--- a/entry/retry_budget.go
+++ b/entry/retry_budget.go
@@ -8,20 +8,20 @@
 )
 
 // retryBudgets holds an instance's own retry budgets, one per service: the retries that it
-// may send without asking a scheduler. Package quota divides the bound on all instances;
+// may send without asking a scheduler. Package quota divides the bound among all instances;
 // most of it is held by schedulers, see package balance.
 type retryBudgets struct {
 	now func() time.Time
 
 	mu        sync.Mutex
-	bound     quota.Retries
+	bound     quota.RetryLimit
 	instances int // the most ever reported; zero: unknown
 	byService map[string]*serviceBudget
 }
 
 // A serviceBudget is the retry budget of one service.
 type serviceBudget struct {
-	quota.Earned
+	quota.RetryBudget
 	exhausted  bool      // retries were denied lately; for logging
 	lastDenied time.Time // time of the last denial
 }
@@ -35,7 +35,7 @@
 func (b *retryBudgets) setBounds(ratio float64, extra int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.bound = quota.Retries{Ratio: ratio, Extra: float64(extra)}
+	b.bound = quota.RetryLimit{Ratio: ratio, Extra: float64(extra)}
 }
 
 // setInstances sets how many instances share the bound, this one included. The number
@@ -63,26 +63,26 @@
 	return budget
 }
 
-// earn adds one request's share to the budget of its service, and returns which part of what
-// the request earns goes to the fleet's budget.
-func (b *retryBudgets) earn(service string) quota.Earning {
+// deposit adds one request's share to the budget of its service, and returns which part of what
+// the request deposits goes to the fleet's budget.
+func (b *retryBudgets) deposit(service string) quota.DepositKind {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	earns, limit := b.bound.Own(b.instances)
+	amount, limit := b.bound.InstanceBudget(b.instances)
 	if limit <= 0 {
-		return quota.EarnsWhole
+		return quota.DepositFull
 	}
-	b.service(service).Earn(earns, limit, b.now())
-	return quota.EarnsRest
+	b.service(service).Deposit(amount, limit, b.now())
+	return quota.DepositRemainder
 }
 
 // spend takes one retry from the budget, and reports whether there was one.
 func (b *retryBudgets) spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_, limit := b.bound.Own(b.instances)
+	_, limit := b.bound.InstanceBudget(b.instances)
 	budget, now := b.service(service), b.now()
-	if !budget.Has(limit, 0, now) {
+	if !budget.CanSpend(limit, 0, now) {
 		return false
 	}
 	budget.Spend(limit, now)
@@ -93,8 +93,8 @@
 func (b *retryBudgets) available(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_, limit := b.bound.Own(b.instances)
-	return b.service(service).Has(limit, 0, b.now())
+	_, limit := b.bound.InstanceBudget(b.instances)
+	return b.service(service).CanSpend(limit, 0, b.now())
 }
 
 // recoveryTime is how long after the last denial retries count as available again.
--- a/entry/retry_budget_test.go
+++ b/entry/retry_budget_test.go
@@ -36,7 +36,7 @@
 					at = rapid.IntRange(0, c.instances-1).Draw(t, "instance")
 				}
 				b := fleet[at]
-				b.earn("s")
+				b.deposit("s")
 				requests++
 				for b.spend("s") {
 					retries++
@@ -55,7 +55,7 @@
 	now := time.Unix(1000, 0)
 	b := newRetryBudgets(0.2, 107, func() time.Time { return now })
 	for range 200 {
-		b.earn("s")
+		b.deposit("s")
 	}
 	if b.available("s") {
 		t.Fatal("a retry is available before the number of instances is known")
@@ -65,13 +65,13 @@
 		t.Fatal("a retry is available before requests have earned it")
 	}
 	for range 38 { // each earns 0.038, of which 0.027 may be spent
-		b.earn("s")
+		b.deposit("s")
 	}
 	if !b.spend("s") || b.available("s") {
 		t.Fatal("38 requests did not earn exactly one retry")
 	}
 	for range 1000 {
-		b.earn("s")
+		b.deposit("s")
 	}
 	saved := 0
 	for b.spend("s") {
@@ -82,7 +82,7 @@
 	}
 	now = now.Add(time.Minute)
 	for range 200 {
-		b.earn("s")
+		b.deposit("s")
 	}
 	if saved = 0; b.available("s") {
 		for now = now.Add(6 * time.Second); b.spend("s"); saved++ {
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -69,7 +69,7 @@
 
 type connKey struct{}
 
-// ConnContext is for http.Server.ConnContext. It gives the entry access to the
+// ConnContext is for http.Server.ConnContext. It gives the Proxy access to the
 // connection's count of acknowledged bytes.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	sc, ok := c.(syscall.Conn)
@@ -83,7 +83,8 @@
 	return context.WithValue(ctx, connKey{}, raw)
 }
 
-// acked returns how many bytes the caller's TCP has acknowledged on its connection; zero if unknown.
+// acked returns how many bytes the caller's TCP has acknowledged on its connection; zero if
+// unknown.
 func acked(ctx context.Context) (n uint64) {
 	raw, ok := ctx.Value(connKey{}).(syscall.RawConn)
 	if !ok {
--- a/entry/stream_timing.go
+++ b/entry/stream_timing.go
@@ -15,7 +15,7 @@
 }
 
 func (f *exchange) newStreamTiming() *streamTiming {
-	return &streamTiming{f: f, fromStart: f.call.LastEvent == ""}
+	return &streamTiming{f: f, fromStart: f.call.LastEventID == ""}
 }
 
 // recordEvent records the arrival of an event.
@@ -30,13 +30,13 @@
 	p.first = now
 	p.f.firstEventAfter = now.Sub(p.f.placedAt)
 	if p.fromStart {
-		p.f.placement.First(p.f.firstEventAfter)
+		p.f.placement.RecordFirstEvent(p.f.firstEventAfter)
 	}
 }
 
 // recordEnd reports the timing of a stream that is complete.
 func (p *streamTiming) recordEnd() {
 	if p.fromStart {
-		p.f.placement.Streamed(p.events, p.last.Sub(p.first))
+		p.f.placement.RecordStreamEnd(p.events, p.last.Sub(p.first))
 	}
 }
--- a/experiment/bound.go
+++ b/experiment/bound.go
@@ -16,10 +16,10 @@
 // A Bound is an upper bound of the on-time throughput of a scenario.
 type Bound struct {
 	Surge int // requests of the surging class that arrive during the surge
-	// Blind is like Surge, for a scheduler that does not know the response
+	// UnknownLengths is like Surge, for a scheduler that does not know the response
 	// lengths and therefore cannot prefer short requests.
-	Blind   int
-	Goodput float64 // tokens per second
+	UnknownLengths int
+	Goodput        float64 // tokens per second
 }
 
 // Bound computes the bounds of the scenario for one seed. Surge and Blind are
@@ -28,7 +28,7 @@
 	arrivals := s.Workload.Arrivals(seed)
 	b := Bound{Goodput: s.goodputBound(arrivals)}
 	if c := s.Set.Class(s.SurgeClass); c != nil {
-		b.Surge, b.Blind = s.surgeBound(arrivals, c.Tier)
+		b.Surge, b.UnknownLengths = s.surgeBound(arrivals, c.Tier)
 	}
 	return b
 }
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -45,26 +45,26 @@
 
 // A Result is the outcome of a scenario under one policy and seed.
 type Result struct {
-	Classes  []ClassResult
-	Goodput  float64 // tokens per second in on-time responses
-	Computed int64   // tokens in all responses, complete or not
-	Good     int64   // tokens in on-time responses
+	Classes        []ClassResult
+	Goodput        float64 // tokens per second in on-time responses
+	ComputedTokens int64   // tokens in all responses, complete or not
+	OnTimeTokens   int64   // tokens in on-time responses
 	// Gaps is the fraction of the complete responses of more than one token
 	// whose mean time between tokens met the class's target.
 	Gaps float64
-	// Normal is the time from the end of the surge until the share of
+	// RecoveryTime is the time from the end of the surge until the share of
 	// arrivals served on time is back to normal.
-	Normal time.Duration
-	Slow   int64 // number of times that an endpoint was detected as slow
+	RecoveryTime time.Duration
+	Slow         int64 // number of times that an endpoint was detected as slow
 }
 
 // A ClassResult is the outcome of one class. Each offered request counts as
 // exactly one of OnTime, Late, Refused, Failed or Left (unfinished at the end
 // of the run); Served is OnTime plus Late.
 type ClassResult struct {
-	Class                                                string
-	Offered, Served, OnTime, Late, Refused, Failed, Left int
-	Attainment                                           float64
+	Class                                                      string
+	Offered, Served, OnTime, Late, Refused, Failed, Unfinished int
+	Attainment                                                 float64
 	// SurgeOffered and SurgeOnTime count the arrivals during the surge.
 	SurgeOffered, SurgeOnTime int
 	Teams                     map[string]*TeamResult
@@ -76,10 +76,10 @@
 // Wasted returns the fraction of the computed tokens that are not part of an
 // on-time response, or zero if none were computed.
 func (r *Result) Wasted() float64 {
-	if r.Computed == 0 {
+	if r.ComputedTokens == 0 {
 		return 0
 	}
-	return 1 - float64(r.Good)/float64(r.Computed)
+	return 1 - float64(r.OnTimeTokens)/float64(r.ComputedTokens)
 }
 
 // Class returns the result of the named class, or nil.
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -61,8 +61,8 @@
 func TestNoRequestUnfinishedAfterCrash(t *testing.T) {
 	s := scenario(t, "huurtoets/engine crash in a wave")
 	for _, c := range s.Run(policy(t, home.Full), 1).Classes {
-		if c.Left > 0 {
-			t.Errorf("%d requests of class %s unfinished", c.Left, c.Class)
+		if c.Unfinished > 0 {
+			t.Errorf("%d requests of class %s unfinished", c.Unfinished, c.Class)
 		}
 	}
 }
--- a/experiment/pool.go
+++ b/experiment/pool.go
@@ -61,7 +61,7 @@
 
 // applyDecisions applies the scheduler's decisions.
 func (p *pool) applyDecisions() {
-	decisions := append([]home.Decision(nil), p.scheduler.Take()...)
+	decisions := append([]home.Decision(nil), p.scheduler.TakeDecisions()...)
 	for _, d := range decisions {
 		r := p.sim.byKey[d.Key]
 		if r == nil {
@@ -92,7 +92,7 @@
 // scenario's lag, and the list of requests in progress, which renews them.
 func (p *pool) reportLoads() {
 	lagReports := int(p.sim.scenario.Lag / reportInterval)
-	var runs []home.Running
+	var runs []home.ActiveRun
 	for _, e := range p.endpoints {
 		if e.crashed {
 			p.scheduler.Unreachable(p.sim.now, e.name)
@@ -103,7 +103,7 @@
 	}
 	for key, r := range p.sim.byKey {
 		if r.pool == p && r.endpoint != nil {
-			runs = append(runs, home.Running{Seq: key.Seq, Endpoint: r.endpoint.name, Class: r.Class.Name})
+			runs = append(runs, home.ActiveRun{Seq: key.Seq, Endpoint: r.endpoint.name, Class: r.Class.Name})
 		}
 	}
 	p.scheduler.Sync(p.sim.now, "entry", runs)
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -148,7 +148,7 @@
 	r.attempts++
 	sim.byKey[r.key] = r
 	sim.after(networkLatency, func() {
-		r.pool.scheduler.Ask(sim.now, home.Ask{
+		r.pool.scheduler.Submit(sim.now, home.Request{
 			Key: r.key, Class: r.Class.Name, Team: r.Team.Name, Prompt: r.Class.Prompt,
 			Age: sim.now - r.At, Prefix: r.prefix(), Avoid: r.avoid,
 		})
@@ -173,8 +173,8 @@
 func (r *request) finish(sim *simulation, o outcome) {
 	r.outcome, r.end = o, sim.now
 	rel := home.Release{
-		Key: r.key, Team: r.Team.Name, Tokens: r.tokens, Held: sim.now - r.grantedAt,
-		Failed: o == failed, Whole: o == served, Late: !r.onTime(),
+		Key: r.key, Team: r.Team.Name, Tokens: r.tokens, Duration: sim.now - r.grantedAt,
+		Failed: o == failed, Complete: o == served, Late: !r.onTime(),
 	}
 	if r.firstToken > 0 {
 		rel.FirstToken = r.firstToken - r.grantedAt
@@ -218,7 +218,7 @@
 }
 
 func (sim *simulation) result() *Result {
-	res := &Result{Computed: sim.computed}
+	res := &Result{ComputedTokens: sim.computed}
 	gaps, answers := 0, 0
 	for i := range sim.scenario.Workload.Classes {
 		res.Classes = append(res.Classes, ClassResult{Class: sim.scenario.Workload.Classes[i].Name, Teams: make(map[string]*TeamResult)})
@@ -227,7 +227,7 @@
 		c := res.Class(r.Class.Name)
 		c.add(sim.scenario, r)
 		if r.onTime() {
-			res.Good += int64(r.tokens)
+			res.OnTimeTokens += int64(r.tokens)
 		}
 		if r.outcome == served && r.tokens > 1 {
 			answers++
@@ -241,9 +241,9 @@
 			c.Attainment = float64(c.OnTime) / float64(c.Offered)
 		}
 	}
-	res.Goodput = float64(res.Good) / sim.scenario.Workload.Duration.Seconds()
+	res.Goodput = float64(res.OnTimeTokens) / sim.scenario.Workload.Duration.Seconds()
 	res.Gaps = float64(gaps) / float64(max(1, answers))
-	res.Normal = sim.normal()
+	res.RecoveryTime = sim.normal()
 	for _, p := range sim.pools {
 		res.Slow += p.scheduler.Counts.SlowSeen
 	}
@@ -305,6 +305,6 @@
 	case r.outcome == failed:
 		c.Failed++
 	default:
-		c.Left++
+		c.Unfinished++
 	}
 }
--- a/experiment/suite.go
+++ b/experiment/suite.go
@@ -106,7 +106,7 @@
 			out = append(out, s)
 		}
 	}
-	return append(out, u.Rush(), u.slowEngine(), u.engineCrash(), u.laggingReports())
+	return append(out, u.SingleTeamSurge(), u.slowEngine(), u.engineCrash(), u.laggingReports())
 }
 
 // tierZeroModelClass returns the first class of tier 0 that is served by a
@@ -121,9 +121,9 @@
 	return ""
 }
 
-// Rush returns a scenario in which one team alone sends tier-0 model requests
+// SingleTeamSurge returns a scenario in which one team alone sends tier-0 model requests
 // at five times the capacity of the pool.
-func (u *User) Rush() *Scenario {
+func (u *User) SingleTeamSurge() *Scenario {
 	s := u.scenario("one team's rush x5")
 	s.surge(u.tierZeroModelClass(), 5)
 	b := &s.Workload.Bursts[len(s.Workload.Bursts)-1]
--- a/experiment/table.go
+++ b/experiment/table.go
@@ -21,11 +21,11 @@
 	Tokens           Stat // goodput in tokens per second
 	Wasted           Stat // fraction of the computed tokens
 	Surge            Stat // on-time requests of the surge, as a fraction of Bound.Surge
-	Blind            Stat // the same, as a fraction of Bound.Blind
+	UnknownLengths   Stat // the same, as a fraction of Bound.Blind
 	Others           Stat // attainment of the tier-0 requests of teams that no burst names
-	Normal           Stat // Result.Normal in seconds
+	RecoveryTime     Stat // Result.Normal in seconds
 	Gaps             Stat // Result.Gaps
-	Left             Stat // requests unfinished at the end of the run
+	Unfinished       Stat // requests unfinished at the end of the run
 }
 
 // A ClassRow holds the statistics of one class in a Row.
@@ -80,15 +80,15 @@
 	row.Goodput = stat(func(i int) float64 { return results[i].Goodput / bounds[i].Goodput })
 	row.Tokens = stat(func(i int) float64 { return results[i].Goodput })
 	row.Wasted = stat(func(i int) float64 { return results[i].Wasted() })
-	row.Normal = stat(func(i int) float64 { return results[i].Normal.Seconds() })
+	row.RecoveryTime = stat(func(i int) float64 { return results[i].RecoveryTime.Seconds() })
 	row.Gaps = stat(func(i int) float64 { return results[i].Gaps })
-	row.Left = stat(func(i int) float64 { return float64(results[i].unfinishedRequests()) })
+	row.Unfinished = stat(func(i int) float64 { return float64(results[i].unfinishedRequests()) })
 	row.Others = stat(func(i int) float64 { return s.otherTeamsAttainment(results[i]) })
-	row.Surge, row.Blind = Stat{1, 1, 1}, Stat{1, 1, 1}
+	row.Surge, row.UnknownLengths = Stat{1, 1, 1}, Stat{1, 1, 1}
 	if s.SurgeClass != "" {
 		onTime := func(i int) float64 { return float64(results[i].Class(s.SurgeClass).SurgeOnTime) }
 		row.Surge = stat(func(i int) float64 { return onTime(i) / float64(max(1, bounds[i].Surge)) })
-		row.Blind = stat(func(i int) float64 { return onTime(i) / float64(max(1, bounds[i].Blind)) })
+		row.UnknownLengths = stat(func(i int) float64 { return onTime(i) / float64(max(1, bounds[i].UnknownLengths)) })
 	}
 	return row
 }
@@ -96,7 +96,7 @@
 func (r *Result) unfinishedRequests() int {
 	n := 0
 	for i := range r.Classes {
-		n += r.Classes[i].Left
+		n += r.Classes[i].Unfinished
 	}
 	return n
 }
@@ -134,7 +134,7 @@
 		for _, c := range r.Classes {
 			fmt.Fprintf(t, "%s %s  ", c.Class, c.Attainment)
 		}
-		fmt.Fprintf(t, "\t%s\t%s\t%s\t%.0f\t%s\t%s\t%s\t%.0f\t%.0f\n", r.Surge, r.Blind, r.Goodput, r.Tokens.Median, r.Wasted, r.Gaps, r.Others, r.Normal.Median, r.Left.Median)
+		fmt.Fprintf(t, "\t%s\t%s\t%s\t%.0f\t%s\t%s\t%s\t%.0f\t%.0f\n", r.Surge, r.UnknownLengths, r.Goodput, r.Tokens.Median, r.Wasted, r.Gaps, r.Others, r.RecoveryTime.Median, r.Unfinished.Median)
 	}
 	return t.Flush()
 }
--- a/fair/fair.go
+++ b/fair/fair.go
@@ -80,7 +80,7 @@
 	Level      int
 	Work       float64
 	Congestion float64 // of the service for this level; congested from 1
-	Fixed      bool    // count the request but never refuse it
+	Unlimited  bool    // count the request but never refuse it
 	Chance     float64 // random, from 0 to 1
 }
 
@@ -99,7 +99,7 @@
 	p := &s.pools[r.Level]
 	c := p.own.add(now, r.Team, r.Work)
 	s.adjustRate(now, r.Level, r.Congestion)
-	if r.Fixed || p.rate == 0 {
+	if r.Unlimited || p.rate == 0 {
 		return 0, false
 	}
 	others := s.peers.rate(now, r.Level, r.Team)
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -11,7 +11,7 @@
 )
 
 // A request is refused only if its team is above the fair rate, never while the service has
-// spare capacity, for a sole team, or if it is Fixed.
+// spare capacity, for a sole team, or if it is Unlimited.
 func TestOnlyUseAboveTheFairRateIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -27,10 +27,10 @@
 				Team:  uint32(rapid.IntRange(1, teams).Draw(t, "team")),
 				Level: rapid.IntRange(0, fair.Levels-1).Draw(t, "level"), Work: rapid.Float64Range(0.1, 10).Draw(t, "work"),
 				Congestion: rapid.Float64Range(0, maxCongestion).Draw(t, "congestion"), Chance: rapid.Float64Range(0, 1).Draw(t, "chance"),
-				Fixed: rapid.IntRange(0, 3).Draw(t, "fixed") == 0,
+				Unlimited: rapid.IntRange(0, 3).Draw(t, "fixed") == 0,
 			}
 			over, refused := s.Offer(now, r)
-			if refused && (spare || teams == 1 || r.Fixed || over <= 1) {
+			if refused && (spare || teams == 1 || r.Unlimited || over <= 1) {
 				t.Fatalf("refused at %.2f times the fair rate: %+v", over, r)
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "pause")) * time.Millisecond)
@@ -85,7 +85,7 @@
 		return
 	}
 	for i, s := range f.schedulers {
-		uses := s.Uses(f.now)
+		uses := s.Report(f.now)
 		for j, other := range f.schedulers {
 			if j != i {
 				other.Merge(f.now, uint64(i+1), uses)
@@ -187,7 +187,7 @@
 		s.Offer(now, &fair.Request{Team: uint32(i%23000 + 1), Level: 2, Work: 1, Congestion: 2, Chance: 1})
 		now = now.Add(100 * time.Microsecond)
 	}
-	if n := len(s.Uses(now)); n > 16 {
+	if n := len(s.Report(now)); n > 16 {
 		t.Errorf("%d teams in a report, want at most 16", n)
 	}
 	for _, l := range s.Status(now) {
@@ -214,7 +214,7 @@
 				now = now.Add(100 * time.Microsecond)
 				if i%2000 == 0 {
 					other.Offer(now, r)
-					s.Merge(now, 1, other.Uses(now))
+					s.Merge(now, 1, other.Report(now))
 				}
 			}
 		})
@@ -228,8 +228,8 @@
 	offer := func(steps int, congestion float64) {
 		for range steps {
 			now = now.Add(10 * time.Millisecond)
-			s.Offer(now, &fair.Request{Team: 1, Work: 10, Congestion: congestion, Fixed: true})
-			s.Offer(now, &fair.Request{Team: 2, Work: 1, Congestion: congestion, Fixed: true})
+			s.Offer(now, &fair.Request{Team: 1, Work: 10, Congestion: congestion, Unlimited: true})
+			s.Offer(now, &fair.Request{Team: 2, Work: 1, Congestion: congestion, Unlimited: true})
 			s.Grant(now, 1, 0, 1)
 			s.Grant(now, 2, 0, 1)
 		}
--- a/fair/peers.go
+++ b/fair/peers.go
@@ -31,8 +31,8 @@
 	sumInterval = 100 * time.Millisecond
 )
 
-// A Use is a team's use at a level, in work per second.
-type Use struct {
+// A Usage is a team's use at a level, in work per second.
+type Usage struct {
 	Level int
 	Team  uint32
 	Rate  float64
@@ -49,13 +49,13 @@
 
 type report struct {
 	at   time.Time
-	uses []Use
+	uses []Usage
 }
 
-// Uses returns the report for other instances: the teams with the highest use at levels that
+// Report returns the report for other instances: the teams with the highest use at levels that
 // are, or recently were, at least nearly congested.
-func (s *Shares) Uses(now time.Time) []Use {
-	var uses []Use
+func (s *Shares) Report(now time.Time) []Usage {
+	var uses []Usage
 	for level := range s.pools {
 		p := &s.pools[level]
 		if p.nearLimitAt.IsZero() || now.Sub(p.nearLimitAt) > reportAfterPeak {
@@ -68,18 +68,18 @@
 		for i := range p.own.counters {
 			c := &p.own.counters[i]
 			if rate := p.own.rateOf(now, c); rate > least {
-				uses = append(uses, Use{Level: level, Team: c.team, Rate: rate})
+				uses = append(uses, Usage{Level: level, Team: c.team, Rate: rate})
 			}
 		}
 	}
-	slices.SortFunc(uses, func(a, b Use) int { return cmp.Compare(b.Rate, a.Rate) })
+	slices.SortFunc(uses, func(a, b Usage) int { return cmp.Compare(b.Rate, a.Rate) })
 	uses = uses[:min(len(uses), maxReportedTeams)]
-	slices.SortStableFunc(uses, func(a, b Use) int { return a.Level - b.Level })
+	slices.SortStableFunc(uses, func(a, b Usage) int { return a.Level - b.Level })
 	return uses
 }
 
 // Merge stores the report of another instance, replacing its previous one. It keeps uses.
-func (s *Shares) Merge(now time.Time, instance uint64, uses []Use) {
+func (s *Shares) Merge(now time.Time, instance uint64, uses []Usage) {
 	t := &s.peers
 	if t.reports == nil {
 		t.reports = make(map[uint64]report)
--- a/fair/report.go
+++ b/fair/report.go
@@ -33,10 +33,10 @@
 
 // A Change is that a team starts or stops being limited at a level.
 type Change struct {
-	Team  uint32
-	Level int
-	Ended bool
-	After time.Duration // if Ended: how long the team was limited
+	Team       uint32
+	Level      int
+	Ended      bool
+	LimitedFor time.Duration // if Ended: how long the team was limited
 }
 
 // Changes returns the changes since last, the time of the previous call.
@@ -50,7 +50,7 @@
 				out = append(out, Change{Team: l.Team, Level: level})
 			}
 			if now.Sub(l.lastRefused) > limitedTimeout {
-				out = append(out, Change{Team: l.Team, Level: level, Ended: true, After: l.lastRefused.Sub(l.Since)})
+				out = append(out, Change{Team: l.Team, Level: level, Ended: true, LimitedFor: l.lastRefused.Sub(l.Since)})
 				continue
 			}
 			kept = append(kept, l)
@@ -60,8 +60,8 @@
 	return out
 }
 
-// A Standing is the work per second that a team asks for and is granted at this instance.
-type Standing struct {
+// A TeamStatus is the work per second that a team asks for and is granted at this instance.
+type TeamStatus struct {
 	Team    uint32
 	Asked   float64
 	Granted float64
@@ -71,11 +71,11 @@
 // A Status is the state of one level.
 type Status struct {
 	Level      int
-	FairRate   float64    // zero if teams are not limited
-	Limited    int        // number of limited teams
-	Jain       float64    // Jain's index of the granted parts of the teams' requests; 1 is even
-	WorstTenth float64    // mean granted part of the tenth of teams with the lowest
-	Teams      []Standing // in descending order of use
+	FairRate   float64      // zero if teams are not limited
+	Limited    int          // number of limited teams
+	Jain       float64      // Jain's index of the granted parts of the teams' requests; 1 is even
+	WorstTenth float64      // mean granted part of the tenth of teams with the lowest
+	Teams      []TeamStatus // in descending order of use
 }
 
 // idleRate is the rate below which a team is left out.
@@ -93,11 +93,11 @@
 			if asked < idleRate {
 				continue
 			}
-			st.Teams = append(st.Teams, Standing{
+			st.Teams = append(st.Teams, TeamStatus{
 				Team: c.team, Asked: asked, Granted: c.granted / p.own.scale(now) / decayTime.Seconds(), Others: s.peers.rate(now, level, c.team),
 			})
 		}
-		slices.SortFunc(st.Teams, func(a, b Standing) int { return cmp.Compare(b.Asked+b.Others, a.Asked+a.Others) })
+		slices.SortFunc(st.Teams, func(a, b TeamStatus) int { return cmp.Compare(b.Asked+b.Others, a.Asked+a.Others) })
 		if len(st.Teams) > 0 {
 			st.Jain, st.WorstTenth = fairness(st.Teams)
 			out = append(out, st)
@@ -108,7 +108,7 @@
 
 // fairness returns Jain's index of the granted parts of all teams, and the mean of the lowest
 // tenth.
-func fairness(teams []Standing) (jain, worst float64) {
+func fairness(teams []TeamStatus) (jain, worst float64) {
 	parts := make([]float64, 0, len(teams))
 	sum, squares := 0.0, 0.0
 	for _, t := range teams {
--- a/fake/config.go
+++ b/fake/config.go
@@ -99,10 +99,10 @@
 	_ Endpoint = (*Service)(nil)
 )
 
-// A World is a set of running fakes.
-type World struct {
+// A Environment is a set of running fakes.
+type Environment struct {
 	Config   *Config
-	Books    *Books
+	RunLog   *RunLog
 	Platform *Platform
 
 	mu        sync.Mutex
@@ -111,8 +111,8 @@
 
 // Start starts all fakes of c. It does not listen on the control address; see
 // Control. The fakes of an unsuccessful Start keep running.
-func Start(c *Config) (*World, error) {
-	w := &World{Config: c, Books: NewBooks(), Platform: NewPlatform(c.Platform.ListLag), endpoints: make(map[string]Endpoint)}
+func Start(c *Config) (*Environment, error) {
+	w := &Environment{Config: c, RunLog: NewRunLog(), Platform: NewPlatform(c.Platform.ListLag), endpoints: make(map[string]Endpoint)}
 	for i := range c.Endpoints {
 		if err := w.StartEndpoint(c.Endpoints[i].Name); err != nil {
 			return nil, err
@@ -149,7 +149,7 @@
 
 // StartEndpoint starts the named endpoint, or restarts it after a crash. It
 // returns an error if the name is not configured or its address is in use.
-func (w *World) StartEndpoint(name string) error {
+func (w *Environment) StartEndpoint(name string) error {
 	for i := range w.Config.Endpoints {
 		e := &w.Config.Endpoints[i]
 		if e.Name != name {
@@ -159,9 +159,9 @@
 		if err != nil {
 			return errors.Wrap(err, name)
 		}
-		var endpoint Endpoint = NewEngine(name, engine.Default(), w.Books, e.Lag)
+		var endpoint Endpoint = NewEngine(name, engine.Default(), w.RunLog, e.Lag)
 		if e.Kind == decl.Service {
-			endpoint = NewService(name, e.Work, e.Workers, w.Books)
+			endpoint = NewService(name, e.Work, e.Workers, w.RunLog)
 		}
 		w.mu.Lock()
 		w.endpoints[name] = endpoint
@@ -173,14 +173,14 @@
 }
 
 // Endpoint returns the named endpoint, or nil if it was never started.
-func (w *World) Endpoint(name string) Endpoint {
+func (w *Environment) Endpoint(name string) Endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.endpoints[name]
 }
 
 // Close stops all fakes and closes their connections.
-func (w *World) Close() {
+func (w *Environment) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range w.endpoints {
--- a/fake/control.go
+++ b/fake/control.go
@@ -13,11 +13,11 @@
 	"github.com/go-chi/chi/v5"
 
 	"ivyridge/member"
-	"ivyridge/publish"
+	"ivyridge/platformclient"
 )
 
 // Control returns the HTTP handler of the control interface.
-func (w *World) Control() http.Handler {
+func (w *Environment) Control() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/books", w.getBooks)
 	r.Post("/endpoints/{name}/fault", w.postFault)
@@ -42,19 +42,19 @@
 	return r
 }
 
-// BooksAnswer is the response to GET /books.
-type BooksAnswer struct {
+// RunLogResponse is the response to GET /books.
+type RunLogResponse struct {
 	Runs          map[string][]Run `json:"runs"`
 	Tokens        int              `json:"tokens"`
 	PlatformCalls int64            `json:"platform_calls"`
 }
 
-func (w *World) getBooks(rw http.ResponseWriter, _ *http.Request) {
+func (w *Environment) getBooks(rw http.ResponseWriter, _ *http.Request) {
 	rw.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(rw).Encode(BooksAnswer{w.Books.Runs(), w.Books.Tokens(), w.Platform.Calls.Load()})
+	_ = json.NewEncoder(rw).Encode(RunLogResponse{w.RunLog.Runs(), w.RunLog.Tokens(), w.Platform.Calls.Load()})
 }
 
-func (w *World) endpointHandler(f func(e Endpoint, name string) error) http.HandlerFunc {
+func (w *Environment) endpointHandler(f func(e Endpoint, name string) error) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		name := chi.URLParam(r, "name")
 		e := w.Endpoint(name)
@@ -68,7 +68,7 @@
 	}
 }
 
-func (w *World) postFault(rw http.ResponseWriter, r *http.Request) {
+func (w *Environment) postFault(rw http.ResponseWriter, r *http.Request) {
 	f, err := parseFault(r)
 	if err != nil {
 		http.Error(rw, err.Error(), http.StatusBadRequest)
@@ -111,7 +111,7 @@
 
 // setEndpointState sets a configured endpoint's state in the member list, or
 // removes the endpoint from it if s is empty.
-func (w *World) setEndpointState(name string, s member.State) {
+func (w *Environment) setEndpointState(name string, s member.State) {
 	w.Platform.ChangeList(func(l *member.List) {
 		kept := make([]member.Endpoint, 0, len(l.Endpoints))
 		for _, e := range l.Endpoints {
@@ -131,7 +131,7 @@
 
 // setInstanceState sets a configured instance's state in the member list, or
 // removes the instance from it if s is empty.
-func (w *World) setInstanceState(name string, s member.State) {
+func (w *Environment) setInstanceState(name string, s member.State) {
 	w.Platform.ChangeList(func(l *member.List) {
 		kept := make([]member.Instance, 0, len(l.Instances))
 		for _, e := range l.Instances {
@@ -152,18 +152,18 @@
 // postOld makes the platform serve the newest configuration under revision 1,
 // to simulate a platform that goes back, or the true revision again with
 // old=false.
-func (w *World) postOld(rw http.ResponseWriter, r *http.Request) {
+func (w *Environment) postOld(rw http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("old") == "false" {
-		w.Platform.ServeOld(publish.Config, nil)
+		w.Platform.ServeOld(platformclient.Config, nil)
 		return
 	}
-	newest := w.Platform.Newest(publish.Config)
+	newest := w.Platform.Newest(platformclient.Config)
 	newest.Revision = 1
-	w.Platform.ServeOld(publish.Config, &newest)
+	w.Platform.ServeOld(platformclient.Config, &newest)
 }
 
-func (w *World) postPublish(rw http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, publish.MaxValue))
+func (w *Environment) postPublish(rw http.ResponseWriter, r *http.Request) {
+	data, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, platformclient.MaxValue))
 	if err != nil {
 		http.Error(rw, err.Error(), http.StatusRequestEntityTooLarge)
 		return
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -40,7 +40,7 @@
 // It is safe for concurrent use.
 type Engine struct {
 	Name  string
-	books *Books
+	books *RunLog
 	lag   time.Duration // age of the load reports that are served
 
 	mu      sync.Mutex
@@ -72,7 +72,7 @@
 // NewEngine starts an engine with performance p that records its runs in
 // books and serves load reports of age lag. It accepts requests once Serve is
 // called; Crash releases its resources.
-func NewEngine(name string, p engine.Params, books *Books, lag time.Duration) *Engine {
+func NewEngine(name string, p engine.Params, books *RunLog, lag time.Duration) *Engine {
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Engine{Name: name, books: books, lag: lag, model: engine.New(p), wake: make(chan struct{}, 1), ctx: ctx, stop: stop}
 	e.server = &http.Server{Handler: e.handler(), ConnState: e.conns.track}
--- a/fake/platform.go
+++ b/fake/platform.go
@@ -15,7 +15,7 @@
 	"github.com/go-chi/chi/v5"
 
 	"ivyridge/member"
-	"ivyridge/publish"
+	"ivyridge/platformclient"
 )
 
 // A Platform serves a configuration and a member list, and counts the calls to
@@ -27,22 +27,22 @@
 	conns  connections
 
 	mu      sync.Mutex
-	docs    map[publish.Kind]*document
+	docs    map[platformclient.Kind]*document
 	list    member.List
 	down    bool
-	stale   map[publish.Kind]*publish.Published // overrides docs
-	changed chan struct{}                       // closed and replaced on each change
+	stale   map[platformclient.Kind]*platformclient.Published // overrides docs
+	changed chan struct{}                                     // closed and replaced on each change
 }
 
-type document struct{ doc publish.Published }
+type document struct{ doc platformclient.Published }
 
 // NewPlatform returns a platform that publishes changes of the member list
 // after lag.
 func NewPlatform(lag time.Duration) *Platform {
 	p := &Platform{
 		lag:     lag,
-		docs:    make(map[publish.Kind]*document),
-		stale:   make(map[publish.Kind]*publish.Published),
+		docs:    make(map[platformclient.Kind]*document),
+		stale:   make(map[platformclient.Kind]*platformclient.Published),
 		changed: make(chan struct{}),
 	}
 	r := chi.NewRouter()
@@ -65,12 +65,12 @@
 func (p *Platform) Publish(value string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.publishLocked(publish.Config, value)
+	return p.publishLocked(platformclient.Config, value)
 }
 
 // publishLocked publishes a new revision of a document and returns its number.
 // The caller holds p.mu.
-func (p *Platform) publishLocked(k publish.Kind, value string) int64 {
+func (p *Platform) publishLocked(k platformclient.Kind, value string) int64 {
 	d := p.docs[k]
 	if d == nil {
 		d = new(document)
@@ -94,7 +94,7 @@
 		if err != nil {
 			panic(err) // a List always encodes
 		}
-		p.publishLocked(publish.List, string(data))
+		p.publishLocked(platformclient.List, string(data))
 	}
 	if p.lag == 0 || p.listUnpublished() {
 		publish()
@@ -107,7 +107,7 @@
 func (p *Platform) listUnpublished() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.docs[publish.List] == nil
+	return p.docs[platformclient.List] == nil
 }
 
 // SetDown makes the platform abort all requests, or serve them again.
@@ -121,7 +121,7 @@
 
 // ServeOld makes the platform serve old in place of the newest revision of a
 // document, or the newest again if old is nil.
-func (p *Platform) ServeOld(k publish.Kind, old *publish.Published) {
+func (p *Platform) ServeOld(k platformclient.Kind, old *platformclient.Published) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if old == nil {
@@ -135,18 +135,18 @@
 
 // Newest returns the newest revision of a document, or the zero Published if
 // there is none.
-func (p *Platform) Newest(k publish.Kind) publish.Published {
+func (p *Platform) Newest(k platformclient.Kind) platformclient.Published {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if d := p.docs[k]; d != nil {
 		return d.doc
 	}
-	return publish.Published{}
+	return platformclient.Published{}
 }
 
 // current returns the document to serve, nil if there is none, and a channel
 // that is closed at the next change.
-func (p *Platform) current(k publish.Kind) (doc *publish.Published, down bool, changed chan struct{}) {
+func (p *Platform) current(k platformclient.Kind) (doc *platformclient.Published, down bool, changed chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if old := p.stale[k]; old != nil {
@@ -161,7 +161,7 @@
 
 func (p *Platform) handleRead(w http.ResponseWriter, r *http.Request) {
 	p.Calls.Add(1)
-	kind := publish.Kind(chi.URLParam(r, "kind"))
+	kind := platformclient.Kind(chi.URLParam(r, "kind"))
 	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	deadline := time.After(time.Duration(wait) * time.Millisecond)
--- a/fake/runs.go
+++ b/fake/runs.go
@@ -15,29 +15,29 @@
 
 // A Run is one execution of a request by an endpoint.
 type Run struct {
-	Endpoint string        `json:"endpoint"`
-	Team     string        `json:"team"`
-	At       time.Duration `json:"at"` // since NewBooks
-	Tokens   int           `json:"tokens"`
-	Whole    bool          `json:"whole"`         // the response was completed
-	Late     bool          `json:"after_leaving"` // the endpoint was already leaving
+	Endpoint     string        `json:"endpoint"`
+	Team         string        `json:"team"`
+	At           time.Duration `json:"at"` // since NewBooks
+	Tokens       int           `json:"tokens"`
+	Complete     bool          `json:"whole"`         // the response was completed
+	AfterLeaving bool          `json:"after_leaving"` // the endpoint was already leaving
 }
 
-// Books record the runs of all fakes of a process. They are safe for
+// RunLog record the runs of all fakes of a process. They are safe for
 // concurrent use.
-type Books struct {
+type RunLog struct {
 	start time.Time
 	mu    sync.Mutex
 	runs  map[string][]*Run
 }
 
-// NewBooks returns an empty record of runs.
-func NewBooks() *Books { return &Books{start: time.Now(), runs: make(map[string][]*Run)} }
+// NewRunLog returns an empty record of runs.
+func NewRunLog() *RunLog { return &RunLog{start: time.Now(), runs: make(map[string][]*Run)} }
 
 // Begin records the start of a run. The caller must not modify the result, and
 // passes it to End.
-func (b *Books) Begin(id, endpoint, team string, leaving bool) *Run {
-	r := &Run{Endpoint: endpoint, Team: team, At: time.Since(b.start), Late: leaving}
+func (b *RunLog) Begin(id, endpoint, team string, leaving bool) *Run {
+	r := &Run{Endpoint: endpoint, Team: team, At: time.Since(b.start), AfterLeaving: leaving}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runs[id] = append(b.runs[id], r)
@@ -46,14 +46,14 @@
 
 // End records how a run ended: the number of tokens it produced, and whether
 // the response was completed.
-func (b *Books) End(r *Run, tokens int, whole bool) {
+func (b *RunLog) End(r *Run, tokens int, whole bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r.Tokens, r.Whole = tokens, whole
+	r.Tokens, r.Complete = tokens, whole
 }
 
 // Runs returns a copy of all runs, keyed by request ID.
-func (b *Books) Runs() map[string][]Run {
+func (b *RunLog) Runs() map[string][]Run {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make(map[string][]Run, len(b.runs))
@@ -66,7 +66,7 @@
 }
 
 // Tokens returns the total number of tokens of the runs that have ended.
-func (b *Books) Tokens() int {
+func (b *RunLog) Tokens() int {
 	n := 0
 	for _, list := range b.Runs() {
 		for i := range list {
--- a/fake/service.go
+++ b/fake/service.go
@@ -17,7 +17,7 @@
 // queue. It is safe for concurrent use.
 type Service struct {
 	Name    string
-	books   *Books
+	books   *RunLog
 	work    time.Duration
 	workers chan struct{}
 	server  *http.Server
@@ -31,7 +31,7 @@
 
 // NewService returns a service that spends work on each request and records
 // its runs in books.
-func NewService(name string, work time.Duration, workers int, books *Books) *Service {
+func NewService(name string, work time.Duration, workers int, books *RunLog) *Service {
 	s := &Service{Name: name, books: books, work: work, workers: make(chan struct{}, workers)}
 	r := chi.NewRouter()
 	r.Get("/load", s.handleLoad)
--- a/fleet/network_test.go
+++ b/fleet/network_test.go
@@ -18,7 +18,7 @@
 
 	"ivyridge/dispatch"
 	"ivyridge/home"
-	"ivyridge/publish"
+	"ivyridge/platformclient"
 )
 
 // platformClient is an instance's client of the simulated platform.
@@ -27,7 +27,7 @@
 	inst *instance
 }
 
-func (r *platformClient) Watch(ctx context.Context, k publish.Kind, after int64, wait time.Duration) (*publish.Published, error) {
+func (r *platformClient) Watch(ctx context.Context, k platformclient.Kind, after int64, wait time.Duration) (*platformclient.Published, error) {
 	timeout := time.After(wait)
 	r.sim.mu.Lock()
 	r.sim.platformCalls++
@@ -38,12 +38,12 @@
 		if r.sim.platformStale {
 			doc.Revision = 1
 		}
-		if k == publish.List {
+		if k == platformclient.List {
 			data, err := json.Marshal(r.sim.list)
 			if err != nil {
 				panic(err)
 			}
-			doc = publish.Published{Revision: r.sim.list.Revision, Value: string(data)}
+			doc = platformclient.Published{Revision: r.sim.list.Revision, Value: string(data)}
 		}
 		r.sim.mu.Unlock()
 		if down || r.inst.ctx.Err() != nil {
--- a/fleet/scenarios_test.go
+++ b/fleet/scenarios_test.go
@@ -382,7 +382,7 @@
 // setLookupTarget returns an operator's command that sets the target of class
 // lookup.
 func setLookupTarget(value string) command.Command {
-	return command.Command{Op: command.SetClass, Target: "lookup", Field: "whole", Value: value, Who: "test"}
+	return command.Command{Op: command.SetClass, Target: "lookup", Field: "whole", Value: value, Operator: "test"}
 }
 
 // lookupTarget returns the target of class lookup in force on an instance.
@@ -567,7 +567,7 @@
 		entry, other := sim.allInstances()[0], sim.allInstances()[1]
 		var k owner.Key
 		copy(k[:], "v1")
-		if c, err := entry.node.Claim(context.Background(), k); err != nil || c.Other != nil {
+		if c, err := entry.node.Claim(context.Background(), k); err != nil || c.Holder != nil {
 			t.Fatalf("claim: %+v %v", c, err)
 		}
 		sim.crash(entry)
--- a/fleet/simulation_test.go
+++ b/fleet/simulation_test.go
@@ -25,7 +25,7 @@
 	"ivyridge/member"
 	"ivyridge/node"
 	"ivyridge/owner"
-	"ivyridge/publish"
+	"ivyridge/platformclient"
 	"ivyridge/verdict"
 )
 
@@ -48,7 +48,7 @@
 	mu            sync.Mutex
 	instances     map[string]*instance
 	endpoints     map[string]*endpoint
-	config        publish.Published
+	config        platformclient.Published
 	list          member.List
 	platformDown  bool          // watch calls fail
 	platformStale bool          // the platform serves the configuration as revision 1
@@ -99,7 +99,7 @@
 		updated:   make(chan struct{}),
 		linkFault: func(string, string, *rand.Rand) linkFault { return linkFault{} },
 	}
-	sim.config = publish.Published{Revision: 1, Value: declarations}
+	sim.config = platformclient.Published{Revision: 1, Value: declarations}
 	sim.list.Revision = 1
 	for i := range endpoints {
 		name := fmt.Sprintf("e%d", i+1)
@@ -139,7 +139,7 @@
 		Seeds: sim.seeds, Clock: clock.Monotonic(), Log: zap.NewNop(), Transport: &transport{sim, inst}, Platform: &platformClient{sim, inst}, Loads: &loadClient{sim, inst},
 	})
 	inst.handler = inst.node.Handler()
-	inst.dispatcher = dispatch.NewOver(inst.node, new(expvar.Map).Init(), &transport{sim, inst}, &transport{sim, inst})
+	inst.dispatcher = dispatch.NewWithTransports(inst.node, new(expvar.Map).Init(), &transport{sim, inst}, &transport{sim, inst})
 	sim.mu.Lock()
 	sim.instances[name] = inst
 	sim.mu.Unlock()
--- a/gossip/aggregates.go
+++ b/gossip/aggregates.go
@@ -22,7 +22,7 @@
 // each other data centre, if this instance is the first scheduler and the interval has passed.
 func (g *Gossip) publishAggregates(now time.Time, r *roles) {
 	group := &g.groups.aggregates
-	if !r.isFirst || len(r.localPeers) == 0 || len(r.regionFirsts) == 0 || now.Sub(group.lastSent) < balance.ReportEvery(g.fleetSize)-tickSlack {
+	if !r.isFirst || len(r.localPeers) == 0 || len(r.regionFirsts) == 0 || now.Sub(group.lastSent) < balance.ReportInterval(g.fleetSize)-tickSlack {
 		return
 	}
 	full := now.Sub(group.lastFull) >= fullAggregateInterval
@@ -30,7 +30,7 @@
 	for _, m := range r.localPeers {
 		ordinary[m.ID] = true
 	}
-	sums, upTo := g.Balancer.Sums(func(id uint64) bool { return ordinary[id] }, full, group.sentUpTo)
+	sums, upTo := g.Balancer.AggregateReports(func(id uint64) bool { return ordinary[id] }, full, group.sentUpTo)
 	group.sentUpTo = upTo
 	if len(sums) == 0 && !full {
 		return
@@ -42,15 +42,16 @@
 	g.sendAggregates(now, sums, g.DataCentre, full, r.regionFirsts)
 }
 
-// sendAggregates sends sums in as many datagrams as needed. Datagrams after the first add to it.
+// sendAggregates sends aggregates in as many datagrams as needed. Datagrams after the first add to
+// it.
 func (g *Gossip) sendAggregates(now time.Time, sums []balance.Report, dataCentre string, full bool, to []*Member) {
 	const room = (maxDatagram - headerBytes) / aggregateBytes
 	for {
 		m := g.newMessage(now)
-		m.Next = heartbeatInterval(g.fleetSize)
-		m.SumsOf, m.SumsWhole = dataCentre, full
+		m.NextWithin = heartbeatInterval(g.fleetSize)
+		m.AggregatesOf, m.AggregatesComplete = dataCentre, full
 		n := min(room, len(sums))
-		m.Sums, sums = sums[:n], sums[n:]
+		m.Aggregates, sums = sums[:n], sums[n:]
 		g.send(m, addresses(to))
 		if len(sums) == 0 {
 			return
@@ -62,14 +63,14 @@
 // handleAggregates processes received aggregates, and forwards those from another data centre to
 // the other schedulers of this one. The caller holds g.mu.
 func (g *Gossip) handleAggregates(now time.Time, m *Message) {
-	if m.SumsOf == "" {
+	if m.AggregatesOf == "" {
 		return
 	}
-	if m.SumsOf == g.DataCentre {
+	if m.AggregatesOf == g.DataCentre {
 		return // instances of this data centre report directly
 	}
-	g.Balancer.Merge(aggregateKey(m.SumsOf), nil, m.Sums, m.SumsWhole)
-	if m.DataCentre != m.SumsOf {
+	g.Balancer.Merge(aggregateKey(m.AggregatesOf), nil, m.Aggregates, m.AggregatesComplete)
+	if m.DataCentre != m.AggregatesOf {
 		return // already forwarded within this data centre
 	}
 	var to []*Member
@@ -79,7 +80,7 @@
 		}
 	}
 	if len(to) > 0 {
-		g.sendAggregates(now, m.Sums, m.SumsOf, m.SumsWhole, to)
+		g.sendAggregates(now, m.Aggregates, m.AggregatesOf, m.AggregatesComplete, to)
 	}
 }
 
--- a/gossip/aggregates_test.go
+++ b/gossip/aggregates_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // requestsAt returns how many requests n believes the instances of a data centre run at an
@@ -17,7 +17,7 @@
 	for _, other := range n.sim.nodes {
 		ids[other.id] = ids[other.id] || other.DataCentre == dataCentre
 	}
-	sums, _ := n.Balancer.Sums(func(id uint64) bool { return ids[id] }, true, 0)
+	sums, _ := n.Balancer.AggregateReports(func(id uint64) bool { return ids[id] }, true, 0)
 	for _, s := range sums {
 		if s.Endpoint == balance.EndpointHash(endpoint) {
 			return s.Requests
@@ -31,7 +31,7 @@
 func TestAggregatesReachOtherDataCentres(t *testing.T) {
 	t.Parallel()
 	w := newSimulation(t, 60, 3)
-	endpoints := []*belief.Endpoint{{Endpoint: catalog.Endpoint{ID: "e", Slots: 8}}}
+	endpoints := []*discovery.Endpoint{{Endpoint: catalog.Endpoint{ID: "e", Slots: 8}}}
 	d := &balance.Demand{Service: &catalog.Service{Name: "s"}}
 	for _, n := range w.nodes {
 		n.Balancer.Place(endpoints, d).Done(balance.Served) // makes the endpoint known to all instances
@@ -75,9 +75,9 @@
 	const endpoints = 300
 	w := newSimulation(t, 30, 3)
 	d := &balance.Demand{Service: &catalog.Service{Name: "s"}}
-	var all []*belief.Endpoint
+	var all []*discovery.Endpoint
 	for e := range endpoints {
-		all = append(all, &belief.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprint(e), Slots: 8}})
+		all = append(all, &discovery.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprint(e), Slots: 8}})
 	}
 	for _, n := range w.nodes {
 		n.Balancer.Forget(func(string) bool { return true })
--- a/gossip/broadcast.go
+++ b/gossip/broadcast.go
@@ -14,10 +14,10 @@
 
 // A receiverGroup is a group of members that are sent the same messages.
 type receiverGroup struct {
-	lastSent time.Time // last message
-	lastFull time.Time // last complete message
-	sentUpTo uint64    // change counter of the load reports sent so far
-	sentMark sentMark  // last version mark sent
+	lastSent time.Time   // last message
+	lastFull time.Time   // last complete message
+	sentUpTo uint64      // change counter of the load reports sent so far
+	sentMark sentSummary // last summary sent
 }
 
 // receiverGroups are the groups that an instance sends to, depending on its role.
@@ -55,7 +55,7 @@
 		g.heartbeat(now, &g.groups.heartbeatOnly, r.regionPeers, heartbeatInterval(n), r.regionSchedulers)
 	default:
 		g.reportToScheduler(now, r)
-		g.sendUpdates(now, r.localSchedulers, r, balance.ReportEvery(r.dataCentreSize()))
+		g.sendUpdates(now, r.localSchedulers, r, balance.ReportInterval(r.dataCentreSize()))
 		g.heartbeat(now, &g.groups.heartbeatOnly, r.localPeers, heartbeatInterval(n), r.localContacts)
 		g.heartbeat(now, &g.groups.remoteSchedulers, r.regionRemoteSchedulers, heartbeatInterval(n), nil)
 	}
@@ -67,7 +67,7 @@
 // instances that start at the same time wait for one to fetch it from. Seeds, which every
 // instance contacts first, announce it to all members.
 func (g *Gossip) announceFirstState(now time.Time, r *roles) {
-	if g.announced || g.Beliefs.View().Revision == 0 {
+	if g.announced || g.State.View().Revision == 0 {
 		return
 	}
 	g.announced = true
@@ -76,7 +76,7 @@
 		to = append(to, r.remotePeers...)
 	}
 	m := g.newMessage(now)
-	m.Next = heartbeatInterval(g.fleetSize)
+	m.NextWithin = heartbeatInterval(g.fleetSize)
 	m.Peers = g.members.welcomePeers()
 	g.send(m, addresses(to))
 }
@@ -91,7 +91,7 @@
 // after it was stale. Other instances may be refusing requests until they learn of it; heartbeats
 // would take up to maxQuiet per hop.
 func (g *Gossip) announceFreshState(now time.Time, r *roles) {
-	age, confirmed := g.Beliefs.Age()
+	age, confirmed := g.State.Age()
 	if !confirmed {
 		return
 	}
@@ -107,7 +107,7 @@
 		to = r.localContacts
 	}
 	m := g.newMessage(now)
-	m.Next = maxQuiet
+	m.NextWithin = maxQuiet
 	g.send(m, addresses(to))
 }
 
@@ -124,7 +124,7 @@
 	}
 	g.groups.startup.lastSent = now
 	m := g.newMessage(now)
-	m.Next = heartbeatInterval(g.fleetSize)
+	m.NextWithin = heartbeatInterval(g.fleetSize)
 	m.Peers = g.members.welcomePeers()
 	g.send(m, addresses(to))
 }
@@ -133,14 +133,14 @@
 func (g *Gossip) sendUpdates(now time.Time, to []*Member, r *roles, interval time.Duration) {
 	group := &g.groups.schedulers
 	if len(to) == 0 {
-		g.holdForGateways(r, g.Balancer.Placed()) // no receivers in this region
+		g.holdForGateways(r, g.Balancer.TakeNotices()) // no receivers in this region
 		return
 	}
 	if now.Sub(group.lastSent) < interval-tickSlack {
 		return
 	}
 	full := now.Sub(group.lastFull) >= max(maxQuiet, fullReportTicks*interval)
-	notices := g.Balancer.Placed()
+	notices := g.Balancer.TakeNotices()
 	reports, upTo := g.Balancer.Reports(full, group.sentUpTo)
 	group.sentUpTo = upTo
 	starting := now.Sub(g.startedAt) < startupPeriod
@@ -149,11 +149,11 @@
 	}
 	group.lastSent = now
 	m := g.newMessage(now)
-	m.Next = max(maxQuiet, interval)
-	m.Reports, m.Whole = reports, full
+	m.NextWithin = max(maxQuiet, interval)
+	m.Reports, m.Complete = reports, full
 	if full {
 		group.lastFull = now
-		m.Mark = group.sentMark.next(g.mark(), now)
+		m.Summary = group.sentMark.next(g.ownSummary(), now)
 		m.Peers = samplePeers(r.localContacts)
 	}
 	g.holdForGateways(r, notices)
@@ -163,7 +163,7 @@
 // sendNotices sends m with notices to members, and withholds from each region the prompt parts
 // that it may not receive.
 func (g *Gossip) sendNotices(m *Message, notices []balance.Notice, to []*Member) {
-	if !balance.AnyBound(notices) {
+	if !balance.AnyRestricted(notices) {
 		g.sendNoticeDatagrams(m, notices, to)
 		return
 	}
@@ -174,7 +174,7 @@
 	}
 	for region, members := range regions {
 		part := *m
-		allowed := balance.Withhold(notices, region)
+		allowed := balance.RedactParts(notices, region)
 		if region == g.Regions[g.DataCentre] {
 			allowed = g.sendBoundNotices(&part, allowed, members)
 		}
@@ -192,7 +192,7 @@
 		if len(notices) == 0 {
 			return
 		}
-		m.Reports, m.Whole, m.Peers = nil, false, nil
+		m.Reports, m.Complete, m.Peers = nil, false, nil
 	}
 }
 
@@ -205,22 +205,22 @@
 		return
 	}
 	m := g.newMessage(now)
-	m.Next = max(maxQuiet, balance.ReportEvery(r.dataCentreSize()))
+	m.NextWithin = max(maxQuiet, balance.ReportInterval(r.dataCentreSize()))
 	m.Reports, group.sentUpTo = g.Balancer.Reports(false, group.sentUpTo)
 	g.send(m, []string{address})
 }
 
 // heartbeat announces liveness, state age and some member addresses, if the interval has passed
-// or a changed version mark is urgent.
+// or a changed summary is urgent.
 func (g *Gossip) heartbeat(now time.Time, group *receiverGroup, to []*Member, interval time.Duration, peers []*Member) {
-	mark := g.mark()
-	if len(to) == 0 || now.Sub(group.lastSent) < interval && !group.sentMark.urgent(mark) {
+	summary := g.ownSummary()
+	if len(to) == 0 || now.Sub(group.lastSent) < interval && !group.sentMark.urgent(summary) {
 		return
 	}
 	group.lastSent = now
 	m := g.newMessage(now)
-	m.Next = interval
-	m.Mark = group.sentMark.next(mark, now)
+	m.NextWithin = interval
+	m.Summary = group.sentMark.next(summary, now)
 	m.Peers = samplePeers(peers)
 	g.send(m, addresses(to))
 }
@@ -242,7 +242,7 @@
 		return
 	}
 	m := g.newMessage(now)
-	m.Next = heartbeatInterval(g.fleetSize)
+	m.NextWithin = heartbeatInterval(g.fleetSize)
 	m.Peers = samplePeers(r.regionSchedulers)
 	g.send(m, to)
 }
@@ -250,8 +250,8 @@
 // welcome answers a new member with the addresses of schedulers. The caller holds g.mu.
 func (g *Gossip) welcome(now time.Time, address string) {
 	m := g.newMessage(now)
-	m.Next = heartbeatInterval(g.fleetSize)
-	m.Mark = g.mark()
+	m.NextWithin = heartbeatInterval(g.fleetSize)
+	m.Summary = g.ownSummary()
 	m.Peers = g.members.welcomePeers()
 	g.send(m, []string{address})
 }
--- a/gossip/cold_share_test.go
+++ b/gossip/cold_share_test.go
@@ -16,10 +16,10 @@
 			continue
 		}
 		n.mu.Lock()
-		part := n.members.coldShare(w.now, n.members.currentRoles(w.now), n.DataCentres)
+		share := n.members.coldShare(w.now, n.members.currentRoles(w.now), n.DataCentres)
 		n.mu.Unlock()
-		if part > 0 {
-			sum += part
+		if share > 0 {
+			sum += share
 			holders++
 		}
 	}
@@ -60,8 +60,8 @@
 	n := w.nodes[0]
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if part := n.members.coldShare(w.now, n.members.currentRoles(w.now), 0); part != 0 {
-		t.Errorf("instance that started isolated holds a share of %.2f", part)
+	if share := n.members.coldShare(w.now, n.members.currentRoles(w.now), 0); share != 0 {
+		t.Errorf("instance that started isolated holds a share of %.2f", share)
 	}
 }
 
--- a/gossip/endpoint_backoff_test.go
+++ b/gossip/endpoint_backoff_test.go
@@ -24,7 +24,7 @@
 	const backoff = 3 * time.Second
 	for _, e := range d.endpoints[:3] {
 		p := d.client.Balancer.Place(d.endpoints, &balance.Demand{Service: d.demand.Service, Avoid: otherHashes(d, e.ID)})
-		p.Rests(backoff)
+		p.RecordBackoff(backoff)
 		p.Done(balance.Refused)
 	}
 	d.wantLastEndpoint(t, "named in requests")
@@ -34,11 +34,11 @@
 		t.Fatalf("requests still name %d endpoints", len(named))
 	}
 	reports, _ := d.client.Balancer.Reports(true, 0)
-	m, err := Decode((&Message{Sender: d.client.id, Reports: reports, Whole: true}).Append(nil))
+	m, err := Decode((&Message{Sender: d.client.id, Reports: reports, Complete: true}).Append(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.scheduler.Balancer.Merge(m.Sender, nil, m.Reports, m.Whole)
+	d.scheduler.Balancer.Merge(m.Sender, nil, m.Reports, m.Complete)
 	d.wantLastEndpoint(t, "in load reports")
 	if n := rejected.Load(); n > 0 {
 		t.Errorf("%d grants rejected", n)
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -22,7 +22,7 @@
 	"go.uber.org/zap"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
+	"ivyridge/discovery"
 	"ivyridge/inventory"
 	"ivyridge/poison"
 )
@@ -50,27 +50,27 @@
 	Regions  balance.Regions
 	Cores    float64  // of the machine of this instance
 	Seeds    []string // IP:port of the gossip sockets of other instances
-	Beliefs  *belief.Table
+	State    *discovery.Table
 	Balancer *balance.Balancer
 	Log      *zap.Logger
 	Count    func(event string)
-	Mark     func() inventory.Mark // build and settings of this instance; nil: not announced
-	// Beyond, if set, is called with the number of bytes sent to other regions, by kind of
-	// message.
-	Beyond func(kind string, bytes int)
-	Now    func() time.Time
+	Summary  func() inventory.Summary // build and settings of this instance; nil: not announced
+	// CountCrossRegion, if set, is called with the number of bytes sent to other regions, by kind
+	// of message.
+	CountCrossRegion func(kind string, bytes int)
+	Now              func() time.Time
 	// Suspects holds requests suspected of crashing endpoints; nil disables exchanging them.
 	Suspects *poison.Table
-	// SuspectNews, if set, is called with entries received from other instances that changed
+	// OnSuspects, if set, is called with entries received from other instances that changed
 	// Suspects.
-	SuspectNews func([]poison.Entry)
-	// PullSuspects fetches the whole suspect table of the instance with the given gossip address,
+	OnSuspects func([]poison.Entry)
+	// FetchSuspects fetches the whole suspect table of the instance with the given gossip address,
 	// as SuspectsHandler serves it; nil disables pulling.
-	PullSuspects func(address string) ([]byte, error)
-	// Instances is called when the number of live instances (this one included) changes, with the
-	// time within which load reports reach all schedulers. It must be set. Like Beyond and
-	// SuspectNews, it is called with internal locks held and must not call into the Gossip.
-	Instances func(n int, delay time.Duration)
+	FetchSuspects func(address string) ([]byte, error)
+	// OnFleetSize is called when the number of live instances (this one included) changes, with the
+	// time within which load reports reach all schedulers. It must be set. Like CountCrossRegion
+	// and OnSuspects, it is called with internal locks held and must not call into the Gossip.
+	OnFleetSize func(n int, delay time.Duration)
 }
 
 // A Gossip exchanges state with other instances. It is safe for concurrent use.
@@ -137,7 +137,7 @@
 	g.members = newMembers(Member{Address: o.Address, ID: id, DataCentre: o.DataCentre, Cores: o.Cores}, o.Seeds)
 	g.members.setRegions(o.Regions)
 	g.link = newLink()
-	g.limits.pending, g.limits.abandoned = make(map[uint64]chan Permit), make(map[uint64]abandonedRequest)
+	g.limits.pending, g.limits.abandoned = make(map[uint64]chan PermitResponse), make(map[uint64]abandonedRequest)
 	g.background = func(f func()) { go f() }
 	return g
 }
@@ -219,17 +219,17 @@
 	return upstreams, newest
 }
 
-// Readers returns the number of instances that read the store directly: one per data centre.
-func (g *Gossip) Readers() int {
+// StoreReaders returns the number of instances that read the store directly: one per data centre.
+func (g *Gossip) StoreReaders() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.members.currentRoles(g.Now()).storeReaders
 }
 
-// Crowd returns the number of instances that aren't schedulers. It returns one on a scheduler, and
-// if no scheduler of this data centre has been heard from recently, since the instance may then be
-// isolated.
-func (g *Gossip) Crowd() int {
+// OrdinaryInstances returns the number of instances that aren't schedulers. It returns one on a
+// scheduler, and if no scheduler of this data centre has been heard from recently, since the
+// instance may then be isolated.
+func (g *Gossip) OrdinaryInstances() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Now()
@@ -245,9 +245,9 @@
 // ID returns the identifier of this instance. It is random and changes with each start.
 func (g *Gossip) ID() uint64 { return g.id }
 
-// Newer returns a channel that is closed once a member reports a newer revision than this
+// NewerRevision returns a channel that is closed once a member reports a newer revision than this
 // instance has.
-func (g *Gossip) Newer() <-chan struct{} {
+func (g *Gossip) NewerRevision() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.newerRevision
@@ -256,18 +256,18 @@
 func (g *Gossip) newMessage(now time.Time) *Message {
 	g.token++
 	g.sent[g.token%tokenWindow] = now
-	proof, confirmed := g.Beliefs.Proof()
-	m := &Message{Sender: g.id, DataCentre: g.DataCentre, Leaving: g.members.self.Leaving, Token: g.token, Revision: proof.Revision, Age: -time.Millisecond,
-		Cores: g.Cores, Warm: g.members.self.Warm, Hears: g.directCount, Level: protocolCurrent, Part: g.retryShare}
-	m.HearsHome = g.members.regionSize
-	m.Divides = g.limits.share.Share(now) > 0
+	validation, confirmed := g.State.Validation()
+	m := &Message{Sender: g.id, DataCentre: g.DataCentre, Leaving: g.members.self.Leaving, Token: g.token, Revision: validation.Revision, Age: -time.Millisecond,
+		Cores: g.Cores, WarmedUp: g.members.self.WarmedUp, FleetSize: g.directCount, Protocol: protocolCurrent, RetryShare: g.retryShare}
+	m.RegionSize = g.members.regionSize
+	m.AllocatesLimits = g.limits.share.Share(now) > 0
 	if g.Suspects != nil {
 		m.Digest = g.Suspects.Digest()
 	}
 	if confirmed {
 		// Uses the present time instead of now: now may precede the arrival of the token that is
 		// echoed, and the receiver would then date the state too late.
-		m.Age = g.Now().Sub(proof.At).Truncate(time.Millisecond) + time.Millisecond
+		m.Age = g.Now().Sub(validation.At).Truncate(time.Millisecond) + time.Millisecond
 	}
 	return m
 }
@@ -328,7 +328,7 @@
 	if n != g.fleetSize {
 		g.fleetSize = n
 		g.Log.Info("live instance count changed", zap.Int("count", n))
-		g.Instances(n, g.members.currentRoles(now).propagationDelay(n))
+		g.OnFleetSize(n, g.members.currentRoles(now).propagationDelay(n))
 	}
 }
 
@@ -356,17 +356,17 @@
 	switch {
 	case m.Sender == g.id:
 		return
-	case m.Ask != nil:
-		g.answerRequest(from, m.Sender, m.Ask)
+	case m.PlacementRequest != nil:
+		g.answerRequest(from, m.Sender, m.PlacementRequest)
 		return
-	case m.Grant != nil:
-		g.deliverAnswer(m.Grant)
+	case m.PlacementResponse != nil:
+		g.deliverAnswer(m.PlacementResponse)
 		return
-	case m.PermitAsk != nil:
-		g.answerPermitRequest(from, m.PermitAsk)
+	case m.PermitRequest != nil:
+		g.answerPermitRequest(from, m.PermitRequest)
 		return
-	case m.Permit != nil:
-		g.deliverPermit(m.Permit)
+	case m.PermitResponse != nil:
+		g.deliverPermit(m.PermitResponse)
 		return
 	}
 	now := g.Now()
@@ -375,7 +375,7 @@
 	confirmedAt := g.confirmationTime(m)
 	g.measureLink(now, m)
 	joined := g.members.observe(now, address, m, confirmedAt)
-	newer := m.Revision > g.Beliefs.View().Revision
+	newer := m.Revision > g.State.View().Revision
 	if newer {
 		close(g.newerRevision)
 		g.newerRevision = make(chan struct{})
@@ -393,9 +393,9 @@
 		g.Log.Info("instance joined", zap.String("address", address), zap.Uint64("member", m.Sender), zap.String("data_centre", m.DataCentre))
 	}
 	if !confirmedAt.IsZero() {
-		g.Beliefs.Confirm(m.Revision, confirmedAt)
+		g.State.Confirm(m.Revision, confirmedAt)
 	}
-	g.Balancer.Merge(m.Sender, m.Notices, m.Reports, m.Whole)
+	g.Balancer.Merge(m.Sender, m.Notices, m.Reports, m.Complete)
 	g.Balancer.MergeTeams(m.Sender, m.Teams)
 }
 
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 	"ivyridge/inventory"
 	"ivyridge/quota"
 	"ivyridge/speed"
@@ -25,33 +25,33 @@
 		Echo:       rapid.Uint32().Draw(t, "echo"),
 		Revision:   rapid.Int64Min(0).Draw(t, "revision"),
 		Age:        time.Duration(rapid.Int64Range(-1, 1<<20).Draw(t, "age")) * time.Millisecond,
-		Whole:      rapid.Bool().Draw(t, "whole"),
-		Warm:       rapid.Bool().Draw(t, "warm"),
-		Next:       time.Duration(rapid.IntRange(0, 1<<20).Draw(t, "next")) * time.Millisecond,
-		Hears:      rapid.IntRange(0, 1000).Draw(t, "hears"),
-		Level:      rapid.IntRange(0, 1000).Draw(t, "level"),
-		Part:       float64(rapid.IntRange(0, 1/shareUnit).Draw(t, "part")) * shareUnit,
+		Complete:   rapid.Bool().Draw(t, "whole"),
+		WarmedUp:   rapid.Bool().Draw(t, "warm"),
+		NextWithin: time.Duration(rapid.IntRange(0, 1<<20).Draw(t, "next")) * time.Millisecond,
+		FleetSize:  rapid.IntRange(0, 1000).Draw(t, "hears"),
+		Protocol:   rapid.IntRange(0, 1000).Draw(t, "level"),
+		RetryShare: float64(rapid.IntRange(0, 1/shareUnit).Draw(t, "part")) * shareUnit,
 	}
-	if rapid.Bool().Draw(t, "has mark") {
-		m.Mark = &inventory.Mark{
+	if rapid.Bool().Draw(t, "has summary") {
+		m.Summary = &inventory.Summary{
 			Build: rapid.Uint32().Draw(t, "build"), Settings: rapid.Uint32().Draw(t, "settings"), Version: rapid.Int64Min(0).Draw(t, "version"),
-			Ready: rapid.Bool().Draw(t, "ready"), Refused: rapid.Bool().Draw(t, "refused"), Waiting: rapid.Bool().Draw(t, "waiting"),
+			Ready: rapid.Bool().Draw(t, "ready"), Refused: rapid.Bool().Draw(t, "refused"), NeedsRestart: rapid.Bool().Draw(t, "waiting"),
 		}
 	}
 	if rapid.Bool().Draw(t, "asks") {
-		m.Ask = drawAsk(t)
+		m.PlacementRequest = drawAsk(t)
 	}
 	if rapid.Bool().Draw(t, "grants") {
-		m.Grant = drawGrant(t)
+		m.PlacementResponse = drawGrant(t)
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "reports") {
 		m.Reports = append(m.Reports, drawReport(t))
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "sums") {
-		m.Sums = append(m.Sums, drawReport(t))
+		m.Aggregates = append(m.Aggregates, drawReport(t))
 	}
-	m.SumsOf = rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "sums of")
-	m.SumsWhole = rapid.Bool().Draw(t, "sums complete")
+	m.AggregatesOf = rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "sums of")
+	m.AggregatesComplete = rapid.Bool().Draw(t, "sums complete")
 	for range rapid.IntRange(0, 3).Draw(t, "notices") {
 		n := balance.Notice{Endpoint: rapid.Uint32().Draw(t, "endpoint"), Uncached: rapid.IntRange(0, 1<<20).Draw(t, "uncached"),
 			Priority: rapid.IntRange(0, 9).Draw(t, "priority"), Fetched: rapid.IntRange(0, 1<<20).Draw(t, "fetched")}
@@ -64,34 +64,34 @@
 	return m
 }
 
-func drawSamples(t *rapid.T) speed.Sum {
+func drawSamples(t *rapid.T) speed.Samples {
 	weight := float64(rapid.IntRange(0, 1000).Draw(t, "weight")) * outcomeUnit
-	return speed.Sum{Weight: weight, Log: weight * float64(rapid.IntRange(-2000, 2000).Draw(t, "mean")) * logUnit}
+	return speed.Samples{Weight: weight, Log: weight * float64(rapid.IntRange(-2000, 2000).Draw(t, "mean")) * logUnit}
 }
 
-func drawAsk(t *rapid.T) *Ask {
-	a := &Ask{
-		Number:    rapid.Uint64().Draw(t, "number"),
-		Service:   rapid.StringN(0, 10, 10).Draw(t, "service"),
-		Priority:  rapid.IntRange(0, 9).Draw(t, "priority"),
-		Objective: time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "objective")) * time.Microsecond,
-		Pause:     time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "pause")) * time.Microsecond,
-		Deadline:  time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "deadline")) * time.Microsecond,
-		Prompt:    rapid.IntRange(0, 1<<20).Draw(t, "prompt"),
-		Output:    rapid.IntRange(0, 1<<20).Draw(t, "output"),
-		Sent:      rapid.Bool().Draw(t, "sent"),
-		Team:      rapid.Uint32().Draw(t, "team"),
-		Bytes:     rapid.IntRange(0, 1<<20).Draw(t, "bytes"),
-		Retry:     balance.Retry(rapid.IntRange(0, 3).Draw(t, "retry")),
-		Earns:     quota.Earning(rapid.IntRange(0, 2).Draw(t, "earns")),
-		Lend:      rapid.Bool().Draw(t, "lend"),
+func drawAsk(t *rapid.T) *PlacementRequest {
+	a := &PlacementRequest{
+		Number:      rapid.Uint64().Draw(t, "number"),
+		Service:     rapid.StringN(0, 10, 10).Draw(t, "service"),
+		Priority:    rapid.IntRange(0, 9).Draw(t, "priority"),
+		Objective:   time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "objective")) * time.Microsecond,
+		MaxGap:      time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "pause")) * time.Microsecond,
+		Deadline:    time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "deadline")) * time.Microsecond,
+		Prompt:      rapid.IntRange(0, 1<<20).Draw(t, "prompt"),
+		Output:      rapid.IntRange(0, 1<<20).Draw(t, "output"),
+		Sent:        rapid.Bool().Draw(t, "sent"),
+		Team:        rapid.Uint32().Draw(t, "team"),
+		Bytes:       rapid.IntRange(0, 1<<20).Draw(t, "bytes"),
+		Retry:       balance.Retry(rapid.IntRange(0, 3).Draw(t, "retry")),
+		Deposit:     quota.DepositKind(rapid.IntRange(0, 2).Draw(t, "earns")),
+		ChargeRetry: rapid.Bool().Draw(t, "lend"),
 	}
 	if rapid.Bool().Draw(t, "bound") {
 		var regions []string
 		for range rapid.IntRange(0, 3).Draw(t, "homes") {
 			regions = append(regions, rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "region"))
 		}
-		a.Homes = catalog.NewHomes(regions)
+		a.Residency = catalog.NewResidency(regions)
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "ask parts") {
 		a.Parts = append(a.Parts, balance.Part{ID: rapid.Uint64().Draw(t, "id"), Tokens: rapid.IntRange(0, 1<<20).Draw(t, "tokens")})
@@ -102,20 +102,20 @@
 	return a
 }
 
-func drawGrant(t *rapid.T) *Grant {
+func drawGrant(t *rapid.T) *PlacementResponse {
 	times := func(name string) float64 { return float64(rapid.IntRange(0, 1<<30).Draw(t, name)) * nanosecond }
-	g := &Grant{Number: rapid.Uint64().Draw(t, "number"), Choice: balance.Choice{
-		Endpoint: rapid.Uint32().Draw(t, "endpoint"),
-		Cost:     rapid.Float64().Draw(t, "cost"),
-		Cached:   rapid.IntRange(0, 1<<20).Draw(t, "cached"),
-		Backlog:  time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "backlog")) * time.Microsecond,
-		Failing:  rapid.Float64Range(0, 1).Draw(t, "failing"),
-		Excess:   rapid.Float64Range(0, 1).Draw(t, "excess"),
-		Ahead:    float64(rapid.IntRange(0, 1<<20).Draw(t, "ahead")),
-		Wait:     times("wait"),
-		Pace:     balance.Pace{ReadTime: times("read"), StepTime: times("step"), TokenTime: times("token")},
-		Spare:    rapid.Bool().Draw(t, "spare"),
-		Lent:     rapid.Bool().Draw(t, "lent"),
+	g := &PlacementResponse{Number: rapid.Uint64().Draw(t, "number"), Choice: balance.Choice{
+		Endpoint:       rapid.Uint32().Draw(t, "endpoint"),
+		Cost:           rapid.Float64().Draw(t, "cost"),
+		Cached:         rapid.IntRange(0, 1<<20).Draw(t, "cached"),
+		Backlog:        time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "backlog")) * time.Microsecond,
+		FailureRate:    rapid.Float64Range(0, 1).Draw(t, "failing"),
+		ExcessFailures: rapid.Float64Range(0, 1).Draw(t, "excess"),
+		BacklogTokens:  float64(rapid.IntRange(0, 1<<20).Draw(t, "ahead")),
+		Wait:           times("wait"),
+		Pace:           balance.Pace{PrefillPerToken: times("read"), StepTime: times("step"), TokenTime: times("token")},
+		RetryAvailable: rapid.Bool().Draw(t, "spare"),
+		RetryCharged:   rapid.Bool().Draw(t, "lent"),
 	}}
 	if rapid.Bool().Draw(t, "fetches") {
 		g.Choice.Fetched = rapid.IntRange(0, 1<<20).Draw(t, "fetched")
@@ -136,19 +136,19 @@
 	r := balance.Report{Endpoint: rapid.Uint32().Draw(t, "endpoint")}
 	r.Requests = rapid.IntRange(0, 1000).Draw(t, "requests")
 	r.Memory = rapid.IntRange(0, 1<<20).Draw(t, "memory")
-	r.Ended = float64(rapid.IntRange(0, 1000).Draw(t, "ended")) * outcomeUnit
+	r.Completed = float64(rapid.IntRange(0, 1000).Draw(t, "ended")) * outcomeUnit
 	r.Failed = float64(rapid.IntRange(0, 1000).Draw(t, "failed")) * outcomeUnit
 	for level := range r.ByLevel {
 		r.ByLevel[level] = rapid.IntRange(0, 1000).Draw(t, "of a level")
-		r.UnreadBy[level] = rapid.IntRange(0, 1<<18).Draw(t, "unread of a level")
-		r.Unread += r.UnreadBy[level]
+		r.PendingPrefillByLevel[level] = rapid.IntRange(0, 1<<18).Draw(t, "unread of a level")
+		r.PendingPrefill += r.PendingPrefillByLevel[level]
 	}
 	r.Gone = time.Duration(rapid.IntRange(0, 1<<20).Draw(t, "gone")) * time.Millisecond
-	r.Rest = time.Duration(rapid.IntRange(0, 1<<20).Draw(t, "rest")) * time.Millisecond
-	r.Leaves = rapid.Bool().Draw(t, "leaves")
+	r.Backoff = time.Duration(rapid.IntRange(0, 1<<20).Draw(t, "rest")) * time.Millisecond
+	r.Draining = rapid.Bool().Draw(t, "leaves")
 	r.Down = rapid.Bool().Draw(t, "down")
-	r.Reading = drawSamples(t)
-	r.Stepping = drawSamples(t)
+	r.Prefill = drawSamples(t)
+	r.Step = drawSamples(t)
 	return r
 }
 
@@ -175,17 +175,17 @@
 // A testInstance is an instance under test with its own clock.
 type testInstance struct {
 	g     *Gossip
-	table *belief.Table
+	table *discovery.Table
 	clock time.Time
 }
 
 func newTestInstance(t interface{ Fatal(...any) }, skew time.Duration, id uint64) *testInstance {
 	s := &testInstance{clock: time.Unix(1000, 0).Add(skew)}
 	now := func() time.Time { return s.clock }
-	s.table = belief.NewTable(now)
+	s.table = discovery.NewTable(now)
 	s.g = newGossip(Options{
-		Beliefs: s.table, Balancer: balance.New("z", now), Log: zap.NewNop(),
-		Count: func(string) {}, Now: now, Instances: func(int, time.Duration) {},
+		State: s.table, Balancer: balance.New("z", now), Log: zap.NewNop(),
+		Count: func(string) {}, Now: now, OnFleetSize: func(int, time.Duration) {},
 	}, id, nil)
 	return s
 }
@@ -211,8 +211,8 @@
 func findsFault(confirmationTime func(*Gossip, *Message) time.Time) bool {
 	a, b := newTestInstance(ignoreFatal{}, 0, 1), newTestInstance(ignoreFatal{}, time.Hour, 2)
 	confirmedAt := a.clock
-	_ = a.table.Apply(&belief.Update{Revision: 5, Config: document(), Proved: a.clock})
-	_ = b.table.Apply(&belief.Update{Revision: 5, Config: document(), Proved: b.clock.Add(-time.Minute)})
+	_ = a.table.Apply(&discovery.Update{Revision: 5, Config: document(), ValidatedAt: a.clock})
+	_ = b.table.Apply(&discovery.Update{Revision: 5, Config: document(), ValidatedAt: b.clock.Add(-time.Minute)})
 	m := a.g.newMessage(a.clock)
 	a.clock, b.clock = a.clock.Add(3*time.Second), b.clock.Add(3*time.Second)
 	b.table.Confirm(m.Revision, confirmationTime(b.g, m))
@@ -228,8 +228,8 @@
 	var lastRead time.Duration // when the store was last read, in true time
 	var now time.Duration
 	a, b := newTestInstance(t, 0, 1), newTestInstance(t, time.Hour, 2)
-	_ = a.table.Apply(&belief.Update{Revision: 5, Config: document(), Proved: a.clock})
-	_ = b.table.Apply(&belief.Update{Revision: 5, Config: document(), Proved: b.clock.Add(-time.Minute)})
+	_ = a.table.Apply(&discovery.Update{Revision: 5, Config: document(), ValidatedAt: a.clock})
+	_ = b.table.Apply(&discovery.Update{Revision: 5, Config: document(), ValidatedAt: b.clock.Add(-time.Minute)})
 	var toA, toB []*Message
 	for range rapid.IntRange(1, 40).Draw(t, "steps") {
 		pause := time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
@@ -238,7 +238,7 @@
 		switch rapid.IntRange(0, 4).Draw(t, "event") {
 		case 0: // a reads the store
 			lastRead = now
-			_ = a.table.Apply(&belief.Update{Revision: 5, Proved: a.clock})
+			_ = a.table.Apply(&discovery.Update{Revision: 5, ValidatedAt: a.clock})
 		case 1:
 			m := a.g.newMessage(a.clock)
 			if member := a.g.members.byAddress["b"]; member != nil {
@@ -253,8 +253,8 @@
 			}
 		case 4:
 			if m := deliver(t, &toB); m != nil {
-				if proved := confirmationTime(b.g, m); !proved.IsZero() {
-					b.table.Confirm(m.Revision, proved)
+				if validatedAt := confirmationTime(b.g, m); !validatedAt.IsZero() {
+					b.table.Confirm(m.Revision, validatedAt)
 				}
 			}
 		}
--- a/gossip/heap_bench_test.go
+++ b/gossip/heap_bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // BenchmarkHeap measures the heap used per service for the endpoint list, and for the balancer's
@@ -17,14 +17,14 @@
 func BenchmarkHeap(bench *testing.B) {
 	for _, n := range []int{690, 6000, 12000} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
-			u := &belief.Update{Revision: 1, Whole: true, Proved: time.Now(), Config: &catalog.Document{Version: 1}}
+			u := &discovery.Update{Revision: 1, Full: true, ValidatedAt: time.Now(), Config: &catalog.Document{Version: 1}}
 			for i := range n {
-				u.Present = append(u.Present, listedRecord(i, 1))
+				u.Endpoints = append(u.Endpoints, listedRecord(i, 1))
 			}
 			data, _ := json.Marshal(u)
 			for bench.Loop() {
 				before := heap()
-				table := belief.NewTable(time.Now)
+				table := discovery.NewTable(time.Now)
 				_ = table.Apply(decodeUpdate(data))
 				listed := heap()
 				b := balance.New("ams-a", time.Now)
@@ -41,8 +41,8 @@
 	}
 }
 
-func decodeUpdate(data []byte) *belief.Update {
-	u := new(belief.Update)
+func decodeUpdate(data []byte) *discovery.Update {
+	u := new(discovery.Update)
 	_ = json.Unmarshal(data, u)
 	return u
 }
--- a/gossip/home_regions_test.go
+++ b/gossip/home_regions_test.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // twoRegions assigns the data centres alternately to two regions.
@@ -22,7 +22,7 @@
 func boundDemand(homes ...string) *balance.Demand {
 	return &balance.Demand{
 		Service:   &catalog.Service{Name: "m", MaxConns: 1000, Engine: &catalog.Engine{Slots: 64, MemoryTokens: 300_000}},
-		Homes:     catalog.NewHomes(homes),
+		Residency: catalog.NewResidency(homes),
 		Objective: time.Second, Prompt: 5000, Output: 10,
 		Parts: []balance.Part{{ID: 77, Tokens: 4000}, {ID: 78, Tokens: 1000}},
 	}
@@ -34,7 +34,7 @@
 	w := newSimulation(t, 24, 4)
 	w.twoRegions()
 	w.run(8 * time.Second)
-	endpoints := []*belief.Endpoint{
+	endpoints := []*discovery.Endpoint{
 		{Endpoint: catalog.Endpoint{ID: "e-north", DataCentre: "dc0"}},
 		{Endpoint: catalog.Endpoint{ID: "e-south", DataCentre: "dc1"}},
 	}
@@ -85,7 +85,7 @@
 	}
 	ordinary.mu.Lock()
 	for _, m := range ordinary.members.byAddress {
-		m.protocol = protocolHomes - 1
+		m.protocol = protocolResidency - 1
 	}
 	ordinary.mu.Unlock()
 	w.inFlight = nil
--- a/gossip/inventory.go
+++ b/gossip/inventory.go
@@ -2,7 +2,7 @@
 
 // This file announces the build and settings of this instance, and records those of others.
 //
-// A version mark (inventory.Mark) is sent with heartbeats and complete reports, and only if it
+// An inventory.Summary is sent with heartbeats and complete reports, and only if it
 // has changed or markInterval has passed, to save bandwidth between data centres. Changed
 // settings and rejected settings files are announced at once.
 
@@ -18,50 +18,50 @@
 	lostTTL = 2 * time.Minute
 	// maxLost bounds the number of lost members listed.
 	maxLost = 1024
-	// markInterval is how often an unchanged mark is sent to each receiver group again, for lost
-	// datagrams and new receivers.
-	markInterval = 15 * time.Second
+	// summaryInterval is how often an unchanged summary is sent to each receiver group again, for
+	// lost datagrams and new receivers.
+	summaryInterval = 15 * time.Second
 )
 
-// A Seen is a snapshot of what this instance knows of another one.
-type Seen struct {
+// An InstanceInfo is a snapshot of what this instance knows of another one.
+type InstanceInfo struct {
 	Member
-	Mark       inventory.Mark
-	Told       bool // it announces its build and settings
-	Schedules  bool
-	Lost       bool
-	HeardSince time.Duration // time since the last message from it
+	Summary     inventory.Summary
+	HasSummary  bool // it announces its build and settings
+	IsScheduler bool
+	Lost        bool
+	SinceHeard  time.Duration // time since the last message from it
 }
 
-// A sentMark is the mark last sent to a receiver group.
-type sentMark struct {
-	mark   inventory.Mark
-	sentAt time.Time // zero: none was sent
+// A sentSummary is the summary last sent to a receiver group.
+type sentSummary struct {
+	summary inventory.Summary
+	sentAt  time.Time // zero: none was sent
 }
 
 // urgent reports whether m should be sent before the next heartbeat: operators wait to see
 // changed settings applied. A new build is not urgent, since it reaches all instances at once,
 // and all would announce it at once.
-func (t *sentMark) urgent(m *inventory.Mark) bool {
+func (t *sentSummary) urgent(m *inventory.Summary) bool {
 	return m != nil && !t.sentAt.IsZero() &&
-		(t.mark.Settings != m.Settings || t.mark.Refused != m.Refused || t.mark.Waiting != m.Waiting)
+		(t.summary.Settings != m.Settings || t.summary.Refused != m.Refused || t.summary.NeedsRestart != m.NeedsRestart)
 }
 
 // next returns m if it is due to be sent at now, and nil otherwise.
-func (t *sentMark) next(m *inventory.Mark, now time.Time) *inventory.Mark {
-	if m == nil || !t.sentAt.IsZero() && t.mark == *m && now.Sub(t.sentAt) < markInterval {
+func (t *sentSummary) next(m *inventory.Summary, now time.Time) *inventory.Summary {
+	if m == nil || !t.sentAt.IsZero() && t.summary == *m && now.Sub(t.sentAt) < summaryInterval {
 		return nil
 	}
-	t.mark, t.sentAt = *m, now
+	t.summary, t.sentAt = *m, now
 	return m
 }
 
-// mark returns the build and settings of this instance, nil if they aren't announced.
-func (g *Gossip) mark() *inventory.Mark {
-	if g.Mark == nil {
+// ownSummary returns the build and settings of this instance, nil if they aren't announced.
+func (g *Gossip) ownSummary() *inventory.Summary {
+	if g.Summary == nil {
 		return nil
 	}
-	m := g.Mark()
+	m := g.Summary()
 	return &m
 }
 
@@ -84,9 +84,9 @@
 	delete(s.lost, oldest.Address)
 }
 
-// Seen returns the other instances that are live, and those that timed out within the last two
+// Inventory returns the other instances that are live, and those that timed out within the last two
 // minutes.
-func (g *Gossip) Seen() []Seen {
+func (g *Gossip) Inventory() []InstanceInfo {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Now()
@@ -94,7 +94,7 @@
 	for _, m := range g.members.currentRoles(now).schedulers {
 		isScheduler[m.Address] = true
 	}
-	var out []Seen
+	var out []InstanceInfo
 	g.members.eachLive(now, func(m *Member) { out = append(out, m.seen(now, isScheduler[m.Address])) })
 	for address, m := range g.members.lost {
 		if now.Sub(m.lastHeard) > lostTTL {
@@ -108,10 +108,10 @@
 	return out
 }
 
-func (m *Member) seen(now time.Time, isScheduler bool) Seen {
-	s := Seen{Member: *m, Schedules: isScheduler, HeardSince: now.Sub(m.lastHeard)}
-	if m.mark != nil {
-		s.Mark, s.Told = *m.mark, true
+func (m *Member) seen(now time.Time, isScheduler bool) InstanceInfo {
+	s := InstanceInfo{Member: *m, IsScheduler: isScheduler, SinceHeard: now.Sub(m.lastHeard)}
+	if m.summary != nil {
+		s.Summary, s.HasSummary = *m.summary, true
 	}
 	return s
 }
--- a/gossip/inventory_test.go
+++ b/gossip/inventory_test.go
@@ -11,21 +11,23 @@
 
 // setMark sets the settings that an instance announces.
 func (n *node) setMark(settings uint32) {
-	n.Mark = func() inventory.Mark { return inventory.Mark{Build: 1, Settings: settings, Version: 7, Ready: true} }
+	n.Summary = func() inventory.Summary {
+		return inventory.Summary{Build: 1, Settings: settings, Version: 7, Ready: true}
+	}
 }
 
 // markCounts counts the known instances by announced settings, those that announce none, and the
 // lost ones.
 func (n *node) markCounts() (bySettings map[uint32]int, unannounced, lost int) {
 	bySettings = make(map[uint32]int)
-	for _, s := range n.Seen() {
+	for _, s := range n.Inventory() {
 		switch {
 		case s.Lost:
 			lost++
-		case !s.Told:
+		case !s.HasSummary:
 			unannounced++
 		default:
-			bySettings[s.Mark.Settings]++
+			bySettings[s.Summary.Settings]++
 		}
 	}
 	return bySettings, unannounced, lost
@@ -60,7 +62,7 @@
 	w.run(12 * time.Second)
 	scheduler := w.nodes[0]
 	if got, unannounced, lost := scheduler.markCounts(); got[1] != n-2 || unannounced != 1 || lost != 0 {
-		t.Fatalf("at start: %v, %d without mark, %d lost, want %d, 1, 0", got, unannounced, lost, n-2)
+		t.Fatalf("at start: %v, %d without a summary, %d lost, want %d, 1, 0", got, unannounced, lost, n-2)
 	}
 	for i := 20; i < 35; i++ {
 		w.nodes[i].setMark(2)
@@ -74,12 +76,12 @@
 	w.run(missedHeartbeats*heartbeatInterval(n) + time.Second)
 	got, unannounced, lost := scheduler.markCounts()
 	if got[1] != n-2-15-1-1 || got[2] != 15 || got[3] != 1 || unannounced != 1 || lost != 1 {
-		t.Errorf("after changes: %v, %d without mark, %d lost, want %d of 1, 15 of 2, 1 of 3, 1 without mark, 1 lost", got, unannounced, lost, n-2-15-1-1)
+		t.Errorf("after changes: %v, %d without a summary, %d lost, want %d of 1, 15 of 2, 1 of 3, 1 without a summary, 1 lost", got, unannounced, lost, n-2-15-1-1)
 	}
 }
 
-// Bounds the bandwidth that version marks add in an idle fleet.
-func TestMarkOverhead(t *testing.T) {
+// Bounds the bandwidth that summaries add in an idle fleet.
+func TestSummaryOverhead(t *testing.T) {
 	t.Parallel()
 	crossBytes := func(announce bool) int {
 		w := newSimulation(t, inventoryFleetSize(t), 5)
@@ -90,11 +92,11 @@
 		}
 		w.run(8 * time.Second)
 		before := w.crossDataCentreBytes
-		w.run(markInterval)
+		w.run(summaryInterval)
 		return w.crossDataCentreBytes - before
 	}
 	without, with := crossBytes(false), crossBytes(true)
-	t.Logf("between data centres in 15 s: %d bytes without marks, %d with", without, with)
+	t.Logf("between data centres in 15 s: %d bytes without summaries, %d with", without, with)
 	if float64(with) > 1.08*float64(without) {
 		t.Errorf("%d bytes with marks, %d without", with, without)
 	}
--- a/gossip/late_permit_test.go
+++ b/gossip/late_permit_test.go
@@ -16,25 +16,25 @@
 	address := d.scheduler.conn.(*net.UDPConn).LocalAddr().String()
 	d.client.members.byAddress[address].protocol = protocolCurrent
 	p := d.client.Balancer.Place(d.endpoints, d.demand)
-	p.Limits(1)
+	p.RecordLimit(1)
 	p.Done(balance.Served)
 	for _, e := range d.endpoints[1:] {
 		e.Draining = true
 	}
-	endpoint, rateLimit, ok := d.client.Balancer.WantPermit(p.Endpoint, 0)
+	endpoint, rateLimit, ok := d.client.Balancer.BeginPermitRequest(p.Endpoint, 0)
 	if !ok {
 		t.Fatal("no permit needed")
 	}
 	requestedAt := d.client.Now()
-	request := &PermitAsk{Endpoint: endpoint, Limit: limitAt(&rateLimit, requestedAt)}
+	request := &PermitRequest{Endpoint: endpoint, Limit: limitAt(&rateLimit, requestedAt)}
 	if _, answered := d.client.requestPermitFrom(context.Background(), address, request); answered {
 		t.Fatal("an allocator that doesn't receive answered")
 	}
-	d.client.Balancer.TakePermit(endpoint, 0, limit.Answer{Wait: limit.NoPart}, "", requestedAt)
+	d.client.Balancer.EndPermitRequest(endpoint, 0, limit.Answer{Wait: limit.NoShareWait}, "", requestedAt)
 	if _, refusal := d.client.Balancer.Admit(d.endpoints, d.demand); refusal == nil {
 		t.Fatal("request placed without a permit")
 	}
-	late := &Permit{Number: request.Number, Granted: true, Limit: balance.ToldLimit{Known: true, Named: true, Rate: 1}}
+	late := &PermitResponse{Number: request.Number, Granted: true, Limit: balance.ReportedLimit{Known: true, Limited: true, Rate: 1}}
 	d.client.deliverPermit(late)
 	d.client.deliverPermit(late) // duplicate
 	if p, refusal := d.client.Balancer.Admit(d.endpoints, d.demand); p == nil || !p.MaySend() {
--- a/gossip/limit_allocation.go
+++ b/gossip/limit_allocation.go
@@ -19,13 +19,13 @@
 // limitAllocation is the state for allocating limits and for requesting permits. It is guarded by
 // g.mu.
 type limitAllocation struct {
-	side        quota.Side // cached, since counting members costs more than a tick
-	sideRolesAt time.Time  // rolesComputedAt of the roles that side was computed from
-	claim       quota.SideClaim
-	share       quota.Part // of each limit
-	allocator   limit.Divider
-	pending     map[uint64]chan Permit      // by request number
-	abandoned   map[uint64]abandonedRequest // unanswered requests that nobody waits for any more, by request number
+	side        quota.PartitionView // cached, since counting members costs more than a tick
+	sideRolesAt time.Time           // rolesComputedAt of the roles that side was computed from
+	claim       quota.PartitionClaim
+	share       quota.Lease // of each limit
+	allocator   limit.Allocator
+	pending     map[uint64]chan PermitResponse // by request number
+	abandoned   map[uint64]abandonedRequest    // unanswered requests that nobody waits for any more, by request number
 }
 
 // mayAllocate reports whether this instance may allocate limits according to its role.
@@ -34,16 +34,16 @@
 }
 
 // regionSide returns what this instance sees of its region, on its side of a network partition.
-func (g *Gossip) regionSide(now time.Time, r *roles) quota.Side {
+func (g *Gossip) regionSide(now time.Time, r *roles) quota.PartitionView {
 	s := g.members
 	direct, reported := s.count(now)
-	side := quota.Side{Alone: s.isolated(r), Named: g.DataCentres}
+	side := quota.PartitionView{Isolated: s.isolated(r), ConfiguredDataCentres: g.DataCentres}
 	region := g.Regions[g.DataCentre]
 	if s.multiRegion {
-		direct, reported, side.Named = s.regionSize, s.regionSize, 0
+		direct, reported, side.ConfiguredDataCentres = s.regionSize, s.regionSize, 0
 		for _, other := range g.Regions {
 			if other == region {
-				side.Named++
+				side.ConfiguredDataCentres++
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 			reported = max(reported, m.regionSize)
 		}
 	})
-	side.Heard, side.Told, side.DataCentres = direct, reported, len(dataCentres)
+	side.Heard, side.MaxPeerHeard, side.DataCentres = direct, reported, len(dataCentres)
 	return side
 }
 
@@ -66,12 +66,12 @@
 	if at := g.members.rolesComputedAt; !at.Equal(g.limits.sideRolesAt) {
 		g.limits.side, g.limits.sideRolesAt = g.regionSide(now, r), at
 	}
-	share := g.limits.claim.Part(g.limits.side, now)
+	share := g.limits.claim.Share(g.limits.side, now)
 	if !r.mayAllocate() || g.members.self.Leaving {
 		share = 0
 	}
 	held := g.limits.share.Share(now)
-	if g.limits.share.Hold(share, now); share != held {
+	if g.limits.share.Renew(share, now); share != held {
 		g.Log.Info("limit share changed", zap.Float64("part", share), zap.Float64("before", held))
 	}
 }
@@ -104,21 +104,21 @@
 		addresses = append(addresses, g.Address)
 	}
 	for _, m := range g.members.currentRoles(now).schedulers {
-		if m.Divides && !m.Leaving && m.protocol >= protocolLimits && g.Regions[m.DataCentre] == g.Regions[g.DataCentre] {
+		if m.AllocatesLimits && !m.Leaving && m.protocol >= protocolLimits && g.Regions[m.DataCentre] == g.Regions[g.DataCentre] {
 			candidates = append(candidates, limit.Candidate{ID: m.ID, DataCentre: m.DataCentre})
 			addresses = append(addresses, m.Address)
 		}
 	}
-	if i := limit.Divides(endpoint, dataCentre, candidates); i >= 0 {
+	if i := limit.AllocatorOf(endpoint, dataCentre, candidates); i >= 0 {
 		return addresses[i]
 	}
 	return ""
 }
 
-// Divided returns the share of the limit of an endpoint in dataCentre that this instance
+// AllocatedShare returns the share of the limit of an endpoint in dataCentre that this instance
 // allocates, zero if it isn't the allocator, and the number of permits that it has granted for
 // it.
-func (g *Gossip) Divided(endpoint uint32, dataCentre string) (share float64, permits uint64) {
+func (g *Gossip) AllocatedShare(endpoint uint32, dataCentre string) (share float64, permits uint64) {
 	now := g.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gossip/link.go
+++ b/gossip/link.go
@@ -68,10 +68,10 @@
 // measureLink records the round trip that a message from another region shows. The caller holds
 // g.mu.
 func (g *Gossip) measureLink(now time.Time, m *Message) {
-	if m.Held == 0 || m.Echo == 0 || m.Echo > g.token || g.token-m.Echo >= tokenWindow || g.Regions[m.DataCentre] == g.Regions[g.DataCentre] {
+	if m.TokenHeld == 0 || m.Echo == 0 || m.Echo > g.token || g.token-m.Echo >= tokenWindow || g.Regions[m.DataCentre] == g.Regions[g.DataCentre] {
 		return
 	}
-	rtt := now.Sub(g.sent[m.Echo%tokenWindow]) - m.Held
+	rtt := now.Sub(g.sent[m.Echo%tokenWindow]) - m.TokenHeld
 	if rtt <= 0 {
 		return
 	}
--- a/gossip/members.go
+++ b/gossip/members.go
@@ -28,24 +28,24 @@
 
 // A Member is another instance.
 type Member struct {
-	Address    string // IP:port of its gossip socket
-	ID         uint64
-	DataCentre string
-	Cores      float64
-	Leaving    bool
-	Warm       bool    // it has been a scheduler for at least the warm-up period
-	Part       float64 // of the retry budget
-	Divides    bool    // it may allocate endpoint rate limits
-	Revision   int64
-	Proved     time.Time // lower bound, on this instance's clock, of when its state was last current; zero: not known
+	Address         string // IP:port of its gossip socket
+	ID              uint64
+	DataCentre      string
+	Cores           float64
+	Leaving         bool
+	WarmedUp        bool    // it has been a scheduler for at least the warm-up period
+	RetryShare      float64 // of the retry budget
+	AllocatesLimits bool    // it may allocate endpoint rate limits
+	Revision        int64
+	ValidatedAt     time.Time // lower bound, on this instance's clock, of when its state was last current; zero: not known
 
 	lastHeard  time.Time // zero if it was only named by others
 	lastNamed  time.Time
-	token      uint32          // last one received
-	nextWithin time.Duration   // it sends again within this time
-	fleetSize  int             // live instances that it reports
-	protocol   int             // version that it supports
-	mark       *inventory.Mark // build and settings; nil: not announced
+	token      uint32             // last one received
+	nextWithin time.Duration      // it sends again within this time
+	fleetSize  int                // live instances that it reports
+	protocol   int                // version that it supports
+	summary    *inventory.Summary // build and settings; nil: not announced
 
 	regionSize int // live instances that it reports for its region
 }
@@ -143,27 +143,27 @@
 		delete(s.lost, from)
 		joined = true
 	}
-	if joined || member.Leaving != m.Leaving || member.Warm != m.Warm || member.protocol != m.Level {
+	if joined || member.Leaving != m.Leaving || member.WarmedUp != m.WarmedUp || member.protocol != m.Protocol {
 		s.rolesComputedAt = time.Time{}
 	}
 	member.DataCentre = m.DataCentre
 	member.Cores = m.Cores
 	member.Leaving = m.Leaving
-	member.Warm = m.Warm
+	member.WarmedUp = m.WarmedUp
 	member.lastHeard = now
-	member.nextWithin = m.Next
-	member.fleetSize = m.Hears
-	member.protocol = m.Level
-	member.Part = m.Part
-	member.Divides = m.Divides
-	member.regionSize = m.HearsHome
+	member.nextWithin = m.NextWithin
+	member.fleetSize = m.FleetSize
+	member.protocol = m.Protocol
+	member.RetryShare = m.RetryShare
+	member.AllocatesLimits = m.AllocatesLimits
+	member.regionSize = m.RegionSize
 	member.token = m.Token
 	member.Revision = m.Revision
-	if m.Mark != nil {
-		member.mark = m.Mark
+	if m.Summary != nil {
+		member.summary = m.Summary
 	}
-	if confirmedAt.After(member.Proved) {
-		member.Proved = confirmedAt
+	if confirmedAt.After(member.ValidatedAt) {
+		member.ValidatedAt = confirmedAt
 	}
 	for _, address := range m.Peers {
 		s.addCandidate(now, address)
--- a/gossip/members_test.go
+++ b/gossip/members_test.go
@@ -30,7 +30,7 @@
 				}
 				s.prune(now)
 			default:
-				s.observe(now, address, &Message{Sender: id, Next: time.Second}, time.Time{})
+				s.observe(now, address, &Message{Sender: id, NextWithin: time.Second}, time.Time{})
 				want[address] = id
 			}
 		}
