--- a/gossip/message.go
+++ b/gossip/message.go
@@ -23,23 +23,23 @@
 	Revision   int64         // of the sender's state
 	Age        time.Duration // time since the sender's state was confirmed, at sending; negative: never confirmed
 	Peers      []string      // gossip addresses of some live members
-	Whole      bool          // Reports are complete and replace earlier ones
+	Complete   bool          // Reports are complete and replace earlier ones
 	Reports    []balance.Report
 	Notices    []balance.Notice
 
-	// Sums aggregate the load of all ordinary instances of a data centre. They are sent once to
+	// Aggregates hold the load of all ordinary instances of a data centre. They are sent once to
 	// each other data centre, and are forwarded within it.
-	Sums      []balance.Report
-	SumsOf    string // the data centre; empty: no sums
-	SumsWhole bool   // Sums are complete and replace earlier ones
+	Aggregates         []balance.Report
+	AggregatesOf       string // the data centre; empty: no aggregates
+	AggregatesComplete bool   // Aggregates are complete and replace earlier ones
 
-	Cores float64         // of the sender's machine
-	Warm  bool            // the sender has been a scheduler for at least the warm-up period
-	Next  time.Duration   // the receiver gets another message from the sender within this time
-	Hears int             // live instances that the sender receives from, itself included
-	Level int             // protocol version of the sender
-	Mark  *inventory.Mark // build and settings of the sender; nil: not sent in this message
-	Part  float64         // share of the retry budget that the sender holds
+	Cores      float64            // of the sender's machine
+	WarmedUp   bool               // the sender has been a scheduler for at least the warm-up period
+	NextWithin time.Duration      // the receiver gets another message from the sender within this time
+	FleetSize  int                // live instances that the sender receives from, itself included
+	Protocol   int                // protocol version of the sender
+	Summary    *inventory.Summary // build and settings of the sender; nil: not sent in this message
+	RetryShare float64            // share of the retry budget that the sender holds
 
 	Teams []balance.TeamUse // use by team, from requests that the sender placed
 
@@ -48,43 +48,43 @@
 
 	RegionMessage
 
-	Ask   *Ask   // a placement request; other content is ignored
-	Grant *Grant // the answer to a placement request; other content is ignored
+	PlacementRequest  *PlacementRequest  // a placement request; other content is ignored
+	PlacementResponse *PlacementResponse // the answer to a placement request; other content is ignored
 
-	Divides   bool       // the sender may allocate endpoint rate limits
-	PermitAsk *PermitAsk // a permit request; other content is ignored
-	Permit    *Permit    // the answer to a permit request; other content is ignored
+	AllocatesLimits bool            // the sender may allocate endpoint rate limits
+	PermitRequest   *PermitRequest  // a permit request; other content is ignored
+	PermitResponse  *PermitResponse // the answer to a permit request; other content is ignored
 }
 
 // Field numbers of a Message and the messages in it.
 const (
-	fieldSender     protowire.Number = 1
-	fieldDataCentre protowire.Number = 2
-	fieldLeaving    protowire.Number = 3
-	fieldToken      protowire.Number = 4
-	fieldEcho       protowire.Number = 5
-	fieldRevision   protowire.Number = 6
-	fieldAge        protowire.Number = 7 // milliseconds, zigzag
-	fieldPeers      protowire.Number = 8
-	fieldWhole      protowire.Number = 9
-	fieldReports    protowire.Number = 10
-	fieldNotices    protowire.Number = 11
-	fieldCores      protowire.Number = 12 // in units of coresUnit
-	fieldWarm       protowire.Number = 13
-	fieldNext       protowire.Number = 14 // milliseconds
-	fieldHears      protowire.Number = 15
-	fieldAsk        protowire.Number = 16
-	fieldGrant      protowire.Number = 17
-	fieldSums       protowire.Number = 18
-	fieldSumsOf     protowire.Number = 19
-	fieldSumsWhole  protowire.Number = 20
-	fieldLevel      protowire.Number = 21
-	fieldMark       protowire.Number = 31 // inventory.Mark
-	fieldTeams      protowire.Number = 22
-	fieldHeldPart   protowire.Number = 29 // in units of shareUnit
-	fieldDivides    protowire.Number = 34
-	fieldPermitAsk  protowire.Number = 35
-	fieldPermit     protowire.Number = 36
+	fieldSender             protowire.Number = 1
+	fieldDataCentre         protowire.Number = 2
+	fieldLeaving            protowire.Number = 3
+	fieldToken              protowire.Number = 4
+	fieldEcho               protowire.Number = 5
+	fieldRevision           protowire.Number = 6
+	fieldAge                protowire.Number = 7 // milliseconds, zigzag
+	fieldPeers              protowire.Number = 8
+	fieldComplete           protowire.Number = 9
+	fieldReports            protowire.Number = 10
+	fieldNotices            protowire.Number = 11
+	fieldCores              protowire.Number = 12 // in units of coresUnit
+	fieldWarmedUp           protowire.Number = 13
+	fieldNextWithin         protowire.Number = 14 // milliseconds
+	fieldFleetSize          protowire.Number = 15
+	fieldPlacementRequest   protowire.Number = 16
+	fieldPlacementResponse  protowire.Number = 17
+	fieldAggregates         protowire.Number = 18
+	fieldAggregatesOf       protowire.Number = 19
+	fieldAggregatesComplete protowire.Number = 20
+	fieldProtocol           protowire.Number = 21
+	fieldSummary            protowire.Number = 31 // inventory.Summary
+	fieldTeams              protowire.Number = 22
+	fieldRetryShare         protowire.Number = 29 // in units of shareUnit
+	fieldAllocatesLimits    protowire.Number = 34
+	fieldPermitRequest      protowire.Number = 35
+	fieldPermitResponse     protowire.Number = 36
 
 	fieldEndpoint protowire.Number = 1
 	fieldUncached protowire.Number = 5 // of a notice
@@ -99,11 +99,11 @@
 // Protocol versions. Receivers skip unknown fields; content that an older version would
 // misinterpret is only sent to instances of a sufficient version.
 const (
-	protocolHomes   = 1 // placements respect home regions
-	protocolRetries = 2 // schedulers charge retries
-	protocolRegions = 3 // messages from other regions are forwarded
-	protocolLimits  = 4 // instances allocate limits and answer permit requests
-	protocolCurrent = protocolLimits
+	protocolResidency = 1 // placements respect home regions
+	protocolRetries   = 2 // schedulers charge retries
+	protocolRegions   = 3 // messages from other regions are forwarded
+	protocolLimits    = 4 // instances allocate limits and answer permit requests
+	protocolCurrent   = protocolLimits
 )
 
 // shareUnit is the encoding resolution of a share.
@@ -142,22 +142,22 @@
 	b = appendEcho(b, m.Echo)
 	b = appendUint(b, fieldRevision, uint64(m.Revision))
 	b = appendUint(b, fieldAge, protowire.EncodeZigZag(m.Age.Milliseconds()))
-	b = appendUint(b, fieldWhole, protowire.EncodeBool(m.Whole))
+	b = appendUint(b, fieldComplete, protowire.EncodeBool(m.Complete))
 	b = appendUint(b, fieldCores, uint64(max(0, m.Cores/coresUnit+0.5)))
-	b = appendUint(b, fieldWarm, protowire.EncodeBool(m.Warm))
-	b = appendUint(b, fieldNext, uint64(max(0, m.Next.Milliseconds())))
-	b = appendUint(b, fieldHears, uint64(max(0, m.Hears)))
-	b = appendUint(b, fieldLevel, uint64(max(0, m.Level)))
-	if m.Mark != nil {
-		b = appendBytes(b, fieldMark, m.Mark.Append(nil))
+	b = appendUint(b, fieldWarmedUp, protowire.EncodeBool(m.WarmedUp))
+	b = appendUint(b, fieldNextWithin, uint64(max(0, m.NextWithin.Milliseconds())))
+	b = appendUint(b, fieldFleetSize, uint64(max(0, m.FleetSize)))
+	b = appendUint(b, fieldProtocol, uint64(max(0, m.Protocol)))
+	if m.Summary != nil {
+		b = appendBytes(b, fieldSummary, m.Summary.Append(nil))
 	}
-	b = appendUint(b, fieldHeldPart, uint64(max(0, m.Part/shareUnit+0.5)))
-	b = appendUint(b, fieldDivides, protowire.EncodeBool(m.Divides))
-	if m.PermitAsk != nil {
-		b = appendBytes(b, fieldPermitAsk, m.PermitAsk.append(nil))
+	b = appendUint(b, fieldRetryShare, uint64(max(0, m.RetryShare/shareUnit+0.5)))
+	b = appendUint(b, fieldAllocatesLimits, protowire.EncodeBool(m.AllocatesLimits))
+	if m.PermitRequest != nil {
+		b = appendBytes(b, fieldPermitRequest, m.PermitRequest.append(nil))
 	}
-	if m.Permit != nil {
-		b = appendBytes(b, fieldPermit, m.Permit.append(nil))
+	if m.PermitResponse != nil {
+		b = appendBytes(b, fieldPermitResponse, m.PermitResponse.append(nil))
 	}
 	b = m.RegionMessage.append(b)
 	b = appendDigest(b, m.Digest)
@@ -167,22 +167,22 @@
 	for _, p := range m.Peers {
 		b = appendBytes(b, fieldPeers, []byte(p))
 	}
-	if m.Ask != nil {
-		b = appendBytes(b, fieldAsk, m.Ask.append(nil))
+	if m.PlacementRequest != nil {
+		b = appendBytes(b, fieldPlacementRequest, m.PlacementRequest.append(nil))
 	}
-	if m.Grant != nil {
-		b = appendBytes(b, fieldGrant, m.Grant.append(nil))
+	if m.PlacementResponse != nil {
+		b = appendBytes(b, fieldPlacementResponse, m.PlacementResponse.append(nil))
 	}
 	for i := range m.Reports {
 		b = appendBytes(b, fieldReports, appendReport(nil, &m.Reports[i]))
 	}
-	for i := range m.Sums {
-		b = appendBytes(b, fieldSums, appendReport(nil, &m.Sums[i]))
+	for i := range m.Aggregates {
+		b = appendBytes(b, fieldAggregates, appendReport(nil, &m.Aggregates[i]))
 	}
-	if m.SumsOf != "" {
-		b = appendBytes(b, fieldSumsOf, []byte(m.SumsOf))
+	if m.AggregatesOf != "" {
+		b = appendBytes(b, fieldAggregatesOf, []byte(m.AggregatesOf))
 	}
-	b = appendUint(b, fieldSumsWhole, protowire.EncodeBool(m.SumsWhole))
+	b = appendUint(b, fieldAggregatesComplete, protowire.EncodeBool(m.AggregatesComplete))
 	b = appendTeams(b, m.Teams)
 	for i := range m.Notices {
 		b = appendBytes(b, fieldNotices, appendNotice(nil, &m.Notices[i]))
@@ -273,48 +273,48 @@
 			m.Revision = int64(f.value)
 		case fieldAge:
 			m.Age = time.Duration(protowire.DecodeZigZag(f.value)) * time.Millisecond
-		case fieldWhole:
-			m.Whole = f.value != 0
+		case fieldComplete:
+			m.Complete = f.value != 0
 		case fieldPeers:
 			m.Peers = append(m.Peers, string(f.bytes))
 		case fieldCores:
 			m.Cores = float64(boundedCount(f.value)) * coresUnit
-		case fieldWarm:
-			m.Warm = f.value != 0
-		case fieldNext:
-			m.Next = time.Duration(boundedCount(f.value)) * time.Millisecond
-		case fieldHears:
-			m.Hears = boundedCount(f.value)
-		case fieldLevel:
-			m.Level = boundedCount(f.value)
-		case fieldMark:
-			if mark, ok := inventory.DecodeMark(f.bytes); ok {
-				m.Mark = &mark
+		case fieldWarmedUp:
+			m.WarmedUp = f.value != 0
+		case fieldNextWithin:
+			m.NextWithin = time.Duration(boundedCount(f.value)) * time.Millisecond
+		case fieldFleetSize:
+			m.FleetSize = boundedCount(f.value)
+		case fieldProtocol:
+			m.Protocol = boundedCount(f.value)
+		case fieldSummary:
+			if summary, ok := inventory.DecodeSummary(f.bytes); ok {
+				m.Summary = &summary
 			}
-		case fieldHeldPart:
-			m.Part = float64(boundedCount(f.value)) * shareUnit
-		case fieldDivides:
-			m.Divides = f.value != 0
-		case fieldPermitAsk:
-			m.PermitAsk = new(PermitAsk)
-			return m.PermitAsk.decode(f.bytes)
-		case fieldPermit:
-			m.Permit = new(Permit)
-			return m.Permit.decode(f.bytes)
-		case fieldAsk:
-			m.Ask = new(Ask)
-			return m.Ask.decode(f.bytes)
-		case fieldGrant:
-			m.Grant = new(Grant)
-			return m.Grant.decode(f.bytes)
+		case fieldRetryShare:
+			m.RetryShare = float64(boundedCount(f.value)) * shareUnit
+		case fieldAllocatesLimits:
+			m.AllocatesLimits = f.value != 0
+		case fieldPermitRequest:
+			m.PermitRequest = new(PermitRequest)
+			return m.PermitRequest.decode(f.bytes)
+		case fieldPermitResponse:
+			m.PermitResponse = new(PermitResponse)
+			return m.PermitResponse.decode(f.bytes)
+		case fieldPlacementRequest:
+			m.PlacementRequest = new(PlacementRequest)
+			return m.PlacementRequest.decode(f.bytes)
+		case fieldPlacementResponse:
+			m.PlacementResponse = new(PlacementResponse)
+			return m.PlacementResponse.decode(f.bytes)
 		case fieldReports:
 			return decodeReport(f.bytes, &m.Reports)
-		case fieldSums:
-			return decodeReport(f.bytes, &m.Sums)
-		case fieldSumsOf:
-			m.SumsOf = string(f.bytes)
-		case fieldSumsWhole:
-			m.SumsWhole = f.value != 0
+		case fieldAggregates:
+			return decodeReport(f.bytes, &m.Aggregates)
+		case fieldAggregatesOf:
+			m.AggregatesOf = string(f.bytes)
+		case fieldAggregatesComplete:
+			m.AggregatesComplete = f.value != 0
 		case fieldTeams:
 			return decodeTeams(f.bytes, &m.Teams)
 		case fieldNotices:
--- a/gossip/old_builds_test.go
+++ b/gossip/old_builds_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 // newOldBuildRelay returns a relay to a server of a recorded response.
@@ -43,13 +43,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			relay := newOldBuildRelay(t, name)
-			for call, read := range map[string]func() (*belief.Update, error){
-				"load":  func() (*belief.Update, error) { return relay.Load(context.Background()) },
-				"watch": func() (*belief.Update, error) { return relay.Watch(context.Background(), belief.Query{}) },
+			for call, read := range map[string]func() (*discovery.Update, error){
+				"load":  func() (*discovery.Update, error) { return relay.Load(context.Background()) },
+				"watch": func() (*discovery.Update, error) { return relay.Watch(context.Background(), discovery.Query{}) },
 			} {
 				u, err := read()
 				switch {
-				case missing == "" && (err != nil || u.Config == nil || len(u.Present) != 1):
+				case missing == "" && (err != nil || u.Config == nil || len(u.Endpoints) != 1):
 					t.Errorf("%s of a complete response: %v", call, err)
 				case missing != "" && err == nil:
 					t.Errorf("%s of a response without %s succeeded: %+v", call, missing, u.Config)
--- a/gossip/pack.go
+++ b/gossip/pack.go
@@ -11,8 +11,8 @@
 
 	"github.com/pkg/errors"
 
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // maxUnpacked bounds the decompressed size of a response part, in bytes.
@@ -22,10 +22,10 @@
 // followers at each change, and a large configuration is 750 KB uncompressed. It is safe for
 // concurrent use.
 type packer struct {
-	table *belief.Table
+	table *discovery.Table
 
 	mu       sync.Mutex
-	view     *belief.View     // for which the fields below were packed
+	view     *discovery.View  // for which the fields below were packed
 	full     *packed          // nil: not packed yet
 	partials map[int64]packed // changes by the revision that they follow
 	document *catalog.Document
@@ -36,13 +36,13 @@
 type packed struct {
 	revision int64
 	document *catalog.Document // nil if there is none
-	present  []byte            // compressed []belief.Record; nil if partial
+	present  []byte            // compressed []discovery.Record; nil if partial
 	partial  bool
-	changed  []byte // JSON []belief.Record
-	removed  []belief.Departure
+	changed  []byte // JSON []discovery.Record
+	removed  []discovery.Deletion
 	digest   uint64
 
-	evacuations []belief.Evacuation
+	evacuations []discovery.Evacuation
 }
 
 // maxPartial is the number of changed endpoints above which the full list is sent, whose
@@ -65,7 +65,7 @@
 	}
 	if p.full == nil {
 		u := p.table.Snapshot()
-		present, err := compress(u.Present)
+		present, err := compress(u.Endpoints)
 		if err != nil {
 			return packed{}, err
 		}
@@ -81,12 +81,12 @@
 		return part, true, nil
 	}
 	u, ok := p.table.Since(after)
-	if !ok || len(u.Present)+len(u.Gone) > maxPartial {
+	if !ok || len(u.Endpoints)+len(u.Deleted) > maxPartial {
 		return packed{}, false, nil
 	}
-	part = packed{revision: u.Revision, document: u.Config, partial: true, removed: u.Gone, digest: u.Digest, evacuations: u.Evacuations}
-	if len(u.Present) > 0 {
-		if part.changed, err = json.Marshal(u.Present); err != nil {
+	part = packed{revision: u.Revision, document: u.Config, partial: true, removed: u.Deleted, digest: u.Digest, evacuations: u.Evacuations}
+	if len(u.Endpoints) > 0 {
+		if part.changed, err = json.Marshal(u.Endpoints); err != nil {
 			return packed{}, false, errors.Wrap(err, "pack")
 		}
 	}
--- a/gossip/pack_test.go
+++ b/gossip/pack_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // largeTable returns a table whose configuration has 2800 routes.
-func largeTable(t *testing.T) *belief.Table {
+func largeTable(t *testing.T) *discovery.Table {
 	t.Helper()
 	d := &catalog.Document{Version: 3, Services: []catalog.Service{{Name: "app"}}}
 	for n := range 2800 {
@@ -21,8 +21,8 @@
 			Targets: []catalog.Target{{Service: "app", Weight: 1}},
 		})
 	}
-	table := belief.NewTable(time.Now)
-	if err := table.Apply(&belief.Update{Revision: 5, Whole: true, Proved: time.Now(), Config: d}); err != nil {
+	table := discovery.NewTable(time.Now)
+	if err := table.Apply(&discovery.Update{Revision: 5, Full: true, ValidatedAt: time.Now(), Config: d}); err != nil {
 		t.Fatal(err)
 	}
 	return table
@@ -55,7 +55,7 @@
 	if again := respond(0, 0, true); &again.Present[0] != &first.Present[0] || &again.Config[0] != &first.Config[0] {
 		t.Fatal("encoded again without a change")
 	}
-	if err := table.Apply(&belief.Update{Revision: 6, Proved: time.Now(), Present: []belief.Record{{Endpoint: catalog.Endpoint{ID: "e"}, Revision: 6}}}); err != nil {
+	if err := table.Apply(&discovery.Update{Revision: 6, ValidatedAt: time.Now(), Endpoints: []discovery.Record{{Endpoint: catalog.Endpoint{ID: "e"}, Revision: 6}}}); err != nil {
 		t.Fatal(err)
 	}
 	changed := respond(0, 0, false)
@@ -82,7 +82,7 @@
 
 func TestCorruptPackedPart(t *testing.T) {
 	for _, data := range [][]byte{{}, []byte("{}"), {0x1f, 0x8b}} {
-		var u belief.Update
+		var u discovery.Update
 		if err := (&stateResponse{Config: data}).unpack(&u); err == nil {
 			t.Errorf("%q accepted", data)
 		}
--- a/gossip/permit.go
+++ b/gossip/permit.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
+	"ivyridge/discovery"
 	"ivyridge/limit"
 )
 
@@ -32,8 +32,8 @@
 
 // requestPermit requests a permit for an endpoint and passes the answer to the balancer. It
 // returns the hash of the endpoint if the permit was granted, and zero otherwise.
-func (g *Gossip) requestPermit(ctx context.Context, e *belief.Endpoint, urgency int) uint32 {
-	endpoint, rateLimit, ok := g.Balancer.WantPermit(e, urgency)
+func (g *Gossip) requestPermit(ctx context.Context, e *discovery.Endpoint, urgency int) uint32 {
+	endpoint, rateLimit, ok := g.Balancer.BeginPermitRequest(e, urgency)
 	if !ok {
 		return 0
 	}
@@ -41,8 +41,8 @@
 	g.mu.Lock()
 	allocator := g.limitAllocator(requestedAt, endpoint, e.DataCentre)
 	g.mu.Unlock()
-	request := &PermitAsk{Endpoint: endpoint, DataCentre: e.DataCentre, Urgency: urgency, Limit: limitAt(&rateLimit, requestedAt)}
-	answer := limit.Answer{Wait: limit.NoPart}
+	request := &PermitRequest{Endpoint: endpoint, DataCentre: e.DataCentre, Urgency: urgency, Limit: limitAt(&rateLimit, requestedAt)}
+	answer := limit.Answer{Wait: limit.NoShareWait}
 	for range maxPermitHops {
 		if allocator == "" {
 			g.Count("permit-nobody")
@@ -58,17 +58,17 @@
 			g.Count("permit-unanswered")
 			break
 		}
-		answer = limit.Answer{Granted: p.Granted, Wait: p.Wait, Word: rateLimit}
+		answer = limit.Answer{Granted: p.Granted, Wait: p.Wait, State: rateLimit}
 		if p.Limit.Known {
-			answer.Word = p.Limit.Word(g.Now())
+			answer.State = p.Limit.State(g.Now())
 		}
-		if p.Divider == "" || p.Divider == allocator {
+		if p.Allocator == "" || p.Allocator == allocator {
 			break
 		}
 		g.Count("permit-redirected")
-		allocator = p.Divider
+		allocator = p.Allocator
 	}
-	g.Balancer.TakePermit(endpoint, urgency, answer, allocator, requestedAt)
+	g.Balancer.EndPermitRequest(endpoint, urgency, answer, allocator, requestedAt)
 	if !answer.Granted {
 		g.Count("permit-denied")
 		return 0
@@ -79,17 +79,19 @@
 
 // An abandonedRequest is a permit request whose caller stopped waiting for the answer.
 type abandonedRequest struct {
-	request   PermitAsk
+	request   PermitRequest
 	allocator string // address that it was sent to
 	sentAt    time.Time
 }
 
 // expired reports whether a permit that answers the request would no longer be valid.
-func (p *abandonedRequest) expired(now time.Time) bool { return now.Sub(p.sentAt) > balance.PermitFor }
+func (p *abandonedRequest) expired(now time.Time) bool {
+	return now.Sub(p.sentAt) > balance.PermitDuration
+}
 
 // finishPermitRequest removes a pending request. A request that was sent and not answered is
 // remembered, since the allocator may have charged a permit for it.
-func (g *Gossip) finishPermitRequest(a *PermitAsk, allocator string, sentAt time.Time, unanswered bool) {
+func (g *Gossip) finishPermitRequest(a *PermitRequest, allocator string, sentAt time.Time, unanswered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.limits.pending, a.Number)
@@ -106,21 +108,21 @@
 
 // requestPermitFrom sends a permit request to an address, and reports whether it was answered in
 // time.
-func (g *Gossip) requestPermitFrom(ctx context.Context, address string, a *PermitAsk) (p Permit, answered bool) {
+func (g *Gossip) requestPermitFrom(ctx context.Context, address string, a *PermitRequest) (p PermitResponse, answered bool) {
 	g.mu.Lock()
 	to, ok := g.resolve(address)
 	member := g.members.byAddress[address]
 	ok = ok && member != nil && member.protocol >= protocolLimits // older versions would take the request for a heartbeat
 	g.requestNumber++
 	a.Number = g.requestNumber
-	reply := make(chan Permit, 1)
+	reply := make(chan PermitResponse, 1)
 	g.limits.pending[a.Number] = reply
 	g.mu.Unlock()
 	sentAt := g.Now()
 	sent := false
 	defer func() { g.finishPermitRequest(a, address, sentAt, sent && !answered) }()
-	if !ok || !g.sendDirect(&Message{Sender: g.id, DataCentre: g.DataCentre, PermitAsk: a}, to) {
-		return Permit{}, false
+	if !ok || !g.sendDirect(&Message{Sender: g.id, DataCentre: g.DataCentre, PermitRequest: a}, to) {
+		return PermitResponse{}, false
 	}
 	sent = true
 	timer := time.NewTimer(requestTimeout)
@@ -131,7 +133,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return Permit{}, false
+	return PermitResponse{}, false
 }
 
 // sendDirect sends a request or an answer to one instance.
@@ -145,31 +147,31 @@
 
 // allocate answers a permit request, and returns the address of the allocator if that is another
 // instance.
-func (g *Gossip) allocate(a *PermitAsk) (answer limit.Answer, allocator string) {
+func (g *Gossip) allocate(a *PermitRequest) (answer limit.Answer, allocator string) {
 	now := g.Now()
-	rateLimit := a.Limit.Word(now)
-	rateLimit.Merge(g.Balancer.Word(a.Endpoint))
+	rateLimit := a.Limit.State(now)
+	rateLimit.Merge(g.Balancer.LimitState(a.Endpoint))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	allocator = g.limitAllocator(now, a.Endpoint, a.DataCentre)
 	if allocator != g.Address {
-		return limit.Answer{Wait: limit.NoPart, Word: rateLimit}, allocator
+		return limit.Answer{Wait: limit.NoShareWait, State: rateLimit}, allocator
 	}
 	share := g.limitShare(now, a.DataCentre)
 	return g.limits.allocator.Ask(a.Endpoint, rateLimit, share, a.Urgency, now, rand.Float64()), ""
 }
 
 // answerPermitRequest answers a permit request of another instance.
-func (g *Gossip) answerPermitRequest(to netip.AddrPort, a *PermitAsk) {
+func (g *Gossip) answerPermitRequest(to netip.AddrPort, a *PermitRequest) {
 	answer, allocator := g.allocate(a)
 	now := g.Now()
-	p := &Permit{Number: a.Number, Granted: answer.Granted, Wait: answer.Wait, Divider: allocator, Limit: limitAt(&answer.Word, now)}
-	g.sendDirect(&Message{Sender: g.id, DataCentre: g.DataCentre, Permit: p}, to)
+	p := &PermitResponse{Number: a.Number, Granted: answer.Granted, Wait: answer.Wait, Allocator: allocator, Limit: limitAt(&answer.State, now)}
+	g.sendDirect(&Message{Sender: g.id, DataCentre: g.DataCentre, PermitResponse: p}, to)
 	g.Count("permits")
 }
 
 // deliverPermit passes an answer to the request that waits for it.
-func (g *Gossip) deliverPermit(p *Permit) {
+func (g *Gossip) deliverPermit(p *PermitResponse) {
 	g.mu.Lock()
 	if reply := g.limits.pending[p.Number]; reply != nil {
 		select {
@@ -189,7 +191,7 @@
 	}
 	// The caller has given up, but the permit was charged to the limit. Keep it for the next
 	// request.
-	answer := limit.Answer{Granted: true, Word: p.Limit.Word(now)}
-	g.Balancer.TakePermit(abandoned.request.Endpoint, abandoned.request.Urgency, answer, abandoned.allocator, abandoned.sentAt)
+	answer := limit.Answer{Granted: true, State: p.Limit.State(now)}
+	g.Balancer.EndPermitRequest(abandoned.request.Endpoint, abandoned.request.Urgency, answer, abandoned.allocator, abandoned.sentAt)
 	g.Count("permit-late-kept")
 }
--- a/gossip/permit_message.go
+++ b/gossip/permit_message.go
@@ -12,22 +12,22 @@
 	"ivyridge/limit"
 )
 
-// A PermitAsk requests a permit to send one request to an endpoint.
-type PermitAsk struct {
+// A PermitRequest requests a permit to send one request to an endpoint.
+type PermitRequest struct {
 	Number     uint64 // returned in the answer
 	Endpoint   uint32 // balance.EndpointHash of the endpoint's incarnation
 	DataCentre string // of the endpoint
 	Urgency    int    // priority level of the request, below limit.Levels
-	Limit      balance.ToldLimit
+	Limit      balance.ReportedLimit
 }
 
-// A Permit is the answer to a permit request.
-type Permit struct {
-	Number  uint64
-	Granted bool
-	Wait    time.Duration // if not granted: delay before the next request
-	Divider string        // gossip address of the instance that allocates the limit, if it isn't the sender
-	Limit   balance.ToldLimit
+// A PermitResponse is the answer to a permit request.
+type PermitResponse struct {
+	Number    uint64
+	Granted   bool
+	Wait      time.Duration // if not granted: delay before the next request
+	Allocator string        // gossip address of the instance that allocates the limit, if it isn't the sender
+	Limit     balance.ReportedLimit
 }
 
 // Field numbers of permit requests, their answers and limits.
@@ -39,14 +39,14 @@
 	fieldPermitLimit      protowire.Number = 5
 	fieldPermitGranted    protowire.Number = 6
 	fieldPermitWait       protowire.Number = 7 // microseconds
-	fieldPermitDivider    protowire.Number = 8
+	fieldPermitAllocator  protowire.Number = 8
 
 	fieldLimitNamed protowire.Number = 1
 	fieldLimitRate  protowire.Number = 2 // as float64 bits
 	fieldLimitAge   protowire.Number = 3 // microseconds
 )
 
-func (a *PermitAsk) append(b []byte) []byte {
+func (a *PermitRequest) append(b []byte) []byte {
 	b = appendUint(b, fieldPermitNumber, a.Number)
 	b = appendFixed(b, fieldPermitEndpoint, a.Endpoint)
 	b = appendBytes(b, fieldPermitDataCentre, []byte(a.DataCentre))
@@ -54,7 +54,7 @@
 	return appendLimit(b, fieldPermitLimit, &a.Limit)
 }
 
-func (a *PermitAsk) decode(b []byte) error {
+func (a *PermitRequest) decode(b []byte) error {
 	return eachField(b, func(f field) (err error) {
 		switch f.number {
 		case fieldPermitNumber:
@@ -72,17 +72,17 @@
 	})
 }
 
-func (p *Permit) append(b []byte) []byte {
+func (p *PermitResponse) append(b []byte) []byte {
 	b = appendUint(b, fieldPermitNumber, p.Number)
 	b = appendUint(b, fieldPermitGranted, protowire.EncodeBool(p.Granted))
 	b = appendUint(b, fieldPermitWait, microseconds(p.Wait))
-	if p.Divider != "" {
-		b = appendBytes(b, fieldPermitDivider, []byte(p.Divider))
+	if p.Allocator != "" {
+		b = appendBytes(b, fieldPermitAllocator, []byte(p.Allocator))
 	}
 	return appendLimit(b, fieldPermitLimit, &p.Limit)
 }
 
-func (p *Permit) decode(b []byte) error {
+func (p *PermitResponse) decode(b []byte) error {
 	return eachField(b, func(f field) (err error) {
 		switch f.number {
 		case fieldPermitNumber:
@@ -91,8 +91,8 @@
 			p.Granted = f.value != 0
 		case fieldPermitWait:
 			p.Wait = fromMicroseconds(f.value)
-		case fieldPermitDivider:
-			p.Divider = string(f.bytes)
+		case fieldPermitAllocator:
+			p.Allocator = string(f.bytes)
 		case fieldPermitLimit:
 			p.Limit, err = decodeLimit(f.bytes)
 		}
@@ -101,23 +101,23 @@
 }
 
 // appendLimit appends a limit as a field, if it is known.
-func appendLimit(b []byte, n protowire.Number, t *balance.ToldLimit) []byte {
+func appendLimit(b []byte, n protowire.Number, t *balance.ReportedLimit) []byte {
 	if !t.Known {
 		return b
 	}
-	limit := appendUint(nil, fieldLimitNamed, protowire.EncodeBool(t.Named))
+	limit := appendUint(nil, fieldLimitNamed, protowire.EncodeBool(t.Limited))
 	limit = appendUint(limit, fieldLimitRate, math.Float64bits(t.Rate))
 	limit = appendUint(limit, fieldLimitAge, microseconds(t.Age))
 	return appendBytes(b, n, limit)
 }
 
 // decodeLimit decodes a limit. A negative or non-finite rate yields an unknown limit.
-func decodeLimit(b []byte) (balance.ToldLimit, error) {
-	t := balance.ToldLimit{Known: true}
+func decodeLimit(b []byte) (balance.ReportedLimit, error) {
+	t := balance.ReportedLimit{Known: true}
 	err := eachField(b, func(f field) error {
 		switch f.number {
 		case fieldLimitNamed:
-			t.Named = f.value != 0
+			t.Limited = f.value != 0
 		case fieldLimitRate:
 			t.Rate = math.Float64frombits(f.value)
 		case fieldLimitAge:
@@ -126,15 +126,15 @@
 		return nil
 	})
 	if math.IsNaN(t.Rate) || math.IsInf(t.Rate, 0) || t.Rate < 0 {
-		return balance.ToldLimit{}, err
+		return balance.ReportedLimit{}, err
 	}
 	return t, err
 }
 
 // limitAt converts a limit to its wire form, with its age at now.
-func limitAt(w *limit.Word, now time.Time) balance.ToldLimit {
+func limitAt(w *limit.State, now time.Time) balance.ReportedLimit {
 	if !w.Known() {
-		return balance.ToldLimit{}
+		return balance.ReportedLimit{}
 	}
-	return balance.ToldLimit{Known: true, Named: w.Named, Rate: w.Rate, Age: max(0, now.Sub(w.At))}
+	return balance.ReportedLimit{Known: true, Limited: w.Limited, Rate: w.Rate, Age: max(0, now.Sub(w.AsOf))}
 }
--- a/gossip/permit_test.go
+++ b/gossip/permit_test.go
@@ -57,11 +57,11 @@
 // request has an instance request a permit from the allocator that it knows, and from the one
 // that this names.
 func (c *permitClients) request(n *node) {
-	a := &PermitAsk{Endpoint: permitEndpoint, DataCentre: "dc1", Urgency: 2, Limit: balance.ToldLimit{Known: true, Named: true, Rate: c.rate}}
+	a := &PermitRequest{Endpoint: permitEndpoint, DataCentre: "dc1", Urgency: 2, Limit: balance.ReportedLimit{Known: true, Limited: true, Rate: c.rate}}
 	n.mu.Lock()
 	to := n.limitAllocator(c.w.now, a.Endpoint, a.DataCentre)
 	n.mu.Unlock()
-	answer := limit.Answer{Wait: limit.NoPart}
+	answer := limit.Answer{Wait: limit.NoShareWait}
 	for range maxPermitHops {
 		other := c.w.byAddress(to)
 		if other == nil || !c.w.reaches(n, other) || !c.w.reaches(other, n) {
@@ -294,22 +294,22 @@
 // Permit requests, permits and limits survive encoding and decoding; an invalid rate decodes as
 // no limit.
 func TestPermitMessageRoundTrip(t *testing.T) {
-	lim := balance.ToldLimit{Known: true, Named: true, Rate: 1.2, Age: 1500 * time.Millisecond}
-	m := &Message{Sender: 1, DataCentre: "a", Divides: true,
-		PermitAsk: &PermitAsk{Number: 7, Endpoint: 99, DataCentre: "b", Urgency: 2, Limit: lim}}
+	lim := balance.ReportedLimit{Known: true, Limited: true, Rate: 1.2, Age: 1500 * time.Millisecond}
+	m := &Message{Sender: 1, DataCentre: "a", AllocatesLimits: true,
+		PermitRequest: &PermitRequest{Number: 7, Endpoint: 99, DataCentre: "b", Urgency: 2, Limit: lim}}
 	got, err := Decode(m.Append(nil))
-	if err != nil || !got.Divides || *got.PermitAsk != *m.PermitAsk {
+	if err != nil || !got.AllocatesLimits || *got.PermitRequest != *m.PermitRequest {
 		t.Errorf("got %+v, %v", got, err)
 	}
-	m = &Message{Sender: 1, Permit: &Permit{Number: 7, Granted: true, Wait: time.Second, Divider: "10.0.0.1:1", Limit: lim},
+	m = &Message{Sender: 1, PermitResponse: &PermitResponse{Number: 7, Granted: true, Wait: time.Second, Allocator: "10.0.0.1:1", Limit: lim},
 		Reports: []balance.Report{{Endpoint: 5, Limit: lim}, {Endpoint: 6}}}
 	got, err = Decode(m.Append(nil))
-	if err != nil || *got.Permit != *m.Permit || got.Reports[0].Limit != lim || got.Reports[1].Limit.Known {
+	if err != nil || *got.PermitResponse != *m.PermitResponse || got.Reports[0].Limit != lim || got.Reports[1].Limit.Known {
 		t.Errorf("got %+v, %v", got, err)
 	}
-	m.Permit.Limit.Rate = -1
-	if got, err = Decode(m.Append(nil)); err != nil || got.Permit.Limit.Known {
-		t.Errorf("got %+v, %v", got.Permit, err)
+	m.PermitResponse.Limit.Rate = -1
+	if got, err = Decode(m.Append(nil)); err != nil || got.PermitResponse.Limit.Known {
+		t.Errorf("got %+v, %v", got.PermitResponse, err)
 	}
 }
 
@@ -318,9 +318,9 @@
 func BenchmarkPermit(b *testing.B) {
 	w := newSimulation(b, 120, 6)
 	w.run(10 * time.Second)
-	request := &PermitAsk{Endpoint: permitEndpoint, DataCentre: "dc1", Urgency: 2, Limit: balance.ToldLimit{Known: true, Named: true, Rate: 1.2, Age: time.Second}}
+	request := &PermitRequest{Endpoint: permitEndpoint, DataCentre: "dc1", Urgency: 2, Limit: balance.ReportedLimit{Known: true, Limited: true, Rate: 1.2, Age: time.Second}}
 	allocator := w.byAddress(w.nodes[0].limitAllocator(w.now, request.Endpoint, request.DataCentre))
-	data := (&Message{Sender: 7, DataCentre: "dc1", PermitAsk: request}).Append(nil)
+	data := (&Message{Sender: 7, DataCentre: "dc1", PermitRequest: request}).Append(nil)
 	b.ReportAllocs()
 	for b.Loop() {
 		m, err := Decode(data)
--- a/gossip/placement.go
+++ b/gossip/placement.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
+	"ivyridge/discovery"
 	"ivyridge/quota"
 )
 
@@ -33,9 +33,9 @@
 // Place chooses an endpoint for a request, or refuses it. The choice is made by a scheduler if
 // this instance uses one, and by this instance itself otherwise or if no scheduler answers in
 // time. Both results are nil if no endpoint may take the request.
-func (g *Gossip) Place(ctx context.Context, endpoints []*belief.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
+func (g *Gossip) Place(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
 	p, refusal := g.placeWithPermits(ctx, endpoints, d)
-	if refusal == nil || refusal.Cause != balance.RetriesSpent || !g.borrow(ctx, d) {
+	if refusal == nil || refusal.Cause != balance.RetryBudgetExhausted || !g.borrow(ctx, d) {
 		return p, refusal
 	}
 	paid := *d
@@ -46,7 +46,7 @@
 // placeWithPermits is Place without borrowed retries. If the best endpoint is rate-limited it
 // requests a permit and chooses again; endpoints whose permit was denied are excluded for a
 // while.
-func (g *Gossip) placeWithPermits(ctx context.Context, endpoints []*belief.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
+func (g *Gossip) placeWithPermits(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
 	for range maxPermitRequests {
 		p, refusal, charged := g.choose(ctx, endpoints, d)
 		if refusal == nil || refusal.Cause != balance.PermitWanted {
@@ -57,7 +57,7 @@
 			d = withoutCharges(d)
 		}
 		offered := *d
-		offered.Offered, offered.Permit = true, permit
+		offered.Counted, offered.Permit = true, permit
 		d = &offered
 	}
 	final := *d
@@ -68,17 +68,17 @@
 
 // choose has a scheduler or this instance's balancer choose an endpoint. It reports whether a
 // scheduler has already charged the request.
-func (g *Gossip) choose(ctx context.Context, endpoints []*belief.Endpoint, d *balance.Demand) (p *balance.Placement, refusal *balance.Refusal, charged bool) {
+func (g *Gossip) choose(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (p *balance.Placement, refusal *balance.Refusal, charged bool) {
 	if scheduler, choice, ok := g.askScheduler(ctx, d); ok {
 		if choice.Refusal != nil {
 			g.Count("granted-refusal")
-			choice.Refusal.Chooser = scheduler
+			choice.Refusal.Scheduler = scheduler
 			return nil, choice.Refusal, true
 		}
 		p, permitRefusal := g.Balancer.Adopt(choice, endpoints, d)
 		if p != nil {
 			g.Count("granted")
-			p.Chooser = scheduler
+			p.Scheduler = scheduler
 			return p, nil, true
 		}
 		if permitRefusal != nil {
@@ -96,7 +96,7 @@
 // credited to, the retry budget.
 func withoutCharges(d *balance.Demand) *balance.Demand {
 	uncharged := *d
-	uncharged.Earns, uncharged.Retry = quota.EarnsNothing, balance.NoRetry
+	uncharged.Deposit, uncharged.Retry = quota.DepositNone, balance.NoRetry
 	return &uncharged
 }
 
@@ -105,8 +105,8 @@
 	switch {
 	case d.Retry != balance.NoRetry:
 		return protocolRetries
-	case d.Homes.Bound():
-		return protocolHomes
+	case d.Residency.Restricted():
+		return protocolResidency
 	}
 	return 0
 }
@@ -142,7 +142,7 @@
 
 // requestFrom sends a placement request to an address, and waits for the answer for the given
 // time.
-func (g *Gossip) requestFrom(ctx context.Context, address string, a *Ask, timeout time.Duration) (balance.Choice, requestOutcome) {
+func (g *Gossip) requestFrom(ctx context.Context, address string, a *PlacementRequest, timeout time.Duration) (balance.Choice, requestOutcome) {
 	g.mu.Lock()
 	to, ok := g.resolve(address)
 	g.requestNumber++
@@ -154,7 +154,7 @@
 	if !ok {
 		return balance.Choice{}, requestNotSent
 	}
-	m := Message{Sender: g.id, DataCentre: g.DataCentre, Ask: a}
+	m := Message{Sender: g.id, DataCentre: g.DataCentre, PlacementRequest: a}
 	if _, err := g.conn.WriteToUDPAddrPort(m.Append(make([]byte, 0, requestBytes)), to); err != nil {
 		g.Count("send-failed")
 		return balance.Choice{}, requestNotSent
@@ -175,12 +175,12 @@
 // requestBytes is the buffer size that fits most requests and answers.
 const requestBytes = 256
 
-func (g *Gossip) newRequest(d *balance.Demand) *Ask {
-	return &Ask{
-		Service: d.Service.Name, Priority: d.Priority, Objective: d.Objective, Pause: d.Pause, Deadline: d.Deadline,
+func (g *Gossip) newRequest(d *balance.Demand) *PlacementRequest {
+	return &PlacementRequest{
+		Service: d.Service.Name, Priority: d.Priority, Objective: d.Objective, MaxGap: d.MaxGap, Deadline: d.Deadline,
 		Prompt: d.Prompt, Output: d.Output, Parts: d.Parts, Sent: d.Sent,
-		Team: d.Team, Homes: d.Homes, Bytes: d.Bytes, Retry: d.Retry, Earns: d.Earns, Suspect: d.Suspect,
-		Avoid: slices.Concat(g.Balancer.Unreachable(), g.Balancer.Resting(d), d.Avoid),
+		Team: d.Team, Residency: d.Residency, Bytes: d.Bytes, Retry: d.Retry, Deposit: d.Deposit, Suspect: d.Suspect,
+		Avoid: slices.Concat(g.Balancer.Unreachable(), g.Balancer.ClosedEndpoints(d), d.Avoid),
 	}
 }
 
@@ -229,23 +229,23 @@
 }
 
 // answerRequest answers a placement request of another instance.
-func (g *Gossip) answerRequest(to netip.AddrPort, instance uint64, a *Ask) {
-	m := Message{Sender: g.id, DataCentre: g.DataCentre, Grant: &Grant{Number: a.Number}}
-	view := g.Beliefs.View()
+func (g *Gossip) answerRequest(to netip.AddrPort, instance uint64, a *PlacementRequest) {
+	m := Message{Sender: g.id, DataCentre: g.DataCentre, PlacementResponse: &PlacementResponse{Number: a.Number}}
+	view := g.State.View()
 	if view.Catalog != nil {
 		service := view.Catalog.Service(a.Service)
 		switch {
 		case service == nil:
-		case a.Lend:
-			m.Grant.Choice.Lent = g.Balancer.PayRetry(a.Service, a.Retry)
+		case a.ChargeRetry:
+			m.PlacementResponse.Choice.RetryCharged = g.Balancer.ChargeRetry(a.Service, a.Retry)
 		default:
 			endpoints := view.Endpoints(a.Service)
 			d := &balance.Demand{
-				Service: service, Priority: a.Priority, Objective: a.Objective, Pause: a.Pause, Deadline: a.Deadline,
+				Service: service, Priority: a.Priority, Objective: a.Objective, MaxGap: a.MaxGap, Deadline: a.Deadline,
 				Prompt: a.Prompt, Output: a.Output, Parts: a.Parts, Avoid: a.Avoid, Sent: a.Sent,
-				Team: a.Team, Homes: a.Homes, Bytes: a.Bytes, Retry: a.Retry, Earns: a.Earns, Suspect: a.Suspect,
+				Team: a.Team, Residency: a.Residency, Bytes: a.Bytes, Retry: a.Retry, Deposit: a.Deposit, Suspect: a.Suspect,
 			}
-			m.Grant.Choice = g.Balancer.Grant(instance, endpoints, d)
+			m.PlacementResponse.Choice = g.Balancer.Grant(instance, endpoints, d)
 		}
 	}
 	if _, err := g.conn.WriteToUDPAddrPort(m.Append(make([]byte, 0, requestBytes)), to); err != nil {
@@ -256,7 +256,7 @@
 }
 
 // deliverAnswer passes an answer to the request that waits for it.
-func (g *Gossip) deliverAnswer(m *Grant) {
+func (g *Gossip) deliverAnswer(m *PlacementResponse) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if reply := g.pending[m.Number]; reply != nil {
--- a/gossip/placement_test.go
+++ b/gossip/placement_test.go
@@ -10,14 +10,14 @@
 	"go.uber.org/zap"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // A dataCentre has a scheduler and an instance that sends requests to it, over real UDP sockets.
 type dataCentre struct {
 	scheduler, client *Gossip
-	endpoints         []*belief.Endpoint
+	endpoints         []*discovery.Endpoint
 	demand            *balance.Demand
 }
 
@@ -26,14 +26,14 @@
 	d := &dataCentre{scheduler: listen(t, 1), client: listen(t, 9)}
 	// Add further schedulers that never answer, so that the second instance isn't a scheduler.
 	now := time.Now()
-	m := &Message{Sender: 1, DataCentre: "z", Cores: 3, Warm: true, Next: time.Minute}
+	m := &Message{Sender: 1, DataCentre: "z", Cores: 3, WarmedUp: true, NextWithin: time.Minute}
 	d.client.members.observe(now, d.scheduler.conn.(*net.UDPConn).LocalAddr().String(), m, time.Time{})
 	for id := uint64(2); id < 2+schedulersPerDataCentre; id++ {
 		silent := listen(t, id)
-		m := &Message{Sender: id, DataCentre: "z", Cores: 2, Warm: true, Next: time.Minute}
+		m := &Message{Sender: id, DataCentre: "z", Cores: 2, WarmedUp: true, NextWithin: time.Minute}
 		d.client.members.observe(now, silent.conn.(*net.UDPConn).LocalAddr().String(), m, time.Time{})
 	}
-	d.endpoints = d.client.Beliefs.View().Endpoints("s")
+	d.endpoints = d.client.State.View().Endpoints("s")
 	d.demand = &balance.Demand{Service: &catalog.Service{Name: "s"}}
 	return d
 }
@@ -45,17 +45,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	table := belief.NewTable(time.Now)
-	u := &belief.Update{Revision: 1, Whole: true, Proved: time.Now(), Config: &catalog.Document{Version: 1, Services: []catalog.Service{{Name: "s"}}}}
+	table := discovery.NewTable(time.Now)
+	u := &discovery.Update{Revision: 1, Full: true, ValidatedAt: time.Now(), Config: &catalog.Document{Version: 1, Services: []catalog.Service{{Name: "s"}}}}
 	for i := range 4 {
-		u.Present = append(u.Present, belief.Record{Endpoint: catalog.Endpoint{ID: fmt.Sprint(i), Service: "s", Slots: 4}, Revision: 1})
+		u.Endpoints = append(u.Endpoints, discovery.Record{Endpoint: catalog.Endpoint{ID: fmt.Sprint(i), Service: "s", Slots: 4}, Revision: 1})
 	}
 	if err := table.Apply(u); err != nil {
 		t.Fatal(err)
 	}
 	return newGossip(Options{
-		Address: "own", DataCentre: "z", Cores: 1, Beliefs: table, Balancer: balance.New("z", time.Now), Log: zap.NewNop(),
-		Count: func(string) {}, Now: time.Now, Instances: func(int, time.Duration) {},
+		Address: "own", DataCentre: "z", Cores: 1, State: table, Balancer: balance.New("z", time.Now), Log: zap.NewNop(),
+		Count: func(string) {}, Now: time.Now, OnFleetSize: func(int, time.Duration) {},
 	}, id, conn)
 }
 
@@ -102,7 +102,7 @@
 // A scheduler without a configuration grants nothing, and the instance chooses by itself.
 func TestSchedulerWithoutConfiguration(t *testing.T) {
 	d := newDataCentre(t)
-	d.scheduler.Beliefs = belief.NewTable(time.Now)
+	d.scheduler.State = discovery.NewTable(time.Now)
 	go d.scheduler.receive()
 	go d.client.receive()
 	if p, _ := d.client.Place(context.Background(), d.endpoints, d.demand); p == nil {
@@ -119,7 +119,7 @@
 	d := newDataCentre(t)
 	engine := &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 2, MemoryTokens: 100_000}}
 	document := &catalog.Document{Version: 2, Services: []catalog.Service{*engine}}
-	if err := d.scheduler.Beliefs.Apply(&belief.Update{Revision: 2, Proved: time.Now(), Config: document}); err != nil {
+	if err := d.scheduler.State.Apply(&discovery.Update{Revision: 2, ValidatedAt: time.Now(), Config: document}); err != nil {
 		t.Fatal(err)
 	}
 	d.demand = &balance.Demand{Service: engine, Objective: 50 * time.Millisecond, Prompt: 20_000, Output: 100}
--- a/gossip/region_message.go
+++ b/gossip/region_message.go
@@ -10,48 +10,48 @@
 
 // Field numbers of the cross-region part of a Message.
 const (
-	fieldRegionOf  protowire.Number = 25
-	fieldHearsHome protowire.Number = 26
-	fieldHeld      protowire.Number = 28 // microseconds
-	fieldStays     protowire.Number = 27
+	fieldRegion     protowire.Number = 25
+	fieldRegionSize protowire.Number = 26
+	fieldTokenHeld  protowire.Number = 28 // microseconds
+	fieldRestricted protowire.Number = 27
 )
 
 // A RegionMessage is the cross-region part of a Message.
 type RegionMessage struct {
-	// RegionOf is set if Sums and Notices aggregate a whole region. Older versions ignore such
-	// sums because they name no data centre.
-	RegionOf string
-	// HearsHome is the number of live instances of the sender's region that it receives from,
+	// Region is set if Aggregates and Notices cover a whole region. Older versions ignore such
+	// aggregates because they name no data centre.
+	Region string
+	// RegionSize is the number of live instances of the sender's region that it receives from,
 	// itself included.
-	HearsHome int
-	// Held is how long the sender has held the token that it echoes; zero: not sent.
-	Held time.Duration
-	// Stays is set if prompt parts in the notices must not leave the region.
-	Stays bool
+	RegionSize int
+	// TokenHeld is how long the sender has held the token that it echoes; zero: not sent.
+	TokenHeld time.Duration
+	// Restricted is set if prompt parts in the notices must not leave the region.
+	Restricted bool
 }
 
 func (m *RegionMessage) append(b []byte) []byte {
-	if m.RegionOf != "" {
-		b = appendBytes(b, fieldRegionOf, []byte(m.RegionOf))
+	if m.Region != "" {
+		b = appendBytes(b, fieldRegion, []byte(m.Region))
 	}
-	b = appendUint(b, fieldHearsHome, uint64(max(0, m.HearsHome)))
-	return appendUint(b, fieldStays, protowire.EncodeBool(m.Stays))
+	b = appendUint(b, fieldRegionSize, uint64(max(0, m.RegionSize)))
+	return appendUint(b, fieldRestricted, protowire.EncodeBool(m.Restricted))
 }
 
 func (m *RegionMessage) decode(f field) {
 	switch f.number {
-	case fieldRegionOf:
-		m.RegionOf = string(f.bytes)
-	case fieldHearsHome:
-		m.HearsHome = boundedCount(f.value)
-	case fieldHeld:
-		m.Held = fromMicroseconds(f.value)
-	case fieldStays:
-		m.Stays = f.value != 0
+	case fieldRegion:
+		m.Region = string(f.bytes)
+	case fieldRegionSize:
+		m.RegionSize = boundedCount(f.value)
+	case fieldTokenHeld:
+		m.TokenHeld = fromMicroseconds(f.value)
+	case fieldRestricted:
+		m.Restricted = f.value != 0
 	}
 }
 
 // appendHeld appends how long the echoed token was held, which differs between receivers.
 func appendHeld(b []byte, held time.Duration) []byte {
-	return appendUint(b, fieldHeld, microseconds(held))
+	return appendUint(b, fieldTokenHeld, microseconds(held))
 }
--- a/gossip/regions.go
+++ b/gossip/regions.go
@@ -109,7 +109,7 @@
 func (s *members) setRegions(regions balance.Regions) {
 	s.regions = regions
 	for a := range regions {
-		s.multiRegion = s.multiRegion || regions.Between(a, s.self.DataCentre) == balance.Beyond
+		s.multiRegion = s.multiRegion || regions.Between(a, s.self.DataCentre) == balance.OtherRegion
 	}
 }
 
@@ -166,11 +166,11 @@
 // The caller holds g.mu.
 func (g *Gossip) collectNotices(now time.Time, m *Message) {
 	r := g.members.currentRoles(now)
-	if !r.isGateway || m.Level < protocolRegions || m.RegionOf != "" || len(m.Notices) == 0 || g.Regions[m.DataCentre] != g.Regions[g.DataCentre] {
+	if !r.isGateway || m.Protocol < protocolRegions || m.Region != "" || len(m.Notices) == 0 || g.Regions[m.DataCentre] != g.Regions[g.DataCentre] {
 		return
 	}
 	notices := m.Notices
-	if m.Stays {
+	if m.Restricted {
 		notices = bindToRegion(notices, g.Regions[g.DataCentre])
 	}
 	g.holdForGateways(r, notices)
@@ -180,7 +180,7 @@
 func bindToRegion(notices []balance.Notice, region string) []balance.Notice {
 	out := append([]balance.Notice(nil), notices...)
 	for i := range out {
-		out[i].Homes = catalog.NewHomes([]string{region})
+		out[i].Residency = catalog.NewResidency([]string{region})
 	}
 	return out
 }
@@ -198,7 +198,7 @@
 		return
 	}
 	full := now.Sub(group.lastFull) >= fullAggregateInterval
-	sums, upTo, ownUpTo := g.Balancer.SumsWithOwn(g.inRegion(r), full, group.sentUpTo, g.crossRegion.ownSentUpTo)
+	sums, upTo, ownUpTo := g.Balancer.AggregateReportsWithOwn(g.inRegion(r), full, group.sentUpTo, g.crossRegion.ownSentUpTo)
 	group.sentUpTo, g.crossRegion.ownSentUpTo = upTo, ownUpTo
 	notices := g.crossRegion.notices
 	g.crossRegion.notices = nil
@@ -210,7 +210,7 @@
 		group.lastFull = now
 	}
 	for _, other := range r.otherGateways {
-		allowed := balance.Withhold(notices, g.Regions[other.DataCentre])
+		allowed := balance.RedactParts(notices, g.Regions[other.DataCentre])
 		g.sendRegionState(now, g.Regions[g.DataCentre], sums, full, allowed, []*Member{other})
 	}
 }
@@ -233,7 +233,7 @@
 }
 
 // regionInterval returns the pause between messages to another region in a fleet of n instances.
-func regionInterval(n int) time.Duration { return max(minRegionInterval, balance.ReportEvery(n)) }
+func regionInterval(n int) time.Duration { return max(minRegionInterval, balance.ReportInterval(n)) }
 
 // inRegion returns a function that reports whether an ID stands for an instance or an aggregate
 // of this region.
@@ -257,10 +257,10 @@
 func (g *Gossip) sendRegionState(now time.Time, region string, sums []balance.Report, full bool, notices []balance.Notice, to []*Member) {
 	for first := true; first || len(sums) > 0 || len(notices) > 0; first = false {
 		m := g.newMessage(now)
-		m.Next = maxQuiet
-		m.RegionOf, m.SumsWhole = region, full
+		m.NextWithin = maxQuiet
+		m.Region, m.AggregatesComplete = region, full
 		n := min((maxDatagram-headerBytes)/aggregateBytes, len(sums))
-		m.Sums, sums = sums[:n], sums[n:]
+		m.Aggregates, sums = sums[:n], sums[n:]
 		n = min((maxDatagram-headerBytes-n*aggregateBytes)/noticeBytes, len(notices))
 		m.Notices, notices = notices[:n], notices[n:]
 		g.send(m, addresses(to))
@@ -274,10 +274,10 @@
 // g.mu.
 func (g *Gossip) handleRegionState(now time.Time, m *Message) {
 	own := g.Regions[g.DataCentre]
-	if m.RegionOf == "" || m.RegionOf == own || !g.knownRegion(m.RegionOf) {
+	if m.Region == "" || m.Region == own || !g.knownRegion(m.Region) {
 		return
 	}
-	g.Balancer.Merge(regionKey(m.RegionOf), nil, m.Sums, m.SumsWhole)
+	g.Balancer.Merge(regionKey(m.Region), nil, m.Aggregates, m.AggregatesComplete)
 	r := g.members.currentRoles(now)
 	if m.DataCentre == g.DataCentre || !r.isScheduler {
 		return
@@ -287,7 +287,7 @@
 		to = append(to, r.regionFirsts...)
 	}
 	if len(to) > 0 {
-		g.sendRegionState(now, m.RegionOf, m.Sums, m.SumsWhole, m.Notices, to)
+		g.sendRegionState(now, m.Region, m.Aggregates, m.AggregatesComplete, m.Notices, to)
 	}
 }
 
@@ -319,7 +319,7 @@
 func (g *Gossip) sendBoundNotices(m *Message, notices []balance.Notice, to []*Member) (others []balance.Notice) {
 	var bound []balance.Notice
 	for _, n := range notices {
-		if len(n.Parts) > 0 && n.Homes.Bound() {
+		if len(n.Parts) > 0 && n.Residency.Restricted() {
 			bound = append(bound, n)
 		} else {
 			others = append(others, n)
@@ -327,7 +327,7 @@
 	}
 	if len(bound) > 0 {
 		boundMessage := *m
-		boundMessage.Reports, boundMessage.Whole, boundMessage.Peers, boundMessage.Stays = nil, false, nil, true
+		boundMessage.Reports, boundMessage.Complete, boundMessage.Peers, boundMessage.Restricted = nil, false, nil, true
 		g.sendNoticeDatagrams(&boundMessage, bound, to)
 	}
 	return others
@@ -335,19 +335,19 @@
 
 // Kinds of messages, for byte counts.
 const (
-	kindHeartbeat = "heartbeat"
-	kindLoad      = "load"   // load reports and notices of an instance
-	kindSums      = "sums"   // aggregate of a data centre
-	kindRegion    = "region" // aggregate and notices of a region
+	kindHeartbeat  = "heartbeat"
+	kindLoad       = "load"   // load reports and notices of an instance
+	kindAggregates = "sums"   // aggregate of a data centre
+	kindRegion     = "region" // aggregate and notices of a region
 )
 
 func (m *Message) kind() string {
 	switch {
-	case m.RegionOf != "":
+	case m.Region != "":
 		return kindRegion
-	case m.SumsOf != "":
-		return kindSums
-	case m.Whole || len(m.Reports) > 0 || len(m.Notices) > 0:
+	case m.AggregatesOf != "":
+		return kindAggregates
+	case m.Complete || len(m.Reports) > 0 || len(m.Notices) > 0:
 		return kindLoad
 	}
 	return kindHeartbeat
@@ -356,8 +356,8 @@
 // countCrossRegion counts bytes sent to a live member of another region.
 func (g *Gossip) countCrossRegion(m *Message, receiver string, bytes int) {
 	member := g.members.byAddress[receiver]
-	if g.Beyond == nil || member == nil || member.lastHeard.IsZero() || g.Regions[member.DataCentre] == g.Regions[g.DataCentre] {
+	if g.CountCrossRegion == nil || member == nil || member.lastHeard.IsZero() || g.Regions[member.DataCentre] == g.Regions[g.DataCentre] {
 		return
 	}
-	g.Beyond(m.kind(), bytes)
+	g.CountCrossRegion(m.kind(), bytes)
 }
--- a/gossip/regions_test.go
+++ b/gossip/regions_test.go
@@ -8,30 +8,30 @@
 	"pgregory.net/rapid"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // drawRegion omits Held, which is appended for each receiver.
 func drawRegion(t *rapid.T) RegionMessage {
 	return RegionMessage{
-		RegionOf:  rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "region"),
-		HearsHome: rapid.IntRange(0, 1000).Draw(t, "region size"),
-		Stays:     rapid.Bool().Draw(t, "stays"),
+		Region:     rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "region"),
+		RegionSize: rapid.IntRange(0, 1000).Draw(t, "region size"),
+		Restricted: rapid.Bool().Draw(t, "stays"),
 	}
 }
 
 // While a scheduler of a version that doesn't forward is live, all schedulers are sent to
 // directly.
 func TestGatewaysUnusedWithOldSchedulers(t *testing.T) {
-	for _, level := range []int{protocolHomes, protocolRegions} {
+	for _, level := range []int{protocolResidency, protocolRegions} {
 		s := newMembers(Member{Address: "10.0.0.1:1", ID: 1, DataCentre: "dc0"}, nil)
 		s.setRegions(twoByOne)
 		now := time.Unix(1000, 0)
 		for i := range 3 {
-			m := &Message{Sender: uint64(i + 2), DataCentre: "dc1", Level: protocolRegions, Next: time.Second}
+			m := &Message{Sender: uint64(i + 2), DataCentre: "dc1", Protocol: protocolRegions, NextWithin: time.Second}
 			if i == 1 {
-				m.Level = level
+				m.Protocol = level
 			}
 			s.observe(now, fmt.Sprint("10.0.1.", i, ":1"), m, time.Time{})
 		}
@@ -173,7 +173,7 @@
 // scheduler of their data centre, which ends after about a second.
 type trafficGenerator struct {
 	w         *simulation
-	endpoints []*belief.Endpoint
+	endpoints []*discovery.Endpoint
 	service   *catalog.Service
 	open      []*balance.Placement
 	placed    int
@@ -182,12 +182,12 @@
 func (w *simulation) newTraffic(endpoints int) *trafficGenerator {
 	q := &trafficGenerator{w: w, service: &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 64, MemoryTokens: 300_000}}}
 	for i := range endpoints {
-		q.endpoints = append(q.endpoints, &belief.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprint("e", i), DataCentre: fmt.Sprint("dc", i%len(w.regions))}})
+		q.endpoints = append(q.endpoints, &discovery.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprint("e", i), DataCentre: fmt.Sprint("dc", i%len(w.regions))}})
 	}
 	for _, n := range w.nodes {
 		n.Balancer.SetRegions(n.Regions)
 		n.Balancer.Place(q.endpoints, q.demand()).Done(balance.Served) // makes the endpoints known to all instances
-		n.Balancer.Placed()
+		n.Balancer.TakeNotices()
 	}
 	return q
 }
@@ -297,7 +297,7 @@
 		w.run(10 * time.Second)
 		d := &balance.Demand{Service: q.service, Objective: time.Second, Prompt: 9000, Parts: []balance.Part{{ID: 1 << 50, Tokens: 6300}, {ID: 1 << 51, Tokens: 2700}}}
 		if c.homes != nil {
-			d.Homes = catalog.NewHomes(c.homes)
+			d.Residency = catalog.NewResidency(c.homes)
 		}
 		placed := 0
 		for _, n := range w.nodes {
@@ -307,7 +307,7 @@
 			}
 		}
 		w.run(time.Second)
-		d.Homes = catalog.Homes{}
+		d.Residency = catalog.Residency{}
 		for i, n := range w.nodes {
 			if r := n.members.currentRoles(w.now); !r.isScheduler {
 				continue
@@ -334,14 +334,14 @@
 			level       int
 			stays       bool
 			kept, bound int
-		}{{protocolHomes, false, 0, 0}, {protocolRegions, false, 1, 0}, {protocolRegions, true, 1, 1}} {
+		}{{protocolResidency, false, 0, 0}, {protocolRegions, false, 1, 0}, {protocolRegions, true, 1, 1}} {
 			n.crossRegion.notices = nil
 			n.collectNotices(w.now, &Message{
-				DataCentre: n.DataCentre, Level: c.level, RegionMessage: RegionMessage{Stays: c.stays},
+				DataCentre: n.DataCentre, Protocol: c.level, RegionMessage: RegionMessage{Restricted: c.stays},
 				Notices: []balance.Notice{{Endpoint: 1, Parts: []balance.Part{{ID: 2, Tokens: 3}}}},
 			})
 			bound := 0
-			for _, notice := range balance.Withhold(n.crossRegion.notices, "elsewhere") {
+			for _, notice := range balance.RedactParts(n.crossRegion.notices, "elsewhere") {
 				if notice.Parts == nil {
 					bound++
 				}
@@ -367,7 +367,7 @@
 	if p := other.Balancer.Place(q.endpoints[1:], d); p.Cached != 9000 {
 		t.Errorf("%d cached tokens known of a prompt that ran in the other region, want 9000", p.Cached)
 	}
-	sums, _ := other.Balancer.Sums(func(id uint64) bool { return id == regionKey("b") }, true, 0)
+	sums, _ := other.Balancer.AggregateReports(func(id uint64) bool { return id == regionKey("b") }, true, 0)
 	if len(sums) != 1 || sums[0].Requests != 1 {
 		t.Errorf("load known of the other region: %+v, want one request", sums)
 	}
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -15,12 +15,12 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 	"ivyridge/internal/fetch"
 )
 
-// BeliefsPath is the HTTP path at which an instance serves its state.
-const BeliefsPath = "/v2/beliefs"
+// StatePath is the HTTP path at which an instance serves its state.
+const StatePath = "/v2/beliefs"
 
 // maxResponse bounds the size of a response, in bytes.
 const maxResponse = 16 << 20
@@ -45,23 +45,23 @@
 	AgeMS     int64  `json:"age_ms"` // since the state was confirmed; negative: never confirmed
 	Unchanged bool   `json:"unchanged,omitempty"`
 	Config    []byte `json:"config,omitempty"`  // compressed catalog.Document, if it is newer than the caller's
-	Present   []byte `json:"present,omitempty"` // compressed []belief.Record
+	Present   []byte `json:"present,omitempty"` // compressed []discovery.Record
 
 	// Partial is set if the endpoints are only those that changed since the caller's revision:
-	// added and updated ones in Changed, a JSON []belief.Record, and removed ones in Gone.
-	Partial bool               `json:"partial,omitempty"`
-	Changed json.RawMessage    `json:"changed,omitempty"`
-	Gone    []belief.Departure `json:"gone,omitempty"`
-	Digest  uint64             `json:"digest,omitempty"` // belief.Update.Digest
+	// added and updated ones in Changed, a JSON []discovery.Record, and removed ones in Gone.
+	Partial bool                 `json:"partial,omitempty"`
+	Changed json.RawMessage      `json:"changed,omitempty"`
+	Gone    []discovery.Deletion `json:"gone,omitempty"`
+	Digest  uint64               `json:"digest,omitempty"` // discovery.Update.Digest
 
-	Evacuations []belief.Evacuation `json:"evacuations,omitempty"`
+	Evacuations []discovery.Evacuation `json:"evacuations,omitempty"`
 
 	Schema uint64 `json:"schema,omitempty"` // field schema hash of the sender; zero: an old build that doesn't send it
 }
 
-// BeliefsHandler serves the state in t to other instances. It responds at once, or waits for as
+// StateHandler serves the state in t to other instances. It responds at once, or waits for as
 // long as the caller asks, up to maxWait, until t has a later revision than the caller.
-func BeliefsHandler(t *belief.Table, log *zap.Logger) http.HandlerFunc {
+func StateHandler(t *discovery.Table, log *zap.Logger) http.HandlerFunc {
 	p := &packer{table: t}
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
@@ -88,7 +88,7 @@
 }
 
 // waitForRevision returns when t has a later revision than after, or when wait has passed.
-func waitForRevision(ctx context.Context, t *belief.Table, after int64, wait time.Duration) {
+func waitForRevision(ctx context.Context, t *discovery.Table, after int64, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
@@ -131,7 +131,7 @@
 	return b, err
 }
 
-// A Relay fetches the state of another instance. It implements belief.Source.
+// A Relay fetches the state of another instance. It implements discovery.Source.
 type Relay struct {
 	Address string // IP:port of the HTTP listener for other instances
 	HTTP    *http.Client
@@ -140,34 +140,34 @@
 	Failed  func(error)  // called if a response can't be used; may be nil
 }
 
-var _ belief.Source = (*Relay)(nil)
+var _ discovery.Source = (*Relay)(nil)
 
-// Load implements belief.Source. Before a configuration is published, the update has none;
+// Load implements discovery.Source. Before a configuration is published, the update has none;
 // failing instead would make all instances of a new fleet read the store at once.
-func (r *Relay) Load(ctx context.Context) (*belief.Update, error) {
-	u, err := r.read(ctx, url.Values{}, fetch.Wait{Begin: answerTimeout})
+func (r *Relay) Load(ctx context.Context) (*discovery.Update, error) {
+	u, err := r.read(ctx, url.Values{}, fetch.HeaderWait{Timeout: answerTimeout})
 	if err == nil && u.Revision == 0 {
 		return nil, errors.Errorf("relay: %s has no state yet", r.Address)
 	}
 	return u, err
 }
 
-// Watch implements belief.Source. It returns everything, rather than the changes, if the other
+// Watch implements discovery.Source. It returns everything, rather than the changes, if the other
 // instance doesn't know the changes or runs a build that only sends everything.
-func (r *Relay) Watch(ctx context.Context, q belief.Query) (*belief.Update, error) {
+func (r *Relay) Watch(ctx context.Context, q discovery.Query) (*discovery.Update, error) {
 	return r.read(ctx, url.Values{
 		queryAfter:   {strconv.FormatInt(q.After, 10)},
 		queryVersion: {strconv.FormatInt(r.Version(), 10)},
 		queryWait:    {strconv.FormatInt(q.Wait.Milliseconds(), 10)},
 		queryPartial: {"1"},
-	}, fetch.Wait{Begin: q.Wait + answerTimeout, Abandon: q.Overtaken})
+	}, fetch.HeaderWait{Timeout: q.Wait + answerTimeout, Abandon: q.Superseded})
 }
 
 // read fetches state. The state is dated by the time at which the request was sent, less its age
 // in the response.
-func (r *Relay) read(ctx context.Context, query url.Values, wait fetch.Wait) (*belief.Update, error) {
+func (r *Relay) read(ctx context.Context, query url.Values, wait fetch.HeaderWait) (*discovery.Update, error) {
 	sent := r.Now()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.Address+BeliefsPath+"?"+query.Encode(), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.Address+StatePath+"?"+query.Encode(), nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "relay")
 	}
@@ -185,10 +185,10 @@
 	if b.AgeMS < 0 {
 		return nil, errors.Errorf("relay: %s has no confirmed state", r.Address)
 	}
-	u := &belief.Update{
-		Revision: b.Revision, Whole: !b.Unchanged && !b.Partial, Digest: b.Digest,
-		Proved: sent.Add(-time.Duration(b.AgeMS) * time.Millisecond),
-		Bytes:  len(a.Body), Arrival: a.Took - a.First,
+	u := &discovery.Update{
+		Revision: b.Revision, Full: !b.Unchanged && !b.Partial, Digest: b.Digest,
+		ValidatedAt: sent.Add(-time.Duration(b.AgeMS) * time.Millisecond),
+		Bytes:       len(a.Body), TransferTime: a.TotalTime - a.HeaderTime,
 	}
 	if err := b.unpack(u); err != nil {
 		if r.Failed != nil {
@@ -200,20 +200,20 @@
 }
 
 // unpack decodes the parts of b into u.
-func (b *stateResponse) unpack(u *belief.Update) error {
-	u.Evacuations, u.Gone = b.Evacuations, b.Gone
+func (b *stateResponse) unpack(u *discovery.Update) error {
+	u.Evacuations, u.Deleted = b.Evacuations, b.Gone
 	if b.Config != nil {
 		if err := b.unpackPart(b.Config, &u.Config); err != nil {
 			return err
 		}
 	}
 	if b.Changed != nil {
-		return b.decodePart(b.Changed, &u.Present)
+		return b.decodePart(b.Changed, &u.Endpoints)
 	}
 	if b.Present == nil {
 		return nil
 	}
-	return b.unpackPart(b.Present, &u.Present)
+	return b.unpackPart(b.Present, &u.Endpoints)
 }
 
 // unpackPart decompresses and decodes a part into v.
--- a/gossip/relay_bench_test.go
+++ b/gossip/relay_bench_test.go
@@ -12,34 +12,34 @@
 
 	"go.uber.org/zap"
 
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // BenchmarkChange measures a change of ten endpoints from the serving table to the following one.
 func BenchmarkChange(bench *testing.B) {
 	for _, n := range []int{690, 6000, 12000} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
-			source, follower := belief.NewTable(time.Now), belief.NewTable(time.Now)
-			u := &belief.Update{Revision: 1, Whole: true, Proved: time.Now(), Config: &catalog.Document{Version: 1}}
+			source, follower := discovery.NewTable(time.Now), discovery.NewTable(time.Now)
+			u := &discovery.Update{Revision: 1, Full: true, ValidatedAt: time.Now(), Config: &catalog.Document{Version: 1}}
 			for i := range n {
-				u.Present = append(u.Present, listedRecord(i, 1))
+				u.Endpoints = append(u.Endpoints, listedRecord(i, 1))
 			}
 			_ = source.Apply(u)
 			_ = follower.Apply(u)
-			handler := BeliefsHandler(source, zap.NewNop())
+			handler := StateHandler(source, zap.NewNop())
 			relay := &Relay{Address: "peer", Now: time.Now, Version: func() int64 { return 1 }, HTTP: &http.Client{Transport: inMemory{handler}}}
 			bench.ReportAllocs()
 			bytes := 0
 			revision := int64(1)
 			for bench.Loop() {
 				revision++
-				change := &belief.Update{Revision: revision, Proved: time.Now()}
+				change := &discovery.Update{Revision: revision, ValidatedAt: time.Now()}
 				for i := range 10 {
-					change.Present = append(change.Present, listedRecord((int(revision)*10+i)%n, revision))
+					change.Endpoints = append(change.Endpoints, listedRecord((int(revision)*10+i)%n, revision))
 				}
 				_ = source.Apply(change)
-				update, err := relay.Watch(context.Background(), belief.Query{After: revision - 1})
+				update, err := relay.Watch(context.Background(), discovery.Query{After: revision - 1})
 				if err != nil {
 					bench.Fatal(err)
 				}
@@ -51,8 +51,8 @@
 	}
 }
 
-func listedRecord(i int, revision int64) belief.Record {
-	return belief.Record{Revision: revision, Endpoint: catalog.Endpoint{
+func listedRecord(i int, revision int64) discovery.Record {
+	return discovery.Record{Revision: revision, Endpoint: catalog.Endpoint{
 		ID: fmt.Sprintf("i-%08x", i*2654435761), Service: "llm", DataCentre: "ams-a", Slots: 32, Born: 1700000000000 + int64(i),
 		Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
 	}}
@@ -71,13 +71,13 @@
 func TestPartialUpdateSizeIndependentOfList(t *testing.T) {
 	sizes := make(map[int]int)
 	for _, n := range []int{1000, 4000} {
-		source := belief.NewTable(time.Now)
-		u := &belief.Update{Revision: 1, Whole: true, Proved: time.Now(), Config: &catalog.Document{Version: 1}}
+		source := discovery.NewTable(time.Now)
+		u := &discovery.Update{Revision: 1, Full: true, ValidatedAt: time.Now(), Config: &catalog.Document{Version: 1}}
 		for i := range n {
-			u.Present = append(u.Present, listedRecord(i, 1))
+			u.Endpoints = append(u.Endpoints, listedRecord(i, 1))
 		}
 		_ = source.Apply(u)
-		_ = source.Apply(&belief.Update{Revision: 2, Proved: time.Now(), Present: []belief.Record{listedRecord(5, 2)}, Gone: []belief.Departure{{ID: listedRecord(6, 0).ID, Revision: 2}}})
+		_ = source.Apply(&discovery.Update{Revision: 2, ValidatedAt: time.Now(), Endpoints: []discovery.Record{listedRecord(5, 2)}, Deleted: []discovery.Deletion{{ID: listedRecord(6, 0).ID, Revision: 2}}})
 		b, err := (&packer{table: source}).respond(1, 1, true)
 		if err != nil {
 			t.Fatal(err)
--- a/gossip/relay_test.go
+++ b/gossip/relay_test.go
@@ -10,18 +10,18 @@
 
 	"go.uber.org/zap"
 
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // relayTo returns a Relay to an instance with state of revision 5 and configuration version 3,
 // for a reader with the given configuration version, and the instance's table.
-func relayTo(t *testing.T, version int64) (*Relay, *belief.Table) {
+func relayTo(t *testing.T, version int64) (*Relay, *discovery.Table) {
 	t.Helper()
-	table := belief.NewTable(time.Now)
-	if err := table.Apply(&belief.Update{
-		Revision: 5, Whole: true, Proved: time.Now(), Config: &catalog.Document{Version: 3},
-		Present: []belief.Record{{Endpoint: catalog.Endpoint{ID: "e"}, Revision: 4}},
+	table := discovery.NewTable(time.Now)
+	if err := table.Apply(&discovery.Update{
+		Revision: 5, Full: true, ValidatedAt: time.Now(), Config: &catalog.Document{Version: 3},
+		Endpoints: []discovery.Record{{Endpoint: catalog.Endpoint{ID: "e"}, Revision: 4}},
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -30,9 +30,9 @@
 
 // relayOf returns a Relay to an instance with the given table, for a reader with the given
 // configuration version.
-func relayOf(t *testing.T, table *belief.Table, version int64) (*Relay, *belief.Table) {
+func relayOf(t *testing.T, table *discovery.Table, version int64) (*Relay, *discovery.Table) {
 	t.Helper()
-	server := httptest.NewServer(BeliefsHandler(table, zap.NewNop()))
+	server := httptest.NewServer(StateHandler(table, zap.NewNop()))
 	t.Cleanup(server.Close)
 	return &Relay{
 		Address: strings.TrimPrefix(server.URL, "http://"), HTTP: http.DefaultClient, Now: time.Now,
@@ -43,22 +43,22 @@
 func TestRelayLoad(t *testing.T) {
 	r, _ := relayTo(t, 0)
 	u, err := r.Load(context.Background())
-	if err != nil || u.Revision != 5 || !u.Whole || u.Config == nil || len(u.Present) != 1 {
+	if err != nil || u.Revision != 5 || !u.Full || u.Config == nil || len(u.Endpoints) != 1 {
 		t.Fatalf("got %+v, %v", u, err)
 	}
 }
 
 func TestRelayWatch(t *testing.T) {
 	r, table := relayTo(t, 3)
-	u, err := r.Watch(context.Background(), belief.Query{After: 5, Wait: 50 * time.Millisecond})
-	if err != nil || u.Revision != 5 || u.Whole || len(u.Present) != 0 {
+	u, err := r.Watch(context.Background(), discovery.Query{After: 5, Wait: 50 * time.Millisecond})
+	if err != nil || u.Revision != 5 || u.Full || len(u.Endpoints) != 0 {
 		t.Fatalf("without a change: %+v, %v", u, err)
 	}
 	time.AfterFunc(50*time.Millisecond, func() {
-		_ = table.Apply(&belief.Update{Revision: 6, Proved: time.Now(), Gone: []belief.Departure{{ID: "e", Revision: 6}}})
+		_ = table.Apply(&discovery.Update{Revision: 6, ValidatedAt: time.Now(), Deleted: []discovery.Deletion{{ID: "e", Revision: 6}}})
 	})
-	u, err = r.Watch(context.Background(), belief.Query{After: 5, Wait: 10 * time.Second})
-	if err != nil || u.Revision != 6 || u.Whole || len(u.Present) != 0 || len(u.Gone) != 1 || u.Gone[0].ID != "e" || u.Config != nil {
+	u, err = r.Watch(context.Background(), discovery.Query{After: 5, Wait: 10 * time.Second})
+	if err != nil || u.Revision != 6 || u.Full || len(u.Endpoints) != 0 || len(u.Deleted) != 1 || u.Deleted[0].ID != "e" || u.Config != nil {
 		t.Fatalf("after a change: %+v, %v, want no configuration that the reader has", u, err)
 	}
 }
@@ -67,8 +67,8 @@
 // state.
 func TestRelayBehindReader(t *testing.T) {
 	r, _ := relayTo(t, 3)
-	u, err := r.Watch(context.Background(), belief.Query{After: 9, Wait: 0})
-	if err != nil || u.Whole || u.Revision != 5 {
+	u, err := r.Watch(context.Background(), discovery.Query{After: 9, Wait: 0})
+	if err != nil || u.Full || u.Revision != 5 {
 		t.Fatalf("got %+v, %v", u, err)
 	}
 }
@@ -78,21 +78,21 @@
 	r, table := relayTo(t, 3)
 	before, _ := table.Age()
 	confirmedAt := time.Now().Add(-before)
-	u, err := r.Watch(context.Background(), belief.Query{After: 5, Wait: 100 * time.Millisecond})
-	if err != nil || u.Proved.After(confirmedAt) {
-		t.Fatalf("state dated %v, want at most %v: %v", u.Proved, confirmedAt, err)
+	u, err := r.Watch(context.Background(), discovery.Query{After: 5, Wait: 100 * time.Millisecond})
+	if err != nil || u.ValidatedAt.After(confirmedAt) {
+		t.Fatalf("state dated %v, want at most %v: %v", u.ValidatedAt, confirmedAt, err)
 	}
 }
 
 // Before a configuration is published, an instance serves what it knows; otherwise all others
 // would read the store too.
 func TestRelayWithoutConfiguration(t *testing.T) {
-	table := belief.NewTable(time.Now)
+	table := discovery.NewTable(time.Now)
 	r, _ := relayOf(t, table, 0)
 	if u, err := r.Load(context.Background()); err == nil {
 		t.Fatalf("instance without state served %+v", u)
 	}
-	_ = table.Apply(&belief.Update{Revision: 5, Whole: true, Proved: time.Now()})
+	_ = table.Apply(&discovery.Update{Revision: 5, Full: true, ValidatedAt: time.Now()})
 	u, err := r.Load(context.Background())
 	if err != nil || u.Revision != 5 || u.Config != nil {
 		t.Fatalf("got %+v, %v, want revision 5 without a configuration", u, err)
--- a/gossip/remote_lender_test.go
+++ b/gossip/remote_lender_test.go
@@ -32,7 +32,7 @@
 	d.client.members.byAddress[d.scheduler.conn.(*net.UDPConn).LocalAddr().String()].protocol = protocolCurrent
 	lender := listen(t, 77)
 	address := lender.conn.(*net.UDPConn).LocalAddr().String()
-	m := &Message{Sender: 77, DataCentre: "y", Next: time.Minute, Level: protocolCurrent, Part: 1}
+	m := &Message{Sender: 77, DataCentre: "y", NextWithin: time.Minute, Protocol: protocolCurrent, RetryShare: 1}
 	d.client.members.observe(time.Now(), address, m, time.Time{})
 	setEarnedRetries(d.scheduler, 0)
 	setEarnedRetries(lender, 20)
@@ -43,8 +43,8 @@
 	d.demand.Retry, d.demand.Sent = balance.RetryInTime, true
 	p, refusal := d.client.Place(context.Background(), d.endpoints, d.demand)
 	time.Sleep(2 * roundTrip)
-	if lent := grantedRetries(lender); p == nil || lent != 1 {
-		t.Errorf("%d retries charged in the other region, request refused with %+v", lent, refusal)
+	if charged := grantedRetries(lender); p == nil || charged != 1 {
+		t.Errorf("%d retries charged in the other region, request refused with %+v", charged, refusal)
 	}
 	d.client.mu.Lock()
 	defer d.client.mu.Unlock()
@@ -60,7 +60,7 @@
 	var elapsed, asked atomic.Int64
 	d.client.Now = func() time.Time { return start.Add(time.Duration(elapsed.Load())) }
 	lender := listen(t, 78)
-	m := &Message{Sender: 78, DataCentre: "y", Next: time.Minute, Level: protocolCurrent, Part: 1}
+	m := &Message{Sender: 78, DataCentre: "y", NextWithin: time.Minute, Protocol: protocolCurrent, RetryShare: 1}
 	d.client.members.observe(start, lender.conn.(*net.UDPConn).LocalAddr().String(), m, time.Time{})
 	setEarnedRetries(lender, 0)
 	d.client.Count = func(event string) {
--- a/gossip/report.go
+++ b/gossip/report.go
@@ -16,21 +16,21 @@
 
 // Field numbers of a Report and of the samples in it.
 const (
-	fieldRequests protowire.Number = 2
-	fieldMemory   protowire.Number = 3
-	fieldExposure protowire.Number = 4 // in units of exposureUnit
-	fieldEnded    protowire.Number = 7 // in units of outcomeUnit
-	fieldFailed   protowire.Number = 8 // in units of outcomeUnit
-	fieldReading  protowire.Number = 9
-	fieldStepping protowire.Number = 10
-	fieldUnread   protowire.Number = 11
-	fieldLevels   protowire.Number = 12 // a byte string of varints
-	fieldGone     protowire.Number = 13 // milliseconds
-	fieldDown     protowire.Number = 14
-	fieldRest     protowire.Number = 16 // milliseconds
-	fieldLeaves   protowire.Number = 17
-	fieldLimit    protowire.Number = 18
-	fieldUnreadBy protowire.Number = 15 // byte string of varints, without the most urgent level
+	fieldRequests              protowire.Number = 2
+	fieldMemory                protowire.Number = 3
+	fieldExposure              protowire.Number = 4 // in units of exposureUnit
+	fieldCompleted             protowire.Number = 7 // in units of outcomeUnit
+	fieldFailed                protowire.Number = 8 // in units of outcomeUnit
+	fieldPrefillSamples        protowire.Number = 9
+	fieldStepSamples           protowire.Number = 10
+	fieldPendingPrefill        protowire.Number = 11
+	fieldLevels                protowire.Number = 12 // a byte string of varints
+	fieldGone                  protowire.Number = 13 // milliseconds
+	fieldDown                  protowire.Number = 14
+	fieldBackoff               protowire.Number = 16 // milliseconds
+	fieldDraining              protowire.Number = 17
+	fieldLimit                 protowire.Number = 18
+	fieldPendingPrefillByLevel protowire.Number = 15 // byte string of varints, without the most urgent level
 
 	fieldWeight protowire.Number = 1 // of samples, in units of outcomeUnit
 	fieldMean   protowire.Number = 2 // of samples: mean logarithm in units of logUnit, zigzag
@@ -50,18 +50,18 @@
 	b = appendUint(b, fieldRequests, uint64(max(0, r.Requests)))
 	b = appendUint(b, fieldMemory, uint64(max(0, r.Memory)))
 	b = appendUint(b, fieldExposure, uint64(max(0, r.Exposure/exposureUnit)))
-	b = appendUint(b, fieldEnded, uint64(max(0, r.Ended/outcomeUnit)))
+	b = appendUint(b, fieldCompleted, uint64(max(0, r.Completed/outcomeUnit)))
 	b = appendUint(b, fieldFailed, uint64(max(0, r.Failed/outcomeUnit)))
-	b = appendUint(b, fieldUnread, uint64(max(0, r.Unread)))
+	b = appendUint(b, fieldPendingPrefill, uint64(max(0, r.PendingPrefill)))
 	b = appendUint(b, fieldGone, uint64(max(0, r.Gone.Milliseconds())))
-	b = appendUint(b, fieldRest, uint64(max(0, r.Rest.Milliseconds())))
-	b = appendUint(b, fieldLeaves, protowire.EncodeBool(r.Leaves))
+	b = appendUint(b, fieldBackoff, uint64(max(0, r.Backoff.Milliseconds())))
+	b = appendUint(b, fieldDraining, protowire.EncodeBool(r.Draining))
 	b = appendLimit(b, fieldLimit, &r.Limit)
 	b = appendUint(b, fieldDown, protowire.EncodeBool(r.Down))
 	b = appendLevels(b, r)
-	b = appendUnreadBy(b, r)
-	b = appendSamples(b, fieldReading, r.Reading)
-	return appendSamples(b, fieldStepping, r.Stepping)
+	b = appendPendingPrefillByLevel(b, r)
+	b = appendSamples(b, fieldPrefillSamples, r.Prefill)
+	return appendSamples(b, fieldStepSamples, r.Step)
 }
 
 // appendLevels appends the request counts by priority level, unless all are zero.
@@ -94,39 +94,40 @@
 	return nil
 }
 
-// appendUnreadBy appends the unread tokens of all levels but the most urgent, unless all are
-// zero.
-func appendUnreadBy(b []byte, r *balance.Report) []byte {
+// appendPendingPrefillByLevel appends the unread tokens of all levels but the most urgent, unless
+// all are zero.
+func appendPendingPrefillByLevel(b []byte, r *balance.Report) []byte {
 	var tokens []byte
 	nonZero := false
-	for _, n := range r.UnreadBy[1:] {
+	for _, n := range r.PendingPrefillByLevel[1:] {
 		tokens = protowire.AppendVarint(tokens, uint64(max(0, n)))
 		nonZero = nonZero || n > 0
 	}
 	if !nonZero {
 		return b
 	}
-	return appendBytes(b, fieldUnreadBy, tokens)
+	return appendBytes(b, fieldPendingPrefillByLevel, tokens)
 }
 
-// decodeUnreadBy decodes unread tokens by priority level. Tokens that no level accounts for are
-// attributed to the most urgent one, the conservative choice: no request is placed ahead of them.
-func decodeUnreadBy(b []byte, r *balance.Report) error {
-	rest := r.Unread
-	for level := 1; level < len(r.UnreadBy) && len(b) > 0; level++ {
+// decodePendingPrefillByLevel decodes unread tokens by priority level. Tokens that no level
+// accounts for are attributed to the most urgent one, the conservative choice: no request is placed
+// ahead of them.
+func decodePendingPrefillByLevel(b []byte, r *balance.Report) error {
+	remaining := r.PendingPrefill
+	for level := 1; level < len(r.PendingPrefillByLevel) && len(b) > 0; level++ {
 		v, n := protowire.ConsumeVarint(b)
 		if n < 0 {
 			return errors.Wrap(protowire.ParseError(n), "gossip")
 		}
-		r.UnreadBy[level] = min(boundedCount(v), rest)
-		rest -= r.UnreadBy[level]
+		r.PendingPrefillByLevel[level] = min(boundedCount(v), remaining)
+		remaining -= r.PendingPrefillByLevel[level]
 		b = b[n:]
 	}
-	r.UnreadBy[0] = rest
+	r.PendingPrefillByLevel[0] = remaining
 	return nil
 }
 
-func appendSamples(b []byte, n protowire.Number, s speed.Sum) []byte {
+func appendSamples(b []byte, n protowire.Number, s speed.Samples) []byte {
 	weight := uint64(max(0, s.Weight/outcomeUnit))
 	if weight == 0 {
 		return b
@@ -136,7 +137,7 @@
 	return appendBytes(b, n, samples)
 }
 
-func decodeSamples(b []byte) (speed.Sum, error) {
+func decodeSamples(b []byte) (speed.Samples, error) {
 	var weight, mean float64
 	err := eachField(b, func(f field) error {
 		switch f.number {
@@ -147,7 +148,7 @@
 		}
 		return nil
 	})
-	return speed.Sum{Weight: weight, Log: weight * mean}, err
+	return speed.Samples{Weight: weight, Log: weight * mean}, err
 }
 
 func decodeReport(b []byte, reports *[]balance.Report) error {
@@ -163,41 +164,41 @@
 			r.Memory = boundedCount(f.value)
 		case fieldExposure:
 			r.Exposure = float64(f.value) * exposureUnit
-		case fieldEnded:
-			r.Ended = float64(boundedCount(f.value)) * outcomeUnit
+		case fieldCompleted:
+			r.Completed = float64(boundedCount(f.value)) * outcomeUnit
 		case fieldFailed:
 			r.Failed = float64(boundedCount(f.value)) * outcomeUnit
-		case fieldUnread:
-			r.Unread = boundedCount(f.value)
+		case fieldPendingPrefill:
+			r.PendingPrefill = boundedCount(f.value)
 		case fieldGone:
 			r.Gone = time.Duration(boundedCount(f.value)) * time.Millisecond
-		case fieldRest:
-			r.Rest = time.Duration(boundedCount(f.value)) * time.Millisecond
-		case fieldLeaves:
-			r.Leaves = f.value != 0
+		case fieldBackoff:
+			r.Backoff = time.Duration(boundedCount(f.value)) * time.Millisecond
+		case fieldDraining:
+			r.Draining = f.value != 0
 		case fieldLimit:
 			var err error
 			r.Limit, err = decodeLimit(f.bytes)
 			return err
 		case fieldDown:
 			r.Down = f.value != 0
-		case fieldUnreadBy:
+		case fieldPendingPrefillByLevel:
 			unreadBy = f.bytes
 		case fieldLevels:
 			return decodeLevels(f.bytes, &r)
-		case fieldReading:
+		case fieldPrefillSamples:
 			var err error
-			r.Reading, err = decodeSamples(f.bytes)
+			r.Prefill, err = decodeSamples(f.bytes)
 			return err
-		case fieldStepping:
+		case fieldStepSamples:
 			var err error
-			r.Stepping, err = decodeSamples(f.bytes)
+			r.Step, err = decodeSamples(f.bytes)
 			return err
 		}
 		return nil
 	})
 	if err == nil {
-		err = decodeUnreadBy(unreadBy, &r)
+		err = decodePendingPrefillByLevel(unreadBy, &r)
 	}
 	*reports = append(*reports, r)
 	return err
--- a/gossip/retries_test.go
+++ b/gossip/retries_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 	"ivyridge/quota"
 )
 
@@ -24,14 +24,14 @@
 	retryStep   = 100 * time.Millisecond
 )
 
-var retryBound = quota.Retries{Ratio: 0.2, Extra: 180}
+var retryBound = quota.RetryLimit{Ratio: 0.2, Extra: 180}
 
 // A retryFleet is a fleet in which all instances receive requests, and retry where they can.
 type retryFleet struct {
 	*simulation
 	service    *catalog.Service
-	endpoints  []*belief.Endpoint
-	ownBuckets map[*node]*quota.Earned
+	endpoints  []*discovery.Endpoint
+	ownBuckets map[*node]*quota.RetryBudget
 	maxSeen    map[*node]int // largest fleet size that each instance saw
 	paused     map[*node]bool
 	counts     []stepCounts // one per retryStep
@@ -44,9 +44,9 @@
 func newRetryFleet(t testing.TB, n, dataCentres int) *retryFleet {
 	s := &retryFleet{
 		simulation: newSimulation(t, n, dataCentres), service: &catalog.Service{Name: "s"},
-		ownBuckets: make(map[*node]*quota.Earned), maxSeen: make(map[*node]int), paused: make(map[*node]bool),
+		ownBuckets: make(map[*node]*quota.RetryBudget), maxSeen: make(map[*node]int), paused: make(map[*node]bool),
 	}
-	s.endpoints = []*belief.Endpoint{{Endpoint: catalog.Endpoint{ID: "e", DataCentre: "dc0"}}}
+	s.endpoints = []*discovery.Endpoint{{Endpoint: catalog.Endpoint{ID: "e", DataCentre: "dc0"}}}
 	for _, n := range s.nodes {
 		s.configure(n, dataCentres)
 	}
@@ -56,9 +56,9 @@
 // configure applies the settings to an instance that starts.
 func (s *retryFleet) configure(n *node, dataCentres int) {
 	n.DataCentres = dataCentres
-	n.Instances = n.Balancer.SetInstances
+	n.OnFleetSize = n.Balancer.SetInstances
 	n.Balancer.SetRetries(retryBound)
-	s.ownBuckets[n] = new(quota.Earned)
+	s.ownBuckets[n] = new(quota.RetryBudget)
 }
 
 // chooser returns the instance that places a request of n, or nil if it is unreachable.
@@ -88,14 +88,14 @@
 	if n.fleetSize > 1 {
 		s.maxSeen[n] = max(s.maxSeen[n], n.fleetSize)
 	}
-	return retryBound.Own(s.maxSeen[n])
+	return retryBound.InstanceBudget(s.maxSeen[n])
 }
 
 // spend processes requests at an instance, and if retriesAllowed is set, sends all retries that
 // it may.
 func (s *retryFleet) spend(n *node, requests int, retriesAllowed bool) {
 	now := &s.counts[len(s.counts)-1]
-	earns, most := s.ownBucket(n)
+	deposit, capacity := s.ownBucket(n)
 	chooser := s.chooser(n)
 	place := func(d *balance.Demand) bool {
 		if chooser == nil {
@@ -109,15 +109,15 @@
 	}
 	for range requests {
 		now.requests++
-		d := &balance.Demand{Service: s.service, Earns: quota.EarnsWhole}
-		if most > 0 {
-			s.ownBuckets[n].Earn(earns, most, s.now)
-			d.Earns = quota.EarnsRest
+		d := &balance.Demand{Service: s.service, Deposit: quota.DepositFull}
+		if capacity > 0 {
+			s.ownBuckets[n].Deposit(deposit, capacity, s.now)
+			d.Deposit = quota.DepositRemainder
 		}
 		place(d)
 	}
-	for retriesAllowed && s.ownBuckets[n].Has(most, 0, s.now) {
-		s.ownBuckets[n].Spend(most, s.now)
+	for retriesAllowed && s.ownBuckets[n].CanSpend(capacity, 0, s.now) {
+		s.ownBuckets[n].Spend(capacity, s.now)
 		now.retries++
 	}
 	for retriesAllowed && place(&balance.Demand{Service: s.service, Retry: balance.RetryInTime}) {
@@ -125,7 +125,7 @@
 		s.granted++
 	}
 	for _, lender := range s.nodes { // all live share holders that n reaches
-		for retriesAllowed && !lender.dead && !s.paused[lender] && (s.lost == nil || !s.lost(n, lender)) && lender.Balancer.PayRetry("s", balance.RetryInTime) {
+		for retriesAllowed && !lender.dead && !s.paused[lender] && (s.lost == nil || !s.lost(n, lender)) && lender.Balancer.ChargeRetry("s", balance.RetryInTime) {
 			now.retries++
 			s.granted++
 		}
@@ -247,14 +247,14 @@
 // setEarnedRetries gives an instance the whole share of a budget of 40 retries, and the given
 // number of requests that earn retries.
 func setEarnedRetries(g *Gossip, earned int) {
-	g.Balancer.SetRetries(quota.Retries{Ratio: 1, Extra: 40})
-	g.Balancer.SetRetryPart(1, 1)
+	g.Balancer.SetRetries(quota.RetryLimit{Ratio: 1, Extra: 40})
+	g.Balancer.SetRetryShare(1, 1)
 	for range earned {
-		g.Balancer.Grant(7, g.Beliefs.View().Endpoints("s"), &balance.Demand{Service: &catalog.Service{Name: "s"}, Earns: quota.EarnsWhole})
+		g.Balancer.Grant(7, g.State.View().Endpoints("s"), &balance.Demand{Service: &catalog.Service{Name: "s"}, Deposit: quota.DepositFull})
 	}
 }
 
-func grantedRetries(g *Gossip) int64 { return g.Balancer.Holdings().Retries["s"].Granted }
+func grantedRetries(g *Gossip) int64 { return g.Balancer.QuotaShares().Retries["s"].Granted }
 
 // A retryChargeCase describes who has retries and who is expected to pay.
 type retryChargeCase struct {
@@ -270,12 +270,12 @@
 // if there is none left locally.
 func TestRetryChargedOnce(t *testing.T) {
 	for _, c := range []retryChargeCase{
-		{name: "scheduler without retry support", level: protocolHomes, schedulerEarned: 20},
+		{name: "scheduler without retry support", level: protocolResidency, schedulerEarned: 20},
 		{name: "scheduler with retries", level: protocolRetries, schedulerEarned: 20, chargedLocally: 1},
 		{name: "unusable choice", level: protocolRetries, schedulerEarned: 20, unknownEndpoint: true, chargedLocally: 1},
 		{name: "scheduler without retries", level: protocolRetries},
 		{name: "other data centre with retries", level: protocolRetries, lenderEarned: 20, chargedAtLender: 1},
-		{name: "scheduler without retry support, other data centre with retries", level: protocolHomes, schedulerEarned: 20, lenderEarned: 20, chargedAtLender: 1},
+		{name: "scheduler without retry support, other data centre with retries", level: protocolResidency, schedulerEarned: 20, lenderEarned: 20, chargedAtLender: 1},
 	} {
 		// A late answer costs the retry. Repeat until the answers are in time.
 		late := true
@@ -302,7 +302,7 @@
 	d.client.Count = count
 	d.client.members.byAddress[d.scheduler.conn.(*net.UDPConn).LocalAddr().String()].protocol = c.level
 	lender := listen(t, 77)
-	m := &Message{Sender: 77, DataCentre: "y", Next: time.Minute, Level: protocolRetries, Part: 1}
+	m := &Message{Sender: 77, DataCentre: "y", NextWithin: time.Minute, Protocol: protocolRetries, RetryShare: 1}
 	d.client.members.observe(time.Now(), lender.conn.(*net.UDPConn).LocalAddr().String(), m, time.Time{})
 	setEarnedRetries(d.scheduler, c.schedulerEarned)
 	setEarnedRetries(lender, c.lenderEarned)
@@ -311,19 +311,19 @@
 	}
 	endpoints := d.endpoints
 	if c.unknownEndpoint {
-		endpoints = []*belief.Endpoint{{Endpoint: catalog.Endpoint{ID: "unknown to the scheduler"}}}
+		endpoints = []*discovery.Endpoint{{Endpoint: catalog.Endpoint{ID: "unknown to the scheduler"}}}
 	}
 	d.demand.Retry, d.demand.Sent = balance.RetryInTime, true
 	p, refusal := d.client.Place(context.Background(), endpoints, d.demand)
-	got, lent := grantedRetries(d.scheduler), grantedRetries(lender)
-	if unanswered.Load() > 0 && got <= c.chargedLocally && lent <= c.chargedAtLender {
+	got, charged := grantedRetries(d.scheduler), grantedRetries(lender)
+	if unanswered.Load() > 0 && got <= c.chargedLocally && charged <= c.chargedAtLender {
 		return true
 	}
-	if c.chargedLocally+c.chargedAtLender == 0 && (refusal == nil || refusal.Cause != balance.RetriesSpent) || c.chargedLocally+c.chargedAtLender == 1 && p == nil {
+	if c.chargedLocally+c.chargedAtLender == 0 && (refusal == nil || refusal.Cause != balance.RetryBudgetExhausted) || c.chargedLocally+c.chargedAtLender == 1 && p == nil {
 		t.Errorf("%s: got %+v, %+v", c.name, p, refusal)
 	}
-	if got != c.chargedLocally || lent != c.chargedAtLender {
-		t.Errorf("%s: %d retries charged locally and %d at the lender, want %d and %d", c.name, got, lent, c.chargedLocally, c.chargedAtLender)
+	if got != c.chargedLocally || charged != c.chargedAtLender {
+		t.Errorf("%s: %d retries charged locally and %d at the lender, want %d and %d", c.name, got, charged, c.chargedLocally, c.chargedAtLender)
 	}
 	return false
 }
--- a/gossip/retry_borrowing.go
+++ b/gossip/retry_borrowing.go
@@ -47,8 +47,8 @@
 	}
 	silent := 0
 	for _, l := range g.lenders(now) {
-		choice, outcome := g.requestFrom(ctx, l.address, &Ask{Service: d.Service.Name, Retry: d.Retry, Lend: true}, l.timeout)
-		if choice.Lent {
+		choice, outcome := g.requestFrom(ctx, l.address, &PlacementRequest{Service: d.Service.Name, Retry: d.Retry, ChargeRetry: true}, l.timeout)
+		if choice.RetryCharged {
 			g.Count("retry-borrowed")
 			return true
 		}
@@ -90,7 +90,7 @@
 	var local, remote []lender
 	g.members.eachLive(now, func(m *Member) {
 		switch s := g.backoffs[m.Address]; {
-		case m.Part <= 0 || m.protocol < protocolRetries || s != nil && now.Before(s.until):
+		case m.RetryShare <= 0 || m.protocol < protocolRetries || s != nil && now.Before(s.until):
 		case g.Regions[m.DataCentre] == g.Regions[g.DataCentre]:
 			local = append(local, lender{m.Address, requestTimeout})
 		default:
--- a/gossip/roles.go
+++ b/gossip/roles.go
@@ -61,8 +61,8 @@
 // outranks orders the instances of a data centre: warmed-up schedulers first, then larger
 // machines.
 func outranks(a, b *Member) bool {
-	if a.Warm != b.Warm {
-		return a.Warm
+	if a.WarmedUp != b.WarmedUp {
+		return a.WarmedUp
 	}
 	if a.Cores != b.Cores {
 		return a.Cores > b.Cores
@@ -91,7 +91,7 @@
 	case s.schedulerSince.IsZero():
 		s.schedulerSince = now
 	}
-	s.self.Warm = s.roles.isScheduler && now.Sub(s.schedulerSince) >= warmupPeriod
+	s.self.WarmedUp = s.roles.isScheduler && now.Sub(s.schedulerSince) >= warmupPeriod
 	return &s.roles
 }
 
@@ -146,9 +146,9 @@
 // propagationDelay returns the time within which load changes reach all schedulers in a fleet of
 // n instances.
 func (r *roles) propagationDelay(n int) time.Duration {
-	delay := balance.ReportEvery(n)
+	delay := balance.ReportInterval(n)
 	if len(r.localPeers) > 0 {
-		delay += balance.ReportEvery(r.dataCentreSize())
+		delay += balance.ReportInterval(r.dataCentreSize())
 	}
 	if r.useGateways {
 		delay += regionInterval(n)
--- a/gossip/roles_test.go
+++ b/gossip/roles_test.go
@@ -20,13 +20,13 @@
 			if i == j {
 				continue
 			}
-			m := &Message{Sender: uint64(j + 1), DataCentre: fmt.Sprint(j % dataCentres), Cores: 0.2, Next: maxQuiet, Hears: n}
+			m := &Message{Sender: uint64(j + 1), DataCentre: fmt.Sprint(j % dataCentres), Cores: 0.2, NextWithin: maxQuiet, FleetSize: n}
 			change(j, m)
 			s.observe(now, fmt.Sprint(j), m, time.Time{})
 		}
 		ownMessage := &Message{Cores: 0.2}
 		change(i, ownMessage)
-		s.self.Cores, s.self.Leaving, s.self.Warm = ownMessage.Cores, ownMessage.Leaving, ownMessage.Warm
+		s.self.Cores, s.self.Leaving, s.self.WarmedUp = ownMessage.Cores, ownMessage.Leaving, ownMessage.WarmedUp
 	}
 	return all
 }
@@ -77,14 +77,14 @@
 func TestWarmSchedulersPreferred(t *testing.T) {
 	now := time.Unix(1000, 0)
 	change := func(i int, m *Message) {
-		m.Warm = i >= 10 && i < 13
+		m.WarmedUp = i >= 10 && i < 13
 		if i == 0 {
 			m.Cores = 0.8
 		}
 	}
 	s := newFleetViews(now, 30, 1, change)[20]
 	for _, m := range s.currentRoles(now).schedulerOrder {
-		if !m.Warm {
+		if !m.WarmedUp {
 			t.Fatalf("sends requests to %s, which is not warmed up", m.Address)
 		}
 	}
@@ -102,11 +102,11 @@
 	now := time.Unix(1000, 0)
 	s := newMembers(Member{ID: 1, Address: "own", DataCentre: "z"}, nil)
 	s.currentRoles(now)
-	if s.self.Warm {
+	if s.self.WarmedUp {
 		t.Fatal("warmed up at the start")
 	}
 	s.currentRoles(now.Add(warmupPeriod))
-	if !s.self.Warm {
+	if !s.self.WarmedUp {
 		t.Fatalf("not warmed up after %v", warmupPeriod)
 	}
 }
@@ -120,7 +120,7 @@
 		perSecond := func(n int, interval time.Duration) float64 {
 			return float64(n) * float64(time.Second) / float64(interval)
 		}
-		rate := perSecond(len(r.localSchedulers), balance.ReportEvery(r.dataCentreSize())) +
+		rate := perSecond(len(r.localSchedulers), balance.ReportInterval(r.dataCentreSize())) +
 			perSecond(len(r.localPeers)+len(r.remoteSchedulers), heartbeatInterval(c.instances))
 		if r.isScheduler {
 			rate = perSecond(len(r.schedulers), r.tickInterval())
--- a/gossip/rolling_release_test.go
+++ b/gossip/rolling_release_test.go
@@ -9,15 +9,15 @@
 
 	"go.uber.org/zap"
 
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // A followerChain is a table that reads the store, and tables that follow it.
 type followerChain struct {
 	now       time.Time
-	reader    *belief.Table
-	followers []*belief.Table
+	reader    *discovery.Table
+	followers []*discovery.Table
 	relays    []*Relay
 	bytes     []int // received by each follower
 }
@@ -25,10 +25,10 @@
 func newFollowerChain(followers int) *followerChain {
 	c := &followerChain{now: time.Unix(1000, 0), bytes: make([]int, followers)}
 	clock := func() time.Time { return c.now }
-	c.reader = belief.NewTable(clock)
-	handler := BeliefsHandler(c.reader, zap.NewNop())
+	c.reader = discovery.NewTable(clock)
+	handler := StateHandler(c.reader, zap.NewNop())
 	for range followers {
-		table := belief.NewTable(clock)
+		table := discovery.NewTable(clock)
 		c.followers = append(c.followers, table)
 		c.relays = append(c.relays, &Relay{
 			Address: "peer", Now: clock, HTTP: &http.Client{Transport: inMemory{handler}},
@@ -49,12 +49,12 @@
 		if !which(i) {
 			continue
 		}
-		var u *belief.Update
+		var u *discovery.Update
 		var err error
 		if revision := table.View().Revision; revision == 0 {
 			u, err = c.relays[i].Load(context.Background())
 		} else {
-			u, err = c.relays[i].Watch(context.Background(), belief.Query{After: revision})
+			u, err = c.relays[i].Watch(context.Background(), discovery.Query{After: revision})
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -76,9 +76,9 @@
 	for _, n := range []int{1500, 6000} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			c := newFollowerChain(4)
-			u := &belief.Update{Revision: 1, Whole: true, Proved: c.now, Config: &catalog.Document{Version: 1}}
+			u := &discovery.Update{Revision: 1, Full: true, ValidatedAt: c.now, Config: &catalog.Document{Version: 1}}
 			for i := range n {
-				u.Present = append(u.Present, listedRecord(i, 1))
+				u.Endpoints = append(u.Endpoints, listedRecord(i, 1))
 			}
 			_ = c.reader.Apply(u)
 			c.update(t, func(int) bool { return true })
@@ -87,13 +87,13 @@
 			revision, next := int64(1), 0
 			for end := c.now.Add(duration); c.now.Before(end); {
 				c.now = c.now.Add(changeInterval)
-				change := &belief.Update{Proved: c.now}
+				change := &discovery.Update{ValidatedAt: c.now}
 				for range perSecond * int(changeInterval) / int(time.Second) {
 					draining, added := listedRecord(next, revision+1), listedRecord(n+next, revision+2)
 					draining.Draining = true
-					change.Present = append(change.Present, draining, added)
+					change.Endpoints = append(change.Endpoints, draining, added)
 					if next >= perSecond {
-						change.Gone = append(change.Gone, belief.Departure{ID: listedRecord(next-perSecond, 0).ID, Revision: revision + 3})
+						change.Deleted = append(change.Deleted, discovery.Deletion{ID: listedRecord(next-perSecond, 0).ID, Revision: revision + 3})
 					}
 					revision += 3
 					next++
@@ -108,7 +108,7 @@
 				t.Errorf("%.0f B/s sent per follower", rate)
 			}
 			c.now = c.now.Add(time.Minute)
-			_ = c.reader.Apply(&belief.Update{Revision: revision + 1, Proved: c.now})
+			_ = c.reader.Apply(&discovery.Update{Revision: revision + 1, ValidatedAt: c.now})
 			c.update(t, func(int) bool { return true })
 			_, want := c.reader.Digest()
 			for i, table := range c.followers {
--- a/gossip/schema.go
+++ b/gossip/schema.go
@@ -17,20 +17,20 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/pkg/errors"
 
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
-// ErrOlder is returned if state comes from an instance whose build lacks a field that this build
+// ErrOldBuild is returned if state comes from an instance whose build lacks a field that this build
 // knows. Such state must not be used.
-var ErrOlder = errors.New("sender runs an older build")
+var ErrOldBuild = errors.New("sender runs an older build")
 
 // schema returns a hash of the field names that this build knows. State of a sender with the same
 // hash needs no check.
 var schema = sync.OnceValue(func() uint64 {
 	var names []string
 	listFields(reflect.TypeFor[catalog.Document](), "", &names)
-	listFields(reflect.TypeFor[belief.Record](), "", &names)
+	listFields(reflect.TypeFor[discovery.Record](), "", &names)
 	sort.Strings(names)
 	return xxhash.Sum64String(strings.Join(names, " "))
 })
@@ -57,7 +57,7 @@
 	return t
 }
 
-// checkComplete returns ErrOlder, wrapped with the field name, if data lacks a field of t. Of a
+// checkComplete returns ErrOldBuild, wrapped with the field name, if data lacks a field of t. Of a
 // list only the first element is checked, since one build has written them all.
 func checkComplete(data []byte, t reflect.Type) error {
 	data = firstElement(data)
@@ -74,7 +74,7 @@
 		}
 		value, present := fields[f.Name]
 		if !present {
-			return errors.Wrapf(ErrOlder, "field %s.%s is missing", t.Name(), f.Name)
+			return errors.Wrapf(ErrOldBuild, "field %s.%s is missing", t.Name(), f.Name)
 		}
 		if err := checkComplete(value, f.Type); err != nil {
 			return err
--- a/gossip/shares.go
+++ b/gossip/shares.go
@@ -15,24 +15,24 @@
 // given the configured number of data centres.
 func (s *members) coldShare(now time.Time, r *roles, dataCentres int) float64 {
 	view := s.quotaView(r, dataCentres)
-	view.Chooses = view.Chooses && s.self.Warm
-	return s.coldClaim.Part(view, now)
+	view.IsScheduler = view.IsScheduler && s.self.WarmedUp
+	return s.coldClaim.Share(view, now)
 }
 
 // retryShare returns the share of the retry budget that this instance may grant. No warm-up is
 // required: an instance grants only what was earned by requests that it placed itself, and the
 // share is available sooner after a restart of the whole fleet.
 func (s *members) retryShare(now time.Time, r *roles, dataCentres int) float64 {
-	return s.retryClaim.Part(s.quotaView(r, dataCentres), now)
+	return s.retryClaim.Share(s.quotaView(r, dataCentres), now)
 }
 
 // quotaView returns what this instance knows of the instances that divide a budget.
-func (s *members) quotaView(r *roles, dataCentres int) quota.Sight {
-	return quota.Sight{
+func (s *members) quotaView(r *roles, dataCentres int) quota.View {
+	return quota.View{
 		Heard:       r.dataCentreSize(),
-		Alone:       s.isolated(r),
-		Chooses:     r.isScheduler && len(r.predecessors) < r.activeSchedulers(),
-		Choosers:    r.activeSchedulers(),
+		Isolated:    s.isolated(r),
+		IsScheduler: r.isScheduler && len(r.predecessors) < r.activeSchedulers(),
+		Schedulers:  r.activeSchedulers(),
 		DataCentres: r.quotaDataCentres(dataCentres),
 	}
 }
@@ -43,14 +43,14 @@
 
 // updateShares passes the current shares of this instance to the balancer. The caller holds g.mu.
 func (g *Gossip) updateShares(now time.Time, r *roles) {
-	g.Balancer.SetColdPart(g.members.coldShare(now, r, g.DataCentres))
+	g.Balancer.SetColdShare(g.members.coldShare(now, r, g.DataCentres))
 	share := g.members.retryShare(now, r, g.DataCentres)
 	if (share > 0) != (g.retryShare > 0) {
 		g.Log.Info("retry share gained or lost", zap.Float64("part", share), zap.Int("data_centres", r.quotaDataCentres(g.DataCentres)), zap.Int("choosers", r.activeSchedulers()))
 	}
 	g.retryShare = share
 	g.updateLimitShare(now, r)
-	g.Balancer.SetRetryPart(share, r.quotaDataCentres(g.DataCentres))
+	g.Balancer.SetRetryShare(share, r.quotaDataCentres(g.DataCentres))
 }
 
 // isolated reports whether other seeds are configured and no member is live.
--- a/gossip/simulation_test.go
+++ b/gossip/simulation_test.go
@@ -12,8 +12,8 @@
 	"go.uber.org/zap"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 	"ivyridge/poison"
 )
 
@@ -115,8 +115,8 @@
 func (w *simulation) start(i int, id uint64, dataCentre string, cores float64) {
 	now := func() time.Time { return w.now }
 	n := &node{sim: w, address: address(i), next: w.now.Add(time.Duration(i%2) * simulationStep)}
-	table := belief.NewTable(now)
-	_ = table.Apply(&belief.Update{Revision: 1, Whole: true, Proved: w.now, Config: &catalog.Document{Version: 1}})
+	table := discovery.NewTable(now)
+	_ = table.Apply(&discovery.Update{Revision: 1, Full: true, ValidatedAt: w.now, Config: &catalog.Document{Version: 1}})
 	// The seeds are ordinary instances if there are any.
 	var seeds []string
 	for s := range 3 {
@@ -128,12 +128,12 @@
 	}
 	n.Gossip = newGossip(Options{
 		Regions: regions, DataCentres: len(w.regions),
-		Address: n.address.String(), DataCentre: dataCentre, Cores: cores, Seeds: seeds, Beliefs: table,
-		Balancer: balance.New(dataCentre, now), Log: zap.NewNop(), Count: func(string) {}, Now: now, Instances: func(int, time.Duration) {},
+		Address: n.address.String(), DataCentre: dataCentre, Cores: cores, Seeds: seeds, State: table,
+		Balancer: balance.New(dataCentre, now), Log: zap.NewNop(), Count: func(string) {}, Now: now, OnFleetSize: func(int, time.Duration) {},
 	}, id, n)
 	n.background = func(f func()) { w.calls = append(w.calls, f) }
 	n.Suspects = poison.NewTable()
-	n.PullSuspects = func(address string) ([]byte, error) { return w.pull(n, address) }
+	n.FetchSuspects = func(address string) ([]byte, error) { return w.pull(n, address) }
 	if i < len(w.nodes) {
 		w.nodes[i] = n
 	} else {
@@ -298,10 +298,10 @@
 		t.Fatal("instance 40 is a scheduler, want an ordinary instance")
 	}
 	confirmedAt := w.now
-	_ = ordinary.Beliefs.Apply(&belief.Update{Revision: 1, Proved: confirmedAt})
+	_ = ordinary.State.Apply(&discovery.Update{Revision: 1, ValidatedAt: confirmedAt})
 	w.run(200 * time.Millisecond)
 	for i, n := range w.nodes {
-		age, _ := n.Beliefs.Age()
+		age, _ := n.State.Age()
 		if age > time.Second || age < w.now.Sub(confirmedAt) {
 			t.Errorf("instance %d computes an age of %v, want at least %v and at most 1 s", i, age, w.now.Sub(confirmedAt))
 		}
--- a/gossip/suspects.go
+++ b/gossip/suspects.go
@@ -40,22 +40,22 @@
 
 // Field numbers of a suspect, and of a strike in it.
 const (
-	fieldSuspects       protowire.Number = 32 // of a Message
-	fieldDigest         protowire.Number = 33 // of a Message
-	fieldSuspectID      protowire.Number = 1
-	fieldOutline        protowire.Number = 2
-	fieldSuspectService protowire.Number = 3 // the service
-	fieldSuspectRoute   protowire.Number = 4
-	fieldSuspectTeam    protowire.Number = 5
-	fieldStrikes        protowire.Number = 6
-	fieldKnown          protowire.Number = 7
-	fieldCame           protowire.Number = 8 // age in milliseconds plus one; absent: not seen
-	fieldStrikeAge      protowire.Number = 2 // age in milliseconds
-	fieldStrikeInFlight protowire.Number = 3 // milliseconds between sending the request and the strike
-	fieldVoid           protowire.Number = 4
-	fieldOf             protowire.Number = 5
-	fieldAmong          protowire.Number = 6
-	fieldSpread         protowire.Number = 7 // in units of shareUnit
+	fieldSuspects        protowire.Number = 32 // of a Message
+	fieldDigest          protowire.Number = 33 // of a Message
+	fieldSuspectID       protowire.Number = 1
+	fieldOutline         protowire.Number = 2
+	fieldSuspectService  protowire.Number = 3 // the service
+	fieldSuspectRoute    protowire.Number = 4
+	fieldSuspectTeam     protowire.Number = 5
+	fieldStrikes         protowire.Number = 6
+	fieldConfirmed       protowire.Number = 7
+	fieldLastSeen        protowire.Number = 8 // age in milliseconds plus one; absent: not seen
+	fieldStrikeAge       protowire.Number = 2 // age in milliseconds
+	fieldStrikeDelay     protowire.Number = 3 // milliseconds between sending the request and the strike
+	fieldVoid            protowire.Number = 4
+	fieldListedEndpoints protowire.Number = 5
+	fieldInFlight        protowire.Number = 6
+	fieldTeamSpread      protowire.Number = 7 // in units of shareUnit
 )
 
 // msBefore returns how many milliseconds at was before now.
@@ -69,18 +69,18 @@
 	b = appendBytes(b, fieldSuspectService, []byte(e.Service))
 	b = appendBytes(b, fieldSuspectRoute, []byte(e.Route))
 	b = appendBytes(b, fieldSuspectTeam, []byte(e.Team))
-	b = appendUint(b, fieldKnown, protowire.EncodeBool(e.Known))
-	if !e.Came.IsZero() {
-		b = appendUint(b, fieldCame, msBefore(now, e.Came)+1)
+	b = appendUint(b, fieldConfirmed, protowire.EncodeBool(e.Confirmed))
+	if !e.LastSeen.IsZero() {
+		b = appendUint(b, fieldLastSeen, msBefore(now, e.LastSeen)+1)
 	}
 	for _, s := range e.Strikes {
 		strike := appendFixed(nil, fieldEndpoint, s.Endpoint)
-		strike = appendUint(strike, fieldStrikeAge, msBefore(now, s.At))
-		strike = appendUint(strike, fieldStrikeInFlight, msBefore(s.At, s.Began))
+		strike = appendUint(strike, fieldStrikeAge, msBefore(now, s.CrashedAt))
+		strike = appendUint(strike, fieldStrikeDelay, msBefore(s.CrashedAt, s.SentAt))
 		strike = appendUint(strike, fieldVoid, protowire.EncodeBool(s.Void))
-		strike = appendUint(strike, fieldOf, uint64(max(0, s.Of)))
-		strike = appendUint(strike, fieldAmong, uint64(max(0, s.Among)))
-		strike = appendUint(strike, fieldSpread, uint64(max(0, s.Spread/shareUnit+0.5)))
+		strike = appendUint(strike, fieldListedEndpoints, uint64(max(0, s.ListedEndpoints)))
+		strike = appendUint(strike, fieldInFlight, uint64(max(0, s.InFlight)))
+		strike = appendUint(strike, fieldTeamSpread, uint64(max(0, s.TeamSpread/shareUnit+0.5)))
 		b = appendBytes(b, fieldStrikes, strike)
 	}
 	return b
@@ -108,11 +108,11 @@
 			e.Route = string(f.bytes)
 		case fieldSuspectTeam:
 			e.Team = string(f.bytes)
-		case fieldKnown:
-			e.Known = f.value != 0
-		case fieldCame:
+		case fieldConfirmed:
+			e.Confirmed = f.value != 0
+		case fieldLastSeen:
 			if f.value > 0 {
-				e.Came = timeBefore(now, f.value-1)
+				e.LastSeen = timeBefore(now, f.value-1)
 			}
 		case fieldStrikes:
 			s, err := decodeStrike(now, f.bytes)
@@ -131,32 +131,32 @@
 
 func decodeStrike(now time.Time, b []byte) (s poison.Strike, err error) {
 	var inFlight uint64
-	s.At = now
+	s.CrashedAt = now
 	err = eachField(b, func(f field) error {
 		switch f.number {
 		case fieldEndpoint:
 			s.Endpoint = uint32(f.value)
 		case fieldStrikeAge:
-			s.At = timeBefore(now, f.value)
-		case fieldStrikeInFlight:
+			s.CrashedAt = timeBefore(now, f.value)
+		case fieldStrikeDelay:
 			inFlight = f.value
 		case fieldVoid:
 			s.Void = f.value != 0
-		case fieldOf:
-			s.Of = boundedCount(f.value)
-		case fieldSpread:
-			s.Spread = float64(boundedCount(f.value)) * shareUnit
-		case fieldAmong:
-			s.Among = boundedCount(f.value)
+		case fieldListedEndpoints:
+			s.ListedEndpoints = boundedCount(f.value)
+		case fieldTeamSpread:
+			s.TeamSpread = float64(boundedCount(f.value)) * shareUnit
+		case fieldInFlight:
+			s.InFlight = boundedCount(f.value)
 		}
 		return nil
 	})
-	s.Began = timeBefore(s.At, inFlight)
+	s.SentAt = timeBefore(s.CrashedAt, inFlight)
 	return s, err
 }
 
-// TellSuspects sends suspects that are new at this instance to the others.
-func (g *Gossip) TellSuspects(entries []poison.Entry) {
+// SendSuspects sends suspects that are new at this instance to the others.
+func (g *Gossip) SendSuspects(entries []poison.Entry) {
 	if len(entries) == 0 {
 		return
 	}
@@ -186,7 +186,7 @@
 	room := maxDatagram - headerBytes
 	send := func() {
 		m := g.newMessage(now)
-		m.Next = maxQuiet
+		m.NextWithin = maxQuiet
 		m.Suspects = packed
 		g.send(m, receivers)
 		packed, room = nil, maxDatagram-headerBytes
@@ -228,8 +228,8 @@
 	if len(news) == 0 {
 		return
 	}
-	if g.SuspectNews != nil {
-		g.SuspectNews(news)
+	if g.OnSuspects != nil {
+		g.OnSuspects(news)
 	}
 	if g.members.currentRoles(now).isScheduler {
 		g.forwardSuspects(now, news, from)
@@ -263,7 +263,7 @@
 // instance that has just started, with an empty table, fetches at once. The caller holds g.mu.
 func (g *Gossip) compareSuspects(now time.Time, from string, digest uint64) {
 	p, localDigest := &g.suspectSync, g.Suspects.Digest()
-	if digest == localDigest || digest == 0 || g.PullSuspects == nil {
+	if digest == localDigest || digest == 0 || g.FetchSuspects == nil {
 		return
 	}
 	differsFor := p.seenFor(now, localDigest, digest)
@@ -278,7 +278,7 @@
 // pullSuspects fetches and merges the suspect table of another instance.
 func (g *Gossip) pullSuspects(from string, digest uint64) {
 	requestedAt := g.Now()
-	data, err := g.PullSuspects(from)
+	data, err := g.FetchSuspects(from)
 	var received []poison.Entry
 	if err == nil {
 		received, err = DecodeSuspects(requestedAt, data)
--- a/gossip/suspects_test.go
+++ b/gossip/suspects_test.go
@@ -48,9 +48,9 @@
 		entries = append(entries, poison.Entry{ID: suspectID(1000 + w.created), Service: "m", Route: "chat", Team: "other"})
 	}
 	for i := range entries {
-		entries[i].Strikes = []poison.Strike{{Endpoint: uint32(endpoint), At: w.now, Began: w.now.Add(-30 * time.Millisecond), Of: 690, Among: len(entries)}}
+		entries[i].Strikes = []poison.Strike{{Endpoint: uint32(endpoint), CrashedAt: w.now, SentAt: w.now.Add(-30 * time.Millisecond), ListedEndpoints: 690, InFlight: len(entries)}}
 	}
-	n.TellSuspects(n.Suspects.Ended(w.now, entries))
+	n.SendSuspects(n.Suspects.EndpointCrashed(w.now, entries))
 }
 
 // countKnown counts the live instances at which a request is known to crash endpoints.
@@ -60,7 +60,7 @@
 			continue
 		}
 		live++
-		if n.Suspects.Standing(suspectID(request)) == poison.Known {
+		if n.Suspects.Standing(suspectID(request)) == poison.Confirmed {
 			known++
 		}
 	}
@@ -143,7 +143,7 @@
 	w.lost = nil
 	w.run(5 * time.Second)
 	w.wantSuspectKnown("five seconds after the regions rejoined", 1)
-	w.nodes[7].TellSuspects(w.nodes[7].Suspects.Answered(suspectID(1)))
+	w.nodes[7].SendSuspects(w.nodes[7].Suspects.Clear(suspectID(1)))
 	w.run(time.Second)
 	if known, live := w.countKnown(1); known != 0 {
 		t.Errorf("suspect known at %d of %d instances after one has seen it answered", known, live)
@@ -173,7 +173,7 @@
 
 func drawEntry(t *rapid.T, now time.Time) poison.Entry {
 	e := poison.Entry{
-		Outline: poison.Outline(rapid.Uint64().Draw(t, "outline")), Known: rapid.Bool().Draw(t, "known"),
+		Outline: poison.Outline(rapid.Uint64().Draw(t, "outline")), Confirmed: rapid.Bool().Draw(t, "known"),
 		Service: rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "service"), Route: rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "route"),
 		Team: rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "team"),
 	}
@@ -182,15 +182,15 @@
 		return time.Duration(rapid.IntRange(0, 80_000_000).Draw(t, label)) * time.Millisecond
 	}
 	if rapid.Bool().Draw(t, "came") {
-		e.Came = now.Add(-past("since"))
+		e.LastSeen = now.Add(-past("since"))
 	}
 	for range rapid.IntRange(0, poison.MostStrikes).Draw(t, "strikes") {
 		s := poison.Strike{
-			Endpoint: rapid.Uint32().Draw(t, "endpoint"), At: now.Add(-past("ago")), Void: rapid.Bool().Draw(t, "void"),
-			Of: rapid.IntRange(0, maxCount).Draw(t, "of"), Among: rapid.IntRange(0, maxCount).Draw(t, "among"),
-			Spread: float64(rapid.IntRange(0, 10_000).Draw(t, "spread")) * shareUnit,
+			Endpoint: rapid.Uint32().Draw(t, "endpoint"), CrashedAt: now.Add(-past("ago")), Void: rapid.Bool().Draw(t, "void"),
+			ListedEndpoints: rapid.IntRange(0, maxCount).Draw(t, "of"), InFlight: rapid.IntRange(0, maxCount).Draw(t, "among"),
+			TeamSpread: float64(rapid.IntRange(0, 10_000).Draw(t, "spread")) * shareUnit,
 		}
-		s.Began = s.At.Add(-past("there"))
+		s.SentAt = s.CrashedAt.Add(-past("there"))
 		e.Strikes = append(e.Strikes, s)
 	}
 	return e
@@ -215,7 +215,7 @@
 // can merge.
 func FuzzSuspects(f *testing.F) {
 	now := time.Unix(1_000_000, 0)
-	e := poison.Entry{ID: suspectID(1), Service: "m", Strikes: []poison.Strike{{Endpoint: 7, At: now.Add(-time.Second), Began: now.Add(-2 * time.Second)}}}
+	e := poison.Entry{ID: suspectID(1), Service: "m", Strikes: []poison.Strike{{Endpoint: 7, CrashedAt: now.Add(-time.Second), SentAt: now.Add(-2 * time.Second)}}}
 	f.Add(AppendSuspect(nil, now, &e))
 	f.Add([]byte{0xff, 0x01})
 	f.Fuzz(checkSuspect)
@@ -247,11 +247,11 @@
 // Runs the checks of FuzzSuspects on reproducible mutations of valid input.
 func TestMutatedSuspects(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	strike := poison.Strike{Endpoint: 7, At: now.Add(-time.Second), Began: now.Add(-2 * time.Second), Of: 12, Among: 3, Spread: 0.1}
+	strike := poison.Strike{Endpoint: 7, CrashedAt: now.Add(-time.Second), SentAt: now.Add(-2 * time.Second), ListedEndpoints: 12, InFlight: 3, TeamSpread: 0.1}
 	later := strike
-	later.At, later.Void = now, true
+	later.CrashedAt, later.Void = now, true
 	one := poison.Entry{ID: suspectID(1), Service: "m", Team: "team", Route: "chat", Strikes: []poison.Strike{strike, later}}
-	two := poison.Entry{ID: suspectID(2), Service: "n", Known: true, Came: now, Strikes: []poison.Strike{strike, strike, later}}
+	two := poison.Entry{ID: suspectID(2), Service: "n", Confirmed: true, LastSeen: now, Strikes: []poison.Strike{strike, strike, later}}
 	source := mutate.New(1, AppendSuspect(nil, now, &one), AppendSuspect(nil, now, &two))
 	for range 50_000 {
 		checkSuspect(t, source.Next())
--- a/gossip/teams.go
+++ b/gossip/teams.go
@@ -61,7 +61,7 @@
 	}
 	for len(uses) > 0 {
 		m := g.newMessage(now)
-		m.Next = max(maxQuiet, r.tickInterval())
+		m.NextWithin = max(maxQuiet, r.tickInterval())
 		m.Teams, uses = splitTeams(uses)
 		g.send(m, addresses(r.regionSchedulers))
 		g.Count("teams-told")
@@ -90,7 +90,7 @@
 	for _, c := range g.Balancer.TeamChanges() {
 		fields := []zap.Field{zap.String("service", c.Service), zap.Int("level", c.Level), zap.String("team", g.teamName(c.Team))}
 		if c.Ended {
-			g.Log.Info("team no longer limited to its share", append(fields, zap.Duration("after", c.After))...)
+			g.Log.Info("team no longer limited to its share", append(fields, zap.Duration("after", c.LimitedFor))...)
 			continue
 		}
 		g.Log.Warn("team limited to its share", fields...)
@@ -100,7 +100,7 @@
 // teamName returns the name of a team, or its hash if the name is unknown.
 func (g *Gossip) teamName(hash uint32) string {
 	var known []catalog.Team
-	if c := g.Beliefs.View().Catalog; c != nil {
+	if c := g.State.View().Catalog; c != nil {
 		known = c.Teams()
 	}
 	if name, ok := balance.NameTeams(known, hash)[hash]; ok {
--- a/gossip/teams_test.go
+++ b/gossip/teams_test.go
@@ -6,17 +6,17 @@
 	"time"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 	"ivyridge/fair"
 )
 
 func TestTeamUsesRoundTrip(t *testing.T) {
 	uses := []balance.TeamUse{
-		{Service: 7, Use: fair.Use{Level: 0, Team: 1, Rate: 12.5}},
-		{Service: 7, Use: fair.Use{Level: 2, Team: 1, Rate: 3}},
-		{Service: 7, Use: fair.Use{Level: 2, Team: 0xffffffff, Rate: 1e5}},
-		{Service: 9, Use: fair.Use{Level: 2, Team: 5, Rate: 0.25}},
+		{Service: 7, Usage: fair.Usage{Level: 0, Team: 1, Rate: 12.5}},
+		{Service: 7, Usage: fair.Usage{Level: 2, Team: 1, Rate: 3}},
+		{Service: 7, Usage: fair.Usage{Level: 2, Team: 0xffffffff, Rate: 1e5}},
+		{Service: 9, Usage: fair.Usage{Level: 2, Team: 5, Rate: 0.25}},
 	}
 	m, err := Decode((&Message{Sender: 1, Teams: uses}).Append(nil))
 	if err != nil {
@@ -53,7 +53,7 @@
 	var uses []balance.TeamUse
 	for service := range uint32(7) {
 		for team := range uint32(15) {
-			uses = append(uses, balance.TeamUse{Service: service, Use: fair.Use{Team: team + 1, Rate: 1}})
+			uses = append(uses, balance.TeamUse{Service: service, Usage: fair.Usage{Team: team + 1, Rate: 1}})
 		}
 	}
 	seen := make(map[uint32]bool)
@@ -76,7 +76,7 @@
 	w := newSimulation(t, 30, 2)
 	w.run(10 * time.Second)
 	service := &catalog.Service{Name: "p"}
-	endpoints := []*belief.Endpoint{{Endpoint: catalog.Endpoint{ID: "e", DataCentre: "dc0", Slots: 6}}}
+	endpoints := []*discovery.Endpoint{{Endpoint: catalog.Endpoint{ID: "e", DataCentre: "dc0", Slots: 6}}}
 	messages := 0
 	for _, n := range w.nodes {
 		n.Count = func(event string) {
--- a/home/estimate.go
+++ b/home/estimate.go
@@ -79,7 +79,7 @@
 }
 
 // estimate sets r's cost and latest start.
-func (h *Home) estimate(r *queue.Request, a *Ask) {
+func (h *Home) estimate(r *queue.Request, a *Request) {
 	c := h.classes[r.Class]
 	start := h.startSeconds(r.Class)
 	gap := h.meanGap()
@@ -92,13 +92,13 @@
 		hold := start + h.latestStartTokens(a, c.Whole.Seconds()-start, gap)*gap
 		latest = min(latest, r.Arrival+c.Whole-seconds(hold))
 	}
-	r.Latest = max(latest, r.Arrival)
+	r.LatestStart = max(latest, r.Arrival)
 }
 
 // latestStartTokens returns the answer length, in tokens, that must still fit
 // between r's start and its deadline: at a later start, r has less than
 // expireRatio of its probability to be on time.
-func (h *Home) latestStartTokens(a *Ask, room, gap float64) float64 {
+func (h *Home) latestStartTokens(a *Request, room, gap float64) float64 {
 	d := h.dist(a)
 	if d == nil {
 		return 0 // no lengths known, so no reason to refuse a late start
@@ -108,7 +108,7 @@
 
 // onTimeProbability returns the fraction of requests like r that would be on
 // time if they started after wait.
-func (h *Home) onTimeProbability(r *queue.Request, a *Ask, wait time.Duration) float64 {
+func (h *Home) onTimeProbability(r *queue.Request, a *Request, wait time.Duration) float64 {
 	c := h.classes[r.Class]
 	elapsed := wait + h.now - r.Arrival + seconds(h.startSeconds(r.Class))
 	if c.FirstToken > 0 && elapsed > c.FirstToken {
@@ -132,16 +132,16 @@
 }
 
 // dist returns the distribution of answer lengths, or nil if none is known.
-func (h *Home) dist(a *Ask) *length.Dist {
+func (h *Home) dist(a *Request) *length.Dist {
 	if h.pool.Kind != decl.Model || !h.policy.Lengths {
 		return nil
 	}
-	return h.lengths.Of(a.Class, a.Team)
+	return h.lengths.Dist(a.Class, a.Team)
 }
 
 // meanTokens returns the mean answer length of requests like a, capped by the
 // caller's limit. It is zero for services.
-func (h *Home) meanTokens(a *Ask) float64 {
+func (h *Home) meanTokens(a *Request) float64 {
 	if h.pool.Kind != decl.Model {
 		return 0
 	}
@@ -163,12 +163,12 @@
 }
 
 // admit returns the refusal of r, or nil if r is admitted.
-func (h *Home) admit(r *queue.Request, a *Ask) *verdict.Error {
+func (h *Home) admit(r *queue.Request, a *Request) *verdict.Error {
 	if h.slots(false) == 0 {
-		return verdict.Refuse(verdict.NoEndpoint, "no endpoint of pool %q accepts requests", h.pool.Name).After(time.Second)
+		return verdict.Refuse(verdict.NoEndpoint, "no endpoint of pool %q accepts requests", h.pool.Name).WithRetryAfter(time.Second)
 	}
 	if t := h.set.Team(a.Team); t != nil && t.MaxWaiting > 0 && h.q.TeamLen(r.Class, a.Team) >= t.MaxWaiting {
-		return verdict.Refuse(verdict.TeamLimit, "team %q has reached its limit of %d waiting requests", a.Team, t.MaxWaiting).After(h.retryAfter(r))
+		return verdict.Refuse(verdict.TeamLimit, "team %q has reached its limit of %d waiting requests", a.Team, t.MaxWaiting).WithRetryAfter(h.retryAfter(r))
 	}
 	if !h.policy.Admit {
 		return nil
@@ -182,7 +182,7 @@
 		return nil
 	}
 	e := verdict.Refuse(verdict.Overloaded, "class %q: predicted wait of %s would miss the target", a.Class, wait.Round(time.Millisecond))
-	return e.After(clampRetry(wait))
+	return e.WithRetryAfter(clampRetry(wait))
 }
 
 func clampRetry(d time.Duration) time.Duration {
@@ -250,14 +250,14 @@
 		return
 	}
 	r.endpoint.resetFailures()
-	if rel.Busy {
+	if rel.Overloaded {
 		r.endpoint.recordRefusal(h.now)
 	}
-	if !rel.Whole {
+	if !rel.Complete {
 		return
 	}
 	if h.pool.Kind == decl.Service {
-		h.adjustService(r.endpoint, rel.Held)
+		h.adjustService(r.endpoint, rel.Duration)
 	}
 	h.observeStart(s, rel)
 	if rel.Tokens > 0 {
@@ -269,7 +269,7 @@
 	const decay = 0.95
 	start := rel.FirstToken.Seconds()
 	if h.pool.Kind != "model" {
-		start = rel.Held.Seconds()
+		start = rel.Duration.Seconds()
 	}
 	if start <= 0 {
 		return
--- a/home/home.go
+++ b/home/home.go
@@ -44,8 +44,8 @@
 	Seq   uint64
 }
 
-// An Ask is a request for an endpoint slot.
-type Ask struct {
+// An Request is a request for an endpoint slot.
+type Request struct {
 	Key
 	Class      string
 	Team       string
@@ -70,16 +70,16 @@
 	Key
 	Team       string
 	Failed     bool          // the endpoint was unreachable or failed
-	Busy       bool          // the endpoint rejected the request as overload
+	Overloaded bool          // the endpoint rejected the request as overload
 	Tokens     int           // generated, zero if unknown
 	FirstToken time.Duration // since sending, zero if unknown
-	Held       time.Duration // from grant to end of run
+	Duration   time.Duration // from grant to end of run
 	Late       bool          // the answer missed its target
-	Whole      bool          // the answer completed normally
+	Complete   bool          // the answer completed normally
 }
 
-// A Running is one run that an entry reports in a Sync.
-type Running struct {
+// A ActiveRun is one run that an entry reports in a Sync.
+type ActiveRun struct {
 	Seq      uint64
 	Endpoint string
 	Class    string
@@ -110,7 +110,7 @@
 	classIndex   map[string]int
 	set          *decl.Set
 	q            *queue.Queue
-	lengths      *length.Book
+	lengths      *length.Distributions
 	stats        []classStats
 	waiting      map[Key]*queue.Request
 	running      map[Key]*run
@@ -137,7 +137,7 @@
 func New(set *decl.Set, pool *decl.Pool, policy Policy) *Home {
 	h := &Home{
 		policy:  policy,
-		lengths: length.NewBook(),
+		lengths: length.NewDistributions(),
 		waiting: make(map[Key]*queue.Request),
 		running: make(map[Key]*run),
 		byName:  make(map[string]*endpoint),
@@ -188,7 +188,7 @@
 // requeue moves the waiting requests to the new queue.
 func (h *Home) requeue(oldClasses []*decl.Class) {
 	for key, r := range h.waiting {
-		a := r.Payload.(*Ask)
+		a := r.Payload.(*Request)
 		i, ok := h.classIndex[oldClasses[r.Class].Name]
 		if !ok {
 			delete(h.waiting, key)
@@ -240,10 +240,10 @@
 	h.dispatch()
 }
 
-// Distrust reports that this Home has not decided for some time. Endpoints
+// RequireReports reports that this Home has not decided for some time. Endpoints
 // without a recent load report may have begun to leave meanwhile, so they get no
 // requests until they report again or reportTimeout passes.
-func (h *Home) Distrust(now time.Duration) {
+func (h *Home) RequireReports(now time.Duration) {
 	h.now = now
 	for _, e := range h.list {
 		if now-e.reported > maxReportAge {
@@ -253,8 +253,8 @@
 	}
 }
 
-// Ask submits a request, which is granted, refused or queued.
-func (h *Home) Ask(now time.Duration, a Ask) {
+// Submit submits a request, which is granted, refused or queued.
+func (h *Home) Submit(now time.Duration, a Request) {
 	h.now = now
 	h.Counts.Asked++
 	class, ok := h.classIndex[a.Class]
@@ -269,7 +269,7 @@
 		return
 	}
 	r := h.newRequest()
-	ask := r.Payload.(*Ask)
+	ask := r.Payload.(*Request)
 	*ask = a
 	*r = queue.Request{Class: class, Team: a.Team, Weight: h.weight(a.Team), Arrival: now - a.Age, Payload: ask}
 	h.estimate(r, ask)
@@ -294,7 +294,7 @@
 		h.freeRequests = h.freeRequests[:n-1]
 		return r
 	}
-	return &queue.Request{Payload: new(Ask)}
+	return &queue.Request{Payload: new(Request)}
 }
 
 func (h *Home) weight(team string) float64 {
@@ -358,7 +358,7 @@
 // Sync reports all runs of entry in this cell. Runs that the entry no longer
 // reports are ended, and unknown ones are added, which is how a new home learns
 // what runs in its cell.
-func (h *Home) Sync(now time.Duration, entry string, runs []Running) {
+func (h *Home) Sync(now time.Duration, entry string, runs []ActiveRun) {
 	h.now = now
 	for _, x := range runs {
 		key := Key{entry, x.Seq}
@@ -404,10 +404,10 @@
 }
 
 func (h *Home) refuseExpired(r *queue.Request) {
-	a := r.Payload.(*Ask)
+	a := r.Payload.(*Request)
 	delete(h.waiting, a.Key)
 	e := verdict.Refuse(verdict.DeadlineMissed, "class %q can no longer meet its target", a.Class)
-	h.decide(a.Key, nil, e.After(h.retryAfter(r)))
+	h.decide(a.Key, nil, e.WithRetryAfter(h.retryAfter(r)))
 	h.freeRequests = append(h.freeRequests, r)
 }
 
@@ -423,7 +423,7 @@
 }
 
 func (h *Home) grant(r *queue.Request) {
-	a := r.Payload.(*Ask)
+	a := r.Payload.(*Request)
 	e := h.choose(r, a, false)
 	h.updateBias(r)
 	h.stats[r.Class].addGranted(h.now, r.Cost)
@@ -445,9 +445,9 @@
 	h.decisions = append(h.decisions, d)
 }
 
-// Take returns the decisions since the last call. The slice is valid until the
+// TakeDecisions returns the decisions since the last call. The slice is valid until the
 // next event.
-func (h *Home) Take() []Decision {
+func (h *Home) TakeDecisions() []Decision {
 	out := h.decisions
 	h.decisions = h.decisions[:0]
 	return out
--- a/home/home_test.go
+++ b/home/home_test.go
@@ -51,33 +51,33 @@
 	return out
 }
 
-func ask(seq uint64, class string) home.Ask {
-	return home.Ask{Key: home.Key{Entry: "n1", Seq: seq}, Class: class, Team: "a"}
+func ask(seq uint64, class string) home.Request {
+	return home.Request{Key: home.Key{Entry: "n1", Seq: seq}, Class: class, Team: "a"}
 }
 
 func TestGrantsUpToLimit(t *testing.T) {
 	h := newHome(t, 2)
 	for i := range uint64(6) {
-		h.Ask(0, ask(i, "letter"))
+		h.Submit(0, ask(i, "letter"))
 	}
-	if n := len(h.Take()); n != 4 {
+	if n := len(h.TakeDecisions()); n != 4 {
 		t.Errorf("got %d decisions on two endpoints of two slots; want 4", n)
 	}
-	h.Done(time.Second, home.Release{Key: home.Key{Entry: "n1", Seq: 0}, Whole: true, Tokens: 10})
-	if n := len(h.Take()); n != 1 {
+	h.Done(time.Second, home.Release{Key: home.Key{Entry: "n1", Seq: 0}, Complete: true, Tokens: 10})
+	if n := len(h.TakeDecisions()); n != 1 {
 		t.Errorf("got %d grants after one run ended; want 1", n)
 	}
 }
 
 func TestHigherTierFirst(t *testing.T) {
 	h := newHome(t, 1)
-	h.Ask(0, ask(1, "letter"))
-	h.Ask(0, ask(2, "letter"))
-	h.Ask(0, ask(3, "letter"))
-	h.Ask(time.Millisecond, ask(4, "verdict"))
-	h.Take()
-	h.Done(2*time.Millisecond, home.Release{Key: home.Key{Entry: "n1", Seq: 1}, Whole: true, Tokens: 1})
-	if d := h.Take(); len(d) != 1 || d[0].Seq != 4 {
+	h.Submit(0, ask(1, "letter"))
+	h.Submit(0, ask(2, "letter"))
+	h.Submit(0, ask(3, "letter"))
+	h.Submit(time.Millisecond, ask(4, "verdict"))
+	h.TakeDecisions()
+	h.Done(2*time.Millisecond, home.Release{Key: home.Key{Entry: "n1", Seq: 1}, Complete: true, Tokens: 1})
+	if d := h.TakeDecisions(); len(d) != 1 || d[0].Seq != 4 {
 		t.Errorf("after a run ended: got %+v; want a grant of the tier 0 request", d)
 	}
 }
@@ -88,17 +88,17 @@
 	eps[0].Leaving = true
 	h.SetEndpoints(0, eps)
 	for i := range uint64(2) {
-		h.Ask(0, ask(i, "letter"))
+		h.Submit(0, ask(i, "letter"))
 	}
-	for _, d := range h.Take() {
+	for _, d := range h.TakeDecisions() {
 		if d.Endpoint == "e0" {
 			t.Error("request granted on a leaving endpoint")
 		}
 	}
 	eps[0].Leaving = false
 	h.SetEndpoints(0, eps) // an outdated list
-	h.Ask(0, ask(9, "letter"))
-	for _, d := range h.Take() {
+	h.Submit(0, ask(9, "letter"))
+	for _, d := range h.TakeDecisions() {
 		if d.Endpoint == "e0" {
 			t.Error("request granted on an endpoint that had left")
 		}
@@ -107,8 +107,8 @@
 
 func TestRefusalWithoutEndpoints(t *testing.T) {
 	h := newHome(t, 0)
-	h.Ask(0, ask(1, "verdict"))
-	d := h.Take()
+	h.Submit(0, ask(1, "verdict"))
+	d := h.TakeDecisions()
 	if len(d) != 1 || d[0].Refusal == nil || d[0].Refusal.Verdict != verdict.NotRun || d[0].Refusal.RetryAfter == 0 {
 		t.Errorf("got %+v; want a NotRun refusal with RetryAfter", d)
 	}
@@ -118,10 +118,10 @@
 func TestOverloadRefusedOnArrival(t *testing.T) {
 	h := newHome(t, 1)
 	for i := range uint64(80) {
-		h.Ask(0, ask(i, "verdict"))
+		h.Submit(0, ask(i, "verdict"))
 	}
 	refused := 0
-	for _, d := range h.Take() {
+	for _, d := range h.TakeDecisions() {
 		if d.Refusal != nil {
 			refused++
 		}
@@ -134,25 +134,25 @@
 // A new home learns the current runs from the entries and grants no slot twice.
 func TestSyncRestoresRuns(t *testing.T) {
 	h := newHome(t, 1)
-	h.Sync(0, "n1", []home.Running{{Seq: 1, Endpoint: "e0", Class: "verdict"}, {Seq: 2, Endpoint: "e0", Class: "letter"}})
-	h.Ask(0, ask(3, "letter"))
-	if d := h.Take(); len(d) != 0 {
+	h.Sync(0, "n1", []home.ActiveRun{{Seq: 1, Endpoint: "e0", Class: "verdict"}, {Seq: 2, Endpoint: "e0", Class: "letter"}})
+	h.Submit(0, ask(3, "letter"))
+	if d := h.TakeDecisions(); len(d) != 0 {
 		t.Errorf("got %+v on a full endpoint; want no decision", d)
 	}
-	h.Sync(time.Millisecond, "n2", []home.Running{{Seq: 1, Endpoint: "e0", Class: "letter"}, {Seq: 2, Endpoint: "e0", Class: "letter"}})
+	h.Sync(time.Millisecond, "n2", []home.ActiveRun{{Seq: 1, Endpoint: "e0", Class: "letter"}, {Seq: 2, Endpoint: "e0", Class: "letter"}})
 	if l := h.Endpoints(0)[0].Limit; l != 4 {
 		t.Errorf("limit = %g; want 4, the number of runs that the previous home granted", l)
 	}
 	h.Sync(5*time.Second, "n2", nil)
 	h.Sync(5*time.Second, "n1", nil)
-	if d := h.Take(); len(d) != 1 {
+	if d := h.TakeDecisions(); len(d) != 1 {
 		t.Errorf("got %d decisions after the entries reported no runs; want 1", len(d))
 	}
 }
 
 func TestRunLeaseExpires(t *testing.T) {
 	h := newHome(t, 1)
-	h.Ask(0, ask(1, "letter"))
+	h.Submit(0, ask(1, "letter"))
 	h.Tick(home.RunLease + time.Second)
 	if n := h.Running(); n != 0 {
 		t.Errorf("%d runs left after their lease expired; want 0", n)
@@ -207,10 +207,10 @@
 		seq++
 		a := ask(seq, "letter")
 		a.Team = fmt.Sprintf("t%d", seq%200)
-		h.Ask(0, a)
+		h.Submit(0, a)
 	}
 	running := make([]home.Key, 0, 64)
-	for _, d := range h.Take() {
+	for _, d := range h.TakeDecisions() {
 		if d.Refusal == nil {
 			running = append(running, d.Key)
 		}
@@ -222,12 +222,12 @@
 		seq++
 		a := ask(seq, "letter")
 		a.Team = "t1"
-		h.Ask(now, a)
+		h.Submit(now, a)
 		if len(running) > 0 {
-			h.Done(now, home.Release{Key: running[0], Whole: true, Tokens: 10, Team: "t1"})
+			h.Done(now, home.Release{Key: running[0], Complete: true, Tokens: 10, Team: "t1"})
 			running = running[1:]
 		}
-		for _, d := range h.Take() {
+		for _, d := range h.TakeDecisions() {
 			if d.Refusal == nil {
 				running = append(running, d.Key)
 			}
@@ -240,16 +240,16 @@
 func TestReportAwaitedBeforeGrant(t *testing.T) {
 	h := newHome(t, 0)
 	h.SetEndpoints(0, endpointList(2))
-	h.Ask(0, ask(1, "verdict"))
-	if d := h.Take(); len(d) != 0 {
+	h.Submit(0, ask(1, "verdict"))
+	if d := h.TakeDecisions(); len(d) != 0 {
 		t.Fatalf("got %+v before any load report; want no decision", d)
 	}
 	h.Report(time.Millisecond, home.Load{Endpoint: "e0", Leaving: true})
-	if d := h.Take(); len(d) != 0 {
+	if d := h.TakeDecisions(); len(d) != 0 {
 		t.Fatalf("got %+v though the only endpoint that reported is leaving; want no decision", d)
 	}
 	h.Tick(time.Second)
-	if d := h.Take(); len(d) != 1 || d[0].Endpoint != "e1" {
+	if d := h.TakeDecisions(); len(d) != 1 || d[0].Endpoint != "e1" {
 		t.Errorf("got %+v; want a grant on e1, which has not reported", d)
 	}
 }
--- a/home/place.go
+++ b/home/place.go
@@ -157,13 +157,13 @@
 	if tier > 0 && h.policy.Reserve && !h.leavesReserve(tier) {
 		return false
 	}
-	return h.choose(r, r.Payload.(*Ask), tier > 0) != nil
+	return h.choose(r, r.Payload.(*Request), tier > 0) != nil
 }
 
 // placeableOwed is placeable for a class below its guaranteed share, which may
 // use the reserve and the higher tiers' limit.
 func (h *Home) placeableOwed(r *queue.Request) bool {
-	return h.choose(r, r.Payload.(*Ask), false) != nil
+	return h.choose(r, r.Payload.(*Request), false) != nil
 }
 
 // leavesReserve reports whether one more run of the tier leaves the higher tiers
@@ -190,7 +190,7 @@
 // choose returns the endpoint for r, or nil if none has a free slot. A paused or
 // slow endpoint, or the one on which r failed before, is used if no other endpoint
 // accepts requests.
-func (h *Home) choose(r *queue.Request, a *Ask, lowTier bool) *endpoint {
+func (h *Home) choose(r *queue.Request, a *Request, lowTier bool) *endpoint {
 	if !h.policy.Counts {
 		return h.roundRobin(a)
 	}
@@ -226,7 +226,7 @@
 }
 
 // roundRobin returns the next endpoint with a free slot, for the baseline policy.
-func (h *Home) roundRobin(a *Ask) *endpoint {
+func (h *Home) roundRobin(a *Request) *endpoint {
 	for i := range h.list {
 		e := h.list[(h.nextIndex+i)%len(h.list)]
 		if e.accepting() && h.freeSlots(e, false) >= 1 && (e.spec.Name != a.Avoid || len(h.list) == 1) {
@@ -248,7 +248,7 @@
 
 // score returns the relative load of e with one more request, adjusted for a warm
 // prefix and for the data centre. The lowest score is best.
-func (h *Home) score(e *endpoint, a *Ask) float64 {
+func (h *Home) score(e *endpoint, a *Request) float64 {
 	limit := max(1, e.limit*h.share)
 	s := (float64(e.running) + e.foreign + 1) / limit
 	if a.Prefix != 0 && h.policy.Warm {
--- a/instance/accept.go
+++ b/instance/accept.go
@@ -66,7 +66,7 @@
 		l.count("refused-descriptors")
 		return nil
 	}
-	reservation := l.account.Open(memory.Connections, entry.ConnectionBytes)
+	reservation := l.account.Reserve(memory.Connections, entry.ConnectionBytes)
 	if reservation == nil {
 		l.open.Add(-1)
 		l.count("refused-memory")
@@ -83,7 +83,7 @@
 type callerConn struct {
 	net.Conn
 	listener    *callerListener
-	reservation *memory.Holding
+	reservation *memory.Reservation
 	closed      sync.Once
 	isIdle      atomic.Bool
 }
--- a/instance/account.go
+++ b/instance/account.go
@@ -24,6 +24,6 @@
 func newAccount(s *Settings) *memory.Account {
 	limit, base := memoryLimit(s)
 	a := memory.New(limit)
-	a.Open(memory.Base, base)
+	a.Reserve(memory.Base, base)
 	return a
 }
--- a/instance/holdings.go
+++ b/instance/holdings.go
@@ -8,8 +8,8 @@
 )
 
 // retries returns the retry limit of a service.
-func retries(s *Settings) quota.Retries {
-	return quota.Retries{Ratio: s.Promises.RetryRatio, Extra: float64(s.Promises.RetryExtra)}
+func retries(s *Settings) quota.RetryLimit {
+	return quota.RetryLimit{Ratio: s.Promises.RetryRatio, Extra: float64(s.Promises.RetryExtra)}
 }
 
 // retryBudgetSharers returns how many instances share the per-instance part of the retry
@@ -30,16 +30,16 @@
 // shareHoldings lists the shares that this instance holds, and the holders of those
 // that are divided among schedulers.
 type shareHoldings struct {
-	balance.Holdings
+	balance.QuotaShares
 	Holders map[string]float64 `json:"holders"` // last reported shares of other instances, by gossip address
 }
 
 // holdings returns the value of the "bounds" metric.
 func (i *Instance) holdings() any {
-	h := shareHoldings{Holdings: i.balancer.Holdings(), Holders: make(map[string]float64)}
+	h := shareHoldings{QuotaShares: i.balancer.QuotaShares(), Holders: make(map[string]float64)}
 	for _, m := range i.gossip.Members() {
-		if m.Part > 0 {
-			h.Holders[m.Address] = m.Part
+		if m.RetryShare > 0 {
+			h.Holders[m.Address] = m.RetryShare
 		}
 	}
 	return h
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -19,8 +19,8 @@
 	"go.uber.org/zap"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/clock"
+	"ivyridge/discovery"
 	"ivyridge/entry"
 	"ivyridge/gossip"
 	"ivyridge/internal/fetch"
@@ -58,14 +58,14 @@
 	now              func() time.Time
 	refreshClock     func() // resynchronizes the clock behind now
 	log              *zap.Logger
-	discovery        *belief.Table
+	discovery        *discovery.Table
 	balancer         *balance.Balancer
 	pool             *upstream.Pool
 	account          *memory.Account
 	countAccepted    func(string) // counts caller connections by outcome
-	entry            *entry.Entry
-	follower         *belief.Follower
-	validator        *belief.Prover
+	entry            *entry.Proxy
+	follower         *discovery.Follower
+	validator        *discovery.Validator
 	gossip           *gossip.Gossip
 	countGossip      func(string)
 	status           *status
@@ -93,9 +93,9 @@
 	return start(s, log, counters, c.Now, c.Refresh)
 }
 
-// StartAt is Start with another clock for all decisions of the instance. The clock
+// StartWithClock is Start with another clock for all decisions of the instance. The clock
 // must keep running while the machine is suspended.
-func StartAt(s *Settings, log *zap.Logger, counters *expvar.Map, now func() time.Time) (*Instance, error) {
+func StartWithClock(s *Settings, log *zap.Logger, counters *expvar.Map, now func() time.Time) (*Instance, error) {
 	return start(s, log, counters, now, func() {})
 }
 
@@ -134,7 +134,7 @@
 
 func (i *Instance) assemble(counters *expvar.Map) {
 	s := i.settings
-	i.discovery = belief.NewTable(i.now)
+	i.discovery = discovery.NewTable(i.now)
 	i.balancer = balance.New(s.DataCentre, i.now)
 	i.balancer.SetColdBounds(coldBounds(s))
 	i.balancer.SetRetries(retries(s))
@@ -147,45 +147,45 @@
 	i.suspects = poison.NewTable()
 	requestWaiting := make(chan struct{})
 	i.entry = entry.New(entry.Options{
-		Awaited:  sync.OnceFunc(func() { close(requestWaiting) }),
-		Beliefs:  i.discovery,
-		Placer:   placer{i},
-		Pool:     i.pool,
-		Memory:   i.account,
-		Codec:    platform.Codec{},
-		Bounds:   bounds(s),
-		Log:      i.log,
-		Counters: entry.NewCounters(subMap(counters, "callers")),
-		Now:      i.now,
-		Settings: i.status.settingsHash,
-
-		Poison:     i.suspects,
-		TellPoison: func(entries []poison.Entry) { i.gossip.TellSuspects(entries) },
+		OnConfigurationWait: sync.OnceFunc(func() { close(requestWaiting) }),
+		State:               i.discovery,
+		Placer:              placer{i},
+		Pool:                i.pool,
+		Memory:              i.account,
+		Codec:               platform.Codec{},
+		Bounds:              bounds(s),
+		Log:                 i.log,
+		Counters:            entry.NewCounters(subMap(counters, "callers")),
+		Now:                 i.now,
+		Settings:            i.status.settingsHash,
+
+		Poison:        i.suspects,
+		PublishPoison: func(entries []poison.Entry) { i.gossip.SendSuspects(entries) },
 	})
 	i.countGossip = counter(subMap(counters, "gossip"))
 	i.countCrossRegion = adder(subMap(counters, "gossip-bytes-to-other-regions"))
 	i.relayClient = fetch.NewClient(1, relayIdleTimeout)
-	i.inventoryClient = &inventory.Client{HTTP: i.relayClient, Wait: inventory.AskWithin}
+	i.inventoryClient = &inventory.Client{HTTP: i.relayClient, Wait: inventory.QueryTimeout}
 	counters.Set("fleet", expvar.Func(i.fleetCounters))
 	count := counter(subMap(counters, "beliefs"))
 	i.store = platform.NewStore(s.Store, i.log)
 	i.store.Now = i.now
-	i.store.Count = counter(subMap(counters, "kept_out"))
-	store := belief.NamedSource{Name: "store", Origin: true, Source: i.store}
-	i.follower = &belief.Follower{
-		Table:    i.discovery,
-		Store:    store,
-		Upstream: i.upstream,
-		Peers:    i.newerPeers,
-		Newer:    func() <-chan struct{} { return i.gossip.Newer() },
-		Readers:  i.storeReaders,
-		Log:      i.log,
-		Count:    count,
-
-		StartWithin: i.bootstrapWait(),
-		Hurry:       requestWaiting,
+	i.store.OnReject = counter(subMap(counters, "kept_out"))
+	store := discovery.NamedSource{Name: "store", IsStore: true, Source: i.store}
+	i.follower = &discovery.Follower{
+		Table:         i.discovery,
+		Store:         store,
+		Upstream:      i.upstream,
+		Peers:         i.newerPeers,
+		NewerRevision: func() <-chan struct{} { return i.gossip.NewerRevision() },
+		StoreReaders:  i.storeReaders,
+		Log:           i.log,
+		Count:         count,
+
+		BootstrapTimeout: i.bootstrapWait(),
+		SkipBootstrap:    requestWaiting,
 	}
-	i.validator = &belief.Prover{Table: i.discovery, Store: store, Turn: i.validationTurn, Arriving: i.follower.Arriving, Log: i.log, Count: count}
+	i.validator = &discovery.Validator{Table: i.discovery, Store: store, Turn: i.validationTurn, Receiving: i.follower.Receiving, Log: i.log, Count: count}
 }
 
 func bounds(s *Settings) entry.Bounds {
@@ -196,8 +196,8 @@
 		Revoke:       time.Duration(p.RevokeMS) * time.Millisecond,
 		RetryRatio:   p.RetryRatio,
 		RetryExtra:   p.RetryExtra,
-		CallerStall:  time.Duration(p.CallerStallMS) * time.Millisecond,
-		MaxOpen:      int(maxRequestFraction * float64(s.Machine.Descriptors)),
+		StallTimeout: time.Duration(p.CallerStallMS) * time.Millisecond,
+		MaxRunning:   int(maxRequestFraction * float64(s.Machine.Descriptors)),
 	}
 }
 
@@ -246,18 +246,18 @@
 		DataCentres: len(s.DataCentres),
 		Regions:     regions(s),
 
-		Beliefs:  i.discovery,
+		State:    i.discovery,
 		Balancer: i.balancer,
 		Log:      i.log,
 		Count:    i.countGossip,
-		Mark:     i.summary,
+		Summary:  i.summary,
 		Now:      i.now,
 
-		Suspects:     i.suspects,
-		SuspectNews:  i.entry.HearPoison,
-		PullSuspects: i.fetchSuspects,
+		Suspects:      i.suspects,
+		OnSuspects:    i.entry.LogPoisonUpdate,
+		FetchSuspects: i.fetchSuspects,
 
-		Instances: func(n int, reportInterval time.Duration) {
+		OnFleetSize: func(n int, reportInterval time.Duration) {
 			i.balancer.SetInstances(n, reportInterval)
 			i.entry.SetInstances(i.retryBudgetSharers(n))
 		},
@@ -378,8 +378,8 @@
 			now := i.now()
 			i.handleResume(s.check(now))
 			i.status.observe(i.version(), i.entry.Ready(), now)
-			i.balancer.Forget(i.discovery.Lists)
-			i.pool.Sweep(now, i.discovery.Lists)
+			i.balancer.Forget(i.discovery.HasIncarnation)
+			i.pool.CloseExpired(now, i.discovery.HasIncarnation)
 			i.suspects.Tidy(now)
 		}
 	}
--- a/instance/inventory.go
+++ b/instance/inventory.go
@@ -17,11 +17,11 @@
 )
 
 func (i *Instance) inventorySource() *inventory.Source {
-	return &inventory.Source{Detail: i.detail, Heard: i.localFleet, Whole: i.fullFleet, Ask: i.fetchDetail, Log: i.log}
+	return &inventory.Source{Detail: i.detail, LocalFleet: i.localFleet, FullFleet: i.fullFleet, Ask: i.fetchDetail, Log: i.log}
 }
 
 // summary returns the status summary sent with heartbeats.
-func (i *Instance) summary() inventory.Mark { return i.status.summary(i.version(), i.entry.Ready()) }
+func (i *Instance) summary() inventory.Summary { return i.status.summary(i.version(), i.entry.Ready()) }
 
 // peerAddress converts an instance's gossip address to that of its peer listener.
 // All instances use the same port.
@@ -50,7 +50,7 @@
 func (i *Instance) detail() *inventory.Detail {
 	d := &inventory.Detail{
 		Name: i.settings.Name, DataCentre: i.settings.DataCentre, Role: i.role(), Address: i.settings.Listen.Peers,
-		Version: i.version(), Revision: i.discovery.View().Revision, ProofMS: i.validationAge(), Ready: i.entry.Ready(),
+		Version: i.version(), Revision: i.discovery.View().Revision, ValidatedMS: i.validationAge(), Ready: i.entry.Ready(),
 	}
 	if !d.Ready {
 		d.NotReady = i.notReadyReason()
@@ -74,28 +74,28 @@
 
 // localFleet returns the part of the fleet that this instance receives heartbeats from.
 func (i *Instance) localFleet() *inventory.Fleet {
-	self := inventory.Row{Address: i.settings.Listen.Peers, DataCentre: i.settings.DataCentre, Role: i.role(), ProofMS: i.validationAge()}
-	self.SetMark(i.summary())
+	self := inventory.Instance{Address: i.settings.Listen.Peers, DataCentre: i.settings.DataCentre, Role: i.role(), ValidatedMS: i.validationAge()}
+	self.SetSummary(i.summary())
 	self.Leaving, _ = i.entry.Leaving()
-	f := &inventory.Fleet{Asked: i.settings.Listen.Peers, Rows: []inventory.Row{self}, Partial: self.Role != inventory.Scheduler}
+	f := &inventory.Fleet{Asked: i.settings.Listen.Peers, Instances: []inventory.Instance{self}, Partial: self.Role != inventory.Scheduler}
 	now := i.now()
-	for _, m := range i.gossip.Seen() {
-		f.Rows = append(f.Rows, i.row(&m, now))
+	for _, m := range i.gossip.Inventory() {
+		f.Instances = append(f.Instances, i.row(&m, now))
 	}
 	f.Sort()
 	return f
 }
 
-func (i *Instance) row(m *gossip.Seen, now time.Time) inventory.Row {
-	r := inventory.Row{
+func (i *Instance) row(m *gossip.InstanceInfo, now time.Time) inventory.Instance {
+	r := inventory.Instance{
 		Address: i.peerAddress(m.Address), DataCentre: m.DataCentre, Role: inventory.Follower,
-		Leaving: m.Leaving, Lost: m.Lost, HeardMS: m.HeardSince.Milliseconds(), ProofMS: inventory.Since(now, m.Proved),
+		Leaving: m.Leaving, Lost: m.Lost, HeardMS: m.SinceHeard.Milliseconds(), ValidatedMS: inventory.Since(now, m.ValidatedAt),
 	}
-	if m.Schedules {
+	if m.IsScheduler {
 		r.Role = inventory.Scheduler
 	}
-	if m.Told {
-		r.SetMark(m.Mark)
+	if m.HasSummary {
+		r.SetSummary(m.Summary)
 	}
 	return r
 }
@@ -111,12 +111,12 @@
 	}
 	upstreams, _ := i.gossip.Upstreams()
 	for _, m := range upstreams {
-		full, err := i.inventoryClient.Whole(ctx, i.peerAddress(m.Address))
+		full, err := i.inventoryClient.FullFleet(ctx, i.peerAddress(m.Address))
 		switch {
 		case err != nil:
 		case !full.Partial:
 			return full
-		case len(full.Rows) > len(f.Rows):
+		case len(full.Instances) > len(f.Instances):
 			f = full // incomplete, but more than is known here
 		}
 	}
@@ -162,7 +162,7 @@
 	if address == i.settings.Listen.Peers {
 		return i.detail(), nil
 	}
-	for _, r := range i.fullFleet(ctx).Rows {
+	for _, r := range i.fullFleet(ctx).Instances {
 		if r.Address == address {
 			return i.inventoryClient.Detail(ctx, address)
 		}
@@ -181,13 +181,13 @@
 func (i *Instance) fleetCounters() any {
 	f := i.localFleet()
 	oldest := int64(-1)
-	for _, r := range f.Rows {
-		oldest = max(oldest, r.ProofMS)
+	for _, r := range f.Instances {
+		oldest = max(oldest, r.ValidatedMS)
 	}
 	return map[string]any{
-		"instances":       len(f.Rows),
-		"by_settings":     f.Counts(func(r *inventory.Row) string { return orUnreported(r.Settings) }),
-		"by_version":      f.Counts(func(r *inventory.Row) string { return versionText(r) }),
+		"instances":       len(f.Instances),
+		"by_settings":     f.CountBy(func(r *inventory.Instance) string { return orUnreported(r.Settings) }),
+		"by_version":      f.CountBy(func(r *inventory.Instance) string { return versionText(r) }),
 		"oldest_proof_ms": oldest,
 	}
 }
@@ -202,8 +202,8 @@
 	return text
 }
 
-func versionText(r *inventory.Row) string {
-	if !r.Told {
+func versionText(r *inventory.Instance) string {
+	if !r.Reported {
 		return unreported
 	}
 	return strconv.FormatInt(r.Version, 10)
--- a/instance/older_builds.go
+++ b/instance/older_builds.go
@@ -61,7 +61,7 @@
 
 // noteOlderBuild records the instance at address if err is gossip.ErrOlder.
 func (i *Instance) noteOlderBuild(address string, err error) {
-	if errors.Is(err, gossip.ErrOlder) && i.olderBuilds.add(address, i.now()) {
+	if errors.Is(err, gossip.ErrOldBuild) && i.olderBuilds.add(address, i.now()) {
 		i.log.Info("instance runs an older build; not fetching from it", zap.String("address", address), zap.String("error", err.Error()))
 	}
 }
@@ -83,5 +83,5 @@
 	if i.olderBuilds.hasRecent(i.now()) {
 		return len(i.gossip.Members()) + 1
 	}
-	return i.gossip.Readers()
+	return i.gossip.StoreReaders()
 }
--- a/instance/peers.go
+++ b/instance/peers.go
@@ -13,7 +13,7 @@
 	"github.com/go-chi/chi/v5"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
+	"ivyridge/discovery"
 	"ivyridge/gossip"
 	"ivyridge/inventory"
 )
@@ -29,26 +29,26 @@
 // validationTurn returns the position of this instance in the order of validation.
 // Schedulers with a recent validation take turns. Other instances learn the result from
 // them, and ask the store only if no scheduler can, without an order among themselves.
-func (i *Instance) validationTurn() belief.Turn {
+func (i *Instance) validationTurn() discovery.ValidationTurn {
 	schedulers, schedules := i.gossip.Schedulers()
 	if !schedules {
-		return belief.Turn{Crowd: i.gossip.Crowd()}
+		return discovery.ValidationTurn{Unranked: i.gossip.OrdinaryInstances()}
 	}
 	rank := 0
 	now := i.now()
 	for _, m := range schedulers {
-		if m.ID < i.gossip.ID() && !m.Leaving && now.Sub(m.Proved) < maxValidationAge {
+		if m.ID < i.gossip.ID() && !m.Leaving && now.Sub(m.ValidatedAt) < maxValidationAge {
 			rank++
 		}
 	}
-	return belief.Turn{Rank: rank}
+	return discovery.ValidationTurn{Rank: rank}
 }
 
 // A placer selects endpoints through the instance's gossip, which is set up after the entry.
 type placer struct{ i *Instance }
 
 // Place implements entry.Placer.
-func (p placer) Place(ctx context.Context, endpoints []*belief.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
+func (p placer) Place(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
 	return p.i.gossip.Place(ctx, endpoints, d)
 }
 
@@ -58,17 +58,17 @@
 // probably in trouble for all, so the first candidate is kept: if the whole fleet turned
 // to the store, it would only add load. It returns false if the store is to be asked
 // instead.
-func (i *Instance) upstream(superseded bool) (belief.NamedSource, bool) {
+func (i *Instance) upstream(superseded bool) (discovery.NamedSource, bool) {
 	now := i.now()
 	upstreams, newest := i.gossip.Upstreams()
 	upstreams = i.excludeOlderBuilds(upstreams)
 	for _, m := range upstreams {
-		if now.Sub(m.Proved) < maxValidationAge && (!superseded || m.Revision >= newest) {
+		if now.Sub(m.ValidatedAt) < maxValidationAge && (!superseded || m.Revision >= newest) {
 			return i.relay(&m), true
 		}
 	}
-	if superseded || len(upstreams) == 0 || upstreams[0].Proved.IsZero() {
-		return belief.NamedSource{}, false
+	if superseded || len(upstreams) == 0 || upstreams[0].ValidatedAt.IsZero() {
+		return discovery.NamedSource{}, false
 	}
 	return i.relay(&upstreams[0]), true
 }
@@ -90,9 +90,9 @@
 
 // newerPeers returns instances with a newer revision, those of the local data centre
 // first. The order is otherwise random to spread the load.
-func (i *Instance) newerPeers() []belief.NamedSource {
+func (i *Instance) newerPeers() []discovery.NamedSource {
 	revision := i.discovery.View().Revision
-	var local, remote []belief.NamedSource
+	var local, remote []discovery.NamedSource
 	for _, m := range i.excludeOlderBuilds(i.gossip.Members()) {
 		if m.Revision <= revision {
 			continue
@@ -109,14 +109,14 @@
 	return all[:min(len(all), maxPeerSources)]
 }
 
-func shuffle(s []belief.NamedSource) {
+func shuffle(s []discovery.NamedSource) {
 	rand.Shuffle(len(s), func(i, j int) { s[i], s[j] = s[j], s[i] })
 }
 
 // relay returns another instance as a source of updates.
-func (i *Instance) relay(m *gossip.Member) belief.NamedSource {
+func (i *Instance) relay(m *gossip.Member) discovery.NamedSource {
 	address := net.JoinHostPort(hostOf(m.Address), portOf(i.settings.Listen.Peers))
-	return belief.NamedSource{Name: address, Source: &gossip.Relay{
+	return discovery.NamedSource{Name: address, Source: &gossip.Relay{
 		Address: address, HTTP: i.relayClient, Now: i.now, Version: i.version,
 		Failed: func(err error) { i.noteOlderBuild(m.Address, err) },
 	}}
@@ -138,10 +138,10 @@
 // peersHandler returns the HTTP handler for other instances.
 func (i *Instance) peersHandler() http.Handler {
 	r := chi.NewRouter()
-	r.Get(gossip.BeliefsPath, gossip.BeliefsHandler(i.discovery, i.log))
+	r.Get(gossip.StatePath, gossip.StateHandler(i.discovery, i.log))
 	r.Get(gossip.SuspectsPath, gossip.SuspectsHandler(i.suspects, i.now))
 	s := i.inventorySource()
 	r.Get(inventory.DetailPath, s.ServeDetail)
-	r.Get(inventory.FleetPath, s.ServeHeard)
+	r.Get(inventory.FleetPath, s.ServeLocalFleet)
 	return r
 }
--- a/instance/settings.go
+++ b/instance/settings.go
@@ -111,23 +111,23 @@
 
 func (c *checker) check() {
 	s := c.s
-	c.errs.Text(s.Pos, "name", s.Name)
-	c.errs.Text(s.Pos, "data_centre", s.DataCentre)
-	c.errs.Address(s.Listen.Pos, "listen.callers", s.Listen.Callers)
-	c.errs.Address(s.Listen.Pos, "listen.ready", s.Listen.Ready)
-	c.errs.Address(s.Listen.Pos, "listen.peers", s.Listen.Peers)
+	c.errs.CheckNotEmpty(s.Pos, "name", s.Name)
+	c.errs.CheckNotEmpty(s.Pos, "data_centre", s.DataCentre)
+	c.errs.CheckAddress(s.Listen.Pos, "listen.callers", s.Listen.Callers)
+	c.errs.CheckAddress(s.Listen.Pos, "listen.ready", s.Listen.Ready)
+	c.errs.CheckAddress(s.Listen.Pos, "listen.peers", s.Listen.Peers)
 	c.port("listen.gossip", s.Listen.Gossip, 1)
 	c.port("listen.metrics", s.Listen.Metrics, 0)
-	c.errs.Address(s.Pos, "store", s.Store)
+	c.errs.CheckAddress(s.Pos, "store", s.Store)
 	for _, d := range s.DataCentres {
-		c.errs.Text(d.Pos, "data_centres.name", d.Name)
+		c.errs.CheckNotEmpty(d.Pos, "data_centres.name", d.Name)
 	}
 	for _, seed := range s.Seeds {
-		c.errs.Address(s.Pos, "seeds", seed)
+		c.errs.CheckAddress(s.Pos, "seeds", seed)
 	}
 	c.machine()
 	c.promises()
-	c.errs.LogLevel(s.Log.Pos, &s.Log.Level)
+	c.errs.CheckLogLevel(s.Log.Pos, &s.Log.Level)
 }
 
 func (c *checker) port(field string, value, least int) {
--- a/instance/shares_test.go
+++ b/instance/shares_test.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
 	"ivyridge/catalog"
+	"ivyridge/discovery"
 )
 
 // Shares list teams by their configured names.
 func TestSharesVarTeamNames(t *testing.T) {
 	b := balance.New("z", time.Now)
-	endpoints := []*belief.Endpoint{{Endpoint: catalog.Endpoint{ID: "e", DataCentre: "z", Slots: 4}}}
+	endpoints := []*discovery.Endpoint{{Endpoint: catalog.Endpoint{ID: "e", DataCentre: "z", Slots: 4}}}
 	for range 3 {
 		b.Admit(endpoints, &balance.Demand{Service: &catalog.Service{Name: "p"}, Team: balance.TeamHash("vet")})
 	}
--- a/instance/status.go
+++ b/instance/status.go
@@ -130,12 +130,12 @@
 }
 
 // summary returns the status summary sent with heartbeats.
-func (r *status) summary(version int64, ready bool) inventory.Mark {
+func (r *status) summary(version int64, ready bool) inventory.Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return inventory.Mark{
+	return inventory.Summary{
 		Build: r.build.Hash(), Settings: r.hash, Version: version,
-		Ready: ready, Refused: r.rejection != "", Waiting: len(r.pendingRestart) > 0,
+		Ready: ready, Refused: r.rejection != "", NeedsRestart: len(r.pendingRestart) > 0,
 	}
 }
 
@@ -143,10 +143,10 @@
 func (r *status) detail(d *inventory.Detail, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d.Build, d.Own = r.build, instanceSpecific
+	d.Build, d.InstanceSpecific = r.build, instanceSpecific
 	d.Settings, d.Fields = r.hashText, r.fields
 	d.SettingsBy, d.SettingsMS = r.source, inventory.Since(now, r.effectiveSince)
-	d.Waiting = r.pendingRestart
+	d.PendingRestart = r.pendingRestart
 	if r.rejection != "" {
 		d.Refused, d.RefusedMS = r.rejection, inventory.Since(now, r.rejectedAt)
 	}
--- a/instance/suspects.go
+++ b/instance/suspects.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
+	"ivyridge/discovery"
 	"ivyridge/gossip"
 	"ivyridge/internal/fetch"
 	"ivyridge/inventory"
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "suspects")
 	}
-	a, err := fetch.Do(i.relayClient, req, gossip.MaxSuspects, fetch.Wait{Begin: suspectsTimeout})
+	a, err := fetch.Do(i.relayClient, req, gossip.MaxSuspects, fetch.HeaderWait{Timeout: suspectsTimeout})
 	if err != nil {
 		return nil, errors.Wrap(err, "suspects")
 	}
@@ -46,11 +46,11 @@
 func (i *Instance) blocked() *inventory.Blocked {
 	now := i.now()
 	names := i.endpointNames()
-	out := &inventory.Blocked{Requests: []inventory.BlockedRequest{}, Teams: []inventory.BlockedTeam{}, Absent: []inventory.AbsentEndpoint{}, Limited: []inventory.LimitedEndpoint{}, Entries: []inventory.BlockedEntry{}}
+	out := &inventory.Blocked{Requests: []inventory.BlockedRequest{}, Teams: []inventory.BlockedTeam{}, Unavailable: []inventory.UnavailableEndpoint{}, Limited: []inventory.LimitedEndpoint{}, Entries: []inventory.BlockedEntry{}}
 	for _, e := range i.suspects.Entries() {
 		r := inventory.BlockedRequest{
-			ID: e.ID.String(), Team: e.Team, Service: e.Service, Route: e.Route, Known: e.Known, Counted: e.Counted(),
-			LastMS: now.Sub(e.Last()).Milliseconds(), ForMS: e.Until().Sub(now).Milliseconds(),
+			ID: e.ID.String(), Team: e.Team, Service: e.Service, Route: e.Route, Confirmed: e.Confirmed, CountedStrikes: e.CountedStrikes(),
+			LastMS: now.Sub(e.Last()).Milliseconds(), ForMS: e.Expires().Sub(now).Milliseconds(),
 		}
 		for _, hash := range e.Endpoints() {
 			name, ok := names[hash]
@@ -64,17 +64,17 @@
 	for at, left := range i.suspects.SlowedTeams(now) {
 		out.Teams = append(out.Teams, inventory.BlockedTeam{Service: at.Service, Team: at.Team, ForMS: left.Milliseconds()})
 	}
-	for _, a := range i.balancer.Absences() {
-		out.Absent = append(out.Absent, inventory.AbsentEndpoint{ID: a.Endpoint, RestMS: a.Rest.Milliseconds(), Leaves: a.Leaves})
+	for _, a := range i.balancer.UnavailableEndpoints() {
+		out.Unavailable = append(out.Unavailable, inventory.UnavailableEndpoint{ID: a.Endpoint, BackoffMS: a.Backoff.Milliseconds(), Draining: a.Draining})
 	}
 	for _, l := range i.balancer.Limits() {
-		part, permits := i.gossip.Divided(l.Hash, l.DataCentre)
+		part, permits := i.gossip.AllocatedShare(l.Hash, l.DataCentre)
 		out.Limited = append(out.Limited, inventory.LimitedEndpoint{
-			ID: l.Endpoint, PerSecond: l.Rate, AgeMS: l.Age.Milliseconds(), Divider: l.Divider, Part: part, Permits: permits,
-			InHand: l.Permits, AsksInMS: l.Closed.Milliseconds(),
+			ID: l.Endpoint, PerSecond: l.Rate, AgeMS: l.Age.Milliseconds(), Allocator: l.Allocator, Share: part, Permits: permits,
+			Available: l.Permits, AsksInMS: l.Closed.Milliseconds(),
 		})
 	}
-	for _, e := range i.store.KeptOut() {
+	for _, e := range i.store.RejectedEntries() {
 		out.Entries = append(out.Entries, inventory.BlockedEntry{Key: e.Key, Revision: e.Revision, Error: e.Error})
 	}
 	return out
@@ -83,7 +83,7 @@
 // endpointNames maps the hashes of listed endpoints to their IDs.
 func (i *Instance) endpointNames() map[uint32]string {
 	names := make(map[uint32]string)
-	i.discovery.View().Services(func(_ string, endpoints []*belief.Endpoint) {
+	i.discovery.View().Services(func(_ string, endpoints []*discovery.Endpoint) {
 		for _, e := range endpoints {
 			names[balance.EndpointHash(e.ID)] = e.ID
 		}
@@ -100,7 +100,7 @@
 	})
 	r.Delete(inventory.BlockedPath+"/{id}", func(w http.ResponseWriter, r *http.Request) {
 		id, err := poison.ParseID(chi.URLParam(r, "id"))
-		if err != nil || !i.entry.Release(id) {
+		if err != nil || !i.entry.ClearSuspect(id) {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
--- a/instance/suspend.go
+++ b/instance/suspend.go
@@ -40,7 +40,7 @@
 	if d == 0 {
 		return
 	}
-	i.entry.Woke()
+	i.entry.HandleResume()
 	age, _ := i.discovery.Age()
 	i.log.Warn("machine was suspended", zap.Duration("for", d), zap.Duration("belief_age", age), zap.Int("in_hand", i.entry.Open()), zap.Bool("ready", i.entry.Ready()))
 }
--- a/instance/working_sets.go
+++ b/instance/working_sets.go
@@ -19,7 +19,7 @@
 			Service: s.Service, Listed: s.Listed, Open: s.Open, Used: s.Used, Needed: s.Needed, GrownMS: s.Grown.Milliseconds(),
 		})
 	}
-	for _, e := range i.balancer.Slow() {
+	for _, e := range i.balancer.SlowEndpoints() {
 		out.Slow = append(out.Slow, inventory.SlowEndpoint{ID: e.Endpoint, Slowness: e.Slowness, AgeMS: e.Age.Milliseconds()})
 	}
 	return out
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -14,9 +14,9 @@
 
 // The exit codes of all commands.
 const (
-	OK       = 0
-	Failed   = 1 // the operation failed, or a check found errors
-	BadUsage = 2 // invalid flags, settings or files; nothing was started
+	OK         = 0
+	Failed     = 1 // the operation failed, or a check found errors
+	UsageError = 2 // invalid flags, settings or files; nothing was started
 )
 
 // Parser returns a flaggy parser for a command.
@@ -31,7 +31,7 @@
 // Parse parses the command line. On an error it exits with BadUsage.
 func Parse(p *flaggy.Parser) {
 	if err := p.ParseArgs(os.Args[1:]); err != nil {
-		Exit(BadUsage, err)
+		Exit(UsageError, err)
 	}
 }
 
--- a/internal/fetch/fetch.go
+++ b/internal/fetch/fetch.go
@@ -27,8 +27,8 @@
 // Reasons for which Do aborts a call.
 var (
 	ErrTooLong   = errors.New("response too long")
-	ErrSilent    = errors.New("source stopped sending")
-	ErrTrickling = errors.New("response took too long to arrive")
+	ErrIdle      = errors.New("source stopped sending")
+	ErrTooSlow   = errors.New("response took too long to arrive")
 	ErrAbandoned = errors.New("wait for the response was abandoned")
 )
 
@@ -60,69 +60,69 @@
 	}
 }
 
-// A Wait bounds the wait for the response header.
-type Wait struct {
-	Begin time.Duration // until the header arrives
+// A HeaderWait bounds the wait for the response header.
+type HeaderWait struct {
+	Timeout time.Duration // until the header arrives
 	// Abandon, once closed, ends the wait for the header; nil: never. A response whose header has
 	// arrived is still read to its end.
 	Abandon <-chan struct{}
-	// Begun, if set, is called when the header has arrived.
-	Begun func()
+	// OnHeader, if set, is called when the header has arrived.
+	OnHeader func()
 }
 
-// An Answer is a complete response.
-type Answer struct {
-	Status int
-	Body   []byte
-	First  time.Duration // from the call to the header
-	Took   time.Duration // from the call to the end of the body
+// An Response is a complete response.
+type Response struct {
+	Status     int
+	Body       []byte
+	HeaderTime time.Duration // from the call to the header
+	TotalTime  time.Duration // from the call to the end of the body
 }
 
-// A CutError is the error of a call without a complete response.
-type CutError struct {
-	Begun bool          // the header arrived
-	Bytes int           // of the body that arrived
-	First time.Duration // from the call to the header; zero if it did not arrive
-	Took  time.Duration // from the call to the error
-	Err   error
+// A TruncatedError is the error of a call without a complete response.
+type TruncatedError struct {
+	HeaderReceived bool          // the header arrived
+	Bytes          int           // of the body that arrived
+	HeaderTime     time.Duration // from the call to the header; zero if it did not arrive
+	Elapsed        time.Duration // from the call to the error
+	Err            error
 }
 
-func (e *CutError) Error() string {
-	if !e.Begun {
-		return fmt.Sprintf("no response header within %v: %v", e.Took.Round(time.Millisecond), e.Err)
+func (e *TruncatedError) Error() string {
+	if !e.HeaderReceived {
+		return fmt.Sprintf("no response header within %v: %v", e.Elapsed.Round(time.Millisecond), e.Err)
 	}
-	return fmt.Sprintf("response truncated after %d bytes and %v: %v", e.Bytes, e.Took.Round(time.Millisecond), e.Err)
+	return fmt.Sprintf("response truncated after %d bytes and %v: %v", e.Bytes, e.Elapsed.Round(time.Millisecond), e.Err)
 }
 
 // Unwrap returns the reason of the failure.
-func (e *CutError) Unwrap() error { return e.Err }
+func (e *TruncatedError) Unwrap() error { return e.Err }
 
 // Do makes a call and reads its complete response, whose body may have up to maxBytes. Every error
 // is a *CutError.
-func Do(client *http.Client, req *http.Request, maxBytes int64, w Wait) (*Answer, error) {
+func Do(client *http.Client, req *http.Request, maxBytes int64, w HeaderWait) (*Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
 	defer cancel(nil)
-	silence := time.AfterFunc(w.Begin, func() { cancel(ErrSilent) })
+	silence := time.AfterFunc(w.Timeout, func() { cancel(ErrIdle) })
 	defer silence.Stop()
 	began := time.Now()
 	res, err := head(ctx, cancel, client, req, w.Abandon)
 	if err != nil {
-		return nil, &CutError{Took: time.Since(began), Err: cause(ctx, err)}
+		return nil, &TruncatedError{Elapsed: time.Since(began), Err: cause(ctx, err)}
 	}
 	defer res.Body.Close()
-	if w.Begun != nil {
-		w.Begun()
+	if w.OnHeader != nil {
+		w.OnHeader()
 	}
-	arrival := time.AfterFunc(arrivalTimeout, func() { cancel(ErrTrickling) })
+	arrival := time.AfterFunc(arrivalTimeout, func() { cancel(ErrTooSlow) })
 	defer arrival.Stop()
-	a := &Answer{Status: res.StatusCode, First: time.Since(began)}
+	a := &Response{Status: res.StatusCode, HeaderTime: time.Since(began)}
 	a.Body, err = io.ReadAll(io.LimitReader(&idleReader{res.Body, silence}, maxBytes+1))
-	a.Took = time.Since(began)
+	a.TotalTime = time.Since(began)
 	if err == nil && int64(len(a.Body)) > maxBytes {
 		err = ErrTooLong
 	}
 	if err != nil {
-		return nil, &CutError{Begun: true, Bytes: len(a.Body), First: a.First, Took: a.Took, Err: cause(ctx, err)}
+		return nil, &TruncatedError{HeaderReceived: true, Bytes: len(a.Body), HeaderTime: a.HeaderTime, Elapsed: a.TotalTime, Err: cause(ctx, err)}
 	}
 	return a, nil
 }
--- a/internal/fetch/fetch_test.go
+++ b/internal/fetch/fetch_test.go
@@ -26,8 +26,8 @@
 		w.WriteHeader(http.StatusGone)
 		_, _ = w.Write([]byte("whole"))
 	})
-	a, err := Do(http.DefaultClient, req, 5, Wait{Begin: time.Second})
-	if err != nil || a.Status != http.StatusGone || string(a.Body) != "whole" || a.Took < a.First {
+	a, err := Do(http.DefaultClient, req, 5, HeaderWait{Timeout: time.Second})
+	if err != nil || a.Status != http.StatusGone || string(a.Body) != "whole" || a.TotalTime < a.HeaderTime {
 		t.Fatalf("got %+v, %v", a, err)
 	}
 }
@@ -40,9 +40,9 @@
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
-	_, err := Do(http.DefaultClient, req, 100, Wait{Begin: time.Second})
-	var cut *CutError
-	if !errors.As(err, &cut) || !cut.Begun || cut.Bytes != len("a part") || !errors.Is(err, context.DeadlineExceeded) {
+	_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Second})
+	var cut *TruncatedError
+	if !errors.As(err, &cut) || !cut.HeaderReceived || cut.Bytes != len("a part") || !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("got %v", err)
 	}
 }
@@ -51,16 +51,16 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	req := newRequest(ctx, t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	_, err := Do(http.DefaultClient, req, 100, Wait{Begin: time.Second})
-	var cut *CutError
-	if !errors.As(err, &cut) || cut.Begun {
+	_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Second})
+	var cut *TruncatedError
+	if !errors.As(err, &cut) || cut.HeaderReceived {
 		t.Fatalf("got %v", err)
 	}
 }
 
 func TestOversizedResponse(t *testing.T) {
 	req := newRequest(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("123456")) })
-	if _, err := Do(http.DefaultClient, req, 5, Wait{Begin: time.Second}); !errors.Is(err, ErrTooLong) {
+	if _, err := Do(http.DefaultClient, req, 5, HeaderWait{Timeout: time.Second}); !errors.Is(err, ErrTooLong) {
 		t.Fatalf("got %v", err)
 	}
 }
@@ -78,8 +78,8 @@
 	})
 	abandon := make(chan struct{})
 	time.AfterFunc(2*begin, func() { close(abandon) })
-	a, err := Do(http.DefaultClient, req, 100, Wait{Begin: begin, Abandon: abandon})
-	if err != nil || len(a.Body) != 6*len("a part") || a.Took < 2*begin {
+	a, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: begin, Abandon: abandon})
+	if err != nil || len(a.Body) != 6*len("a part") || a.TotalTime < 2*begin {
 		t.Fatalf("got %+v, %v", a, err)
 	}
 }
@@ -94,9 +94,9 @@
 				}
 				<-r.Context().Done()
 			})
-			_, err := Do(http.DefaultClient, req, 100, Wait{Begin: 500 * time.Millisecond})
-			var cut *CutError
-			if !errors.Is(err, ErrSilent) || !errors.As(err, &cut) || cut.Begun != begin {
+			_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: 500 * time.Millisecond})
+			var cut *TruncatedError
+			if !errors.Is(err, ErrIdle) || !errors.As(err, &cut) || cut.HeaderReceived != begin {
 				t.Fatalf("got %v", err)
 			}
 		})
@@ -109,7 +109,7 @@
 		close(abandon)
 		<-r.Context().Done()
 	})
-	if _, err := Do(http.DefaultClient, req, 100, Wait{Begin: time.Minute, Abandon: abandon}); !errors.Is(err, ErrAbandoned) {
+	if _, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Minute, Abandon: abandon}); !errors.Is(err, ErrAbandoned) {
 		t.Fatalf("got %v", err)
 	}
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -59,12 +59,12 @@
 
 func TestTCPSilence(t *testing.T) {
 	l, c := startEcho(t)
-	l.Set(Weather{SilentOut: true})
+	l.Set(Conditions{BlockBack: true})
 	_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if got, err := roundTrip(t, c, "one\n"); err == nil {
 		t.Fatalf("got %q through a silent link, want a timeout", got)
 	}
-	l.Set(Weather{})
+	l.Set(Conditions{})
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if got, err := bufio.NewReader(c).ReadString('\n'); got != "one\n" || err != nil {
 		t.Fatalf("after the silence: got %q, %v", got, err)
@@ -73,7 +73,7 @@
 
 func TestTCPCutAndReset(t *testing.T) {
 	l, c := startEcho(t)
-	l.Set(Weather{Cut: 2})
+	l.Set(Conditions{ResetAfter: 2})
 	if got, err := roundTrip(t, c, "one\n"); err == nil {
 		t.Fatalf("got %q through a link that cuts after 2 bytes, want an error", got)
 	}
@@ -89,7 +89,7 @@
 
 func TestTCPRate(t *testing.T) {
 	l, c := startEcho(t)
-	l.Set(Weather{Rate: 10_000})
+	l.Set(Conditions{Rate: 10_000})
 	began := time.Now()
 	go func() { _, _ = c.Write(make([]byte, 3000)) }()
 	if _, err := io.ReadFull(c, make([]byte, 3000)); err != nil {
@@ -133,7 +133,7 @@
 	if got, from := receive(own[1], 5*time.Second); got != "hello" || from.String() != fronts[0].String() {
 		t.Fatalf("got %q from %v, want hello from the sender's front", got, from)
 	}
-	s.Set(func(from, to string) Sky { return Sky{Cut: from == "a", Double: 1} })
+	s.Set(func(from, to string) DatagramConditions { return DatagramConditions{Cut: from == "a", Duplicate: 1} })
 	_, _ = own[0].WriteToUDP([]byte("lost"), fronts[1])
 	if got, _ := receive(own[1], 100*time.Millisecond); got != "" {
 		t.Fatalf("got %q over a cut link, want nothing", got)
--- a/internal/link/narrow.go
+++ b/internal/link/narrow.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A Narrow is a link of limited bandwidth that datagrams of many pairs share. Datagrams are queued
+// A Bottleneck is a link of limited bandwidth that datagrams of many pairs share. Datagrams are queued
 // while it is busy, and dropped once the queueing delay exceeds a bound. It is safe for concurrent
 // use.
-type Narrow struct {
+type Bottleneck struct {
 	rate    int           // bytes per second
 	maxWait time.Duration // queueing delay above which datagrams are dropped
 
@@ -16,13 +16,15 @@
 	busyUntil time.Time // when the last accepted datagram has been sent
 }
 
-// NewNarrow returns a link that forwards rate bytes per second, and drops datagrams that would
+// NewBottleneck returns a link that forwards rate bytes per second, and drops datagrams that would
 // wait longer than maxWait.
-func NewNarrow(rate int, maxWait time.Duration) *Narrow { return &Narrow{rate: rate, maxWait: maxWait} }
+func NewBottleneck(rate int, maxWait time.Duration) *Bottleneck {
+	return &Bottleneck{rate: rate, maxWait: maxWait}
+}
 
 // enqueue returns how long a datagram that arrives now takes to be queued and sent, or false if it
 // is dropped.
-func (n *Narrow) enqueue(size int, now time.Time) (time.Duration, bool) {
+func (n *Bottleneck) enqueue(size int, now time.Time) (time.Duration, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.busyUntil.Before(now) {
--- a/internal/link/narrow_test.go
+++ b/internal/link/narrow_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestNarrowQueuesAndDrops(t *testing.T) {
-	n, now := NewNarrow(1000, 250*time.Millisecond), time.Unix(1000, 0)
+	n, now := NewBottleneck(1000, 250*time.Millisecond), time.Unix(1000, 0)
 	for i, want := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
 		if got, ok := n.enqueue(100, now); !ok || got != want {
 			t.Errorf("datagram %d: got %v, %v, want %v", i, got, ok, want)
--- a/internal/link/tcp.go
+++ b/internal/link/tcp.go
@@ -16,14 +16,14 @@
 // rateInterval is the time worth of data that a throttled connection forwards at once.
 const rateInterval = 10 * time.Millisecond
 
-// Weather is the condition of a TCP link. The zero value forwards everything at once. Forward is
+// Conditions is the condition of a TCP link. The zero value forwards everything at once. Forward is
 // the direction from the connecting side to the target, back the opposite one.
-type Weather struct {
-	Rate      int           // bytes per second back, shared by all connections; zero: unlimited
-	Delay     time.Duration // before each read chunk, each way
-	Silent    bool          // nothing passes forward; what was sent is kept
-	SilentOut bool          // nothing passes back; what was sent is kept
-	Cut       int           // each connection is reset when more than this many bytes have come back; zero: never
+type Conditions struct {
+	Rate         int           // bytes per second back, shared by all connections; zero: unlimited
+	Delay        time.Duration // before each read chunk, each way
+	BlockForward bool          // nothing passes forward; what was sent is kept
+	BlockBack    bool          // nothing passes back; what was sent is kept
+	ResetAfter   int           // each connection is reset when more than this many bytes have come back; zero: never
 }
 
 // A TCP forwards connections to another address. It is safe for concurrent use.
@@ -34,7 +34,7 @@
 
 	rateMu     sync.Mutex // held while a throttled connection forwards a chunk
 	mu         sync.Mutex
-	conditions Weather
+	conditions Conditions
 	changed    chan struct{}             // closed at each change of conditions
 	conns      map[net.Conn]*atomic.Bool // to whether the connection is silenced
 	closed     bool
@@ -52,7 +52,7 @@
 }
 
 // Set changes the link's condition, for open connections too.
-func (l *TCP) Set(w Weather) {
+func (l *TCP) Set(w Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conditions = w
@@ -69,9 +69,9 @@
 	}
 }
 
-// Hush silences the open connections for good: they forward nothing more and are not reset. New
+// Silence silences the open connections for good: they forward nothing more and are not reset. New
 // connections are not affected.
-func (l *TCP) Hush() {
+func (l *TCP) Silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, silenced := range l.conns {
@@ -85,7 +85,7 @@
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
-	l.Set(Weather{})
+	l.Set(Conditions{})
 	l.Reset()
 }
 
@@ -161,7 +161,7 @@
 		if n > 0 {
 			time.Sleep(w.Delay)
 			forwarded += n
-			if back && w.Cut > 0 && forwarded > w.Cut {
+			if back && w.ResetAfter > 0 && forwarded > w.ResetAfter {
 				reset(to)
 				reset(from)
 				return
@@ -199,12 +199,12 @@
 }
 
 // awaitOpen waits until the link lets a direction through, and returns its condition.
-func (l *TCP) awaitOpen(back bool) Weather {
+func (l *TCP) awaitOpen(back bool) Conditions {
 	for {
 		l.mu.Lock()
 		w, changed := l.conditions, l.changed
 		l.mu.Unlock()
-		if !(w.Silent && !back || w.SilentOut && back) {
+		if !(w.BlockForward && !back || w.BlockBack && back) {
 			return w
 		}
 		<-changed
@@ -212,7 +212,7 @@
 }
 
 // write writes data at the link's rate.
-func (l *TCP) write(to net.Conn, data []byte, w Weather, back bool) error {
+func (l *TCP) write(to net.Conn, data []byte, w Conditions, back bool) error {
 	if back && w.Rate > 0 {
 		l.rateMu.Lock()
 		defer l.rateMu.Unlock()
--- a/internal/link/udp.go
+++ b/internal/link/udp.go
@@ -13,15 +13,15 @@
 // maxDatagram exceeds the size of any datagram.
 const maxDatagram = 64 << 10
 
-// Sky is the condition of datagrams from one process to another. The zero value forwards them at
+// DatagramConditions is the condition of datagrams from one process to another. The zero value forwards them at
 // once.
-type Sky struct {
-	Lose    float64       // fraction that is dropped
-	Double  float64       // fraction that is duplicated
-	Late    time.Duration // each is delayed by a random time below this, which reorders them
-	Cut     bool          // all are dropped
-	Delay   time.Duration // fixed delay of each
-	Through *Narrow       // shared link that they pass; nil: none
+type DatagramConditions struct {
+	Loss       float64       // fraction that is dropped
+	Duplicate  float64       // fraction that is duplicated
+	Jitter     time.Duration // each is delayed by a random time below this, which reorders them
+	Cut        bool          // all are dropped
+	Delay      time.Duration // fixed delay of each
+	Bottleneck *Bottleneck   // shared link that they pass; nil: none
 }
 
 // A Switch forwards datagrams between processes. Other processes know each process by its front,
@@ -31,7 +31,7 @@
 	mu         sync.Mutex
 	rng        *rand.Rand
 	ports      map[netip.AddrPort]*port // by the process's own address
-	conditions func(from, to string) Sky
+	conditions func(from, to string) DatagramConditions
 }
 
 // A port is a process attached to a Switch.
@@ -45,13 +45,13 @@
 func NewSwitch(seed uint64) *Switch {
 	return &Switch{
 		rng: rand.New(rand.NewPCG(seed, 1)), ports: make(map[netip.AddrPort]*port),
-		conditions: func(string, string) Sky { return Sky{} },
+		conditions: func(string, string) DatagramConditions { return DatagramConditions{} },
 	}
 }
 
 // Set sets the function that returns the condition of datagrams between two processes, by name. It
 // is called while the Switch is locked, and must not call the Switch.
-func (s *Switch) Set(conditions func(from, to string) Sky) {
+func (s *Switch) Set(conditions func(from, to string) DatagramConditions) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conditions = conditions
@@ -115,19 +115,19 @@
 	sky := s.conditions(sender.name, p.name)
 	copies := 1
 	switch {
-	case sky.Cut || s.rng.Float64() < sky.Lose:
+	case sky.Cut || s.rng.Float64() < sky.Loss:
 		copies = 0
-	case s.rng.Float64() < sky.Double:
+	case s.rng.Float64() < sky.Duplicate:
 		copies = 2
 	}
 	var delays []time.Duration
 	for range copies {
 		d := sky.Delay
-		if sky.Late > 0 {
-			d += time.Duration(s.rng.Int64N(int64(sky.Late)))
+		if sky.Jitter > 0 {
+			d += time.Duration(s.rng.Int64N(int64(sky.Jitter)))
 		}
-		if sky.Through != nil {
-			queued, fits := sky.Through.enqueue(len(data), time.Now())
+		if sky.Bottleneck != nil {
+			queued, fits := sky.Bottleneck.enqueue(len(data), time.Now())
 			if !fits {
 				continue
 			}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -12,13 +12,13 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// A Form is an output format of log lines.
-type Form string
+// A Format is an output format of log lines.
+type Format string
 
 // The output formats.
 const (
-	JSON    Form = "json"
-	Console Form = "console"
+	JSON    Format = "json"
+	Console Format = "console"
 )
 
 // queueCapacity is the maximum number of lines waiting to be written.
@@ -88,7 +88,7 @@
 // New returns a logger that writes lines of at least a level to out: debug, info, warn, error or
 // another level of zapcore. Lines are dropped and counted in dropped when too many wait to be
 // written.
-func New(level string, form Form, out io.Writer, dropped *expvar.Int) (*zap.Logger, error) {
+func New(level string, form Format, out io.Writer, dropped *expvar.Int) (*zap.Logger, error) {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, errors.Wrap(err, "log")
@@ -96,7 +96,7 @@
 	return zap.New(zapcore.NewCore(encoder(form), newLineQueue(out, dropped), parsed)), nil
 }
 
-func encoder(form Form) zapcore.Encoder {
+func encoder(form Format) zapcore.Encoder {
 	if form == Console {
 		return zapcore.NewConsoleEncoder(zap.NewDevelopmentEncoderConfig())
 	}
--- a/inventory/blocked.go
+++ b/inventory/blocked.go
@@ -20,18 +20,18 @@
 
 // A Blocked reports what an instance withholds from endpoints.
 type Blocked struct {
-	Requests []BlockedRequest  `json:"requests"`
-	Teams    []BlockedTeam     `json:"teams"`
-	Absent   []AbsentEndpoint  `json:"absent"`
-	Limited  []LimitedEndpoint `json:"limited"`
-	Entries  []BlockedEntry    `json:"entries"`
+	Requests    []BlockedRequest      `json:"requests"`
+	Teams       []BlockedTeam         `json:"teams"`
+	Unavailable []UnavailableEndpoint `json:"absent"`
+	Limited     []LimitedEndpoint     `json:"limited"`
+	Entries     []BlockedEntry        `json:"entries"`
 }
 
-// An AbsentEndpoint asked the instance not to send any requests.
-type AbsentEndpoint struct {
-	ID     string `json:"id"`
-	RestMS int64  `json:"rest_ms"` // remaining time for which it wants no requests from this instance
-	Leaves bool   `json:"leaves"`
+// An UnavailableEndpoint asked the instance not to send any requests.
+type UnavailableEndpoint struct {
+	ID        string `json:"id"`
+	BackoffMS int64  `json:"rest_ms"` // remaining time for which it wants no requests from this instance
+	Draining  bool   `json:"leaves"`
 }
 
 // A LimitedEndpoint limits the rate of requests from all instances together.
@@ -39,24 +39,24 @@
 	ID        string  `json:"id"`
 	PerSecond float64 `json:"per_second"`
 	AgeMS     int64   `json:"age_ms"`     // since a response reported the limit
-	Divider   string  `json:"divider"`    // gossip address of the instance last asked for permits; empty: none
-	Part      float64 `json:"part"`       // share of the limit that this instance grants permits for; zero: none
+	Allocator string  `json:"divider"`    // gossip address of the instance last asked for permits; empty: none
+	Share     float64 `json:"part"`       // share of the limit that this instance grants permits for; zero: none
 	Permits   uint64  `json:"permits"`    // number of permits granted by this instance
-	InHand    int     `json:"in_hand"`    // number of unused permits that this instance holds
+	Available int     `json:"in_hand"`    // number of unused permits that this instance holds
 	AsksInMS  int64   `json:"asks_in_ms"` // until this instance requests its next permit
 }
 
 // A BlockedRequest was running on endpoints when they crashed.
 type BlockedRequest struct {
-	ID        string   `json:"same_as"` // as logged under this key
-	Team      string   `json:"team"`
-	Service   string   `json:"service"`
-	Route     string   `json:"route"`
-	Known     bool     `json:"known"`     // it is blocked
-	Counted   int      `json:"counted"`   // number of crashes counted against it
-	Endpoints []string `json:"endpoints"` // that crashed, by ID, or by hash if no longer listed
-	LastMS    int64    `json:"last_ms"`   // since the last crash, or since it was last received
-	ForMS     int64    `json:"for_ms"`    // until it is forgotten unless it is received again
+	ID             string   `json:"same_as"` // as logged under this key
+	Team           string   `json:"team"`
+	Service        string   `json:"service"`
+	Route          string   `json:"route"`
+	Confirmed      bool     `json:"known"`     // it is blocked
+	CountedStrikes int      `json:"counted"`   // number of crashes counted against it
+	Endpoints      []string `json:"endpoints"` // that crashed, by ID, or by hash if no longer listed
+	LastMS         int64    `json:"last_ms"`   // since the last crash, or since it was last received
+	ForMS          int64    `json:"for_ms"`    // until it is forgotten unless it is received again
 }
 
 // A BlockedTeam is a team whose requests to a service are throttled.
@@ -79,14 +79,14 @@
 	return b, c.get(ctx, address, BlockedPath, nil, b)
 }
 
-// Release has the instance with the given metrics address unblock a request and notify the others.
-func (c *Client) Release(ctx context.Context, address, id string) error {
+// Unblock has the instance with the given metrics address unblock a request and notify the others.
+func (c *Client) Unblock(ctx context.Context, address, id string) error {
 	target := url.URL{Scheme: "http", Host: address, Path: BlockedPath + "/" + id}
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, target.String(), nil)
 	if err != nil {
 		return errors.Wrap(err, "inventory")
 	}
-	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.Wait{Begin: c.Wait})
+	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.HeaderWait{Timeout: c.Wait})
 	if err != nil {
 		return errors.Wrapf(err, "inventory: %s", address)
 	}
--- a/inventory/detail.go
+++ b/inventory/detail.go
@@ -52,25 +52,25 @@
 	Role       string `json:"role"`
 	Build      Build  `json:"build"`
 
-	Settings   string            `json:"settings"`             // hash of the settings in force
-	Fields     map[string]string `json:"fields"`               // settings in force, by path
-	Own        []string          `json:"own"`                  // paths of instance-specific settings, which are not hashed
-	SettingsBy string            `json:"settings_by"`          // what applied the settings: "start" or "reload"
-	SettingsMS int64             `json:"settings_ms"`          // since the settings were applied
-	Refused    string            `json:"refused,omitempty"`    // why the newest settings file was rejected
-	RefusedMS  int64             `json:"refused_ms,omitempty"` // since it was rejected
-	Waiting    []string          `json:"waiting,omitempty"`    // changed settings that require a restart
+	Settings         string            `json:"settings"`             // hash of the settings in force
+	Fields           map[string]string `json:"fields"`               // settings in force, by path
+	InstanceSpecific []string          `json:"own"`                  // paths of instance-specific settings, which are not hashed
+	SettingsBy       string            `json:"settings_by"`          // what applied the settings: "start" or "reload"
+	SettingsMS       int64             `json:"settings_ms"`          // since the settings were applied
+	Refused          string            `json:"refused,omitempty"`    // why the newest settings file was rejected
+	RefusedMS        int64             `json:"refused_ms,omitempty"` // since it was rejected
+	PendingRestart   []string          `json:"waiting,omitempty"`    // changed settings that require a restart
 
-	Version   int64  `json:"version"`    // of the configuration in force
-	VersionMS int64  `json:"version_ms"` // since that came into force
-	Revision  int64  `json:"revision"`   // of the published state, which includes the teams' keys
-	ProofMS   int64  `json:"proof_ms"`   // since that was last validated as current; negative: never
-	Ready     bool   `json:"ready"`
-	ReadyMS   int64  `json:"ready_ms"`        // since Ready last changed
-	NotReady  string `json:"not_ready"`       // reason; empty if ready
-	Uptime    int64  `json:"uptime_s"`        // seconds since start
-	Address   string `json:"address"`         // of the listener for other instances
-	Error     string `json:"error,omitempty"` // why the instance could not be queried
+	Version     int64  `json:"version"`    // of the configuration in force
+	VersionMS   int64  `json:"version_ms"` // since that came into force
+	Revision    int64  `json:"revision"`   // of the published state, which includes the teams' keys
+	ValidatedMS int64  `json:"proof_ms"`   // since that was last validated as current; negative: never
+	Ready       bool   `json:"ready"`
+	ReadyMS     int64  `json:"ready_ms"`        // since Ready last changed
+	NotReady    string `json:"not_ready"`       // reason; empty if ready
+	Uptime      int64  `json:"uptime_s"`        // seconds since start
+	Address     string `json:"address"`         // of the listener for other instances
+	Error       string `json:"error,omitempty"` // why the instance could not be queried
 }
 
 // sortedPaths returns the paths of fields in order.
@@ -85,10 +85,10 @@
 
 // A Difference is a setting whose values differ between two instances.
 type Difference struct {
-	Path    string `json:"path"`
-	A       string `json:"a"`
-	B       string `json:"b"`
-	Answers bool   `json:"answers"` // it may make the instances respond differently to clients
+	Path             string `json:"path"`
+	A                string `json:"a"`
+	B                string `json:"b"`
+	AffectsResponses bool   `json:"answers"` // it may make the instances respond differently to clients
 }
 
 // responsePrefixes are prefixes of the paths of settings that affect responses to clients.
@@ -109,10 +109,10 @@
 	}
 	var out []Difference
 	for _, path := range sortedPaths(all) {
-		if a.Fields[path] == b.Fields[path] || slices.Contains(a.Own, path) || slices.Contains(b.Own, path) {
+		if a.Fields[path] == b.Fields[path] || slices.Contains(a.InstanceSpecific, path) || slices.Contains(b.InstanceSpecific, path) {
 			continue
 		}
-		out = append(out, Difference{Path: path, A: a.Fields[path], B: b.Fields[path], Answers: affectsResponses(path)})
+		out = append(out, Difference{Path: path, A: a.Fields[path], B: b.Fields[path], AffectsResponses: affectsResponses(path)})
 	}
 	return out
 }
--- a/inventory/http.go
+++ b/inventory/http.go
@@ -35,8 +35,8 @@
 	maxResponseSize = 1 << 20
 	// maxDetails bounds the instances whose details are returned by one request.
 	maxDetails = 32
-	// AskWithin is the timeout for a request to another instance.
-	AskWithin = 400 * time.Millisecond
+	// QueryTimeout is the timeout for a request to another instance.
+	QueryTimeout = 400 * time.Millisecond
 )
 
 // A Client queries instances. It is safe for concurrent use.
@@ -52,7 +52,7 @@
 	if err != nil {
 		return errors.Wrap(err, "inventory")
 	}
-	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.Wait{Begin: c.Wait})
+	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.HeaderWait{Timeout: c.Wait})
 	if err != nil {
 		return errors.Wrapf(err, "inventory: %s", address)
 	}
@@ -68,8 +68,9 @@
 	return f, c.get(ctx, address, FleetPath, nil, f)
 }
 
-// Whole returns the fleet including other regions from the instance with the given peer address.
-func (c *Client) Whole(ctx context.Context, address string) (*Fleet, error) {
+// FullFleet returns the fleet including other regions from the instance with the given peer
+// address.
+func (c *Client) FullFleet(ctx context.Context, address string) (*Fleet, error) {
 	f := new(Fleet)
 	return f, c.get(ctx, address, FleetPath, url.Values{allRegionsQuery: {"1"}}, f)
 }
@@ -95,11 +96,11 @@
 
 // A Source provides the data that the handlers serve.
 type Source struct {
-	Detail func() *Detail                                             // of this instance
-	Heard  func() *Fleet                                              // instances that this one receives heartbeats from
-	Whole  func(ctx context.Context) *Fleet                           // the whole fleet
-	Ask    func(ctx context.Context, address string) (*Detail, error) // of another instance, which must be in the fleet
-	Log    *zap.Logger
+	Detail     func() *Detail                                             // of this instance
+	LocalFleet func() *Fleet                                              // instances that this one receives heartbeats from
+	FullFleet  func(ctx context.Context) *Fleet                           // the whole fleet
+	Ask        func(ctx context.Context, address string) (*Detail, error) // of another instance, which must be in the fleet
+	Log        *zap.Logger
 }
 
 func (s *Source) writeJSON(w http.ResponseWriter, v any) {
@@ -112,18 +113,18 @@
 // ServeDetail serves DetailPath.
 func (s *Source) ServeDetail(w http.ResponseWriter, _ *http.Request) { s.writeJSON(w, s.Detail()) }
 
-// ServeHeard serves FleetPath.
-func (s *Source) ServeHeard(w http.ResponseWriter, r *http.Request) {
+// ServeLocalFleet serves FleetPath.
+func (s *Source) ServeLocalFleet(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Has(allRegionsQuery) {
-		s.writeJSON(w, s.Whole(r.Context()))
+		s.writeJSON(w, s.FullFleet(r.Context()))
 		return
 	}
-	s.writeJSON(w, s.Heard())
+	s.writeJSON(w, s.LocalFleet())
 }
 
 // ServeFleet serves FleetJSONPath.
 func (s *Source) ServeFleet(w http.ResponseWriter, r *http.Request) {
-	s.writeJSON(w, s.Whole(r.Context()))
+	s.writeJSON(w, s.FullFleet(r.Context()))
 }
 
 // ServeDetails serves DetailsJSONPath.
