--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -14,47 +14,48 @@
 	"ivyridge/inventory"
 )
 
-func drawMark(t *rapid.T) inventory.Mark {
-	return inventory.Mark{
+func drawMark(t *rapid.T) inventory.Summary {
+	return inventory.Summary{
 		Build: rapid.Uint32().Draw(t, "build"), Settings: rapid.Uint32().Draw(t, "settings"), Version: rapid.Int64Min(0).Draw(t, "version"),
-		Ready: rapid.Bool().Draw(t, "ready"), Refused: rapid.Bool().Draw(t, "refused"), Waiting: rapid.Bool().Draw(t, "waiting"),
+		Ready: rapid.Bool().Draw(t, "ready"), Refused: rapid.Bool().Draw(t, "refused"), NeedsRestart: rapid.Bool().Draw(t, "waiting"),
 	}
 }
 
-func TestMarkRoundTrip(t *testing.T) {
+func TestSummaryRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMark(t)
 		data := m.Append(nil)
-		got, ok := inventory.DecodeMark(data)
+		got, ok := inventory.DecodeSummary(data)
 		if !ok || got != m {
 			t.Fatalf("got %+v, %t, want %+v", got, ok, m)
 		}
 		// Newer builds may append data.
-		if more, ok := inventory.DecodeMark(append(data, 1, 2, 3)); !ok || more != m {
+		if more, ok := inventory.DecodeSummary(append(data, 1, 2, 3)); !ok || more != m {
 			t.Fatalf("with trailing data: got %+v, %t", more, ok)
 		}
-		if _, ok := inventory.DecodeMark(data[:rapid.IntRange(0, 9).Draw(t, "cut")]); ok {
+		if _, ok := inventory.DecodeSummary(data[:rapid.IntRange(0, 9).Draw(t, "cut")]); ok {
 			t.Fatal("a truncated mark was decoded")
 		}
 	})
 }
 
-// A mark with a typical configuration version, including its frame tag and length, fits in 16 bytes.
-func TestMarkSize(t *testing.T) {
+// A summary with a typical configuration version, including its frame tag and length, fits in 16
+// bytes.
+func TestSummarySize(t *testing.T) {
 	const head = 3
-	if n := head + len(inventory.Mark{Build: 1 << 31, Settings: 1 << 31, Version: 1<<28 - 1}.Append(nil)); n > 16 {
+	if n := head + len(inventory.Summary{Build: 1 << 31, Settings: 1 << 31, Version: 1<<28 - 1}.Append(nil)); n > 16 {
 		t.Errorf("%d bytes, want 16 at most", n)
 	}
 }
 
 func FuzzDecodeMark(f *testing.F) {
-	f.Add(inventory.Mark{Build: 1, Settings: 2, Version: 3, Ready: true}.Append(nil))
+	f.Add(inventory.Summary{Build: 1, Settings: 2, Version: 3, Ready: true}.Append(nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		m, ok := inventory.DecodeMark(data)
+		m, ok := inventory.DecodeSummary(data)
 		if !ok {
 			return
 		}
-		if again, ok := inventory.DecodeMark(m.Append(nil)); !ok || again != m {
+		if again, ok := inventory.DecodeSummary(m.Append(nil)); !ok || again != m {
 			t.Fatalf("got %+v, %t, want %+v", again, ok, m)
 		}
 	})
@@ -72,8 +73,8 @@
 	}
 }
 
-func row(address, settings string, edit func(*inventory.Row)) inventory.Row {
-	r := inventory.Row{Address: address, DataCentre: "dc", Told: true, Build: "b", Settings: settings, Version: 7}
+func row(address, settings string, edit func(*inventory.Instance)) inventory.Instance {
+	r := inventory.Instance{Address: address, DataCentre: "dc", Reported: true, Build: "b", Settings: settings, Version: 7}
 	if edit != nil {
 		edit(&r)
 	}
@@ -81,13 +82,13 @@
 }
 
 func testFleet() *inventory.Fleet {
-	return &inventory.Fleet{Asked: "a1", Rows: []inventory.Row{
-		row("a1", "s", nil), row("a2", "s", nil), row("a3", "s", func(r *inventory.Row) { r.Version = 6 }),
-		row("a4", "other", nil), row("a5", "s", func(r *inventory.Row) { r.Refused, r.Waiting = true, true }),
-		row("a6", "", func(r *inventory.Row) { *r = inventory.Row{Address: "a6", DataCentre: "<b>dc</b>"} }),
-		row("a7", "s", func(r *inventory.Row) { r.Lost = true }),
-		row("a8", "s", func(r *inventory.Row) { r.Lost, r.Leaving = true, true }),
-		row("a9", "s", func(r *inventory.Row) { r.Build = "b2" }),
+	return &inventory.Fleet{Asked: "a1", Instances: []inventory.Instance{
+		row("a1", "s", nil), row("a2", "s", nil), row("a3", "s", func(r *inventory.Instance) { r.Version = 6 }),
+		row("a4", "other", nil), row("a5", "s", func(r *inventory.Instance) { r.Refused, r.NeedsRestart = true, true }),
+		row("a6", "", func(r *inventory.Instance) { *r = inventory.Instance{Address: "a6", DataCentre: "<b>dc</b>"} }),
+		row("a7", "s", func(r *inventory.Instance) { r.Lost = true }),
+		row("a8", "s", func(r *inventory.Instance) { r.Lost, r.Leaving = true, true }),
+		row("a9", "s", func(r *inventory.Instance) { r.Build = "b2" }),
 	}}
 }
 
@@ -100,7 +101,7 @@
 		"a6": "does not tell", "a7": "not heard", "a8": "not heard", "a9": "build",
 	}
 	got := make(map[string]string)
-	for _, r := range f.Odd() {
+	for _, r := range f.Outliers() {
 		got[r.Address] = strings.Join(r.Differs, ",")
 	}
 	if !reflect.DeepEqual(got, want) {
@@ -110,48 +111,48 @@
 	if g := groups[0]; g.Settings != "s" || g.Version != 7 || g.Count != 3 {
 		t.Errorf("the most common group is %+v, want three instances with settings s and version 7", g)
 	}
-	if last := groups[len(groups)-1]; last.Told || last.Count != 1 {
+	if last := groups[len(groups)-1]; last.Reported || last.Count != 1 {
 		t.Errorf("the last group is %+v, want the instance that does not report", last)
 	}
 	var lacking []string
-	for _, r := range f.Lacking("s") {
+	for _, r := range f.WithoutSettings("s") {
 		lacking = append(lacking, r.Address)
 	}
 	if want := []string{"a4", "a6", "a7"}; !reflect.DeepEqual(lacking, want) {
 		t.Errorf("lacking are %v, want %v", lacking, want)
 	}
 	empty := &inventory.Fleet{}
-	if len(empty.Groups()) != 0 || len(empty.Odd()) != 0 {
+	if len(empty.Groups()) != 0 || len(empty.Outliers()) != 0 {
 		t.Error("an empty fleet has groups or outliers")
 	}
 }
 
 // Merging keeps the more recent row, and an instance is lost only if every region lost it.
 func TestMerge(t *testing.T) {
-	f := &inventory.Fleet{Rows: []inventory.Row{
-		row("a1", "s", nil), row("a2", "s", func(r *inventory.Row) { r.Lost, r.HeardMS = true, 9000 }),
-		row("a3", "", func(r *inventory.Row) { r.Told = false }), row("a4", "s", func(r *inventory.Row) { r.HeardMS = 10 }),
+	f := &inventory.Fleet{Instances: []inventory.Instance{
+		row("a1", "s", nil), row("a2", "s", func(r *inventory.Instance) { r.Lost, r.HeardMS = true, 9000 }),
+		row("a3", "", func(r *inventory.Instance) { r.Reported = false }), row("a4", "s", func(r *inventory.Instance) { r.HeardMS = 10 }),
 	}}
-	f.Merge(&inventory.Fleet{Rows: []inventory.Row{
-		row("a2", "t", func(r *inventory.Row) { r.HeardMS = 400 }), row("a3", "t", func(r *inventory.Row) { r.HeardMS = 900 }),
-		row("a4", "old", func(r *inventory.Row) { r.HeardMS = 700 }), row("b1", "t", nil),
-		row("a1", "old", func(r *inventory.Row) { r.Lost = true }),
+	f.Merge(&inventory.Fleet{Instances: []inventory.Instance{
+		row("a2", "t", func(r *inventory.Instance) { r.HeardMS = 400 }), row("a3", "t", func(r *inventory.Instance) { r.HeardMS = 900 }),
+		row("a4", "old", func(r *inventory.Instance) { r.HeardMS = 700 }), row("b1", "t", nil),
+		row("a1", "old", func(r *inventory.Instance) { r.Lost = true }),
 	}})
 	got := make(map[string]string)
-	for _, r := range f.Rows {
+	for _, r := range f.Instances {
 		got[r.Address] = r.Settings
 	}
 	want := map[string]string{"a1": "s", "a2": "t", "a3": "t", "a4": "s", "b1": "t"}
-	if !reflect.DeepEqual(got, want) || len(f.Odd()) == 0 {
+	if !reflect.DeepEqual(got, want) || len(f.Outliers()) == 0 {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
 
 func TestDiff(t *testing.T) {
-	a := &inventory.Detail{Own: []string{"name"}, Fields: map[string]string{"name": "x", "promises.revoke_ms": "5000", "log.level": "info", "same": "1"}}
-	b := &inventory.Detail{Own: []string{"name"}, Fields: map[string]string{"name": "y", "promises.revoke_ms": "4000", "log.level": "", "same": "1", "store": "s"}}
+	a := &inventory.Detail{InstanceSpecific: []string{"name"}, Fields: map[string]string{"name": "x", "promises.revoke_ms": "5000", "log.level": "info", "same": "1"}}
+	b := &inventory.Detail{InstanceSpecific: []string{"name"}, Fields: map[string]string{"name": "y", "promises.revoke_ms": "4000", "log.level": "", "same": "1", "store": "s"}}
 	want := []inventory.Difference{
-		{Path: "log.level", A: "info"}, {Path: "promises.revoke_ms", A: "5000", B: "4000", Answers: true}, {Path: "store", B: "s", Answers: true},
+		{Path: "log.level", A: "info"}, {Path: "promises.revoke_ms", A: "5000", B: "4000", AffectsResponses: true}, {Path: "store", B: "s", AffectsResponses: true},
 	}
 	if got := inventory.Diff(a, b); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
@@ -160,7 +161,7 @@
 
 // Data from other instances is escaped on the page.
 func TestPageEscapesContent(t *testing.T) {
-	s := &inventory.Source{Whole: func(context.Context) *inventory.Fleet { return testFleet() }, Log: zap.NewNop()}
+	s := &inventory.Source{FullFleet: func(context.Context) *inventory.Fleet { return testFleet() }, Log: zap.NewNop()}
 	w := httptest.NewRecorder()
 	s.ServePage(w, httptest.NewRequest("GET", inventory.PagePath, nil))
 	body := w.Body.String()
--- a/inventory/page.go
+++ b/inventory/page.go
@@ -38,29 +38,29 @@
 	Fleet       *Fleet
 	Groups      []pageGroup
 	DataCentres []pageDataCentre
-	Odd         []Odd
+	Outliers    []Outlier
 }
 
 func groupColour(group int) string { return groupColours[min(group, len(groupColours)-1)] }
 
 func newPage(f *Fleet) *page {
 	f.Sort()
-	p := &page{Fleet: f, Odd: f.Odd()}
+	p := &page{Fleet: f, Outliers: f.Outliers()}
 	groups := f.Groups()
 	for i, g := range groups {
 		c := groupColour(i)
-		if !g.Told {
+		if !g.Reported {
 			c = colourNotReported
 		}
 		p.Groups = append(p.Groups, pageGroup{g, c})
 	}
-	for i := range f.Rows {
-		p.add(&f.Rows[i])
+	for i := range f.Instances {
+		p.add(&f.Instances[i])
 	}
 	return p
 }
 
-func (p *page) add(r *Row) {
+func (p *page) add(r *Instance) {
 	n := len(p.DataCentres)
 	if n == 0 || p.DataCentres[n-1].Name != r.DataCentre {
 		p.DataCentres = append(p.DataCentres, pageDataCentre{Name: r.DataCentre})
@@ -70,7 +70,7 @@
 	d.Squares = append(d.Squares, pageSquare{Colour: p.colour(r), Title: r.Address + " " + r.Role + ", heard " + formatAge(r.HeardMS) + " ago"})
 }
 
-func (p *page) colour(r *Row) string {
+func (p *page) colour(r *Instance) string {
 	if r.Lost {
 		return colourLost
 	}
@@ -108,16 +108,16 @@
 <p>Listed by {{.Fleet.Asked}}.{{if .Fleet.Partial}} <span class="warn">Partial: a region or all schedulers did not answer.</span>{{end}}</p>
 <table><tr><th></th><th>instances</th><th>build</th><th>settings</th><th>configuration</th><th>by data centre</th></tr>
 {{range .Groups}}<tr><td><span class="sq" style="background:{{.Colour}}"></span></td><td>{{.Count}}</td>
-{{if .Told}}<td>{{.Build}}</td><td>{{.Settings}}</td><td>{{.Version}}</td>{{else}}<td colspan="3">does not tell (an older build)</td>{{end}}
+{{if .Reported}}<td>{{.Build}}</td><td>{{.Settings}}</td><td>{{.Version}}</td>{{else}}<td colspan="3">does not tell (an older build)</td>{{end}}
 <td>{{range $name, $n := .DataCentres}}{{$name}}: {{$n}} {{end}}</td></tr>{{end}}
 </table>
 {{range .DataCentres}}<div class="row"><span class="dc">{{.Name}}</span>{{range .Squares}}<span class="sq" style="background:{{.Colour}}" title="{{.Title}}"></span>{{end}}</div>
 {{end}}
 <h2>Differing</h2>
-{{if .Odd}}<table><tr><th>instance</th><th>data centre</th><th>differs in</th><th>build</th><th>settings</th><th>configuration</th><th>heard</th><th>proof</th></tr>
-{{range .Odd}}<tr><td>{{.Address}}</td><td>{{.DataCentre}}</td><td class="warn">{{range $i, $d := .Differs}}{{if $i}}, {{end}}{{$d}}{{end}}</td>
-<td>{{.Build}}</td><td>{{.Settings}}</td><td>{{.Version}}</td><td>{{age .HeardMS}} ago</td><td>{{age .ProofMS}}</td></tr>{{end}}
-</table>{{else}}<p>None: all {{len .Fleet.Rows}} instances run the same.</p>{{end}}
+{{if .Outliers}}<table><tr><th>instance</th><th>data centre</th><th>differs in</th><th>build</th><th>settings</th><th>configuration</th><th>heard</th><th>proof</th></tr>
+{{range .Outliers}}<tr><td>{{.Address}}</td><td>{{.DataCentre}}</td><td class="warn">{{range $i, $d := .Differs}}{{if $i}}, {{end}}{{$d}}{{end}}</td>
+<td>{{.Build}}</td><td>{{.Settings}}</td><td>{{.Version}}</td><td>{{age .HeardMS}} ago</td><td>{{age .ValidatedMS}}</td></tr>{{end}}
+</table>{{else}}<p>None: all {{len .Fleet.Instances}} instances run the same.</p>{{end}}
 </body></html>
 `))
 
@@ -125,7 +125,7 @@
 func (s *Source) ServePage(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
 	w.Header().Set("Content-Security-Policy", "default-src 'none'; style-src 'unsafe-inline'")
-	if err := pageTemplate.Execute(w, newPage(s.Whole(r.Context()))); err != nil {
+	if err := pageTemplate.Execute(w, newPage(s.FullFleet(r.Context()))); err != nil {
 		s.Log.Info("writing inventory page failed", zap.String("error", err.Error()))
 	}
 }
--- a/inventory/mark.go
+++ b/inventory/summary.go
@@ -1,7 +1,7 @@
 // Package inventory reports what each instance of a fleet runs: its build, the
 // settings in force, and the configuration.
 //
-// Each instance sends a Mark of at most 16 bytes with its heartbeats. An
+// Each instance sends a Summary of at most 16 bytes with its heartbeats. An
 // instance that receives all heartbeats, a scheduler, can list the Fleet. A
 // Detail is large and is requested from the instance that it describes. The
 // package compares and displays these, and opens no connections other than
@@ -19,32 +19,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A Mark summarizes what one instance runs.
-type Mark struct {
-	Build    uint32 // Hash of the build
-	Settings uint32 // Hash of the settings in force, without instance-specific ones
-	Version  int64  // of the configuration in force; zero: none
-	Ready    bool
-	Refused  bool // the newest settings file was rejected as invalid
-	Waiting  bool // changed settings require a restart
+// A Summary says what one instance runs.
+type Summary struct {
+	Build        uint32 // Hash of the build
+	Settings     uint32 // Hash of the settings in force, without instance-specific ones
+	Version      int64  // of the configuration in force; zero: none
+	Ready        bool
+	Refused      bool // the newest settings file was rejected as invalid
+	NeedsRestart bool // changed settings require a restart
 }
 
-// Flags in the encoding of a Mark.
+// Flags in the encoding of a Summary.
 const (
 	flagReady = 1 << iota
 	flagRefused
 	flagWaiting
 )
 
-// markHeaderSize is the size of an encoded Mark without its version, in bytes.
-const markHeaderSize = 9
+// summaryHeaderSize is the size of an encoded Summary without its version, in bytes.
+const summaryHeaderSize = 9
 
 // Append appends the encoding of m to b.
-func (m Mark) Append(b []byte) []byte {
+func (m Summary) Append(b []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, m.Build)
 	b = binary.BigEndian.AppendUint32(b, m.Settings)
 	var flags byte
-	for flag, set := range map[byte]bool{flagReady: m.Ready, flagRefused: m.Refused, flagWaiting: m.Waiting} {
+	for flag, set := range map[byte]bool{flagReady: m.Ready, flagRefused: m.Refused, flagWaiting: m.NeedsRestart} {
 		if set {
 			flags |= flag
 		}
@@ -53,20 +53,20 @@
 	return binary.AppendUvarint(b, uint64(max(0, m.Version)))
 }
 
-// DecodeMark decodes a Mark. It returns false if b does not hold one. Trailing data, written by
-// newer builds, is ignored.
-func DecodeMark(b []byte) (Mark, bool) {
-	if len(b) <= markHeaderSize {
-		return Mark{}, false
+// DecodeSummary decodes a Summary. It returns false if b does not hold one. Trailing data, written
+// by newer builds, is ignored.
+func DecodeSummary(b []byte) (Summary, bool) {
+	if len(b) <= summaryHeaderSize {
+		return Summary{}, false
 	}
-	version, n := binary.Uvarint(b[markHeaderSize:])
+	version, n := binary.Uvarint(b[summaryHeaderSize:])
 	if n <= 0 || version > math.MaxInt64 {
-		return Mark{}, false
+		return Summary{}, false
 	}
-	flags := b[markHeaderSize-1]
-	return Mark{
+	flags := b[summaryHeaderSize-1]
+	return Summary{
 		Build: binary.BigEndian.Uint32(b), Settings: binary.BigEndian.Uint32(b[4:]), Version: int64(version),
-		Ready: flags&flagReady != 0, Refused: flags&flagRefused != 0, Waiting: flags&flagWaiting != 0,
+		Ready: flags&flagReady != 0, Refused: flags&flagRefused != 0, NeedsRestart: flags&flagWaiting != 0,
 	}, true
 }
 
--- a/length/length.go
+++ b/length/length.go
@@ -1,9 +1,9 @@
 // Package length estimates the lengths of responses.
 //
-// The length of a response is unknown until it ends, so decisions use the distribution of
-// earlier ones. A Dist is a histogram with geometric buckets and decaying counts. A Book has a
-// Dist for each request class and for each team in a class, and uses the latter once it has
-// enough observations.
+// The length of a response is unknown until it ends, so decisions use the distribution of earlier
+// ones. A Dist is a histogram with geometric buckets and decaying counts. Distributions have a Dist
+// for each request class and for each team in a class, and use the latter once it has enough
+// observations.
 package length
 
 import "math"
@@ -108,22 +108,23 @@
 	return (float64(acc) + min(1, fraction)*float64(d.counts[at])) / float64(d.total)
 }
 
-// A Book holds the distributions of one group of endpoints. It is not safe for concurrent use.
-type Book struct {
+// Distributions are the distributions of one group of endpoints. They are not safe for concurrent
+// use.
+type Distributions struct {
 	classes map[string]*Dist
 	teams   map[teamKey]*Dist
 }
 
 type teamKey struct{ class, team string }
 
-// NewBook returns an empty Book.
-func NewBook() *Book {
-	return &Book{classes: make(map[string]*Dist), teams: make(map[teamKey]*Dist)}
+// NewDistributions returns empty Distributions.
+func NewDistributions() *Distributions {
+	return &Distributions{classes: make(map[string]*Dist), teams: make(map[teamKey]*Dist)}
 }
 
 // Observe records a response of n tokens. The number of teams with a distribution of their own
 // is bounded; further teams only count for their class.
-func (b *Book) Observe(class, team string, n int) {
+func (b *Distributions) Observe(class, team string, n int) {
 	d := b.classes[class]
 	if d == nil {
 		d = new(Dist)
@@ -142,11 +143,11 @@
 }
 
 // Class returns the distribution of a whole class, or nil without observations.
-func (b *Book) Class(class string) *Dist { return b.classes[class] }
+func (b *Distributions) Class(class string) *Dist { return b.classes[class] }
 
-// Of returns the distribution to use for a request of a class and team, or nil if nothing was
+// Dist returns the distribution to use for a request of a class and team, or nil if nothing was
 // observed for its class.
-func (b *Book) Of(class, team string) *Dist {
+func (b *Distributions) Dist(class, team string) *Dist {
 	if t := b.teams[teamKey{class, team}]; t != nil && t.seen >= minTeamSamples {
 		return t
 	}
--- a/limit/divider.go
+++ b/limit/allocator.go
@@ -1,6 +1,6 @@
 package limit
 
-// This file divides the rate limit of an endpoint among the instances that send to it.
+// This file allocates the rate limit of an endpoint among the instances that send to it.
 
 import (
 	"math"
@@ -32,10 +32,10 @@
 	// urgentGrace is how long after the time it was told a more urgent client is expected to
 	// return. Less urgent clients get no permit until then.
 	urgentGrace = 200 * time.Millisecond
-	// NoPart is the delay of a client that has found no instance with a share of the rate. A
+	// NoShareWait is the delay of a client that has found no instance with a share of the rate. A
 	// new instance gains its share after some seconds, and another may have been asked too
 	// early.
-	NoPart = 200 * time.Millisecond
+	NoShareWait = 200 * time.Millisecond
 	// entryTTL is how long an endpoint is kept without asks.
 	entryTTL = time.Minute
 )
@@ -103,14 +103,14 @@
 // An entry is the state of one endpoint.
 type entry struct {
 	bucket
-	word    Word
+	state   State
 	askedAt time.Time
 	permits uint64 // granted
 }
 
-// A Divider grants permits for the endpoints whose limits this instance divides. The zero
+// An Allocator grants permits for the endpoints whose limits this instance allocates. The zero
 // value is ready to use.
-type Divider struct {
+type Allocator struct {
 	endpoints map[uint32]*entry
 	sweptAt   time.Time
 }
@@ -119,13 +119,13 @@
 type Answer struct {
 	Granted bool          // one request may be sent
 	Wait    time.Duration // if not Granted: the delay until the next ask
-	Word    Word          // the divider's knowledge of the limit; without a limit no permits are needed
+	State   State         // the allocator's knowledge of the limit; without a limit no permits are needed
 }
 
 // Ask handles a request of an instance to send one request of a level to an endpoint, given
-// the instance's knowledge of the limit. Share is the part of the rate that this divider may
+// the instance's knowledge of the limit. Share is the part of the rate that this allocator may
 // grant, from 0 to 1; at 0 it grants nothing. Chance is random, from 0 to 1.
-func (d *Divider) Ask(endpoint uint32, word Word, share float64, level int, now time.Time, chance float64) Answer {
+func (d *Allocator) Ask(endpoint uint32, state State, share float64, level int, now time.Time, chance float64) Answer {
 	d.sweep(now)
 	if d.endpoints == nil {
 		d.endpoints = make(map[uint32]*entry)
@@ -135,24 +135,24 @@
 		e = new(entry)
 		d.endpoints[endpoint] = e
 	}
-	e.word.Merge(word)
+	e.state.Merge(state)
 	e.askedAt = now
-	if e.word.Known() && !e.word.Named {
-		return Answer{Granted: true, Word: e.word}
+	if e.state.Known() && !e.state.Limited {
+		return Answer{Granted: true, State: e.state}
 	}
 	if share <= 0 {
-		return Answer{Wait: NoPart, Word: e.word}
+		return Answer{Wait: NoShareWait, State: e.state}
 	}
-	rate := share * max(minRate, e.word.Rate)
+	rate := share * max(minRate, e.state.Rate)
 	wait := e.take(rate, min(max(level, 0), Levels-1), now, chance)
 	if wait == 0 {
 		e.permits++
 	}
-	return Answer{Granted: wait == 0, Wait: wait, Word: e.word}
+	return Answer{Granted: wait == 0, Wait: wait, State: e.state}
 }
 
 // Permits returns the number of permits granted for an endpoint since it was added.
-func (d *Divider) Permits(endpoint uint32) uint64 {
+func (d *Allocator) Permits(endpoint uint32) uint64 {
 	if e := d.endpoints[endpoint]; e != nil {
 		return e.permits
 	}
@@ -160,7 +160,7 @@
 }
 
 // sweep removes the endpoints without recent asks.
-func (d *Divider) sweep(now time.Time) {
+func (d *Allocator) sweep(now time.Time) {
 	if now.Sub(d.sweptAt) < entryTTL {
 		return
 	}
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -2,12 +2,12 @@
 // instances together.
 //
 // No instance sees all requests to an endpoint, and an equal share of a low rate is less than a
-// request for each of hundreds of instances. So one instance divides the rate of an endpoint:
-// the others ask it for a permit before each request, and it applies a token bucket (Divider).
-// All instances compute the same divider for an endpoint (Divides). How much of the rate it may
-// grant depends on which instances it hears (quota.Side).
+// request for each of hundreds of instances. So one instance allocates the rate of an endpoint: the
+// others ask it for a permit before each request, and it applies a token bucket (Allocator). All
+// instances compute the same allocator for an endpoint (AllocatorOf). How much of the rate it may
+// grant depends on which instances it hears (quota.PartitionView).
 //
-// A Word is what is known about a limit. Words of several instances can be merged in any order
+// A State is what is known about a limit. States of several instances can be merged in any order
 // and repeatedly; the newest wins.
 //
 // The package does no I/O: times and random numbers are passed in. Nothing in it is safe for
@@ -16,21 +16,21 @@
 
 import "time"
 
-// A Word is what is known about an endpoint's limit. The zero value is no knowledge.
-type Word struct {
-	Named bool      // the endpoint has a limit
-	Rate  float64   // if Named: requests per second from all instances together
-	At    time.Time // when the endpoint stated this, or later; zero if it never did
+// A State is what is known about an endpoint's limit. The zero value is no knowledge.
+type State struct {
+	Limited bool      // the endpoint has a limit
+	Rate    float64   // if Limited: requests per second from all instances together
+	AsOf    time.Time // when the endpoint stated this, or later; zero if it never did
 }
 
 // Known reports whether anything is known about the limit.
-func (w *Word) Known() bool { return !w.At.IsZero() }
+func (w *State) Known() bool { return !w.AsOf.IsZero() }
 
-// Name records a response, received now, that states a limit of rate. It reports whether the
+// Set records a response, received now, that states a limit of rate. It reports whether the
 // limit has changed.
-func (w *Word) Name(rate float64, now time.Time) (news bool) {
-	news = !w.Named || w.Rate != rate
-	*w = Word{Named: true, Rate: rate, At: now}
+func (w *State) Set(rate float64, now time.Time) (news bool) {
+	news = !w.Limited || w.Rate != rate
+	*w = State{Limited: true, Rate: rate, AsOf: now}
 	return news
 }
 
@@ -38,22 +38,22 @@
 // no effect if the request isn't newer than the known limit, since responses overtake each
 // other and the head of a stream is as old as its start. It reports whether it lifted a
 // limit.
-func (w *Word) Lift(sent time.Time) (news bool) {
-	if !w.Known() || !sent.After(w.At) {
+func (w *State) Lift(sent time.Time) (news bool) {
+	if !w.Known() || !sent.After(w.AsOf) {
 		return false
 	}
-	news = w.Named
-	*w = Word{At: sent}
+	news = w.Limited
+	*w = State{AsOf: sent}
 	return news
 }
 
-// Merge adopts another instance's Word if it is newer, and reports whether the limit has
+// Merge adopts another instance's State if it is newer, and reports whether the limit has
 // changed.
-func (w *Word) Merge(other Word) (news bool) {
-	if !other.Known() || !other.At.After(w.At) {
+func (w *State) Merge(other State) (news bool) {
+	if !other.Known() || !other.AsOf.After(w.AsOf) {
 		return false
 	}
-	news = w.Named != other.Named || w.Rate != other.Rate
+	news = w.Limited != other.Limited || w.Rate != other.Rate
 	*w = other
 	return news
 }
@@ -62,18 +62,18 @@
 	// liftedTTL is how long it is reported that a limit was lifted, enough to reach all
 	// instances.
 	liftedTTL = 5 * time.Second
-	// relayPenalty is added to the age of a Word received, more than its time in transit.
-	// Otherwise a Word that is relayed in circles would appear newer each time and outlive the
+	// relayPenalty is added to the age of a State received, more than its time in transit.
+	// Otherwise a State that is relayed in circles would appear newer each time and outlive the
 	// one that lifts the limit.
 	relayPenalty = 500 * time.Millisecond
 )
 
-// Told returns a Word received now from another instance, with the age that it states.
-func Told(named bool, rate float64, age time.Duration, now time.Time) Word {
-	return Word{Named: named, Rate: rate, At: now.Add(-age - relayPenalty)}
+// Received returns a State received now from another instance, with the age that it states.
+func Received(named bool, rate float64, age time.Duration, now time.Time) State {
+	return State{Limited: named, Rate: rate, AsOf: now.Add(-age - relayPenalty)}
 }
 
-// Matters reports whether the Word needs to be sent to other instances.
-func (w *Word) Matters(now time.Time) bool {
-	return w.Known() && (w.Named || now.Sub(w.At) < liftedTTL)
+// Reportable reports whether the State needs to be sent to other instances.
+func (w *State) Reportable(now time.Time) bool {
+	return w.Known() && (w.Limited || now.Sub(w.AsOf) < liftedTTL)
 }
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -13,75 +13,75 @@
 
 var start = time.Unix(1000, 0)
 
-// The newest Word wins, in whatever order responses and messages arrive, and a response that
+// The newest State wins, in whatever order responses and messages arrive, and a response that
 // may predate the limit doesn't lift it.
-func TestNewestWordWins(t *testing.T) {
-	var w limit.Word
+func TestNewestStateWins(t *testing.T) {
+	var w limit.State
 	if w.Known() || w.Lift(start) {
-		t.Error("a zero Word is known or has a limit")
+		t.Error("a zero State is known or has a limit")
 	}
-	if !w.Name(1.2, start) || w.Name(1.2, start.Add(time.Second)) {
-		t.Error("Name reports a change other than for a new limit")
+	if !w.Set(1.2, start) || w.Set(1.2, start.Add(time.Second)) {
+		t.Error("Set reports a change other than for a new limit")
 	}
 	if w.Lift(start.Add(500 * time.Millisecond)) {
 		t.Error("a response to a request sent before the limit was stated lifts it")
 	}
-	if !w.Name(0.5, start.Add(2*time.Second)) || w.Rate != 0.5 {
+	if !w.Set(0.5, start.Add(2*time.Second)) || w.Rate != 0.5 {
 		t.Error("a lower limit is not reported as a change")
 	}
 	other := w
-	if !w.Lift(start.Add(3*time.Second)) || w.Named {
+	if !w.Lift(start.Add(3*time.Second)) || w.Limited {
 		t.Error("a response to a later request does not lift the limit")
 	}
 	if w.Merge(other) {
-		t.Error("Merge adopts an older Word")
+		t.Error("Merge adopts an older State")
 	}
-	if !other.Merge(w) || other.Named {
-		t.Error("Merge does not adopt a newer Word without a limit")
+	if !other.Merge(w) || other.Limited {
+		t.Error("Merge does not adopt a newer State without a limit")
 	}
 }
 
-// A Word relayed in circles, with an age that is a little too low each time, is replaced by a
+// A State relayed in circles, with an age that is a little too low each time, is replaced by a
 // newer one.
-func TestRelayedWordsDoNotOutliveNewerOnes(t *testing.T) {
-	var a, b limit.Word
-	a.Name(2, start)
+func TestRelayedStatesDoNotOutliveNewerOnes(t *testing.T) {
+	var a, b limit.State
+	a.Set(2, start)
 	const delay = 200 * time.Millisecond
 	now := start
 	for range 1000 {
-		age := now.Sub(a.At)
+		age := now.Sub(a.AsOf)
 		now = now.Add(delay)
-		b.Merge(limit.Told(a.Named, a.Rate, age, now))
-		age = now.Sub(b.At)
+		b.Merge(limit.Received(a.Limited, a.Rate, age, now))
+		age = now.Sub(b.AsOf)
 		now = now.Add(delay)
-		a.Merge(limit.Told(b.Named, b.Rate, age, now))
+		a.Merge(limit.Received(b.Limited, b.Rate, age, now))
 	}
 	if !a.Lift(start.Add(time.Second)) || !b.Merge(a) {
-		t.Errorf("Words of %v and %v are not lifted by a newer one", a.At, b.At)
+		t.Errorf("Words of %v and %v are not lifted by a newer one", a.AsOf, b.AsOf)
 	}
 }
 
-// Instances that merge the same Words, in any order and repeatedly, have the same state.
-func TestWordsConverge(t *testing.T) {
+// Instances that merge the same States, in any order and repeatedly, have the same state.
+func TestStatesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		words := make([]limit.Word, rapid.IntRange(1, 6).Draw(t, "words"))
+		words := make([]limit.State, rapid.IntRange(1, 6).Draw(t, "words"))
 		for i := range words {
 			// Two different responses don't have the same time.
-			words[i] = limit.Word{Named: rapid.Bool().Draw(t, "named"), At: start.Add(time.Duration(i+1) * time.Second)}
-			if words[i].Named {
+			words[i] = limit.State{Limited: rapid.Bool().Draw(t, "named"), AsOf: start.Add(time.Duration(i+1) * time.Second)}
+			if words[i].Limited {
 				words[i].Rate = float64(i) // each is different
 			}
 		}
 		newest := words[len(words)-1]
 		for range 2 {
-			var w limit.Word
+			var w limit.State
 			for _, i := range rapid.Permutation(indexes(len(words))).Draw(t, "order") {
 				w.Merge(words[i])
 				if rapid.Bool().Draw(t, "twice") {
 					w.Merge(words[i])
 				}
 			}
-			if w.Named != newest.Named || w.Rate != newest.Rate {
+			if w.Limited != newest.Limited || w.Rate != newest.Rate {
 				t.Fatalf("got %+v, want %+v", w, newest)
 			}
 		}
@@ -110,8 +110,8 @@
 
 // simulate has clients ask for permits for a duration. A client asks again pause after each ask,
 // or after the delay that it is told if that is longer.
-func simulate(d *limit.Divider, rate, share float64, clients []client, pause, duration time.Duration, rng *rand.Rand) (out result) {
-	word := limit.Word{Named: true, Rate: rate, At: start}
+func simulate(d *limit.Allocator, rate, share float64, clients []client, pause, duration time.Duration, rng *rand.Rand) (out result) {
+	state := limit.State{Limited: true, Rate: rate, AsOf: start}
 	for now := start; now.Before(start.Add(duration)); now = now.Add(2 * time.Millisecond) {
 		for i := range clients {
 			a := &clients[i]
@@ -119,7 +119,7 @@
 				continue
 			}
 			out.asks++
-			answer := d.Ask(7, word, share, a.level, now, rng.Float64())
+			answer := d.Ask(7, state, share, a.level, now, rng.Float64())
 			a.next = now.Add(pause + 2*time.Millisecond)
 			if answer.Granted {
 				out.granted = append(out.granted, now)
@@ -151,7 +151,7 @@
 	for _, rate := range []float64{0, 0.5, 1.2, 6, 50, 200} {
 		for _, clients := range []int{1, 3, 18, 390} {
 			t.Run(fmt.Sprintf("%v per second, %d clients", rate, clients), func(t *testing.T) {
-				got := simulate(new(limit.Divider), rate, 1, make([]client, clients), 0, duration, rand.New(rand.NewPCG(1, 2)))
+				got := simulate(new(limit.Allocator), rate, 1, make([]client, clients), 0, duration, rand.New(rand.NewPCG(1, 2)))
 				if n := maxWithin(got.granted, span); float64(n) > 1.2*rate*span.Seconds()+4 {
 					t.Errorf("%d permits in %v", n, span)
 				}
@@ -172,7 +172,7 @@
 	for i := range clients {
 		clients[i].level = i % 2
 	}
-	got := simulate(new(limit.Divider), 6, 1, clients, 0, 60*time.Second, rand.New(rand.NewPCG(1, 2)))
+	got := simulate(new(limit.Allocator), 6, 1, clients, 0, 60*time.Second, rand.New(rand.NewPCG(1, 2)))
 	if n := len(got.granted); got.byLevel[0] < n*95/100 {
 		t.Errorf("the more urgent half got %d of %d permits", got.byLevel[0], n)
 	}
@@ -181,20 +181,20 @@
 		clients[i] = client{level: 1}
 	}
 	clients[0].level = 0
-	d := new(limit.Divider)
-	word := limit.Word{Named: true, Rate: 6, At: start}
+	d := new(limit.Allocator)
+	state := limit.State{Limited: true, Rate: 6, AsOf: start}
 	urgent, other := 0, 0
 	next := start
 	for now := start; now.Before(start.Add(30 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		if !now.Before(next) {
-			if a := d.Ask(7, word, 1, 0, now, 0); a.Granted {
+			if a := d.Ask(7, state, 1, 0, now, 0); a.Granted {
 				urgent++
 				next = now.Add(2 * time.Second)
 			} else {
 				next = now.Add(a.Wait)
 			}
 		}
-		if d.Ask(7, word, 1, 2, now, 0).Granted {
+		if d.Ask(7, state, 1, 2, now, 0).Granted {
 			other++
 		}
 	}
@@ -203,34 +203,34 @@
 	}
 }
 
-// A divider without a share grants nothing, unless the endpoint has no limit.
-func TestDividerWithoutShare(t *testing.T) {
-	d := new(limit.Divider)
-	if a := d.Ask(7, limit.Word{Named: true, Rate: 50, At: start}, 0, 0, start.Add(time.Minute), 0); a.Granted || a.Wait != limit.NoPart {
+// An allocator without a share grants nothing, unless the endpoint has no limit.
+func TestAllocatorWithoutShare(t *testing.T) {
+	d := new(limit.Allocator)
+	if a := d.Ask(7, limit.State{Limited: true, Rate: 50, AsOf: start}, 0, 0, start.Add(time.Minute), 0); a.Granted || a.Wait != limit.NoShareWait {
 		t.Errorf("got %+v", a)
 	}
-	if a := d.Ask(7, limit.Word{At: start.Add(time.Second)}, 0, 0, start.Add(time.Minute), 0); !a.Granted || a.Word.Named {
+	if a := d.Ask(7, limit.State{AsOf: start.Add(time.Second)}, 0, 0, start.Add(time.Minute), 0); !a.Granted || a.State.Limited {
 		t.Errorf("got %+v", a)
 	}
 }
 
-// The divider of an endpoint is in the endpoint's data centre if possible, doesn't depend on
+// The allocator of an endpoint is in the endpoint's data centre if possible, doesn't depend on
 // the order of the candidates, and changes only if it is removed itself.
-func TestDividesIsConsistent(t *testing.T) {
+func TestAllocatorOfIsConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := make([]limit.Candidate, rapid.IntRange(1, 18).Draw(t, "candidates"))
 		for i := range all {
 			all[i] = limit.Candidate{ID: uint64(i + 1), DataCentre: fmt.Sprint("dc", rapid.IntRange(0, 5).Draw(t, "data centre"))}
 		}
 		endpoint, home := rapid.Uint32().Draw(t, "endpoint"), fmt.Sprint("dc", rapid.IntRange(0, 5).Draw(t, "home"))
-		first := all[limit.Divides(endpoint, home, all)]
+		first := all[limit.AllocatorOf(endpoint, home, all)]
 		for _, c := range all {
 			if c.DataCentre == home && first.DataCentre != home {
-				t.Fatalf("%+v divides a limit of %s although %+v is there", first, home, c)
+				t.Fatalf("%+v allocates a limit of %s although %+v is there", first, home, c)
 			}
 		}
 		shuffled := rapid.Permutation(all).Draw(t, "order")
-		if again := shuffled[limit.Divides(endpoint, home, shuffled)]; again != first {
+		if again := shuffled[limit.AllocatorOf(endpoint, home, shuffled)]; again != first {
 			t.Fatalf("got %+v in one order, %+v in another", first, again)
 		}
 		for i, c := range all {
@@ -238,24 +238,24 @@
 				continue
 			}
 			left := append(append([]limit.Candidate(nil), all[:i]...), all[i+1:]...)
-			if again := left[limit.Divides(endpoint, home, left)]; again != first {
-				t.Fatalf("without %+v the divider is %+v, want %+v", c, again, first)
+			if again := left[limit.AllocatorOf(endpoint, home, left)]; again != first {
+				t.Fatalf("without %+v the allocator is %+v, want %+v", c, again, first)
 			}
 		}
 	})
-	if limit.Divides(1, "a", nil) >= 0 {
-		t.Error("Divides returns an index without candidates")
+	if limit.AllocatorOf(1, "a", nil) >= 0 {
+		t.Error("AllocatorOf returns an index without candidates")
 	}
 }
 
-// BenchmarkAsk measures an ask at an instance that divides the limits of 690 endpoints.
+// BenchmarkAsk measures an ask at an instance that allocates the limits of 690 endpoints.
 func BenchmarkAsk(b *testing.B) {
-	d := new(limit.Divider)
-	word := limit.Word{Named: true, Rate: 1.2, At: start}
+	d := new(limit.Allocator)
+	state := limit.State{Limited: true, Rate: 1.2, AsOf: start}
 	now := start
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
-		d.Ask(uint32(i%690), word, 1, i%limit.Levels, now, 0.5)
+		d.Ask(uint32(i%690), state, 1, i%limit.Levels, now, 0.5)
 	}
 }
--- a/limit/order.go
+++ b/limit/order.go
@@ -1,6 +1,6 @@
 package limit
 
-// This file selects the instance that divides the limit of an endpoint.
+// This file selects the instance that allocates the limit of an endpoint.
 
 import (
 	"encoding/binary"
@@ -8,18 +8,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A Candidate is an instance that may divide limits.
+// A Candidate is an instance that may allocate limits.
 type Candidate struct {
 	ID         uint64
 	DataCentre string
 }
 
-// Divides returns the index of the candidate that divides the limit of an endpoint in a data
+// AllocatorOf returns the index of the candidate that allocates the limit of an endpoint in a data
 // centre, or -1 if there are none. Candidates in the endpoint's data centre come first, since
 // an instance that can't reach that data centre can't send to the endpoint either. Otherwise
 // data centres, and the instances in each, are ordered by rendezvous hashing, so that limits
 // are spread evenly and a candidate that joins or leaves moves only its own.
-func Divides(endpoint uint32, dataCentre string, candidates []Candidate) int {
+func AllocatorOf(endpoint uint32, dataCentre string, candidates []Candidate) int {
 	best := -1
 	for i := range candidates {
 		if best < 0 || precedes(endpoint, dataCentre, &candidates[i], &candidates[best]) {
--- a/load/client.go
+++ b/load/client.go
@@ -34,24 +34,24 @@
 // An Outcome is the result of one request as observed by the client.
 type Outcome struct {
 	Arrival
-	ID      string
-	Status  int // HTTP status; zero if there was no response
-	Verdict string
-	Reason  string
-	First   time.Duration // from scheduled arrival to first token or header
-	End     time.Duration // from scheduled arrival to the end
-	Tokens  int
-	Whole   bool          // the response is complete
-	Crossed bool          // the response belongs to another request
-	Repeats int           // retries
-	Held    time.Duration // of an error response, from sending the request
+	ID             string
+	Status         int // HTTP status; zero if there was no response
+	Verdict        string
+	Reason         string
+	First          time.Duration // from scheduled arrival to first token or header
+	End            time.Duration // from scheduled arrival to the end
+	Tokens         int
+	Complete       bool          // the response is complete
+	Misdirected    bool          // the response belongs to another request
+	Retries        int           // retries
+	RefusalLatency time.Duration // of an error response, from sending the request
 }
 
 // OnTime reports whether the correct response was complete and met the class's
 // latency targets.
 func (o *Outcome) OnTime() bool {
 	c := o.Class
-	return o.Whole && !o.Crossed &&
+	return o.Complete && !o.Misdirected &&
 		(c.FirstToken == 0 || o.First <= c.FirstToken) &&
 		(c.Whole == 0 || o.End <= c.Whole)
 }
@@ -166,10 +166,10 @@
 	defer cancel()
 	id := fmt.Sprintf("%s-%d", c.run, a.N)
 	for retries := 0; ; retries++ {
-		o := Outcome{Arrival: *a, ID: id, Repeats: retries}
+		o := Outcome{Arrival: *a, ID: id, Retries: retries}
 		wait := c.attempt(ctx, &o, start)
 		o.End = time.Since(start)
-		if o.Whole || wait == 0 || retries >= a.Class.Repeats || !sleepUntil(ctx, time.Now().Add(wait)) {
+		if o.Complete || wait == 0 || retries >= a.Class.Repeats || !sleepUntil(ctx, time.Now().Add(wait)) {
 			return o
 		}
 	}
@@ -201,7 +201,7 @@
 	o.Verdict, o.Reason = res.Header.Get(api.VerdictHeader), res.Header.Get(api.ReasonHeader)
 	o.First = time.Since(start)
 	if res.StatusCode != http.StatusOK {
-		o.Held = time.Since(sent)
+		o.RefusalLatency = time.Since(sent)
 		return c.retryDelay(res, o)
 	}
 	if o.Class.Stream {
@@ -209,7 +209,7 @@
 	} else {
 		c.readBody(res.Body, o)
 	}
-	if !o.Whole {
+	if !o.Complete {
 		return reconnectDelay
 	}
 	return 0
@@ -285,7 +285,7 @@
 		switch {
 		case !ok:
 		case line == "[DONE]":
-			o.Whole = true
+			o.Complete = true
 			return
 		case strings.HasPrefix(line, `{"error"`):
 			c.readStreamError(line, o)
@@ -295,7 +295,7 @@
 			if o.Tokens == 1 {
 				o.First = time.Since(start)
 			}
-			o.Crossed = o.Crossed || !strings.Contains(line, o.ID)
+			o.Misdirected = o.Misdirected || !strings.Contains(line, o.ID)
 		}
 	}
 }
@@ -320,7 +320,7 @@
 		return
 	}
 	var res completionResponse
-	o.Whole = json.Unmarshal(data, &res) == nil
+	o.Complete = json.Unmarshal(data, &res) == nil
 	o.Tokens = res.Usage.CompletionTokens
-	o.Crossed = !bytes.Contains(data, []byte(`"`+o.ID+`"`))
+	o.Misdirected = !bytes.Contains(data, []byte(`"`+o.ID+`"`))
 }
--- a/load/report.go
+++ b/load/report.go
@@ -78,7 +78,7 @@
 // Summarize computes the report of a run from the clients' outcomes and the
 // runs that the fakes recorded. It ignores outcomes without a class, which were
 // not sent.
-func Summarize(w *Workload, seed uint64, outcomes []Outcome, books *fake.BooksAnswer) *Report {
+func Summarize(w *Workload, seed uint64, outcomes []Outcome, books *fake.RunLogResponse) *Report {
 	r := &Report{Workload: w.Name, Seed: seed, Seconds: w.Duration.Seconds()}
 	classIndex := make(map[string]int)
 	for i := range w.Classes {
@@ -118,10 +118,10 @@
 	if o.Class.Keyed && len(runs) > 1 {
 		r.Duplicates++
 	}
-	if o.Crossed {
+	if o.Misdirected {
 		r.Crossed++
 	}
-	if o.Status == 0 || o.Status == http.StatusOK && !o.Whole && o.Reason == "" {
+	if o.Status == 0 || o.Status == http.StatusOK && !o.Complete && o.Reason == "" {
 		r.Lost++
 	}
 	if o.Verdict == verdict.NotRun.String() && o.Status != http.StatusOK && len(runs) > 0 {
@@ -132,7 +132,7 @@
 func (c *ClassReport) add(o *Outcome) {
 	c.Offered++
 	switch {
-	case o.Whole:
+	case o.Complete:
 		c.Served++
 		if o.OnTime() {
 			c.OnTime++
@@ -145,7 +145,7 @@
 	case o.Verdict == verdict.NotRun.String():
 		c.Refused++
 		c.RefusedByReason[o.Reason]++
-		_ = c.refusals.RecordValue(min(histMaxMicros, o.Held.Microseconds()))
+		_ = c.refusals.RecordValue(min(histMaxMicros, o.RefusalLatency.Microseconds()))
 	default:
 		c.Failed++
 		reason := o.Reason
@@ -201,13 +201,13 @@
 	}
 }
 
-// FetchBooks reads the recorded runs from the fakes' control address.
-func FetchBooks(control string) (*fake.BooksAnswer, error) {
+// FetchRunLog reads the recorded runs from the fakes' control address.
+func FetchRunLog(control string) (*fake.RunLogResponse, error) {
 	res, err := http.Get("http://" + control + "/books")
 	if err != nil {
 		return nil, errors.Wrap(err, "books")
 	}
 	defer res.Body.Close()
-	b := new(fake.BooksAnswer)
+	b := new(fake.RunLogResponse)
 	return b, errors.Wrap(json.NewDecoder(res.Body).Decode(b), "books")
 }
--- a/load/table.go
+++ b/load/table.go
@@ -113,10 +113,10 @@
 	return errors.Wrap(err, "compare")
 }
 
-// WriteAround prints each class's attainment among the arrivals of span
+// WriteBeforeAfter prints each class's attainment among the arrivals of span
 // seconds before and after mark, a second of the run, and its attainment in
 // each second after it.
-func (r *Report) WriteAround(w io.Writer, mark, span int) error {
+func (r *Report) WriteBeforeAfter(w io.Writer, mark, span int) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "class\t%d s before\t%d s after\tdifference\tsecond by second\t\n", span, span)
 	for c := range r.Classes {
--- a/member/member.go
+++ b/member/member.go
@@ -23,13 +23,13 @@
 
 // Parameters of the failure detector.
 const (
-	BeatEvery     = 200 * time.Millisecond
-	SilentAfter   = 700 * time.Millisecond // three heartbeats missed
-	SuspectFor    = 5 * time.Second        // lifetime of a suspicion that is not renewed
-	SleptAfter    = 700 * time.Millisecond // gap between ticks that means that this process was suspended
-	fullMeshPeers = 8                      // up to this number, all peers are partners
-	fingerBase    = 4                      // partners in a larger fleet are 1, 4, 16, ... positions ahead
-	maxSuspicions = 32                     // per heartbeat
+	HeartbeatInterval = 200 * time.Millisecond
+	SilenceTimeout    = 700 * time.Millisecond // three heartbeats missed
+	SuspicionLifetime = 5 * time.Second        // lifetime of a suspicion that is not renewed
+	SuspendThreshold  = 700 * time.Millisecond // gap between ticks that means that this process was suspended
+	fullMeshPeers     = 8                      // up to this number, all peers are partners
+	fingerBase        = 4                      // partners in a larger fleet are 1, 4, 16, ... positions ahead
+	maxSuspicions     = 32                     // per heartbeat
 )
 
 // A State is the state of an instance or endpoint in the platform's list.
@@ -67,8 +67,8 @@
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// A Heard is the content of a heartbeat.
-type Heard struct {
+// A Heartbeat is the content of a heartbeat.
+type Heartbeat struct {
 	Incarnation       uint64
 	ConfigRevision    int64
 	ListRevision      int64
@@ -88,11 +88,11 @@
 // A Peer is an instance in a Table.
 type Peer struct {
 	Instance
-	Last         Heard
-	LastHeard    time.Duration
-	machine      chart.Machine
-	suspected    time.Duration // time of the newest suspicion
-	watchedSince time.Duration // when this instance began to send it heartbeats
+	LastHeartbeat Heartbeat
+	LastHeard     time.Duration
+	machine       chart.Machine
+	suspected     time.Duration // time of the newest suspicion
+	watchedSince  time.Duration // when this instance began to send it heartbeats
 }
 
 // State returns the name of the peer's state.
@@ -156,14 +156,14 @@
 	return true
 }
 
-// Hear handles a heartbeat from a peer, or the answer to one. It reports whether
+// HandleHeartbeat handles a heartbeat from a peer, or the answer to one. It reports whether
 // the sender is in the list.
-func (t *Table) Hear(now time.Duration, from string, h Heard) bool {
+func (t *Table) HandleHeartbeat(now time.Duration, from string, h Heartbeat) bool {
 	p := t.peers[from]
 	if p == nil {
 		return false
 	}
-	p.LastHeard, p.Last = now, h
+	p.LastHeard, p.LastHeartbeat = now, h
 	t.step(p, evHeard)
 	if h.Leaving {
 		t.step(p, evLeave)
@@ -184,7 +184,7 @@
 // instance has heard from the suspect since.
 func (t *Table) applySuspicion(now time.Duration, s Suspicion) {
 	p := t.peers[s.Instance]
-	if p == nil || s.Instance == t.self || now-s.Since > SuspectFor || p.LastHeard >= s.Since {
+	if p == nil || s.Instance == t.self || now-s.Since > SuspicionLifetime || p.LastHeard >= s.Since {
 		return
 	}
 	p.suspected = max(p.suspected, s.Since)
@@ -202,12 +202,12 @@
 // Tick marks silent partners as suspected and drops expired suspicions.
 func (t *Table) Tick(now time.Duration) {
 	partners := make(map[string]bool)
-	for _, p := range t.BeatTo() {
+	for _, p := range t.Partners() {
 		partners[p.Name] = true
 		if p.watchedSince == 0 {
 			p.watchedSince = now
 		}
-		if now-max(p.LastHeard, p.watchedSince) > SilentAfter {
+		if now-max(p.LastHeard, p.watchedSince) > SilenceTimeout {
 			p.suspected = now
 			t.step(p, evSilent)
 		}
@@ -216,15 +216,15 @@
 		if !partners[p.Name] {
 			p.watchedSince = 0
 		}
-		if p.machine.State() == stSuspected && now-p.suspected > SuspectFor {
+		if p.machine.State() == stSuspected && now-p.suspected > SuspicionLifetime {
 			t.step(p, evHeard) // not renewed
 		}
 	}
 }
 
-// Slept reports that this process was suspended. The silence of peers until now
+// ResetSilence reports that this process was suspended. The silence of peers until now
 // does not count.
-func (t *Table) Slept(now time.Duration) {
+func (t *Table) ResetSilence(now time.Duration) {
 	for _, p := range t.peers {
 		p.LastHeard = max(p.LastHeard, now)
 	}
@@ -235,18 +235,18 @@
 func (t *Table) Suspicions(now time.Duration) []Suspicion {
 	var out []Suspicion
 	for _, p := range t.peers {
-		if p.machine.State() == stSuspected && now-p.suspected <= SuspectFor && len(out) < maxSuspicions {
+		if p.machine.State() == stSuspected && now-p.suspected <= SuspicionLifetime && len(out) < maxSuspicions {
 			out = append(out, Suspicion{p.Name, p.suspected})
 		}
 	}
 	return out
 }
 
-// BeatTo returns the partners to which this instance sends heartbeats. On a ring
+// Partners returns the partners to which this instance sends heartbeats. On a ring
 // of hashed names they are 1, 4, 16, ... positions ahead, so that both their
 // number and the number of rounds until news reaches all instances grow with the
 // logarithm of the fleet. In a small fleet, all peers are partners.
-func (t *Table) BeatTo() []*Peer {
+func (t *Table) Partners() []*Peer {
 	ring := make([]*Peer, 0, len(t.peers))
 	for _, p := range t.peers {
 		if p.Name != t.self {
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -36,13 +36,13 @@
 	tb := member.New("n0")
 	tb.SetList(0, listOf(1, "n0", "n1", "n2"))
 	for now := time.Duration(0); now < 2*time.Second; now += 100 * time.Millisecond {
-		tb.Hear(now, "n1", member.Heard{})
+		tb.HandleHeartbeat(now, "n1", member.Heartbeat{})
 		tb.Tick(now)
 	}
 	if !tb.Peer("n1").Usable() || tb.Peer("n2").Usable() {
 		t.Errorf("n1 is %s, n2 is %s; want n1 usable and n2 suspected", tb.Peer("n1").State(), tb.Peer("n2").State())
 	}
-	tb.Hear(2*time.Second, "n2", member.Heard{})
+	tb.HandleHeartbeat(2*time.Second, "n2", member.Heartbeat{})
 	if !tb.Peer("n2").Usable() {
 		t.Error("n2 is still suspected after a heartbeat")
 	}
@@ -51,12 +51,12 @@
 func TestDirectHeartbeatOverridesSuspicion(t *testing.T) {
 	tb := member.New("n0")
 	tb.SetList(0, listOf(1, "n0", "n1", "n2"))
-	tb.Hear(time.Second, "n2", member.Heard{})
-	tb.Hear(time.Second, "n1", member.Heard{SuspectedBySender: []member.Suspicion{{Instance: "n2", Since: 500 * time.Millisecond}}})
+	tb.HandleHeartbeat(time.Second, "n2", member.Heartbeat{})
+	tb.HandleHeartbeat(time.Second, "n1", member.Heartbeat{SuspectedBySender: []member.Suspicion{{Instance: "n2", Since: 500 * time.Millisecond}}})
 	if !tb.Peer("n2").Usable() {
 		t.Error("a suspicion older than the last heartbeat was applied")
 	}
-	tb.Hear(2*time.Second, "n1", member.Heard{SuspectedBySender: []member.Suspicion{{Instance: "n2", Since: 1500 * time.Millisecond}}})
+	tb.HandleHeartbeat(2*time.Second, "n1", member.Heartbeat{SuspectedBySender: []member.Suspicion{{Instance: "n2", Since: 1500 * time.Millisecond}}})
 	if tb.Peer("n2").Usable() {
 		t.Error("a newer suspicion was not applied")
 	}
@@ -65,9 +65,9 @@
 func TestSleptClearsOwnSilence(t *testing.T) {
 	tb := member.New("n0")
 	tb.SetList(0, listOf(1, "n0", "n1"))
-	tb.Hear(0, "n1", member.Heard{})
+	tb.HandleHeartbeat(0, "n1", member.Heartbeat{})
 	tb.Tick(0)
-	tb.Slept(time.Hour)
+	tb.ResetSilence(time.Hour)
 	tb.Tick(time.Hour)
 	if !tb.Peer("n1").Usable() {
 		t.Error("a suspended instance suspects its peers")
@@ -82,11 +82,11 @@
 		for _, name := range all {
 			tb := member.New(name)
 			tb.SetList(0, listOf(1, all...))
-			for _, p := range tb.BeatTo() {
+			for _, p := range tb.Partners() {
 				links[name] = append(links[name], p.Name)
 				links[p.Name] = append(links[p.Name], name) // the answer carries the same
 			}
-			if k := len(tb.BeatTo()); k > 8 {
+			if k := len(tb.Partners()); k > 8 {
 				t.Errorf("%d partners in a fleet of %d; want at most 8", k, n)
 			}
 		}
--- a/memory/memory.go
+++ b/memory/memory.go
@@ -6,11 +6,11 @@
 // memory is taken from an Account before it is allocated and given back when it is freed.
 // Requests are refused before the limit is reached, the least urgent first.
 //
-// A Holding is the memory of one request or connection. Its Close gives back all of it, so that
+// A Reservation is the memory of one request or connection. Its Close gives back all of it, so that
 // one deferred call covers every return. Memory that belongs to no request (gossip,
-// configuration, the program) is one fixed Holding of kind Base.
+// configuration, the program) is one fixed Reservation of kind Base.
 //
-// An Account without a limit counts but refuses nothing. Accounts and Holdings are safe for
+// An Account without a limit counts but refuses nothing. Accounts and Reservations are safe for
 // concurrent use.
 package memory
 
@@ -24,8 +24,8 @@
 
 const (
 	Bodies      Kind = iota // of requests, until they end
-	Answers                 // of endpoints, while they are read
-	Waiting                 // responses read ahead of callers that read slowly
+	Responses               // of endpoints, while they are read
+	Buffered                // responses read ahead of callers that read slowly
 	Requests                // headers, goroutines and connections of requests in flight
 	Connections             // of callers, with or without a request
 	Base                    // endpoint state, gossip and the program itself
@@ -39,10 +39,10 @@
 
 // Thresholds, as parts of the limit.
 const (
-	// maxWaiting is the part of the limit reserved for Waiting, so that slow callers don't
+	// maxBuffered is the part of the limit reserved for Buffered, so that slow callers don't
 	// cause requests to be refused. When it is full, responses are read only as fast as their
 	// callers read them. The other thresholds are parts of the rest, the shared memory.
-	maxWaiting = 0.15
+	maxBuffered = 0.15
 	// admitThreshold is the use of shared memory up to which requests of the most urgent
 	// priority are admitted. The remainder is for running requests and for connections.
 	admitThreshold = 0.9
@@ -89,10 +89,10 @@
 	a.limit = limit
 }
 
-// shared returns the part of the limit that is not reserved for Waiting, and how much of it is
+// shared returns the part of the limit that is not reserved for Buffered, and how much of it is
 // used. The caller holds a.mu.
 func (a *Account) shared() (limit, used float64) {
-	return (1 - maxWaiting) * float64(a.limit), float64(a.used - a.held[Waiting])
+	return (1 - maxBuffered) * float64(a.limit), float64(a.used - a.held[Buffered])
 }
 
 // fits reports whether n more bytes of kind k keep the memory for that kind within threshold.
@@ -101,8 +101,8 @@
 	if a.limit <= 0 {
 		return true
 	}
-	if k == Waiting {
-		return float64(a.held[Waiting]+n) <= maxWaiting*float64(a.limit)
+	if k == Buffered {
+		return float64(a.held[Buffered]+n) <= maxBuffered*float64(a.limit)
 	}
 	limit, used := a.shared()
 	return used+float64(n) <= threshold*limit
@@ -137,33 +137,33 @@
 	}
 }
 
-// A Holding is the memory of one request or connection.
-type Holding struct {
+// A Reservation is the memory of one request or connection.
+type Reservation struct {
 	account *Account
 	team    uint64
 	held    [kinds]int64
 	closed  bool
 }
 
-// Open returns a Holding of n bytes of kind k, or nil if they don't fit.
-func (a *Account) Open(k Kind, n int64) *Holding {
-	h := &Holding{account: a}
-	if !h.Take(k, n) {
+// Reserve returns a Reservation of n bytes of kind k, or nil if they don't fit.
+func (a *Account) Reserve(k Kind, n int64) *Reservation {
+	h := &Reservation{account: a}
+	if !h.Grow(k, n) {
 		return nil
 	}
 	return h
 }
 
-// Admit returns a Holding of n bytes of kind Requests for a request of a team (zero for none)
+// Admit returns a Reservation of n bytes of kind Requests for a request of a team (zero for none)
 // and a priority (0 is the most urgent), or nil and the cause if the request is to be refused.
-func (a *Account) Admit(team uint64, priority int, n int64) (*Holding, Cause) {
+func (a *Account) Admit(team uint64, priority int, n int64) (*Reservation, Cause) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.teamHigh(team, n) {
 		a.refused[TeamHigh]++
 		return nil, TeamHigh
 	}
-	h := &Holding{account: a, team: team}
+	h := &Reservation{account: a, team: team}
 	if !a.acquire(Requests, team, n, admitThreshold-admitStep*float64(min(max(priority, 0), lowestPriority))) {
 		a.refused[Full]++
 		return nil, Full
@@ -183,9 +183,9 @@
 	return team != 0 && limit > 0 && others > 0 && used > teamThreshold*limit && float64(a.teams[team]+n) > maxTeam*limit
 }
 
-// Take adds n bytes of kind k, and reports false without adding them if they don't fit or h is
+// Grow adds n bytes of kind k, and reports false without adding them if they don't fit or h is
 // closed.
-func (h *Holding) Take(k Kind, n int64) bool {
+func (h *Reservation) Grow(k Kind, n int64) bool {
 	a := h.account
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -199,8 +199,8 @@
 	return true
 }
 
-// Give gives back n bytes of kind k. It panics if h holds less. It has no effect after Close.
-func (h *Holding) Give(k Kind, n int64) {
+// Shrink gives back n bytes of kind k. It panics if h holds less. It has no effect after Close.
+func (h *Reservation) Shrink(k Kind, n int64) {
 	a := h.account
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -214,8 +214,8 @@
 	a.release(k, h.team, n)
 }
 
-// Close gives back all memory of h. Later calls of Take, Give and Close have no effect.
-func (h *Holding) Close() {
+// Close gives back all memory of h. Later calls of Grow, Shrink and Close have no effect.
+func (h *Reservation) Close() {
 	a := h.account
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -228,8 +228,8 @@
 	}
 }
 
-// A Sum is a snapshot of an Account, in bytes.
-type Sum struct {
+// Stats are a snapshot of an Account, in bytes.
+type Stats struct {
 	Limit   int64            `json:"limit"`
 	Used    int64            `json:"used"`
 	Peak    int64            `json:"peak"` // since the account was created
@@ -238,11 +238,11 @@
 	Refused map[Cause]int64  `json:"refused"`
 }
 
-// Sum returns a snapshot of the account.
-func (a *Account) Sum() Sum {
+// Stats returns a snapshot of the account.
+func (a *Account) Stats() Stats {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := Sum{Limit: a.limit, Used: a.used, Peak: a.peak, Teams: len(a.teams),
+	s := Stats{Limit: a.limit, Used: a.used, Peak: a.peak, Teams: len(a.teams),
 		Held: make(map[string]int64, kinds), Refused: make(map[Cause]int64, len(a.refused))}
 	for k, n := range a.held {
 		s.Held[Kind(k).String()] = n
@@ -253,9 +253,9 @@
 	return s
 }
 
-// String implements expvar.Var. It returns the Sum in JSON.
+// String implements expvar.Var. It returns the Stats in JSON.
 func (a *Account) String() string {
-	data, err := json.Marshal(a.Sum())
+	data, err := json.Marshal(a.Stats())
 	if err != nil {
 		panic(err) // can't happen
 	}
--- a/memory/memory_test.go
+++ b/memory/memory_test.go
@@ -34,9 +34,9 @@
 		{"highest priority", 86, 2, 0, 0, ""},
 		{"highest priority, full", 91, 2, 0, 0, memory.Full},
 	} {
-		a := memory.New(100 * mb * 100 / 85) // 0.15 of the limit is reserved for Waiting
-		if a.Open(memory.Waiting, 17*mb) == nil {
-			t.Fatalf("%s: Waiting memory refused", c.name)
+		a := memory.New(100 * mb * 100 / 85) // 0.15 of the limit is reserved for Buffered
+		if a.Reserve(memory.Buffered, 17*mb) == nil {
+			t.Fatalf("%s: Buffered memory refused", c.name)
 		}
 		if c.teamHeld > 0 {
 			if h, cause := a.Admit(1, 0, c.teamHeld*mb); h == nil {
@@ -45,7 +45,7 @@
 		}
 		if c.used > c.teamHeld { // held by another team
 			h, _ := a.Admit(7, 0, mb)
-			if h == nil || !h.Take(memory.Bodies, (c.used-c.teamHeld-1)*mb) {
+			if h == nil || !h.Grow(memory.Bodies, (c.used-c.teamHeld-1)*mb) {
 				t.Fatalf("%s: setup request refused", c.name)
 			}
 		}
@@ -57,12 +57,12 @@
 
 // In any sequence of operations the limit is not exceeded, the kinds add up to the total, and
 // nothing is in use after all holdings are closed.
-func TestAccountSumsAreExact(t *testing.T) {
+func TestAccountStatsAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Int64Range(1, 1000).Draw(t, "limit")
 		a := memory.New(limit)
-		var open []*memory.Holding
-		held := make(map[*memory.Holding][6]int64)
+		var open []*memory.Reservation
+		held := make(map[*memory.Reservation][6]int64)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			n := rapid.Int64Range(0, 200).Draw(t, "n")
 			switch step := rapid.IntRange(0, 5).Draw(t, "step"); {
@@ -82,11 +82,11 @@
 				h := open[rapid.IntRange(0, len(open)-1).Draw(t, "which")]
 				k := memory.Kind(rapid.IntRange(0, 5).Draw(t, "kind"))
 				sums := held[h]
-				if step < 4 && h.Take(k, n) {
+				if step < 4 && h.Grow(k, n) {
 					sums[k] += n
 				} else if step >= 4 {
 					n = min(n, sums[k])
-					h.Give(k, n)
+					h.Shrink(k, n)
 					sums[k] -= n
 				}
 				held[h] = sums
@@ -96,14 +96,14 @@
 		for _, h := range open {
 			h.Close()
 		}
-		if s := a.Sum(); s.Used != 0 || s.Teams != 0 {
+		if s := a.Stats(); s.Used != 0 || s.Teams != 0 {
 			t.Fatalf("memory in use after closing all holdings: %+v", s)
 		}
 	})
 }
 
-func check(t *rapid.T, a *memory.Account, held map[*memory.Holding][6]int64) {
-	s := a.Sum()
+func check(t *rapid.T, a *memory.Account, held map[*memory.Reservation][6]int64) {
+	s := a.Stats()
 	var want, kinds int64
 	for _, sums := range held {
 		for _, n := range sums {
@@ -131,13 +131,13 @@
 				if h == nil {
 					continue
 				}
-				h.Take(memory.Waiting, int64(i%200))
+				h.Grow(memory.Buffered, int64(i%200))
 				h.Close()
 			}
 		}()
 	}
 	wg.Wait()
-	if s := a.Sum(); s.Peak > s.Limit || s.Used != 0 || s.Teams != 0 {
+	if s := a.Stats(); s.Peak > s.Limit || s.Used != 0 || s.Teams != 0 {
 		t.Errorf("limit exceeded or memory in use at the end: %+v", s)
 	}
 }
--- a/node/answers.go
+++ b/node/answers.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Keep stores the answer of a claim's attempt for retries.
-func (n *Node) Keep(c *Claim, ans *Answer) {
+// StoreAnswer stores the answer of a claim's attempt for retries.
+func (n *Node) StoreAnswer(c *Claim, ans *Answer) {
 	a := n.answers
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/node/ask.go
+++ b/node/ask.go
@@ -15,10 +15,10 @@
 	"ivyridge/verdict"
 )
 
-// GrantLife is how long a grant may be used after it was given. It is far below
+// GrantTTL is how long a grant may be used after it was given. It is far below
 // home.RunLease and owner.Retention, so that an entry that was suspended does not
 // act on a grant whose slot or key record has expired.
-const GrantLife = time.Second
+const GrantTTL = time.Second
 
 const (
 	maxHomesTried = 3
@@ -58,11 +58,11 @@
 	for round := 0; round < maxAskRounds; round++ {
 		v := n.view.Load()
 		if !v.ready {
-			return nil, verdict.Refuse(verdict.NoConfiguration, "no configuration is in force yet").After(time.Second)
+			return nil, verdict.Refuse(verdict.NoConfiguration, "no configuration is in force yet").WithRetryAfter(time.Second)
 		}
 		cells := v.cellsInOrder(r.Pool, n.opt.DataCentre, n.opt.Name)
 		if len(cells) == 0 {
-			return nil, verdict.Refuse(verdict.NoEndpoint, "pool %q has no endpoint", r.Pool).After(time.Second)
+			return nil, verdict.Refuse(verdict.NoEndpoint, "pool %q has no endpoint", r.Pool).WithRetryAfter(time.Second)
 		}
 		g, again, err := n.acquireFromCells(ctx, v, cells, r)
 		if err == nil || !again {
@@ -75,7 +75,7 @@
 		}
 	}
 	n.count.asksFailed.Add(1)
-	return nil, verdict.Refuse(verdict.HomeLost, "no home granted or refused the request: %v", last).After(time.Second)
+	return nil, verdict.Refuse(verdict.HomeLost, "no home granted or refused the request: %v", last).WithRetryAfter(time.Second)
 }
 
 func (n *Node) sleepContext(ctx context.Context, d time.Duration) bool {
@@ -149,8 +149,8 @@
 	return g
 }
 
-func (n *Node) newAsk(r *Request) home.Ask {
-	return home.Ask{
+func (n *Node) newAsk(r *Request) home.Request {
+	return home.Request{
 		Key:        home.Key{Entry: n.opt.Name, Seq: n.seq.Add(1)},
 		Class:      r.Class,
 		Team:       r.Team,
@@ -203,8 +203,8 @@
 	return d, reply.NotHome, nil
 }
 
-// May reports whether a grant may still be used. A newer list, an operator command or
+// GrantValid reports whether a grant may still be used. A newer list, an operator command or
 // GrantLife may have invalidated it.
-func (n *Node) May(g *Grant) bool {
-	return n.view.Load().endpoints[g.Endpoint] && n.now()-g.At < GrantLife
+func (n *Node) GrantValid(g *Grant) bool {
+	return n.view.Load().endpoints[g.Endpoint] && n.now()-g.At < GrantTTL
 }
--- a/node/cell.go
+++ b/node/cell.go
@@ -95,7 +95,7 @@
 	rank := cv.rank(n.opt.Name)
 	if rank == 0 && c.rank != 0 {
 		c.homeSince = now
-		c.home.Distrust(now)
+		c.home.RequireReports(now)
 		n.pollCell(c, cv)
 	}
 	c.rank = rank
@@ -132,13 +132,13 @@
 
 // ask waits for the cell's decision. The result moved reports that this instance no
 // longer serves the cell and that another one must be asked.
-func (c *cell) ask(ctx context.Context, n *Node, a home.Ask) (d home.Decision, moved bool, err error) {
+func (c *cell) ask(ctx context.Context, n *Node, a home.Request) (d home.Decision, moved bool, err error) {
 	ch := make(chan home.Decision, 1)
 	now := n.now()
 	c.mu.Lock()
 	c.lastUsed = now
 	c.waiters[a.Key] = ch
-	c.home.Ask(now, a)
+	c.home.Submit(now, a)
 	c.deliver()
 	c.mu.Unlock()
 	select {
@@ -155,7 +155,7 @@
 func (c *cell) deliver() {
 	for {
 		var abandoned []home.Key // grants whose callers have gone
-		for _, d := range c.home.Take() {
+		for _, d := range c.home.TakeDecisions() {
 			if ch := c.waiters[d.Key]; ch != nil {
 				delete(c.waiters, d.Key)
 				ch <- d
@@ -301,8 +301,8 @@
 	return decisionToProto(d), nil
 }
 
-func askFromProto(r *peerpb.AskRequest) home.Ask {
-	return home.Ask{
+func askFromProto(r *peerpb.AskRequest) home.Request {
+	return home.Request{
 		Key:        home.Key{Entry: r.Entry, Seq: r.Seq},
 		Class:      r.Class,
 		Team:       r.Team,
@@ -328,7 +328,7 @@
 
 func refusalFromProto(r *peerpb.Refusal) *verdict.Error {
 	e := verdict.Refuse(verdict.Reason(r.Reason), "%s", r.Detail)
-	return e.After(time.Duration(r.RetryAfterMs) * time.Millisecond)
+	return e.WithRetryAfter(time.Duration(r.RetryAfterMs) * time.Millisecond)
 }
 
 // Sync applies an entry's report of running and ended requests.
@@ -356,19 +356,19 @@
 			Failed:     x.Failed,
 			Tokens:     int(x.Tokens),
 			FirstToken: time.Duration(x.FirstTokenUs) * time.Microsecond,
-			Held:       time.Duration(x.HeldUs) * time.Microsecond,
+			Duration:   time.Duration(x.HeldUs) * time.Microsecond,
 			Late:       x.Late,
-			Whole:      x.Whole,
-			Busy:       x.Busy,
+			Complete:   x.Whole,
+			Overloaded: x.Busy,
 		})
 	}
 	for _, x := range cs.Progress {
 		c.home.Progress(now, home.Progress{Endpoint: x.Endpoint, Tokens: int(x.Tokens), Elapsed: time.Duration(x.ElapsedUs) * time.Microsecond})
 	}
 	if cs.Full {
-		runs := make([]home.Running, len(cs.Runs))
+		runs := make([]home.ActiveRun, len(cs.Runs))
 		for i, x := range cs.Runs {
-			runs[i] = home.Running{Seq: x.Seq, Endpoint: x.Endpoint, Class: x.Class}
+			runs[i] = home.ActiveRun{Seq: x.Seq, Endpoint: x.Endpoint, Class: x.Class}
 		}
 		c.home.Sync(now, entry, runs)
 	}
--- a/node/claim.go
+++ b/node/claim.go
@@ -27,8 +27,8 @@
 	Key     owner.Key
 	Attempt uint64
 	At      time.Duration
-	// Other is the attempt that holds the key, or nil if this one does.
-	Other *owner.Record
+	// Holder is the attempt that holds the key, or nil if this one does.
+	Holder *owner.Record
 }
 
 // Claim records an attempt with the key's owners. The error is a *verdict.Error of a
@@ -46,7 +46,7 @@
 			return c, nil
 		case replies.holder != nil:
 			n.Withdraw(c)
-			c.Other = replies.holder
+			c.Holder = replies.holder
 			return c, nil
 		case replies.unsettled > 0:
 			reason = verdict.OwnerUnsettled
@@ -58,7 +58,7 @@
 	}
 	n.Withdraw(c)
 	e := verdict.Refuse(reason, "no quorum of the key's owners recorded the request")
-	return nil, e.After(time.Second)
+	return nil, e.WithRetryAfter(time.Second)
 }
 
 // A tally counts the replies of the owners to one round of Begin.
--- a/node/commands.go
+++ b/node/commands.go
@@ -74,7 +74,7 @@
 	req := &peerpb.CommandRequest{Command: data, ConfigRevision: revision}
 	if refusals := n.prepareAll(ctx, peers, req); len(refusals) > 0 {
 		n.mu.Lock()
-		n.commands.Abandon(c)
+		n.commands.Abort(c)
 		n.mu.Unlock()
 		return old, errors.Errorf("command refused: not accepted by all instances: %s", strings.Join(refusals, "; "))
 	}
@@ -168,9 +168,9 @@
 	n.mu.Unlock()
 	if ok {
 		n.refresh()
-		n.publish(Change{Topic: CommandsChanged, What: c.Slot(), Revision: c.Version})
+		n.publish(Change{Topic: CommandsChanged, What: c.Key(), Revision: c.Version})
 		n.log.Info("operator command applied", zap.String("op", string(c.Op)), zap.String("target", c.Target),
-			zap.String("field", c.Field), zap.String("value", c.Value), zap.String("who", c.Who),
+			zap.String("field", c.Field), zap.String("value", c.Value), zap.String("who", c.Operator),
 			zap.String("replaced", old.Value), zap.Int64("version", c.Version))
 	}
 	return old
--- a/node/documents.go
+++ b/node/documents.go
@@ -19,7 +19,7 @@
 	"ivyridge/member"
 	"ivyridge/owner"
 	"ivyridge/peer/peerpb"
-	"ivyridge/publish"
+	"ivyridge/platformclient"
 )
 
 const (
@@ -218,7 +218,7 @@
 }
 
 // watchLoop polls the platform for one document while this instance is a watcher.
-func (n *Node) watchLoop(kind publish.Kind) func() {
+func (n *Node) watchLoop(kind platformclient.Kind) func() {
 	return func() {
 		for n.ctx.Err() == nil {
 			if !n.shouldWatch() {
@@ -251,9 +251,9 @@
 	return n.now()-n.platformHeard > platformLostAfter+time.Duration(rank)*watchStagger
 }
 
-func (n *Node) watchOnce(kind publish.Kind, wait time.Duration) error {
+func (n *Node) watchOnce(kind platformclient.Kind, wait time.Duration) error {
 	pk := peerpb.Kind_CONFIG
-	if kind == publish.List {
+	if kind == platformclient.List {
 		pk = peerpb.Kind_LIST
 	}
 	n.mu.Lock()
@@ -297,8 +297,8 @@
 // bootstrap loads the first documents from the platform or from the seeds.
 func (n *Node) bootstrap() {
 	for n.ctx.Err() == nil {
-		_ = n.watchOnce(publish.List, 0)
-		_ = n.watchOnce(publish.Config, 0)
+		_ = n.watchOnce(platformclient.List, 0)
+		_ = n.watchOnce(platformclient.Config, 0)
 		for _, addr := range n.opt.Seeds {
 			if addr != n.opt.Addr {
 				n.fetch(peerpb.Kind_LIST, addr, addr)
@@ -337,8 +337,8 @@
 			continue
 		}
 		others++
-		behind := p.Last.ConfigRevision > max(n.docs.config.revision, n.docs.rejectedRevision) ||
-			p.Last.ListRevision > n.docs.list.revision || p.Last.CommandVersion > n.commands.Version()
+		behind := p.LastHeartbeat.ConfigRevision > max(n.docs.config.revision, n.docs.rejectedRevision) ||
+			p.LastHeartbeat.ListRevision > n.docs.list.revision || p.LastHeartbeat.CommandVersion > n.commands.Version()
 		if behind && p.Usable() {
 			return false, "behind " + p.Name
 		}
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -45,7 +45,7 @@
 // sender.
 func (n *Node) handleHeartbeat(b *peerpb.Beat) {
 	now := n.now()
-	h := member.Heard{
+	h := member.Heartbeat{
 		Incarnation:     b.Incarnation,
 		ConfigRevision:  b.ConfigRevision,
 		ListRevision:    b.ListRevision,
@@ -61,7 +61,7 @@
 	}
 	n.mu.Lock()
 	before := n.table.Version()
-	n.table.Hear(now, b.From, h)
+	n.table.HandleHeartbeat(now, b.From, h)
 	n.peerHeard = true
 	changed := n.table.Version() != before
 	config := b.ConfigRevision > max(n.docs.config.revision, n.docs.rejectedRevision)
@@ -86,7 +86,7 @@
 
 // heartbeatLoop sends heartbeats to the partners of this instance.
 func (n *Node) heartbeatLoop() {
-	for n.sleep(member.BeatEvery) {
+	for n.sleep(member.HeartbeatInterval) {
 		n.sendHeartbeats(false)
 	}
 }
@@ -96,7 +96,7 @@
 	now := n.now()
 	n.mu.Lock()
 	b := n.heartbeat(now)
-	partners := n.table.BeatTo()
+	partners := n.table.Partners()
 	if toAll {
 		partners = n.table.Peers()
 	}
--- a/node/leave.go
+++ b/node/leave.go
@@ -54,7 +54,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range n.table.Peers() {
-		if p.Name != n.opt.Name && p.Usable() && p.Last.Incarnation != 0 && p.Last.SettledRevision == 0 {
+		if p.Name != n.opt.Name && p.Usable() && p.LastHeartbeat.Incarnation != 0 && p.LastHeartbeat.SettledRevision == 0 {
 			return false
 		}
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -42,7 +42,7 @@
 	"ivyridge/member"
 	"ivyridge/owner"
 	"ivyridge/peer"
-	"ivyridge/publish"
+	"ivyridge/platformclient"
 )
 
 // Options configure a Node.
@@ -58,7 +58,7 @@
 	Clock      clock.Clock
 	Log        *zap.Logger
 	Transport  http.RoundTripper // to peers
-	Platform   publish.Reader
+	Platform   platformclient.Reader
 	Loads      LoadReader
 	// Counters receives the node's counters; if nil, they are not published.
 	Counters *expvar.Map
@@ -183,8 +183,8 @@
 	n.spawn(n.bootstrap)
 	n.spawn(n.heartbeatLoop)
 	n.spawn(n.tickLoop)
-	n.spawn(n.watchLoop(publish.Config))
-	n.spawn(n.watchLoop(publish.List))
+	n.spawn(n.watchLoop(platformclient.Config))
+	n.spawn(n.watchLoop(platformclient.List))
 	n.spawn(n.out.loop)
 	n.spawn(n.settleLoop)
 	n.spawn(n.pollLoop)
@@ -279,7 +279,7 @@
 	last := n.now()
 	for n.sleep(tickInterval) {
 		now := n.now()
-		if now-last > member.SleptAfter {
+		if now-last > member.SuspendThreshold {
 			n.resume(now, now-last)
 		}
 		last = now
@@ -309,7 +309,7 @@
 	n.count.suspensions.Add(1)
 	n.log.Warn("process was suspended", zap.Duration("for", gap))
 	n.mu.Lock()
-	n.table.Slept(now)
+	n.table.ResetSilence(now)
 	n.mu.Unlock()
 	n.redirectAllWaiters(now)
 	n.refresh()
--- a/node/outbox.go
+++ b/node/outbox.go
@@ -26,14 +26,14 @@
 	syncTimeout          = 500 * time.Millisecond
 )
 
-// An End describes how a granted request ended.
-type End struct {
+// An Outcome describes how a granted request ended.
+type Outcome struct {
 	Failed     bool // the endpoint could not be reached or its answer failed
 	Busy       bool // the endpoint refused it with 429
 	Tokens     int
 	FirstToken time.Duration
 	Late       bool
-	Whole      bool
+	Complete   bool
 }
 
 // tokenCount accumulates an endpoint's tokens since the last batch.
@@ -92,7 +92,7 @@
 }
 
 // Release reports to the home that a granted request has ended.
-func (n *Node) Release(g *Grant, e End) {
+func (n *Node) Release(g *Grant, e Outcome) {
 	o := &n.out
 	o.mu.Lock()
 	c := o.cell(g.Cell)
@@ -106,7 +106,7 @@
 		FirstTokenUs: e.FirstToken.Microseconds(),
 		HeldUs:       (n.now() - g.At).Microseconds(),
 		Late:         e.Late,
-		Whole:        e.Whole,
+		Whole:        e.Complete,
 		Busy:         e.Busy,
 	})
 	o.mu.Unlock()
@@ -121,8 +121,8 @@
 	}
 }
 
-// SawTokens records that count tokens arrived within elapsed after earlier ones.
-func (n *Node) SawTokens(g *Grant, count int, elapsed time.Duration) {
+// RecordTokens records that count tokens arrived within elapsed after earlier ones.
+func (n *Node) RecordTokens(g *Grant, count int, elapsed time.Duration) {
 	o := &n.out
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/node/settle.go
+++ b/node/settle.go
@@ -16,7 +16,7 @@
 func (n *Node) settleLoop() {
 	for n.sleep(settleInterval) {
 		n.mu.Lock()
-		pending, revision, gap := n.owners.ToPull(), n.owners.Revision(), n.owners.Gap()
+		pending, revision, gap := n.owners.ToPull(), n.owners.Revision(), n.owners.MissedAfter()
 		n.mu.Unlock()
 		for name, parts := range pending {
 			if addr := n.view.Load().peers[name]; addr != "" {
@@ -42,18 +42,18 @@
 	a := pullReplyFromProto(now, r)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.owners.Pulled(now, name, revision, a)
+	n.owners.ApplyPull(now, name, revision, a)
 }
 
-func pullReplyFromProto(now time.Duration, r *peerpb.PullReply) owner.Answer {
-	var a owner.Answer
+func pullReplyFromProto(now time.Duration, r *peerpb.PullReply) owner.PullReply {
+	var a owner.PullReply
 	for _, x := range r.Records {
 		a.Records = append(a.Records, recordFromProto(x, now))
 	}
 	for _, x := range r.Parts {
-		p := owner.Part{Partition: owner.Partition(x.Partition), Intact: x.Intact, Fresh: x.Fresh}
+		p := owner.PartitionReport{Partition: owner.Partition(x.Partition), Intact: x.Intact, Fresh: x.Fresh}
 		for _, names := range x.Covered {
-			p.Covered = append(p.Covered, names.Names)
+			p.PriorOwners = append(p.PriorOwners, names.Names)
 		}
 		a.Parts = append(a.Parts, p)
 	}
@@ -80,7 +80,7 @@
 	for i := range a.Parts {
 		x := &a.Parts[i]
 		p := &peerpb.Part{Partition: int32(x.Partition), Intact: x.Intact, Fresh: x.Fresh}
-		for _, owners := range x.Covered {
+		for _, owners := range x.PriorOwners {
 			p.Covered = append(p.Covered, &peerpb.Names{Names: owners})
 		}
 		reply.Parts = append(reply.Parts, p)
--- a/node/status.go
+++ b/node/status.go
@@ -93,7 +93,7 @@
 	for _, p := range n.table.Peers() {
 		s := PeerStatus{
 			Name: p.Name, DataCentre: p.DataCentre, State: p.State(), Age: now - p.LastHeard,
-			ConfigRevision: p.Last.ConfigRevision, ListRevision: p.Last.ListRevision, Ready: p.Last.Ready,
+			ConfigRevision: p.LastHeartbeat.ConfigRevision, ListRevision: p.LastHeartbeat.ListRevision, Ready: p.LastHeartbeat.Ready,
 		}
 		if p.Name == n.opt.Name {
 			s.State, s.Age, s.Ready = "self", 0, n.docs.set != nil
--- a/operator/client.go
+++ b/operator/client.go
@@ -43,7 +43,7 @@
 	}
 	raw = bytes.TrimSpace(raw)
 	if res.StatusCode != http.StatusOK {
-		var f Failure
+		var f ErrorResponse
 		if json.Unmarshal(raw, &f) != nil {
 			return nil, raw, errors.Errorf("%s: %s", res.Status, raw)
 		}
--- a/operator/lang.go
+++ b/operator/lang.go
@@ -43,11 +43,11 @@
 
 // A Show is a query.
 type Show struct {
-	Pos   lexer.Position
-	What  string   `parser:"@Word"`
-	By    []string `parser:"( 'by' @Word ( ',' @Word )* )?"`
-	Where []*Cond  `parser:"( 'where' @@ ( 'and' @@ )* )?"`
-	Over  string   `parser:"( 'over' @Word )?"`
+	Pos     lexer.Position
+	Subject string   `parser:"@Word"`
+	By      []string `parser:"( 'by' @Word ( ',' @Word )* )?"`
+	Where   []*Cond  `parser:"( 'where' @@ ( 'and' @@ )* )?"`
+	Over    string   `parser:"( 'over' @Word )?"`
 
 	window time.Duration
 }
@@ -71,7 +71,7 @@
 type Act struct {
 	Pos    lexer.Position
 	Verb   string `parser:"@( 'drain' | 'undrain' | 'stop' | 'start' )"`
-	What   string `parser:"@( 'instance' | 'endpoint' )"`
+	Kind   string `parser:"@( 'instance' | 'endpoint' )"`
 	Target string `parser:"@(Word | String)"`
 }
 
@@ -119,12 +119,12 @@
 }
 
 func (s *Show) check() error {
-	counted, ok := subjects[s.What]
+	counted, ok := subjects[s.Subject]
 	if !ok {
-		return &SyntaxError{s.Pos.Column, "cannot show " + s.What}
+		return &SyntaxError{s.Pos.Column, "cannot show " + s.Subject}
 	}
 	if !counted && (len(s.By) > 0 || s.Over != "") {
-		return &SyntaxError{s.Pos.Column, s.What + " are not counted: by and over do not apply"}
+		return &SyntaxError{s.Pos.Column, s.Subject + " are not counted: by and over do not apply"}
 	}
 	for _, f := range s.By {
 		if !isCountedField(f) {
@@ -161,7 +161,7 @@
 
 func (a *Act) check() error {
 	drains := a.Verb == "drain" || a.Verb == "undrain"
-	if drains != (a.What == "instance") {
+	if drains != (a.Kind == "instance") {
 		return &SyntaxError{a.Pos.Column, "an instance is drained, an endpoint is stopped"}
 	}
 	return nil
@@ -175,7 +175,7 @@
 		c := s.SetClass
 		return command.Command{Op: command.SetClass, Target: c.Name, Field: c.Field, Value: c.Value}, true
 	case s.Act != nil:
-		return command.Command{Op: command.Op(s.Act.Verb + "-" + s.Act.What), Target: s.Act.Target}, true
+		return command.Command{Op: command.Op(s.Act.Verb + "-" + s.Act.Kind), Target: s.Act.Target}, true
 	}
 	return command.Command{}, false
 }
--- a/operator/local.go
+++ b/operator/local.go
@@ -15,8 +15,8 @@
 	"ivyridge/node"
 )
 
-// Local returns the handler of queries from peers. It evaluates them on n alone.
-func Local(n *node.Node) node.QueryFunc {
+// QueryHandler returns the handler of queries from peers. It evaluates them on n alone.
+func QueryHandler(n *node.Node) node.QueryFunc {
 	return func(text string) ([]byte, error) {
 		s, err := Parse(text)
 		if err != nil {
@@ -37,7 +37,7 @@
 }
 
 func (ev *evaluator) eval() *Table {
-	switch ev.show.What {
+	switch ev.show.Subject {
 	case "queued":
 		return ev.queued()
 	case "running":
@@ -111,7 +111,7 @@
 }
 
 func (ev *evaluator) ledger() *Table {
-	want := ledger.Outcome(ev.show.What)
+	want := ledger.Outcome(ev.show.Subject)
 	return ev.counts(func(add func(map[string]string, int64)) {
 		for r, k := range ev.node.Ledger().Sum(ev.node.Now(), ev.show.window) {
 			late := want == ledger.Served && r.Outcome == ledger.Late // late requests count as served
@@ -208,7 +208,7 @@
 func (ev *evaluator) commands() *Table {
 	return ev.rows("instance version op target field value base who", func(add func(...string)) {
 		for _, c := range ev.node.Commands() {
-			add(ev.node.Name(), strconv.FormatInt(c.Version, 10), string(c.Op), c.Target, c.Field, c.Value, c.Base, c.Who)
+			add(ev.node.Name(), strconv.FormatInt(c.Version, 10), string(c.Op), c.Target, c.Field, c.Value, c.Base, c.Operator)
 		}
 	})
 }
--- a/operator/serve.go
+++ b/operator/serve.go
@@ -78,14 +78,14 @@
 	expvar.Handler().ServeHTTP(w, r)
 }
 
-// A Failure is the body of an error response.
-type Failure struct {
+// A ErrorResponse is the body of an error response.
+type ErrorResponse struct {
 	Error string `json:"error"`
 	Col   int    `json:"column,omitempty"`
 }
 
 func (s *Server) writeError(w http.ResponseWriter, status int, err error) {
-	f := Failure{Error: err.Error()}
+	f := ErrorResponse{Error: err.Error()}
 	var se *SyntaxError
 	if errors.As(err, &se) {
 		f.Col = se.Col
@@ -144,7 +144,7 @@
 
 // execute applies a command to all instances.
 func (s *Server) execute(w http.ResponseWriter, ctx context.Context, who *Account, c command.Command) {
-	c.Who = who.Name
+	c.Operator = who.Name
 	if who.ReadOnly {
 		s.commands.Add("forbidden", 1)
 		s.writeError(w, http.StatusForbidden, errors.Errorf("operator %q may only query", who.Name))
@@ -153,14 +153,14 @@
 	old, err := s.node.Command(ctx, c)
 	if err != nil {
 		s.commands.Add("refused", 1)
-		s.log.Warn("command refused", zap.String("who", c.Who), zap.String("op", string(c.Op)), zap.String("target", c.Target), zap.Error(err))
+		s.log.Warn("command refused", zap.String("who", c.Operator), zap.String("op", string(c.Op)), zap.String("target", c.Target), zap.Error(err))
 		s.writeError(w, http.StatusConflict, err)
 		return
 	}
 	s.commands.Add("accepted", 1)
 	note := "in force on every instance"
 	if old.Version > 0 {
-		note += "; replaced " + string(old.Op) + " " + old.Value + " of " + old.Who
+		note += "; replaced " + string(old.Op) + " " + old.Value + " of " + old.Operator
 	}
 	s.writeTable(w, &Table{Columns: []string{"op", "target", "field", "value"}, Rows: [][]string{{string(c.Op), c.Target, c.Field, c.Value}}, Note: note})
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -89,15 +89,15 @@
 // PartitionOf returns the partition of k.
 func PartitionOf(k Key) Partition { return Partition(xxhash.Sum64(k[:]) % Partitions) }
 
-// A Live is an instance that the list reports as live.
-type Live struct{ Name, DataCentre string }
+// A LiveInstance is an instance that the list reports as live.
+type LiveInstance struct{ Name, DataCentre string }
 
 // Of returns the owners of p among the live instances, in different data centres
 // as far as possible: data centres are ranked by rendezvous hashing, and the
 // best-ranked instance of each is taken, then the second-ranked, until there are
 // three. The loss of one instance replaces one owner, and the loss of a data
 // centre at most one of three if there are three data centres.
-func Of(p Partition, live []Live) []string {
+func Of(p Partition, live []LiveInstance) []string {
 	centres := rankDataCentres(p, live)
 	var out []string
 	for round := 0; len(out) < ownersPerPartition && len(out) < len(live); round++ {
@@ -123,7 +123,7 @@
 }
 
 // rankDataCentres ranks the data centres for p, and the instances of each.
-func rankDataCentres(p Partition, live []Live) []dataCentre {
+func rankDataCentres(p Partition, live []LiveInstance) []dataCentre {
 	var out []dataCentre
 	for _, l := range live {
 		i := 0
@@ -168,11 +168,11 @@
 }
 
 // Eligible returns l's live instances, sorted by name.
-func Eligible(l *member.List) []Live {
-	var live []Live
+func Eligible(l *member.List) []LiveInstance {
+	var live []LiveInstance
 	for _, in := range l.Instances {
 		if in.State == member.Live {
-			live = append(live, Live{in.Name, in.DataCentre})
+			live = append(live, LiveInstance{in.Name, in.DataCentre})
 		}
 	}
 	sort.Slice(live, func(i, j int) bool { return live[i].Name < live[j].Name })
@@ -185,7 +185,7 @@
 	quarantine  time.Duration
 	coldStart   bool // the whole fleet may be starting for the first time
 	revision    int64
-	live        []Live
+	live        []LiveInstance
 	history     []listVersion
 	missedAfter int64
 	partitions  map[Partition]*partitionState // owned under the list in force
@@ -214,7 +214,7 @@
 func (o *Owners) Revision() int64 { return o.revision }
 
 // Live returns the live instances of the list in force.
-func (o *Owners) Live() []Live { return o.live }
+func (o *Owners) Live() []LiveInstance { return o.live }
 
 // merge adds r unless its attempt is known.
 func (o *Owners) merge(r Record) {
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -29,9 +29,9 @@
 
 func (c *cluster) setList(names ...string) {
 	c.revision++
-	var live []owner.Live
+	var live []owner.LiveInstance
 	for _, n := range names {
-		live = append(live, owner.Live{Name: n, DataCentre: dataCentreOf(n)})
+		live = append(live, owner.LiveInstance{Name: n, DataCentre: dataCentreOf(n)})
 	}
 	for _, o := range c.owners {
 		o.SetList(c.now, c.revision, live)
@@ -50,8 +50,8 @@
 				if peer == nil || contains(cut, from) || contains(cut, name) {
 					continue
 				}
-				if a, ok := peer.Pull(c.now, o.Revision(), o.Gap(), parts); ok {
-					o.Pulled(c.now, from, o.Revision(), a)
+				if a, ok := peer.Pull(c.now, o.Revision(), o.MissedAfter(), parts); ok {
+					o.ApplyPull(c.now, from, o.Revision(), a)
 				}
 			}
 		}
@@ -263,14 +263,14 @@
 
 // The loss of one instance replaces at most one owner.
 func TestOwnersMoveMinimally(t *testing.T) {
-	var live []owner.Live
+	var live []owner.LiveInstance
 	for i := range 30 {
-		live = append(live, owner.Live{Name: fmt.Sprintf("n%d", i), DataCentre: fmt.Sprint(i % 5)})
+		live = append(live, owner.LiveInstance{Name: fmt.Sprintf("n%d", i), DataCentre: fmt.Sprint(i % 5)})
 	}
 	for p := range owner.Partition(owner.Partitions) {
 		was := owner.Of(p, live)
 		for i := range live {
-			rest := append(append([]owner.Live(nil), live[:i]...), live[i+1:]...)
+			rest := append(append([]owner.LiveInstance(nil), live[:i]...), live[i+1:]...)
 			kept := 0
 			for _, name := range owner.Of(p, rest) {
 				if contains(was, name) {
@@ -314,7 +314,7 @@
 	}
 	for _, from := range []string{third, second} { // the failing attempt arrives first
 		if a, ok := c.owners[from].Pull(c.now, c.revision, 0, []owner.Partition{p}); ok {
-			gaining.Pulled(c.now, from, c.revision, a)
+			gaining.ApplyPull(c.now, from, c.revision, a)
 		}
 	}
 	for _, o := range c.owners {
--- a/owner/settle.go
+++ b/owner/settle.go
@@ -16,20 +16,20 @@
 	// priorOwners are the owners under earlier lists that may have been in
 	// force; of each list, all but one must reply.
 	priorOwners [][]string
-	replies     map[string]Part
+	replies     map[string]PartitionReport
 }
 
-// A Part describes a partition in an Answer.
-type Part struct {
-	Partition Partition
-	Intact    bool       // the instance still has all records that it ever accepted for it
-	Fresh     bool       // the instance takes part in a cold start
-	Covered   [][]string // owners under earlier lists that may have been in force
+// A PartitionReport describes a partition in an Answer.
+type PartitionReport struct {
+	Partition   Partition
+	Intact      bool       // the instance still has all records that it ever accepted for it
+	Fresh       bool       // the instance takes part in a cold start
+	PriorOwners [][]string // owners under earlier lists that may have been in force
 }
 
-// An Answer is the reply to a Pull.
-type Answer struct {
-	Parts   []Part
+// An PullReply is the reply to a Pull.
+type PullReply struct {
+	Parts   []PartitionReport
 	Records []Record
 }
 
@@ -37,7 +37,7 @@
 
 // SetList applies a newer list of the live instances, sorted by name. The caller
 // must not change live afterwards.
-func (o *Owners) SetList(now time.Duration, revision int64, live []Live) {
+func (o *Owners) SetList(now time.Duration, revision int64, live []LiveInstance) {
 	if revision <= o.revision {
 		return
 	}
@@ -70,7 +70,7 @@
 // A listVersion is a list that was in force on this instance.
 type listVersion struct {
 	revision int64
-	live     []Live
+	live     []LiveInstance
 }
 
 // maxHistory is how many lists are kept for instances that missed them.
@@ -83,9 +83,9 @@
 	}
 }
 
-// Gap returns the last revision before the ones that this instance missed and has
+// MissedAfter returns the last revision before the ones that this instance missed and has
 // not settled since, or zero. It is passed to Pull.
-func (o *Owners) Gap() int64 {
+func (o *Owners) MissedAfter() int64 {
 	for _, s := range o.partitions {
 		if s.missedLists && !s.settled {
 			return o.missedAfter
@@ -114,8 +114,8 @@
 // newPartition returns the state of a partition that this instance did not own
 // before. An instance without an earlier list may be new or may have restarted, so
 // the owners under a list with it and under one without it count as earlier ones.
-func (o *Owners) newPartition(now time.Duration, p Partition, owners []string, before []Live, skipped bool) *partitionState {
-	s := &partitionState{owners: owners, since: now, missedLists: skipped, replies: make(map[string]Part)}
+func (o *Owners) newPartition(now time.Duration, p Partition, owners []string, before []LiveInstance, skipped bool) *partitionState {
+	s := &partitionState{owners: owners, since: now, missedLists: skipped, replies: make(map[string]PartitionReport)}
 	if before == nil {
 		s.priorOwners = append(s.priorOwners, owners)
 		before = without(o.live, o.self)
@@ -135,11 +135,11 @@
 	s.priorOwners = append(s.priorOwners, s.owners)
 	s.missedLists = s.missedLists || skipped
 	s.owners, s.settled = owners, false
-	s.replies = make(map[string]Part)
+	s.replies = make(map[string]PartitionReport)
 }
 
-func without(live []Live, name string) []Live {
-	var out []Live
+func without(live []LiveInstance, name string) []LiveInstance {
+	var out []LiveInstance
 	for _, l := range live {
 		if l.Name != name {
 			out = append(out, l)
@@ -166,7 +166,7 @@
 func (o *Owners) quorumReplied(p Partition, s *partitionState) bool {
 	lists := append([][]string(nil), s.priorOwners...)
 	for _, reply := range s.replies {
-		lists = append(lists, reply.Covered...)
+		lists = append(lists, reply.PriorOwners...)
 	}
 	if len(lists) == 0 {
 		return false // no owners to ask and nothing known
@@ -247,7 +247,7 @@
 		add(owners)
 	}
 	for _, reply := range s.replies {
-		for _, owners := range reply.Covered {
+		for _, owners := range reply.PriorOwners {
 			add(owners)
 		}
 	}
@@ -258,7 +258,7 @@
 // caller's revision of the list is in force here: an owner that holds another
 // may still accept records that the caller would miss. MissedAfter is the last
 // revision before the ones that the caller missed, or zero.
-func (o *Owners) Pull(now time.Duration, revision, missedAfter int64, parts []Partition) (a Answer, ok bool) {
+func (o *Owners) Pull(now time.Duration, revision, missedAfter int64, parts []Partition) (a PullReply, ok bool) {
 	if o.revision != revision {
 		return a, false
 	}
@@ -276,10 +276,10 @@
 }
 
 // describe returns what this instance knows of a partition.
-func (o *Owners) describe(now time.Duration, p Partition, missedAfter int64) Part {
-	out := Part{Partition: p, Intact: o.everSettled[p]}
+func (o *Owners) describe(now time.Duration, p Partition, missedAfter int64) PartitionReport {
+	out := PartitionReport{Partition: p, Intact: o.everSettled[p]}
 	if missedAfter > 0 {
-		out.Covered = o.ownersAfter(p, missedAfter)
+		out.PriorOwners = o.ownersAfter(p, missedAfter)
 	}
 	s := o.partitions[p]
 	if s == nil {
@@ -287,13 +287,13 @@
 	}
 	out.Fresh = o.coldStart && (!o.everSettled[p] || s.settled && now-s.settledAt < freshPeriod)
 	if !s.settled {
-		out.Covered = append(out.Covered, s.priorOwners...)
+		out.PriorOwners = append(out.PriorOwners, s.priorOwners...)
 	}
 	return out
 }
 
-// Pulled applies an instance's answer to a Pull for a revision.
-func (o *Owners) Pulled(now time.Duration, from string, revision int64, a Answer) {
+// ApplyPull applies an instance's answer to a Pull for a revision.
+func (o *Owners) ApplyPull(now time.Duration, from string, revision int64, a PullReply) {
 	if revision != o.revision {
 		return
 	}
--- a/publish/publish.go
+++ b/platformclient/platformclient.go
@@ -1,11 +1,11 @@
-// Package publish reads the documents that the platform publishes: the
+// Package platformclient reads the documents that the platform publishes: the
 // configuration, and the list of instances and endpoints.
 //
 // The platform's service can only be read and watched. A watch is one
 // long-polling call, which returns when there is a newer revision or the wait
 // ends. The platform meters every call, so only a few instances watch on
 // behalf of all.
-package publish
+package platformclient
 
 import (
 	"context"
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "publish")
 	}
-	resp, err := fetch.Do(c.http, req, 2*MaxValue, fetch.Wait{Begin: wait + responseDelay})
+	resp, err := fetch.Do(c.http, req, 2*MaxValue, fetch.HeaderWait{Timeout: wait + responseDelay})
 	if err != nil {
 		return nil, errors.Wrap(err, "publish")
 	}
--- a/publish/publish_test.go
+++ b/platformclient/platformclient_test.go
@@ -1,4 +1,4 @@
-package publish
+package platformclient
 
 import (
 	"context"
--- a/poison/bench_test.go
+++ b/poison/bench_test.go
@@ -36,12 +36,12 @@
 			for n := range suspects {
 				r := request(n)
 				r.Target = fmt.Sprint(n)
-				t.Ended(now, []poison.Entry{{ID: r.ID(), Outline: r.Outline(), Strikes: []poison.Strike{{Endpoint: 1, At: now, Began: now.Add(-time.Second)}}}})
+				t.EndpointCrashed(now, []poison.Entry{{ID: r.ID(), Outline: r.Outline(), Strikes: []poison.Strike{{Endpoint: 1, CrashedAt: now, SentAt: now.Add(-time.Second)}}}})
 			}
 			r := request(17_000)
 			b.ReportAllocs()
 			for b.Loop() {
-				t.Knows(r)
+				t.MayContain(r)
 			}
 		})
 	}
--- a/poison/confirm.go
+++ b/poison/confirm.go
@@ -9,7 +9,7 @@
 //
 //   - A strike counts only if the request was sent to that endpoint after the previous strike.
 //     Simultaneous crashes are one strike, however many copies of the request were in flight.
-//   - A request that is answered is cleared (Table.Answered).
+//   - A request that is answered is cleared (Table.Clear).
 //   - Crashes that a confirmed request explains don't count against others.
 //   - The remaining strikes may be chance: other crashes happen during the same time, and the
 //     request is at some endpoint for a part of it. Chance is ruled out when fewer than
@@ -71,7 +71,7 @@
 func (t *Table) confirmOnce() (confirmed []ID) {
 	var crashes []crash
 	for id, e := range t.suspects {
-		if e.Known || e.liveStrikes() < minStrikes {
+		if e.Confirmed || e.liveStrikes() < minStrikes {
 			continue
 		}
 		if crashes == nil {
@@ -81,7 +81,7 @@
 			continue
 		}
 		next := *e
-		next.Known = true
+		next.Confirmed = true
 		t.put(&next)
 		confirmed = append(confirmed, id)
 	}
@@ -100,7 +100,7 @@
 				out = append(out, crash{Strike: s, service: e.Service})
 				byEndpoint[s.Endpoint] = append(byEndpoint[s.Endpoint], i)
 			}
-			out[i].explained = out[i].explained || e.Known
+			out[i].explained = out[i].explained || e.Confirmed
 		}
 	}
 	return out
@@ -119,7 +119,7 @@
 // isPoison reports whether a suspect is to be confirmed.
 func (t *Table) isPoison(e *Entry, crashes []crash) bool {
 	all := e.consecutive(func(Strike) bool { return true })
-	if len(all) >= sufficientStrikes && all[len(all)-1].At.Sub(all[0].At) >= sufficientSpan {
+	if len(all) >= sufficientStrikes && all[len(all)-1].CrashedAt.Sub(all[0].CrashedAt) >= sufficientSpan {
 		return true
 	}
 	unexplained := e.consecutive(func(s Strike) bool {
@@ -140,11 +140,11 @@
 // to have the other strikes by chance, given how many endpoints of the service crashed in that
 // time.
 func expectedByChance(strikes []Strike, crashed int) float64 {
-	span := max(minSpan, strikes[len(strikes)-1].At.Sub(strikes[0].At)).Seconds()
-	expected := float64(max(1, strikes[0].Among))
+	span := max(minSpan, strikes[len(strikes)-1].CrashedAt.Sub(strikes[0].CrashedAt)).Seconds()
+	expected := float64(max(1, strikes[0].InFlight))
 	for _, s := range strikes[1:] {
-		residence := max(minResidence, s.At.Sub(s.Began)).Seconds()
-		expected *= min(1, float64(crashed)*residence/(float64(max(1, s.Of))*span))
+		residence := max(minResidence, s.CrashedAt.Sub(s.SentAt)).Seconds()
+		expected *= min(1, float64(crashed)*residence/(float64(max(1, s.ListedEndpoints))*span))
 	}
 	return expected
 }
@@ -153,14 +153,14 @@
 // that was sent after the previous one.
 func (e *Entry) consecutive(accept func(Strike) bool) (out []Strike) {
 	sorted := slices.Clone(e.Strikes)
-	slices.SortFunc(sorted, func(a, b Strike) int { return a.At.Compare(b.At) })
+	slices.SortFunc(sorted, func(a, b Strike) int { return a.CrashedAt.Compare(b.CrashedAt) })
 	var last time.Time
 	for _, s := range sorted {
-		if s.Void || !s.Began.After(last) || !accept(s) {
+		if s.Void || !s.SentAt.After(last) || !accept(s) {
 			continue
 		}
 		out = append(out, s)
-		last = s.At
+		last = s.CrashedAt
 	}
 	return out
 }
@@ -168,10 +168,10 @@
 // crashesDuring returns the number of unexplained crashes of the service in the time of the
 // strikes.
 func (e *Entry) crashesDuring(crashes []crash, strikes []Strike) (n int) {
-	first, last := strikes[0].At.Add(-sameCrashWindow), strikes[len(strikes)-1].At.Add(sameCrashWindow)
+	first, last := strikes[0].CrashedAt.Add(-sameCrashWindow), strikes[len(strikes)-1].CrashedAt.Add(sameCrashWindow)
 	for i := range crashes {
 		other := &crashes[i]
-		if other.service != e.Service || other.explained || other.At.Before(first) || other.At.After(last) {
+		if other.service != e.Service || other.explained || other.CrashedAt.Before(first) || other.CrashedAt.After(last) {
 			continue
 		}
 		n++
@@ -179,13 +179,13 @@
 	return n
 }
 
-// Counted returns the number of strikes that count, for display.
-func (e *Entry) Counted() int { return len(e.consecutive(func(Strike) bool { return true })) }
+// CountedStrikes returns the number of strikes that count, for display.
+func (e *Entry) CountedStrikes() int { return len(e.consecutive(func(Strike) bool { return true })) }
 
 // Endpoints returns the hashes of the endpoint IDs in the strikes, by time of the crash.
 func (e *Entry) Endpoints() (out []uint32) {
 	sorted := slices.Clone(e.Strikes)
-	slices.SortFunc(sorted, func(a, b Strike) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
+	slices.SortFunc(sorted, func(a, b Strike) int { return cmp.Compare(a.CrashedAt.UnixNano(), b.CrashedAt.UnixNano()) })
 	for _, s := range sorted {
 		out = append(out, s.Endpoint)
 	}
--- a/poison/fleet_test.go
+++ b/poison/fleet_test.go
@@ -93,7 +93,7 @@
 // send sends a request to an endpoint, unless the table blocks it or it has no attempts left.
 func (p *simulation) send(r testRequest) {
 	standing := p.table.Standing(r.id)
-	if standing == poison.Known {
+	if standing == poison.Confirmed {
 		return
 	}
 	e := p.pickEndpoint(standing == poison.Suspected)
@@ -109,7 +109,7 @@
 // crash crashes endpoints at the same time and resends their requests.
 func (p *simulation) crash(endpoints ...int) {
 	var lost []*testRequest
-	before, away := slices.Clone(p.running), p.table.Away(p.now, "s")
+	before, away := slices.Clone(p.running), p.table.DownEndpoints(p.now, "s")
 	for _, e := range endpoints {
 		if p.restartAt[e].After(p.now) {
 			continue
@@ -123,13 +123,13 @@
 				continue // not yet arrived
 			}
 			entries = append(entries, poison.Entry{ID: r.id, Service: "s", Team: r.team, Strikes: []poison.Strike{{
-				Endpoint: uint32(e), At: p.now, Began: r.began, Of: len(p.running), Among: len(in), Spread: spread(before, r.team, e, away),
+				Endpoint: uint32(e), CrashedAt: p.now, SentAt: r.began, ListedEndpoints: len(p.running), InFlight: len(in), TeamSpread: spread(before, r.team, e, away),
 			}}})
 			if r.crashes && p.finishing(r) {
 				p.crashesByID[r.id]++
 			}
 		}
-		p.table.Ended(p.now, entries)
+		p.table.EndpointCrashed(p.now, entries)
 		lost = append(lost, in...)
 	}
 	for team := range p.table.SlowedTeams(p.now) {
@@ -138,7 +138,7 @@
 		}
 	}
 	for _, r := range lost {
-		if !r.crashes && p.table.Standing(r.id) == poison.Known {
+		if !r.crashes && p.table.Standing(r.id) == poison.Confirmed {
 			p.t.Errorf("after %d crashes a harmless request is blamed: %+v\n%+v", p.crashCount, r, p.strikes(r.id))
 			continue
 		}
@@ -163,7 +163,7 @@
 				break
 			}
 			p.running[e] = slices.DeleteFunc(p.running[e], func(other *testRequest) bool { return other == r })
-			p.table.Answered(r.id)
+			p.table.Clear(r.id)
 			if r.repeats {
 				p.send(testRequest{id: r.id, attempts: 3, began: p.now, done: p.now.Add(r.done.Sub(r.began)), repeats: true})
 			}
@@ -276,8 +276,8 @@
 			p.advance()
 		}
 		for _, id := range ids {
-			if p.table.Standing(id) != poison.Known || p.crashesByID[id] > most {
-				t.Errorf("seed %d, %d endpoints: one of %d poison requests has crashed %d endpoints, confirmed: %v, want at most %d", seed, len(p.running), poisonous, p.crashesByID[id], p.table.Standing(id) == poison.Known, most)
+			if p.table.Standing(id) != poison.Confirmed || p.crashesByID[id] > most {
+				t.Errorf("seed %d, %d endpoints: one of %d poison requests has crashed %d endpoints, confirmed: %v, want at most %d", seed, len(p.running), poisonous, p.crashesByID[id], p.table.Standing(id) == poison.Confirmed, most)
 			}
 		}
 	}
@@ -324,11 +324,11 @@
 			at := origin.Add(time.Duration(rng.IntN(4)) * 2 * time.Second)
 			side := tables[rng.IntN(len(tables))]
 			if rng.IntN(8) == 0 {
-				updates = append(updates, side.Answered(id)...)
+				updates = append(updates, side.Clear(id)...)
 				continue
 			}
-			e := poison.Entry{ID: id, Service: "s", Strikes: []poison.Strike{{Endpoint: uint32(rng.IntN(3)), At: at, Began: at.Add(-100 * time.Millisecond)}}}
-			updates = append(updates, side.Ended(now, []poison.Entry{e})...)
+			e := poison.Entry{ID: id, Service: "s", Strikes: []poison.Strike{{Endpoint: uint32(rng.IntN(3)), CrashedAt: at, SentAt: at.Add(-100 * time.Millisecond)}}}
+			updates = append(updates, side.EndpointCrashed(now, []poison.Entry{e})...)
 		}
 		for stable := false; !stable; {
 			stable = true
@@ -357,7 +357,7 @@
 	e, _ := p.table.Entry(id)
 	out := ""
 	for _, s := range e.Strikes {
-		out += fmt.Sprintf("\n\t%d at %s, sent %s before, %d endpoints, %d in flight, void %v", s.Endpoint, s.At.Format("05.000"), s.At.Sub(s.Began), s.Of, s.Among, s.Void)
+		out += fmt.Sprintf("\n\t%d at %s, sent %s before, %d endpoints, %d in flight, void %v", s.Endpoint, s.CrashedAt.Format("05.000"), s.CrashedAt.Sub(s.SentAt), s.ListedEndpoints, s.InFlight, s.Void)
 	}
 	return out
 }
--- a/poison/poison.go
+++ b/poison/poison.go
@@ -8,8 +8,8 @@
 //
 // A Table holds the suspects: the requests that were in flight at endpoints when these crashed,
 // with a Strike for each crash. A suspect that an endpoint answers is cleared. One with enough
-// consecutive strikes is confirmed (Known) and blocked as long as it keeps coming; confirm.go has
-// the criteria. Tables of several instances can be merged in any order and repeatedly, and
+// consecutive strikes is Confirmed and blocked as long as it keeps coming; confirm.go
+// has the criteria. Tables of several instances can be merged in any order and repeatedly, and
 // converge.
 //
 // The package does no I/O and has no clock: times are passed in. A Table is safe for concurrent
@@ -20,25 +20,25 @@
 
 // A Strike is a crash of an endpoint that had a request in flight.
 type Strike struct {
-	Endpoint uint32    // hash of the endpoint's ID
-	At       time.Time // time of the crash
-	Began    time.Time // when the request was sent to the endpoint
-	Of       int       // number of endpoints of the service listed at that time
-	Spread   float64   // part of the service's endpoints at which the team had requests in flight, over all instances
-	Among    int       // requests that the reporting instance had in flight at the endpoint, including this one
-	Void     bool      // an endpoint answered the request later, or an operator cleared it
+	Endpoint        uint32    // hash of the endpoint's ID
+	CrashedAt       time.Time // time of the crash
+	SentAt          time.Time // when the request was sent to the endpoint
+	ListedEndpoints int       // number of endpoints of the service listed at that time
+	TeamSpread      float64   // part of the service's endpoints at which the team had requests in flight, over all instances
+	InFlight        int       // requests that the reporting instance had in flight at the endpoint, including this one
+	Void            bool      // an endpoint answered the request later, or an operator cleared it
 }
 
 // An Entry is the state of one suspect. It is immutable once returned.
 type Entry struct {
-	ID      ID
-	Outline Outline
-	Service string
-	Route   string // name, for display
-	Team    string // name, for display; empty for a caller without an API key
-	Strikes []Strike
-	Known   bool      // confirmed as poison, and blocked
-	Came    time.Time // when the confirmed request was last received; zero if it was not
+	ID        ID
+	Outline   Outline
+	Service   string
+	Route     string // name, for display
+	Team      string // name, for display; empty for a caller without an API key
+	Strikes   []Strike
+	Confirmed bool      // confirmed as poison, and blocked
+	LastSeen  time.Time // when the confirmed request was last received; zero if it was not
 }
 
 // liveStrikes returns the number of strikes that are not void.
@@ -56,10 +56,10 @@
 
 // Last returns the time of the latest event recorded for the suspect.
 func (e *Entry) Last() time.Time {
-	at := e.Came
+	at := e.LastSeen
 	for i := range e.Strikes {
-		if e.Strikes[i].At.After(at) {
-			at = e.Strikes[i].At
+		if e.Strikes[i].CrashedAt.After(at) {
+			at = e.Strikes[i].CrashedAt
 		}
 	}
 	return at
@@ -71,5 +71,5 @@
 const (
 	Unknown   Standing = iota // not a suspect
 	Suspected                 // in flight at a crash; run with precautions
-	Known                     // confirmed as poison; blocked
+	Confirmed                 // confirmed as poison; blocked
 )
--- a/poison/table.go
+++ b/poison/table.go
@@ -38,21 +38,21 @@
 
 	mu             sync.RWMutex
 	suspects       map[ID]*Entry
-	outlines       map[Outline]int      // number of suspects by outline
-	slowed         map[TeamAt]time.Time // until when
-	teamsCheckedAt time.Time            // time of the latest checkTeams
+	outlines       map[Outline]int           // number of suspects by outline
+	slowed         map[ServiceTeam]time.Time // until when
+	teamsCheckedAt time.Time                 // time of the latest checkTeams
 	digest         uint64
 	digestValid    bool // digest is up to date
 }
 
 // NewTable returns an empty Table.
 func NewTable() *Table {
-	return &Table{suspects: make(map[ID]*Entry), outlines: make(map[Outline]int), slowed: make(map[TeamAt]time.Time)}
+	return &Table{suspects: make(map[ID]*Entry), outlines: make(map[Outline]int), slowed: make(map[ServiceTeam]time.Time)}
 }
 
-// Knows reports whether a request may be a suspect, by its outline. It costs next to nothing
+// MayContain reports whether a request may be a suspect, by its outline. It costs next to nothing
 // while there are no suspects.
-func (t *Table) Knows(r *Request) bool {
+func (t *Table) MayContain(r *Request) bool {
 	if t.size.Load() == 0 {
 		return false
 	}
@@ -70,15 +70,15 @@
 	switch {
 	case e == nil || e.liveStrikes() == 0:
 		return Unknown
-	case e.Known:
-		return Known
+	case e.Confirmed:
+		return Confirmed
 	}
 	return Suspected
 }
 
-// Ended records the crash of an endpoint, with one entry of one strike for each request in
-// flight, and returns the updates for other instances. Suspects that this confirms are marked.
-func (t *Table) Ended(now time.Time, in []Entry) (updates []Entry) {
+// EndpointCrashed records the crash of an endpoint, with one entry of one strike for each request
+// in flight, and returns the updates for other instances. Suspects that this confirms are marked.
+func (t *Table) EndpointCrashed(now time.Time, in []Entry) (updates []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range in {
@@ -104,9 +104,9 @@
 	return t.current(t.evaluate(now, updates))
 }
 
-// Answered clears a suspect, after an endpoint answered it in full or at an operator's
+// Clear clears a suspect, after an endpoint answered it in full or at an operator's
 // request, and returns the updates for other instances.
-func (t *Table) Answered(id ID) (updates []Entry) {
+func (t *Table) Clear(id ID) (updates []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.suspects[id]
@@ -118,22 +118,22 @@
 	for i := range next.Strikes {
 		next.Strikes[i].Void = true
 	}
-	next.Known = false
+	next.Confirmed = false
 	t.put(&next)
 	return []Entry{next}
 }
 
-// Came records that a confirmed request was received again, and returns the updates for other
+// Seen records that a confirmed request was received again, and returns the updates for other
 // instances.
-func (t *Table) Came(now time.Time, id ID) (updates []Entry) {
+func (t *Table) Seen(now time.Time, id ID) (updates []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.suspects[id]
-	if e == nil || !e.Known || now.Sub(e.Came) < seenInterval {
+	if e == nil || !e.Confirmed || now.Sub(e.LastSeen) < seenInterval {
 		return nil
 	}
 	next := *e
-	next.Came = now
+	next.LastSeen = now
 	t.put(&next)
 	return []Entry{next}
 }
@@ -164,8 +164,8 @@
 // ranksBefore is the order of Entries. The last suspects are dropped first.
 func ranksBefore(a, b *Entry) bool {
 	switch {
-	case a.Known != b.Known:
-		return a.Known
+	case a.Confirmed != b.Confirmed:
+		return a.Confirmed
 	case a.liveStrikes() != b.liveStrikes():
 		return a.liveStrikes() > b.liveStrikes()
 	}
@@ -205,10 +205,10 @@
 }
 
 // expired reports whether a suspect is to be removed.
-func (e *Entry) expired(now time.Time) bool { return now.After(e.Until()) }
+func (e *Entry) expired(now time.Time) bool { return now.After(e.Expires()) }
 
-// Until returns when the suspect expires unless there are further events.
-func (e *Entry) Until() time.Time {
+// Expires returns when the suspect expires unless there are further events.
+func (e *Entry) Expires() time.Time {
 	if e.liveStrikes() == 0 {
 		return e.Last().Add(clearedTTL)
 	}
@@ -261,20 +261,20 @@
 		case s.Void && !next.Strikes[i].Void:
 			next.Strikes[i].Void = true
 			changed = true
-		case own && s.Began.After(next.Strikes[i].Began):
-			next.Strikes[i].Began = s.Began
+		case own && s.SentAt.After(next.Strikes[i].SentAt):
+			next.Strikes[i].SentAt = s.SentAt
 		}
 	}
-	if in.Known && !next.Known && next.liveStrikes() >= minStrikes {
-		next.Known = true
+	if in.Confirmed && !next.Confirmed && next.liveStrikes() >= minStrikes {
+		next.Confirmed = true
 		changed = true
 	}
-	if in.Came.Sub(next.Came) >= seenInterval {
-		next.Came = in.Came
+	if in.LastSeen.Sub(next.LastSeen) >= seenInterval {
+		next.LastSeen = in.LastSeen
 		changed = true
 	}
 	if next.liveStrikes() < minStrikes {
-		next.Known = false
+		next.Confirmed = false
 	}
 	t.put(&next)
 	return changed
@@ -289,11 +289,11 @@
 	}
 	oldest := -1
 	for i := range e.Strikes {
-		if e.Strikes[i].Void && (oldest < 0 || e.Strikes[i].At.Before(e.Strikes[oldest].At)) {
+		if e.Strikes[i].Void && (oldest < 0 || e.Strikes[i].CrashedAt.Before(e.Strikes[oldest].CrashedAt)) {
 			oldest = i
 		}
 	}
-	if oldest < 0 || !s.At.After(e.Strikes[oldest].At) {
+	if oldest < 0 || !s.CrashedAt.After(e.Strikes[oldest].CrashedAt) {
 		return false
 	}
 	e.Strikes[oldest] = s
@@ -312,7 +312,7 @@
 
 // sameCrash reports whether two strikes are of the same crash.
 func (s Strike) sameCrash(other Strike) bool {
-	apart := s.At.Sub(other.At)
+	apart := s.CrashedAt.Sub(other.CrashedAt)
 	return s.Endpoint == other.Endpoint && -sameCrashWindow < apart && apart < sameCrashWindow
 }
 
@@ -371,7 +371,7 @@
 		}
 		sum += xxhash.Sum64(b[:])
 	}
-	if e.Known {
+	if e.Confirmed {
 		b[len(b)-1] = 3
 		sum += xxhash.Sum64(b[:len(e.ID)])
 	}
--- a/poison/teams.go
+++ b/poison/teams.go
@@ -32,7 +32,7 @@
 	// minSpread is the lowest probability assumed for one crash. If a part of a large service
 	// is faulty, its crashes are concentrated on few endpoints.
 	minSpread = 1e-3
-	// spreadMargin is a safety factor for Strike.Spread: some of the endpoints counted are
+	// spreadMargin is a safety factor for Strike.TeamSpread: some of the endpoints counted are
 	// down, and their load is at the others.
 	spreadMargin = 1.2
 	// teamCheckInterval is the least time between checks of all teams. When a rack is lost,
@@ -48,12 +48,12 @@
 	}
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	until, slowed := t.slowed[TeamAt{service, team}]
+	until, slowed := t.slowed[ServiceTeam{service, team}]
 	return slowed && now.Before(until)
 }
 
-// A TeamAt is a team at a service.
-type TeamAt struct{ Service, Team string }
+// A ServiceTeam is a team at a service.
+type ServiceTeam struct{ Service, Team string }
 
 // checkTeams finds the teams to be slowed. The caller holds t.mu.
 func (t *Table) checkTeams(now time.Time) {
@@ -62,14 +62,14 @@
 	}
 	t.teamsCheckedAt = now
 	crashes := t.crashes()
-	first := make(map[TeamAt]map[int]float64)  // by crash with a first strike of the team: the probability of its presence
-	repeated := make(map[TeamAt]map[int]bool)  // crashes at which the team has a later strike of a request
-	byService := make(map[string]map[int]bool) // crashes by service
+	first := make(map[ServiceTeam]map[int]float64) // by crash with a first strike of the team: the probability of its presence
+	repeated := make(map[ServiceTeam]map[int]bool) // crashes at which the team has a later strike of a request
+	byService := make(map[string]map[int]bool)     // crashes by service
 	for _, e := range t.suspects {
-		at := TeamAt{e.Service, e.Team}
+		at := ServiceTeam{e.Service, e.Team}
 		for _, s := range e.Strikes {
 			i := crashIndex(crashes, s)
-			if crashes[i].explained || now.Sub(s.At) > teamCrashWindow {
+			if crashes[i].explained || now.Sub(s.CrashedAt) > teamCrashWindow {
 				continue
 			}
 			putNested(byService, e.Service, i, true)
@@ -78,7 +78,7 @@
 			case e.hasEarlierStrike(s):
 				putNested(repeated, at, i, true)
 			default:
-				putNested(first, at, i, max(first[at][i], s.Spread))
+				putNested(first, at, i, max(first[at][i], s.TeamSpread))
 			}
 		}
 	}
@@ -95,7 +95,7 @@
 // hasEarlierStrike reports whether s is not the first strike of e.
 func (e *Entry) hasEarlierStrike(s Strike) bool {
 	for _, other := range e.Strikes {
-		if !other.Void && !other.sameCrash(s) && other.At.Before(s.At) {
+		if !other.Void && !other.sameCrash(s) && other.CrashedAt.Before(s.CrashedAt) {
 			return true
 		}
 	}
@@ -136,8 +136,8 @@
 // restartTime is how long an endpoint counts as down after a crash.
 const restartTime = 3 * time.Second
 
-// Away returns how many endpoints of a service crashed within restartTime.
-func (t *Table) Away(now time.Time, service string) int {
+// DownEndpoints returns how many endpoints of a service crashed within restartTime.
+func (t *Table) DownEndpoints(now time.Time, service string) int {
 	if t.size.Load() == 0 {
 		return 0
 	}
@@ -146,7 +146,7 @@
 	away := make(map[uint32]bool)
 	for _, e := range t.suspects {
 		for _, s := range e.Strikes {
-			if e.Service == service && now.Sub(s.At) < restartTime {
+			if e.Service == service && now.Sub(s.CrashedAt) < restartTime {
 				away[s.Endpoint] = true
 			}
 		}
@@ -155,10 +155,10 @@
 }
 
 // SlowedTeams returns the teams that are slowed, with the remaining time.
-func (t *Table) SlowedTeams(now time.Time) map[TeamAt]time.Duration {
+func (t *Table) SlowedTeams(now time.Time) map[ServiceTeam]time.Duration {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	out := make(map[TeamAt]time.Duration)
+	out := make(map[ServiceTeam]time.Duration)
 	for at, until := range t.slowed {
 		if now.Before(until) {
 			out[at] = until.Sub(now)
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -38,12 +38,12 @@
 // A Request is an entry of a Queue. The caller sets the exported fields and must
 // not change them while the request waits.
 type Request struct {
-	Class   int // index into the classes given to New
-	Team    string
-	Weight  float64
-	Arrival time.Duration
-	Latest  time.Duration // latest start that still meets the target
-	Cost    float64
+	Class       int // index into the classes given to New
+	Team        string
+	Weight      float64
+	Arrival     time.Duration
+	LatestStart time.Duration // latest start that still meets the target
+	Cost        float64
 	// Pushed and Predicted are not used by Queue: the caller may store in them
 	// when the request began to wait and its predicted wait.
 	Pushed    time.Duration
@@ -339,7 +339,7 @@
 
 func (q *Queue) sortKey(r *Request) time.Duration {
 	if q.opt.Deadlines {
-		return r.Latest
+		return r.LatestStart
 	}
 	return r.Arrival
 }
@@ -369,7 +369,7 @@
 		l := c.current
 		for range len(c.queues) {
 			next := l.next // Remove may release l
-			for r := l.head; r != nil && r.Latest < now; r = l.head {
+			for r := l.head; r != nil && r.LatestStart < now; r = l.head {
 				q.Remove(r)
 				f(r)
 			}
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -94,8 +94,8 @@
 
 func TestExpire(t *testing.T) {
 	q := queue.New([]queue.Class{{}, {FinishLate: true}}, allLevels)
-	q.Push(&queue.Request{Class: 0, Team: "a", Cost: 1, Latest: 5})
-	q.Push(&queue.Request{Class: 1, Team: "a", Cost: 1, Latest: 5})
+	q.Push(&queue.Request{Class: 0, Team: "a", Cost: 1, LatestStart: 5})
+	q.Push(&queue.Request{Class: 1, Team: "a", Cost: 1, LatestStart: 5})
 	n := 0
 	q.Expire(10, func(*queue.Request) { n++ })
 	if n != 1 || q.Len() != 1 {
@@ -121,7 +121,7 @@
 			case 0, 1:
 				r := &queue.Request{
 					Class: rapid.IntRange(0, 2).Draw(t, "class"), Team: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team"),
-					Weight: 1, Cost: rapid.Float64Range(0.01, 10).Draw(t, "cost"), Arrival: time.Duration(i), Latest: time.Duration(i + 50),
+					Weight: 1, Cost: rapid.Float64Range(0.01, 10).Draw(t, "cost"), Arrival: time.Duration(i), LatestStart: time.Duration(i + 50),
 				}
 				waiting[r] = true
 				pushed = append(pushed, r)
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// A Timed is a token bucket that refills at a constant rate and starts full: within any span d
-// its holder spends at most capacity + rate x d. The zero value is ready to use.
-type Timed struct {
+// A TokenBucket refills at a constant rate and starts full: within any span d its holder spends at
+// most capacity + rate x d. The zero value is ready to use.
+type TokenBucket struct {
 	tokens float64
 	at     time.Time
 }
 
 // Available returns the tokens at now of a bucket that refills at rate per second up to
 // capacity.
-func (b *Timed) Available(rate, capacity float64, now time.Time) float64 {
+func (b *TokenBucket) Available(rate, capacity float64, now time.Time) float64 {
 	if b.at.IsZero() {
 		return capacity
 	}
@@ -19,13 +19,13 @@
 }
 
 // Spend takes one token. It doesn't check that one is available.
-func (b *Timed) Spend(rate, capacity float64, now time.Time) {
+func (b *TokenBucket) Spend(rate, capacity float64, now time.Time) {
 	b.tokens = b.Available(rate, capacity, now) - 1
 	b.at = now
 }
 
 const (
-	// recentWindow is how long deposits raise the capacity of an Earned bucket: half of the
+	// recentWindow is how long deposits raise the capacity of a RetryBudget: half of the
 	// 10 s windows in which retries are counted.
 	recentWindow = 5 * time.Second
 	// reserveRatio is the part of a deposit that raises the capacity rather than the balance.
@@ -35,20 +35,20 @@
 	slotDuration = recentWindow / slots
 )
 
-// An Earned is a token bucket filled by the requests that its holder serves. It starts empty.
+// A RetryBudget is a token bucket filled by the requests that its holder serves. It starts empty.
 // Its capacity is base, which may change between calls, plus reserveRatio of the deposits of
 // the last recentWindow, so that a busy service, which loses more requests with each failed
 // endpoint, can retry more of them. Tokens beyond the capacity are lost.
-type Earned struct {
+type RetryBudget struct {
 	tokens   float64
 	start    time.Time      // of the first slot
 	recent   [slots]float64 // deposits by slot
 	lastSlot int64          // newest slot seen
 }
 
-// Earn deposits n tokens for one request at now. It does nothing unless n and base are
+// Deposit deposits n tokens for one request at now. It does nothing unless n and base are
 // positive.
-func (b *Earned) Earn(n, base float64, now time.Time) {
+func (b *RetryBudget) Deposit(n, base float64, now time.Time) {
 	if base <= 0 || n <= 0 {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // expire clears the slots that are older than recentWindow.
-func (b *Earned) expire(now time.Time) {
+func (b *RetryBudget) expire(now time.Time) {
 	if b.start.IsZero() {
 		b.start = now
 	}
@@ -70,7 +70,7 @@
 }
 
 // capacity returns the most tokens that the bucket holds at now.
-func (b *Earned) capacity(base float64, now time.Time) float64 {
+func (b *RetryBudget) capacity(base float64, now time.Time) float64 {
 	if base <= 0 {
 		return 0
 	}
@@ -82,16 +82,16 @@
 	return base + reserveRatio*sum
 }
 
-// Left returns the tokens at now.
-func (b *Earned) Left(base float64, now time.Time) float64 {
+// Available returns the tokens at now.
+func (b *RetryBudget) Available(base float64, now time.Time) float64 {
 	return max(0, min(b.capacity(base, now), b.tokens))
 }
 
-// Has reports whether one token can be spent at now with the part reserve of the capacity
+// CanSpend reports whether one token can be spent at now with the part reserve of the capacity
 // left.
-func (b *Earned) Has(base, reserve float64, now time.Time) bool {
-	return b.Left(base, now) >= 1+reserve*b.capacity(base, now)
+func (b *RetryBudget) CanSpend(base, reserve float64, now time.Time) bool {
+	return b.Available(base, now) >= 1+reserve*b.capacity(base, now)
 }
 
-// Spend takes one token. The caller has checked Has.
-func (b *Earned) Spend(base float64, now time.Time) { b.tokens = b.Left(base, now) - 1 }
+// Spend takes one token. The caller has checked CanSpend.
+func (b *RetryBudget) Spend(base float64, now time.Time) { b.tokens = b.Available(base, now) - 1 }
--- a/quota/claim.go
+++ b/quota/claim.go
@@ -24,12 +24,12 @@
 	maxDuplicates = 2
 )
 
-// A Sight is an instance's view of the instances that divide a limit.
-type Sight struct {
+// A View is an instance's view of the instances that divide a limit.
+type View struct {
 	Heard       int  // instances heard in its data centre, including itself
-	Alone       bool // no other instance is heard although others are expected
-	Chooses     bool // it is one of its data centre's schedulers
-	Choosers    int  // schedulers per data centre
+	Isolated    bool // no other instance is heard although others are expected
+	IsScheduler bool // it is one of its data centre's schedulers
+	Schedulers  int  // schedulers per data centre
 	DataCentres int  // data centres that divide the limit
 }
 
@@ -41,11 +41,11 @@
 	since  time.Time // start of the current claim; zero if there is none
 }
 
-// Part returns the share of the limit at now, from 0 to 1, which is 0 until the claim has
+// Share returns the share of the limit at now, from 0 to 1, which is 0 until the claim has
 // lasted claimDelay. Call it often: interruptions between calls go unnoticed.
-func (c *Claim) Part(s Sight, now time.Time) float64 {
+func (c *Claim) Share(s View, now time.Time) float64 {
 	majority := c.hearsMajority(s.Heard, now)
-	if !majority || s.Alone || !s.Chooses {
+	if !majority || s.Isolated || !s.IsScheduler {
 		c.since = time.Time{}
 		return 0
 	}
@@ -55,7 +55,7 @@
 	if now.Sub(c.since) < claimDelay {
 		return 0
 	}
-	return 1 / float64(s.Choosers*s.DataCentres)
+	return 1 / float64(s.Schedulers*s.DataCentres)
 }
 
 // hearsMajority records that n instances are heard and reports whether they are more than half
@@ -67,6 +67,6 @@
 	return 2*n > c.peak
 }
 
-// Wholes returns an upper limit of the sum of the shares of all instances, as a multiple of
+// MaxTotalShare returns an upper limit of the sum of the shares of all instances, as a multiple of
 // the limit that dataCentres divide.
-func Wholes(dataCentres int) float64 { return 1 + maxDuplicates/float64(max(1, dataCentres)) }
+func MaxTotalShare(dataCentres int) float64 { return 1 + maxDuplicates/float64(max(1, dataCentres)) }
--- a/quota/claim_test.go
+++ b/quota/claim_test.go
@@ -19,7 +19,7 @@
 
 type claimant struct {
 	claim     quota.Claim
-	share     quota.Part           // its lease on a share
+	share     quota.Lease          // its lease on a share
 	lastHeard [modelSize]time.Time // by sender
 	dead      bool
 	paused    bool // neither sends nor updates its share
@@ -44,22 +44,22 @@
 	}
 	for i := range m.all {
 		if c := &m.all[i]; !c.dead && !c.paused {
-			c.share.Hold(c.claim.Part(m.view(i), m.now), m.now)
+			c.share.Renew(c.claim.Share(m.view(i), m.now), m.now)
 		}
 	}
 }
 
 // view returns what instance i hears. The instance with the lowest index heard is the
 // scheduler.
-func (m *model) view(i int) quota.Sight {
-	s := quota.Sight{Heard: 1, Chooses: true, Choosers: 1, DataCentres: 1}
+func (m *model) view(i int) quota.View {
+	s := quota.View{Heard: 1, IsScheduler: true, Schedulers: 1, DataCentres: 1}
 	for j, at := range m.all[i].lastHeard {
 		if j != i && m.now.Sub(at) < heartbeatTimeout {
 			s.Heard++
-			s.Chooses = s.Chooses && j > i
+			s.IsScheduler = s.IsScheduler && j > i
 		}
 	}
-	s.Alone = s.Heard == 1
+	s.Isolated = s.Heard == 1
 	return s
 }
 
@@ -94,7 +94,7 @@
 }()
 
 // In every sequence of partitions, crashes, restarts and pauses, the shares of a data centre
-// add up to at most two, the duplicate that Wholes allows for.
+// add up to at most two, the duplicate that MaxTotalShare allows for.
 func TestClaimsStayWithinDuplicateAllowance(t *testing.T) {
 	m := model{now: start}
 	for range 10 {
--- a/quota/partition.go
+++ b/quota/partition.go
@@ -14,22 +14,23 @@
 // to leave room for the contents of token buckets.
 const maxTotalShare = 1.4
 
-// A Side is an instance's view of the instances on its side of a possible network partition.
-type Side struct {
-	Heard       int  // instances heard, including itself
-	Told        int  // the highest number of instances that another one reports to hear
-	DataCentres int  // data centres of the instances heard
-	Named       int  // data centres in the configuration; zero if none are configured
-	Alone       bool // no other instance is heard although others are configured
+// A PartitionView is an instance's view of the instances on its side of a possible network
+// partition.
+type PartitionView struct {
+	Heard                 int  // instances heard, including itself
+	MaxPeerHeard          int  // the highest number of instances that another one reports to hear
+	DataCentres           int  // data centres of the instances heard
+	ConfiguredDataCentres int  // data centres in the configuration; zero if none are configured
+	Isolated              bool // no other instance is heard although others are configured
 }
 
-// countTolerance is the relative difference between Told and Heard that is attributed to
+// countTolerance is the relative difference between MaxPeerHeard and Heard that is attributed to
 // delayed reports rather than to a partition.
 const countTolerance = 0.1
 
-// A SideClaim computes the share of an instance from its views. The zero value is the claim of
-// an instance that has just started. A SideClaim is not safe for concurrent use.
-type SideClaim struct {
+// A PartitionClaim computes the share of an instance from its views. The zero value is the claim of
+// an instance that has just started. A PartitionClaim is not safe for concurrent use.
+type PartitionClaim struct {
 	peak         int       // highest number of instances heard recently
 	peakAt       time.Time // when peak was last reached
 	share        float64
@@ -37,10 +38,10 @@
 	pendingSince time.Time // the target has been above share since; zero if it is not
 }
 
-// Part returns the share of the limit at now, from 0 to 1. It falls at once, but rises only
+// Share returns the share of the limit at now, from 0 to 1. It falls at once, but rises only
 // after it could have been higher for claimDelay, since the sides of a healing partition
 // notice that at different times. Call it often.
-func (c *SideClaim) Part(s Side, now time.Time) float64 {
+func (c *PartitionClaim) Share(s PartitionView, now time.Time) float64 {
 	if s.Heard >= c.peak || now.Sub(c.peakAt) > peakWindow {
 		c.peak, c.peakAt = s.Heard, now
 	}
@@ -60,12 +61,12 @@
 }
 
 // share returns the share of a side, given the recent peak of instances heard.
-func (s *Side) share(peak int) float64 {
+func (s *PartitionView) share(peak int) float64 {
 	share := min(1, maxTotalShare*float64(s.Heard)/float64(max(1, peak)))
-	if s.Named > 0 {
-		share = min(share, maxTotalShare*float64(s.DataCentres)/float64(s.Named))
+	if s.ConfiguredDataCentres > 0 {
+		share = min(share, maxTotalShare*float64(s.DataCentres)/float64(s.ConfiguredDataCentres))
 	}
-	if s.Alone || float64(s.Told) > (1+countTolerance)*float64(s.Heard)+1 {
+	if s.Isolated || float64(s.MaxPeerHeard) > (1+countTolerance)*float64(s.Heard)+1 {
 		// Others hear instances that this one doesn't, so there may be a second holder.
 		share = min(share, maxTotalShare/2)
 	}
--- a/quota/partition_test.go
+++ b/quota/partition_test.go
@@ -10,27 +10,27 @@
 )
 
 // stabilize gives a claim the same view for long enough to reach its share.
-func stabilize(c *quota.SideClaim, s quota.Side, now time.Time) float64 {
-	c.Part(s, now)
-	return c.Part(s, now.Add(2*time.Second))
+func stabilize(c *quota.PartitionClaim, s quota.PartitionView, now time.Time) float64 {
+	c.Share(s, now)
+	return c.Share(s, now.Add(2*time.Second))
 }
 
 // The share is zero at the start, whole while all instances are heard, and falls at once in a
 // partition.
 func TestShareFollowsReachableInstances(t *testing.T) {
-	var c quota.SideClaim
-	all := quota.Side{Heard: 6, Told: 6, DataCentres: 3, Named: 3}
-	if share := c.Part(all, start); share != 0 {
+	var c quota.PartitionClaim
+	all := quota.PartitionView{Heard: 6, MaxPeerHeard: 6, DataCentres: 3, ConfiguredDataCentres: 3}
+	if share := c.Share(all, start); share != 0 {
 		t.Errorf("share %.2f at the start, want 0", share)
 	}
-	if share := c.Part(all, start.Add(2*time.Second)); share != 1 {
+	if share := c.Share(all, start.Add(2*time.Second)); share != 1 {
 		t.Errorf("share %.2f while all instances are heard, want 1", share)
 	}
 	at := start.Add(3 * time.Second)
-	if share := c.Part(quota.Side{Heard: 2, Told: 2, DataCentres: 1, Named: 3}, at); share < 0.4 || share > 0.5 {
+	if share := c.Share(quota.PartitionView{Heard: 2, MaxPeerHeard: 2, DataCentres: 1, ConfiguredDataCentres: 3}, at); share < 0.4 || share > 0.5 {
 		t.Errorf("share %.2f of one data centre of three, want 0.4 to 0.5", share)
 	}
-	if share := c.Part(all, at.Add(time.Second)); share > 0.5 {
+	if share := c.Share(all, at.Add(time.Second)); share > 0.5 {
 		t.Errorf("share %.2f right after a partition, want at most 0.5", share)
 	}
 	if share := stabilize(&c, all, at.Add(time.Second)); share != 1 {
@@ -41,20 +41,20 @@
 // Losing one data centre of three or six leaves the share whole. The last instance of a fleet
 // has a share at once and, without configured data centres, the whole after a while.
 func TestInstanceLossKeepsShare(t *testing.T) {
-	for _, s := range []quota.Side{
-		{Heard: 83, Told: 83, DataCentres: 5, Named: 6},
-		{Heard: 5, Told: 5, DataCentres: 3, Named: 3},
+	for _, s := range []quota.PartitionView{
+		{Heard: 83, MaxPeerHeard: 83, DataCentres: 5, ConfiguredDataCentres: 6},
+		{Heard: 5, MaxPeerHeard: 5, DataCentres: 3, ConfiguredDataCentres: 3},
 	} {
-		var c quota.SideClaim
-		stabilize(&c, quota.Side{Heard: 6 * s.Heard / 5, Told: 6 * s.Heard / 5, DataCentres: s.Named, Named: s.Named}, start)
-		if share := c.Part(s, start.Add(3*time.Second)); share != 1 {
+		var c quota.PartitionClaim
+		stabilize(&c, quota.PartitionView{Heard: 6 * s.Heard / 5, MaxPeerHeard: 6 * s.Heard / 5, DataCentres: s.ConfiguredDataCentres, ConfiguredDataCentres: s.ConfiguredDataCentres}, start)
+		if share := c.Share(s, start.Add(3*time.Second)); share != 1 {
 			t.Errorf("%+v: share %.2f, want 1", s, share)
 		}
 	}
-	var c quota.SideClaim
-	stabilize(&c, quota.Side{Heard: 6, Told: 6}, start)
-	last := quota.Side{Heard: 1, Told: 1}
-	if share := c.Part(last, start.Add(3*time.Second)); share < 0.2 {
+	var c quota.PartitionClaim
+	stabilize(&c, quota.PartitionView{Heard: 6, MaxPeerHeard: 6}, start)
+	last := quota.PartitionView{Heard: 1, MaxPeerHeard: 1}
+	if share := c.Share(last, start.Add(3*time.Second)); share < 0.2 {
 		t.Errorf("share %.2f of the last instance, want at least 0.2", share)
 	}
 	if share := stabilize(&c, last, start.Add(40*time.Second)); share != 1 {
@@ -85,14 +85,14 @@
 			if heard == 0 {
 				continue
 			}
-			var c quota.SideClaim
-			stabilize(&c, quota.Side{Heard: named * perDataCentre, Told: named * perDataCentre, DataCentres: named, Named: named}, start)
-			view := quota.Side{Heard: heard * perDataCentre, Told: heard * perDataCentre, DataCentres: heard, Named: named}
+			var c quota.PartitionClaim
+			stabilize(&c, quota.PartitionView{Heard: named * perDataCentre, MaxPeerHeard: named * perDataCentre, DataCentres: named, ConfiguredDataCentres: named}, start)
+			view := quota.PartitionView{Heard: heard * perDataCentre, MaxPeerHeard: heard * perDataCentre, DataCentres: heard, ConfiguredDataCentres: named}
 			if forgotten {
-				c = quota.SideClaim{}
+				c = quota.PartitionClaim{}
 				sum += stabilize(&c, view, start.Add(time.Hour))
 			} else {
-				sum += c.Part(view, start.Add(4*time.Second))
+				sum += c.Share(view, start.Add(4*time.Second))
 			}
 		}
 		if sum > 1.4+1e-9 {
@@ -102,8 +102,8 @@
 	// Two instances hear the same third data centre but not each other.
 	sum := 0.0
 	for range 2 {
-		var c quota.SideClaim
-		sum += stabilize(&c, quota.Side{Heard: 40, Told: 60, DataCentres: 2, Named: 3}, start)
+		var c quota.PartitionClaim
+		sum += stabilize(&c, quota.PartitionView{Heard: 40, MaxPeerHeard: 60, DataCentres: 2, ConfiguredDataCentres: 3}, start)
 	}
 	if sum > 1.4+1e-9 {
 		t.Errorf("total share %.2f of two that hear the same others, want at most 1.4", sum)
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -11,23 +11,23 @@
 
 var start = time.Unix(1000, 0)
 
-// A share expires unless it is renewed, and Hold reports whether it had.
-func TestPartExpiresUnlessRenewed(t *testing.T) {
-	var p quota.Part
-	if !p.Hold(0.5, start) {
-		t.Error("the first Hold reports that a share was held before")
+// A share expires unless it is renewed, and Renew reports whether it had.
+func TestLeaseExpiresUnlessRenewed(t *testing.T) {
+	var p quota.Lease
+	if !p.Renew(0.5, start) {
+		t.Error("the first Renew reports that a share was held before")
 	}
 	at := start.Add(900 * time.Millisecond)
-	if p.Share(at) != 0.5 || p.Hold(0.25, at) {
+	if p.Share(at) != 0.5 || p.Renew(0.25, at) {
 		t.Error("a share expired within 0.9 s")
 	}
 	at = at.Add(1100 * time.Millisecond)
-	if p.Share(at) != 0 || !p.Hold(0.25, at) {
+	if p.Share(at) != 0 || !p.Renew(0.25, at) {
 		t.Error("a share is still valid after 1.1 s")
 	}
 }
 
-// A bucketEvent is one event of the model of Earned buckets.
+// A bucketEvent is one event of the model of RetryBudgets.
 type bucketEvent int
 
 const (
@@ -46,7 +46,7 @@
 // In every interleaving of requests, retries, bucket losses and delays of two holders, the
 // retries within any window are at most both base capacities plus the ratio of the requests in
 // it, or in the window before.
-func TestEarnedBucketsStayWithinLimit(t *testing.T) {
+func TestRetryBudgetsStayWithinLimit(t *testing.T) {
 	const (
 		deposit = 3 // large, so that a few steps can reach the limit
 		base    = 0.3
@@ -77,8 +77,8 @@
 			}
 		}
 	}
-	var explore func(left int, held [2]quota.Earned, now time.Time)
-	explore = func(left int, held [2]quota.Earned, now time.Time) {
+	var explore func(left int, held [2]quota.RetryBudget, now time.Time)
+	explore = func(left int, held [2]quota.RetryBudget, now time.Time) {
 		if left == 0 {
 			return
 		}
@@ -87,14 +87,14 @@
 				next, at := held, now
 				switch event {
 				case request:
-					next[holder].Earn(deposit, base, at)
+					next[holder].Deposit(deposit, base, at)
 				case retry:
-					if !next[holder].Has(base, 0, at) {
+					if !next[holder].CanSpend(base, 0, at) {
 						continue
 					}
 					next[holder].Spend(base, at)
 				case loss:
-					next[holder] = quota.Earned{}
+					next[holder] = quota.RetryBudget{}
 				case delay:
 					at = at.Add(2 * time.Second)
 				}
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	explore(steps, [2]quota.Earned{}, start)
+	explore(steps, [2]quota.RetryBudget{}, start)
 	t.Logf("%d states", states)
 }
 
@@ -114,18 +114,18 @@
 // twice and two halves of the fleet have started without hearing each other.
 func TestRetriesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := quota.Retries{Ratio: rapid.Float64Range(0, 1).Draw(t, "ratio"), Extra: rapid.Float64Range(0, 1000).Draw(t, "extra")}
+		limit := quota.RetryLimit{Ratio: rapid.Float64Range(0, 1).Draw(t, "ratio"), Extra: rapid.Float64Range(0, 1000).Draw(t, "extra")}
 		instances := rapid.IntRange(1, 400).Draw(t, "instances")
 		dataCentres := rapid.IntRange(1, 8).Draw(t, "data centres")
 		separate := rapid.IntRange(0, instances/2).Draw(t, "started apart")
-		_, separateCapacity := limit.Own(separate)
-		instanceDeposit, instanceCapacity := limit.Own(instances - separate)
-		pooled := limit.Pooled(1, dataCentres, instances)
-		total := separateCapacity*float64(separate) + instanceCapacity*float64(instances-separate) + pooled*quota.Wholes(dataCentres)
+		_, separateCapacity := limit.InstanceBudget(separate)
+		instanceDeposit, instanceCapacity := limit.InstanceBudget(instances - separate)
+		pooled := limit.PooledCapacity(1, dataCentres, instances)
+		total := separateCapacity*float64(separate) + instanceCapacity*float64(instances-separate) + pooled*quota.MaxTotalShare(dataCentres)
 		if total > limit.Extra+1e-9 {
 			t.Fatalf("%v: capacity of all buckets is %.2f", limit, total)
 		}
-		if pooledDeposit, fullDeposit := limit.Earns(quota.EarnsRest), limit.Earns(quota.EarnsWhole); instanceDeposit+pooledDeposit > limit.Ratio || fullDeposit > limit.Ratio {
+		if pooledDeposit, fullDeposit := limit.PooledDeposit(quota.DepositRemainder), limit.PooledDeposit(quota.DepositFull); instanceDeposit+pooledDeposit > limit.Ratio || fullDeposit > limit.Ratio {
 			t.Fatalf("%v: a request deposits %.3f or %.3f", limit, instanceDeposit+pooledDeposit, fullDeposit)
 		}
 	})
--- a/quota/retries.go
+++ b/quota/retries.go
@@ -24,29 +24,29 @@
 	maxPartitions = 2
 )
 
-// Retries limits the retries of a service within any window, over all instances. Ratio applies
+// A RetryLimit limits the retries of a service within any window, over all instances. Ratio applies
 // to the requests in that window or, if it has more, in the one before.
-type Retries struct {
+type RetryLimit struct {
 	Ratio float64 // of the requests for the service
 	Extra float64 // retries beyond the ratio
 }
 
-// An Earning is the part of a request's deposit that goes to the scheduler's bucket. Its
+// A DepositKind is the part of a request's deposit that goes to the scheduler's bucket. Its
 // number is sent between instances.
-type Earning uint8
+type DepositKind uint8
 
 // The instance that handles the request decides, so that nothing is deposited twice even if
 // instances disagree about the size of the fleet.
 const (
-	EarnsNothing Earning = iota // the request was deposited before
-	EarnsRest                   // the instance has deposited its part in its own bucket
-	EarnsWhole                  // the instance has no bucket of its own
+	DepositNone      DepositKind = iota // the request was deposited before
+	DepositRemainder                    // the instance has deposited its part in its own bucket
+	DepositFull                         // the instance has no bucket of its own
 )
 
-// Own returns the deposit of each request into an instance's own bucket and that bucket's base
-// capacity, given the number of instances heard, including itself. Both are zero if the number
-// is not yet known (zero), or if the capacity is below one retry.
-func (r Retries) Own(instances int) (deposit, capacity float64) {
+// InstanceBudget returns the deposit of each request into an instance's own bucket and that
+// bucket's base capacity, given the number of instances heard, including itself. Both are zero if
+// the number is not yet known (zero), or if the capacity is below one retry.
+func (r RetryLimit) InstanceBudget(instances int) (deposit, capacity float64) {
 	if instances <= 0 {
 		return 0, 0
 	}
@@ -57,25 +57,25 @@
 	return duplicateMargin * instanceRatio * r.Ratio, capacity
 }
 
-// Earns returns the deposit of a request into the scheduler's bucket.
-func (r Retries) Earns(e Earning) float64 {
+// PooledDeposit returns the deposit of a request into the scheduler's bucket.
+func (r RetryLimit) PooledDeposit(e DepositKind) float64 {
 	switch e {
-	case EarnsRest:
+	case DepositRemainder:
 		return duplicateMargin * (1 - instanceRatio) * r.Ratio
-	case EarnsWhole:
+	case DepositFull:
 		return duplicateMargin * r.Ratio
 	}
 	return 0
 }
 
-// Pooled returns the base capacity of the bucket of a scheduler with the given share of the
+// PooledCapacity returns the base capacity of the bucket of a scheduler with the given share of the
 // limit, where dataCentres divide the limit and the scheduler hears that many instances. It
 // leaves out what the instances' own buckets may hold. If there are too many instances for own
 // buckets, even if half of them started without hearing the others, that is less.
-func (r Retries) Pooled(share float64, dataCentres, instances int) float64 {
+func (r RetryLimit) PooledCapacity(share float64, dataCentres, instances int) float64 {
 	reserved := instanceExtra
-	if _, capacity := r.Own(instances / maxPartitions); capacity <= 0 && instances >= maxPartitions {
+	if _, capacity := r.InstanceBudget(instances / maxPartitions); capacity <= 0 && instances >= maxPartitions {
 		reserved = instanceExtra / maxPartitions
 	}
-	return max(0, share) * (1 - reserved) * r.Extra / Wholes(dataCentres)
+	return max(0, share) * (1 - reserved) * r.Extra / MaxTotalShare(dataCentres)
 }
--- a/rig/rig.go
+++ b/rig/rig.go
@@ -36,7 +36,7 @@
 	"ivyridge/node"
 	"ivyridge/owner"
 	"ivyridge/peer"
-	"ivyridge/publish"
+	"ivyridge/platformclient"
 )
 
 // warmUp is the time before the measurement, in which connections are
@@ -45,26 +45,26 @@
 
 // Params are the size and load of one run.
 type Params struct {
-	Instances int
-	Endpoints int
-	Pools     int // model pools; the endpoints are divided among them
-	Teams     int
-	Rate      float64       // requests per second, total over all instances
-	Claimed   float64       // fraction of requests with an idempotency key
-	Hold      time.Duration // time that a granted request holds its slot
-	Duration  time.Duration // of the measurement
+	Instances     int
+	Endpoints     int
+	Pools         int // model pools; the endpoints are divided among them
+	Teams         int
+	Rate          float64       // requests per second, total over all instances
+	KeyedFraction float64       // fraction of requests with an idempotency key
+	Hold          time.Duration // time that a granted request holds its slot
+	Duration      time.Duration // of the measurement
 }
 
 // A Result is the cost of one run, per instance unless noted.
 type Result struct {
 	Params
-	CPU           float64       // cores
-	Bytes         float64       // sent and received per second
-	Messages      float64       // calls sent per second
-	Heap          float64       // bytes of heap and stacks
-	PlatformCalls float64       // per minute, total over all instances
-	Spread        time.Duration // from publishing a configuration until all instances apply it
-	Done          int64         // requests completed, total over all instances
+	CPU              float64       // cores
+	Bytes            float64       // sent and received per second
+	Messages         float64       // calls sent per second
+	Heap             float64       // bytes of heap and stacks
+	PlatformCalls    float64       // per minute, total over all instances
+	PropagationDelay time.Duration // from publishing a configuration until all instances apply it
+	Done             int64         // requests completed, total over all instances
 }
 
 type benchmark struct {
@@ -103,7 +103,7 @@
 	if err := b.awaitRevision(2); err != nil {
 		return res, err
 	}
-	res.Spread = time.Since(began)
+	res.PropagationDelay = time.Since(began)
 	return res, nil
 }
 
@@ -203,7 +203,7 @@
 	}
 	n := node.New(node.Options{
 		Name: in.Name, DataCentre: in.DataCentre, Addr: in.Addr, Policy: policy, ColdStart: true, Quarantine: owner.Retention,
-		Clock: clock.Boot(), Log: zap.NewNop(), Transport: &countingTransport{tr, &b.calls}, Platform: publish.NewClient(platformAddr), Loads: daemon.NewLoadClient(),
+		Clock: clock.Boot(), Log: zap.NewNop(), Transport: &countingTransport{tr, &b.calls}, Platform: platformclient.NewClient(platformAddr), Loads: daemon.NewLoadClient(),
 	})
 	s := peer.NewServer(keys, n.Handler())
 	go func() { _ = s.Serve(l) }()
@@ -297,7 +297,7 @@
 func (b *benchmark) request(ctx context.Context, i int) {
 	n := b.nodes[i%len(b.nodes)]
 	var claim *node.Claim
-	if float64(i%100) < 100*b.params.Claimed {
+	if float64(i%100) < 100*b.params.KeyedFraction {
 		var k owner.Key
 		sum := xxhash.Sum64String(fmt.Sprintf("%p-%d", b, i))
 		for j := range 8 {
@@ -316,11 +316,11 @@
 	const progressInterval = 100 * time.Millisecond
 	for held := time.Duration(0); held < b.params.Hold && ctx.Err() == nil; held += progressInterval {
 		time.Sleep(progressInterval)
-		n.SawTokens(g, 3, progressInterval)
+		n.RecordTokens(g, 3, progressInterval)
 	}
-	n.Release(g, node.End{Tokens: 100, Whole: true})
+	n.Release(g, node.Outcome{Tokens: 100, Complete: true})
 	if claim != nil {
-		n.Keep(claim, &node.Answer{Status: http.StatusOK})
+		n.StoreAnswer(claim, &node.Answer{Status: http.StatusOK})
 	}
 	b.completed.Add(1)
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -21,12 +21,12 @@
 
 // Defaults of optional settings.
 const (
-	DefaultMaxBody    = 8 << 20
-	DefaultMaxHeader  = 64 << 10
-	DefaultMaxTime    = 4 * time.Minute
-	DefaultQuarantine = owner.Retention
-	DefaultDrain      = 5 * time.Minute
-	DefaultWaiting    = 4096
+	DefaultMaxBody         = 8 << 20
+	DefaultMaxHeader       = 64 << 10
+	DefaultMaxTime         = 4 * time.Minute
+	DefaultQuarantine      = owner.Retention
+	DefaultDrainTimeout    = 5 * time.Minute
+	DefaultMaxOpenRequests = 4096
 )
 
 // Listen holds an instance's listening addresses, each IP:port.
@@ -54,44 +54,44 @@
 
 // Log configures logging.
 type Log struct {
-	Pos   yamlfile.Pos
-	Level string `yaml:"level"`
-	Form  string `yaml:"form"` // "json" or "console"
+	Pos    yamlfile.Pos
+	Level  string `yaml:"level"`
+	Format string `yaml:"form"` // "json" or "console"
 }
 
 // Limits bounds caller requests.
 type Limits struct {
-	Pos       yamlfile.Pos
-	MaxBody   int           `yaml:"max_body_bytes"`
-	MaxHeader int           `yaml:"max_header_bytes"`
-	MaxTime   time.Duration `yaml:"max_time"`
-	Waiting   int           `yaml:"max_open_requests"`
+	Pos             yamlfile.Pos
+	MaxBody         int           `yaml:"max_body_bytes"`
+	MaxHeader       int           `yaml:"max_header_bytes"`
+	MaxTime         time.Duration `yaml:"max_time"`
+	MaxOpenRequests int           `yaml:"max_open_requests"`
 }
 
 // Policy selects the scheduling policy; see package home.
 type Policy struct {
-	Pos     yamlfile.Pos
-	Name    string   `yaml:"name"`
-	Without []string `yaml:"without"` // parts of the policy to disable
-	// Alone makes each instance schedule independently, as a baseline for comparison.
-	Alone bool `yaml:"alone"`
+	Pos      yamlfile.Pos
+	Name     string   `yaml:"name"`
+	Disabled []string `yaml:"without"` // parts of the policy to disable
+	// Standalone makes each instance schedule independently, as a baseline for comparison.
+	Standalone bool `yaml:"alone"`
 }
 
 // Settings are the settings of one instance.
 type Settings struct {
-	Pos        yamlfile.Pos
-	Name       string        `yaml:"name"`
-	DataCentre string        `yaml:"data_centre"`
-	Listen     Listen        `yaml:"listen"`
-	Advertise  string        `yaml:"advertise_peers"` // address for peers, if not Listen.Peers
-	Platform   string        `yaml:"platform"`
-	Seeds      []string      `yaml:"seeds"`
-	Keys       Keys          `yaml:"keys"`
-	Operators  []Operator    `yaml:"operators"`
-	Log        Log           `yaml:"log"`
-	Limits     Limits        `yaml:"limits"`
-	Policy     Policy        `yaml:"policy"`
-	Drain      time.Duration `yaml:"drain_within"` // limit of a graceful shutdown
+	Pos          yamlfile.Pos
+	Name         string        `yaml:"name"`
+	DataCentre   string        `yaml:"data_centre"`
+	Listen       Listen        `yaml:"listen"`
+	Advertise    string        `yaml:"advertise_peers"` // address for peers, if not Listen.Peers
+	Platform     string        `yaml:"platform"`
+	Seeds        []string      `yaml:"seeds"`
+	Keys         Keys          `yaml:"keys"`
+	Operators    []Operator    `yaml:"operators"`
+	Log          Log           `yaml:"log"`
+	Limits       Limits        `yaml:"limits"`
+	Policy       Policy        `yaml:"policy"`
+	DrainTimeout time.Duration `yaml:"drain_within"` // limit of a graceful shutdown
 	// Quarantine is how long keys are refused if no instance can confirm their
 	// records; see package owner.
 	Quarantine *time.Duration `yaml:"key_quarantine"`
@@ -135,19 +135,19 @@
 
 func (c *checker) check() {
 	s := c.s
-	c.errs.Text(s.Pos, "name", s.Name)
-	c.errs.Text(s.Pos, "data_centre", s.DataCentre)
-	c.errs.Address(s.Pos, "listen.callers", s.Listen.Callers)
-	c.errs.Address(s.Pos, "listen.operators", s.Listen.Operators)
-	c.errs.Address(s.Pos, "listen.peers", s.Listen.Peers)
+	c.errs.CheckNotEmpty(s.Pos, "name", s.Name)
+	c.errs.CheckNotEmpty(s.Pos, "data_centre", s.DataCentre)
+	c.errs.CheckAddress(s.Pos, "listen.callers", s.Listen.Callers)
+	c.errs.CheckAddress(s.Pos, "listen.operators", s.Listen.Operators)
+	c.errs.CheckAddress(s.Pos, "listen.peers", s.Listen.Peers)
 	if s.Advertise != "" {
-		c.errs.Address(s.Pos, "advertise_peers", s.Advertise)
+		c.errs.CheckAddress(s.Pos, "advertise_peers", s.Advertise)
 	} else {
 		s.Advertise = s.Listen.Peers
 	}
-	c.errs.Address(s.Pos, "platform", s.Platform)
+	c.errs.CheckAddress(s.Pos, "platform", s.Platform)
 	for _, seed := range s.Seeds {
-		c.errs.Address(s.Pos, "seeds", seed)
+		c.errs.CheckAddress(s.Pos, "seeds", seed)
 	}
 	c.file("keys.cert", s.Keys.Cert)
 	c.file("keys.key", s.Keys.Key)
@@ -157,15 +157,15 @@
 	}
 	c.log()
 	c.limits()
-	if _, err := home.ParsePolicy(s.Policy.Name, s.Policy.Without...); err != nil {
+	if _, err := home.ParsePolicy(s.Policy.Name, s.Policy.Disabled...); err != nil {
 		c.errs.Add(s.Policy.Pos, "policy: %s", err)
 	}
 	if s.Quarantine == nil {
 		q := DefaultQuarantine
 		s.Quarantine = &q
 	}
-	setDefault(&s.Drain, DefaultDrain)
-	if s.Drain < 0 || *s.Quarantine < 0 {
+	setDefault(&s.DrainTimeout, DefaultDrainTimeout)
+	if s.DrainTimeout < 0 || *s.Quarantine < 0 {
 		c.errs.Add(s.Pos, "drain_within and key_quarantine must not be negative")
 	}
 }
@@ -195,10 +195,10 @@
 
 func (c *checker) log() {
 	l := &c.s.Log
-	c.errs.LogLevel(l.Pos, &l.Level)
-	setDefault(&l.Form, "json")
-	if l.Form != "json" && l.Form != "console" {
-		c.errs.Add(l.Pos, "log.form: want json or console, got %q", l.Form)
+	c.errs.CheckLogLevel(l.Pos, &l.Level)
+	setDefault(&l.Format, "json")
+	if l.Format != "json" && l.Format != "console" {
+		c.errs.Add(l.Pos, "log.form: want json or console, got %q", l.Format)
 	}
 }
 
@@ -207,8 +207,8 @@
 	setDefault(&l.MaxBody, DefaultMaxBody)
 	setDefault(&l.MaxHeader, DefaultMaxHeader)
 	setDefault(&l.MaxTime, DefaultMaxTime)
-	setDefault(&l.Waiting, DefaultWaiting)
-	if l.MaxBody < 0 || l.MaxHeader < 0 || l.MaxTime < 0 || l.Waiting < 0 {
+	setDefault(&l.MaxOpenRequests, DefaultMaxOpenRequests)
+	if l.MaxBody < 0 || l.MaxHeader < 0 || l.MaxTime < 0 || l.MaxOpenRequests < 0 {
 		c.errs.Add(l.Pos, "limits must be positive")
 	}
 	if l.MaxTime > DefaultMaxTime {
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -75,7 +75,7 @@
 	q, k, abandons, client := c.randomRequest()
 	for try := 0; ; try++ {
 		c.send(q, client, abandons)
-		retryable := q.Status != http.StatusOK && !q.Left && (k.repeatable && !k.stream || q.Status == http.StatusServiceUnavailable || q.Status == http.StatusTooManyRequests)
+		retryable := q.Status != http.StatusOK && !q.Cancelled && (k.repeatable && !k.stream || q.Status == http.StatusServiceUnavailable || q.Status == http.StatusTooManyRequests)
 		if !retryable || try == maxRetries {
 			return
 		}
@@ -104,7 +104,7 @@
 // request returns a request of a kind with a key, for a random instance. The caller holds c.mu.
 func (c *callers) request(k *callKind, key, team string) *Request {
 	c.lastID++
-	q := &Request{Ask: standin.Ask{
+	q := &Request{Request: standin.Request{
 		ID: fmt.Sprintf("q-%06d", c.lastID), Key: key, Host: host, Path: fmt.Sprintf("/%s/x?n=%d", k.route, c.lastID),
 		Body: fmt.Sprintf("question %d", c.lastID), Deadline: callDeadline, Stream: k.stream, Tokens: k.tokens,
 	}, Team: team, Route: k.route, Repeatable: k.repeatable, Attempts: k.attempts, Service: k.service, Priority: k.priority, Steady: true}
@@ -130,7 +130,7 @@
 	c.lastID++
 	out := *q
 	out.ID = fmt.Sprintf("q-%06d", c.lastID)
-	out.Reply = standin.Reply{}
+	out.Response = standin.Response{}
 	out.Instance = c.balancer.choose(c.rng).name
 	return &out
 }
@@ -149,12 +149,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	q.Sent = time.Now()
-	reply := standin.Call(ctx, client, address, &q.Ask)
+	reply := standin.Call(ctx, client, address, &q.Request)
 	q.Done = time.Now()
-	q.Reply = *reply
-	q.Left = abandons && !reply.Whole && ctx.Err() != nil
-	if q.Left {
-		q.Short = false
+	q.Response = *reply
+	q.Cancelled = abandons && !reply.Complete && ctx.Err() != nil
+	if q.Cancelled {
+		q.Truncated = false
 	}
 	c.site.recordRequest(q)
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -12,47 +12,47 @@
 	"ivyridge/platform/standin"
 )
 
-// A Breach is a violation of a rule.
-type Breach struct {
+// A Violation is a violation of a rule.
+type Violation struct {
 	Rule string
 	What string
 }
 
 type rule struct {
 	name  string
-	check func(*Books) []string
+	check func(*Record) []string
 }
 
 // rules are all rules, named as in docs/promises.md.
 var rules = []rule{
-	{"MIXED", (*Books).checkMixed},
-	{"UNASKED", (*Books).checkUnasked},
-	{"TWICE", (*Books).checkTwice},
-	{"REFUSED", (*Books).checkRefused},
-	{"DENIED", (*Books).checkDenied},
-	{"BUDGET", (*Books).checkBudget},
-	{"GONE", (*Books).checkGone},
-	{"LOST", (*Books).checkLost},
-	{"ROUTE", (*Books).checkRoute},
-	{"DRAIN", (*Books).checkDrain},
-	{"LEAVING", (*Books).checkLeaving},
-	{"REST", (*Books).checkRest},
-	{"LIMIT", (*Books).checkLimit},
-	{"EVAC", (*Books).checkEvac},
-	{"HOME", (*Books).checkHome},
-	{"FAILBACK", (*Books).checkFailback},
-	{"CONFIG", (*Books).checkConfig},
-	{"REVOKED", (*Books).checkRevoked},
-	{"HELD", (*Books).checkHeld},
-	{"ORDER", (*Books).checkOrder},
-	{"STEADY", (*Books).checkSteady},
-	{"SHARE", (*Books).checkShare},
-	{"BLAMED", (*Books).checkBlamed},
-	{"TIER", (*Books).checkTier},
-	{"RECOVER", (*Books).checkRecover},
-	{"CALM", (*Books).checkCalm},
-	{"EXIT", (*Books).checkExit},
-	{"FOOTPRINT", (*Books).checkFootprint},
+	{"MIXED", (*Record).checkMixed},
+	{"UNASKED", (*Record).checkUnasked},
+	{"TWICE", (*Record).checkTwice},
+	{"REFUSED", (*Record).checkRefused},
+	{"DENIED", (*Record).checkDenied},
+	{"BUDGET", (*Record).checkBudget},
+	{"GONE", (*Record).checkGone},
+	{"LOST", (*Record).checkLost},
+	{"ROUTE", (*Record).checkRoute},
+	{"DRAIN", (*Record).checkDrain},
+	{"LEAVING", (*Record).checkLeaving},
+	{"REST", (*Record).checkRest},
+	{"LIMIT", (*Record).checkLimit},
+	{"EVAC", (*Record).checkEvac},
+	{"HOME", (*Record).checkHome},
+	{"FAILBACK", (*Record).checkFailback},
+	{"CONFIG", (*Record).checkConfig},
+	{"REVOKED", (*Record).checkRevoked},
+	{"HELD", (*Record).checkHeld},
+	{"ORDER", (*Record).checkOrder},
+	{"STEADY", (*Record).checkSteady},
+	{"SHARE", (*Record).checkShare},
+	{"BLAMED", (*Record).checkBlamed},
+	{"TIER", (*Record).checkTier},
+	{"RECOVER", (*Record).checkRecover},
+	{"CALM", (*Record).checkCalm},
+	{"EXIT", (*Record).checkExit},
+	{"FOOTPRINT", (*Record).checkFootprint},
 }
 
 // Rules returns the names of all rules.
@@ -65,8 +65,8 @@
 }
 
 // Check returns the violations of all rules.
-func Check(b *Books) []Breach {
-	var out []Breach
+func Check(b *Record) []Violation {
+	var out []Violation
 	newer := b.withoutOlder()
 	for _, r := range rules {
 		books := b
@@ -74,7 +74,7 @@
 			books = newer
 		}
 		for _, what := range r.check(books) {
-			out = append(out, Breach{r.name, what})
+			out = append(out, Violation{r.name, what})
 		}
 	}
 	return out
@@ -110,7 +110,7 @@
 )
 
 // each calls f for all requests in order of their IDs.
-func (b *Books) each(f func(*Request)) {
+func (b *Record) each(f func(*Request)) {
 	ids := make([]string, 0, len(b.Requests))
 	for id := range b.Requests {
 		ids = append(ids, id)
@@ -122,8 +122,8 @@
 }
 
 // executions returns how many times endpoints executed a request.
-func (b *Books) executions(id string) (n int) {
-	for _, r := range b.Runs[id] {
+func (b *Record) executions(id string) (n int) {
+	for _, r := range b.Deliveries[id] {
 		if r.Ran {
 			n++
 		}
@@ -133,12 +133,12 @@
 
 // checkMixed: a successful response is the complete response of an endpoint that executed the
 // request; an error response has an endpoint's seal only with a status that endpoints send.
-func (b *Books) checkMixed() (out []string) {
+func (b *Record) checkMixed() (out []string) {
 	b.each(func(q *Request) {
 		switch {
 		case q.Status == http.StatusOK && !q.Sealed:
 			out = append(out, fmt.Sprintf("%s: status 200 without an endpoint's seal", q.ID))
-		case q.Status == http.StatusOK && !q.Stream && q.Whole && !b.hasEndpointAnswer(q):
+		case q.Status == http.StatusOK && !q.Stream && q.Complete && !b.hasEndpointAnswer(q):
 			out = append(out, fmt.Sprintf("%s: status 200 with body %q, which no endpoint sent for it", q.ID, q.Text))
 		case q.Sealed && q.Status != http.StatusOK && q.Status != http.StatusInternalServerError:
 			out = append(out, fmt.Sprintf("%s: sealed response with status %d, which no endpoint sent", q.ID, q.Status))
@@ -148,8 +148,8 @@
 }
 
 // hasEndpointAnswer reports whether q's response is that of an endpoint that executed q.
-func (b *Books) hasEndpointAnswer(q *Request) bool {
-	for _, r := range b.Runs[q.ID] {
+func (b *Record) hasEndpointAnswer(q *Request) bool {
+	for _, r := range b.Deliveries[q.ID] {
 		if r.Ran && q.Text == standin.Answer(r.Endpoint, q.ID) {
 			return true
 		}
@@ -159,8 +159,8 @@
 
 // checkUnasked: endpoints receive only requests that callers sent, for the team that owns the key,
 // and never see keys.
-func (b *Books) checkUnasked() (out []string) {
-	for id, runs := range b.Runs {
+func (b *Record) checkUnasked() (out []string) {
+	for id, runs := range b.Deliveries {
 		q := b.Requests[id]
 		for _, r := range runs {
 			switch {
@@ -170,7 +170,7 @@
 				out = append(out, fmt.Sprintf("%s: changed on the way: received as %s %s %q", id, r.Method, r.Target, r.Body))
 			case r.Team != q.Team:
 				out = append(out, fmt.Sprintf("%s: received for team %q, sent by team %q", id, r.Team, q.Team))
-			case r.ShowsKey:
+			case r.KeyForwarded:
 				out = append(out, fmt.Sprintf("%s: the caller's key was sent to the endpoint", id))
 			}
 		}
@@ -179,7 +179,7 @@
 }
 
 // checkTwice: a request that is not repeatable is executed at most once.
-func (b *Books) checkTwice() (out []string) {
+func (b *Record) checkTwice() (out []string) {
 	b.each(func(q *Request) {
 		if n := b.executions(q.ID); n > 1 && !q.Repeatable {
 			out = append(out, fmt.Sprintf("%s: not repeatable, but executed %d times", q.ID, n))
@@ -189,7 +189,7 @@
 }
 
 // checkRefused: a status that means "not executed" is true.
-func (b *Books) checkRefused() (out []string) {
+func (b *Record) checkRefused() (out []string) {
 	b.each(func(q *Request) {
 		if meansNotExecuted(q.Status) && !q.Repeatable && b.executions(q.ID) > 0 {
 			out = append(out, fmt.Sprintf("%s: executed, but answered with status %d", q.ID, q.Status))
@@ -208,7 +208,7 @@
 }
 
 // checkDenied: valid requests are not rejected with a final status, apart from a small tolerance.
-func (b *Books) checkDenied() []string {
+func (b *Record) checkDenied() []string {
 	var ids []string
 	b.each(func(q *Request) {
 		final := q.Status >= 300 && q.Status < 500 && !meansNotExecuted(q.Status) && !q.Sealed
@@ -223,7 +223,7 @@
 }
 
 // allowed reports whether all versions that may apply to q allow it.
-func (b *Books) allowed(q *Request) bool {
+func (b *Record) allowed(q *Request) bool {
 	possible := b.possibleVersions(q.Sent, q.Done)
 	for _, v := range possible {
 		_, routed := v.Routes[q.Route]
@@ -236,11 +236,11 @@
 
 // checkBudget: a request is sent to no more endpoints than its route allows, and the ratio of
 // repeats per service stays bounded.
-func (b *Books) checkBudget() (out []string) {
+func (b *Record) checkBudget() (out []string) {
 	overLimit := 0
 	b.each(func(q *Request) {
 		seen := make(map[string]bool)
-		for _, r := range b.Runs[q.ID] {
+		for _, r := range b.Deliveries[q.ID] {
 			seen[r.Endpoint] = true
 		}
 		if len(seen) > q.Attempts {
@@ -255,9 +255,9 @@
 
 // checkRepeats compares, for each service and window, the number of repeats with the number of
 // first attempts.
-func (b *Books) checkRepeats() (out []string) {
+func (b *Record) checkRepeats() (out []string) {
 	firsts, repeats := make(map[string][]time.Time), make(map[string][]time.Time)
-	for _, runs := range b.Runs {
+	for _, runs := range b.Deliveries {
 		for i, r := range runs {
 			if i == 0 {
 				firsts[r.Service] = append(firsts[r.Service], r.At)
@@ -289,13 +289,13 @@
 }
 
 // checkGone: endpoints soon stop work whose callers have cancelled.
-func (b *Books) checkGone() []string {
+func (b *Record) checkGone() []string {
 	late, all := 0, 0
 	b.each(func(q *Request) {
-		if !q.Left || !q.Repeatable || !b.inContact(q.Instance, q.Sent, q.Done.Add(goneGrace)) {
+		if !q.Cancelled || !q.Repeatable || !b.inContact(q.Instance, q.Sent, q.Done.Add(goneGrace)) {
 			return
 		}
-		for _, r := range b.Runs[q.ID] {
+		for _, r := range b.Deliveries[q.ID] {
 			if !r.Ran || r.At.After(q.Done) {
 				continue
 			}
@@ -312,10 +312,10 @@
 }
 
 // checkLost: planned operations lose no request that an endpoint received.
-func (b *Books) checkLost() (out []string) {
+func (b *Record) checkLost() (out []string) {
 	b.each(func(q *Request) {
-		closed := q.Status == 0 && q.Err != nil && !q.Left
-		if !closed || len(b.Runs[q.ID]) == 0 {
+		closed := q.Status == 0 && q.Err != nil && !q.Cancelled
+		if !closed || len(b.Deliveries[q.ID]) == 0 {
 			return
 		}
 		if b.onlyPlannedFaults(q) && q.Done.Sub(q.Sent) < q.Deadline {
@@ -326,9 +326,9 @@
 }
 
 // checkRoute: a request is executed only at a service and with a key that some version allowed.
-func (b *Books) checkRoute() (out []string) {
+func (b *Record) checkRoute() (out []string) {
 	b.each(func(q *Request) {
-		for _, r := range b.Runs[q.ID] {
+		for _, r := range b.Deliveries[q.ID] {
 			if r.Ran && !b.everAllowed(q, r.Service) {
 				out = append(out, fmt.Sprintf("%s: route %s was executed by service %s with key %q, which no version allowed", q.ID, q.Route, r.Service, q.Key))
 			}
@@ -339,7 +339,7 @@
 
 // everAllowed reports whether some version mapped q's route to service, and some version, not
 // necessarily the same, had q's key.
-func (b *Books) everAllowed(q *Request, service string) bool {
+func (b *Record) everAllowed(q *Request, service string) bool {
 	route, key := false, false
 	for i := range b.Versions {
 		v := &b.Versions[i]
@@ -352,13 +352,13 @@
 
 // checkDrain: an endpoint that announced that it leaves receives no new requests after
 // Bounds.Drain.
-func (b *Books) checkDrain() (out []string) {
+func (b *Record) checkDrain() (out []string) {
 	leftAt := make(map[string]time.Time)
 	for _, d := range b.Departures {
 		leftAt[d.Endpoint] = d.Acked
 	}
 	b.each(func(q *Request) {
-		for _, r := range b.Runs[q.ID] {
+		for _, r := range b.Deliveries[q.ID] {
 			at, leaves := leftAt[r.Endpoint]
 			if leaves && r.Ran && r.At.After(at.Add(b.Bounds.Drain)) && b.inContact(q.Instance, q.Sent, r.At) {
 				out = append(out, fmt.Sprintf("%s: reached endpoint %s %v after its leaving notice", q.ID, r.Endpoint, r.At.Sub(at).Round(time.Millisecond)))
@@ -370,9 +370,9 @@
 
 // checkConfig: an acknowledged version is in force at all instances in contact after
 // Bounds.Propagation.
-func (b *Books) checkConfig() (out []string) {
+func (b *Record) checkConfig() (out []string) {
 	b.each(func(q *Request) {
-		for _, r := range b.Runs[q.ID] {
+		for _, r := range b.Deliveries[q.ID] {
 			if !r.Ran || !b.inContact(q.Instance, q.Sent, r.At) {
 				continue
 			}
@@ -389,7 +389,7 @@
 }
 
 // checkRevoked: a removed key is rejected after Bounds.Revoke, by instances in contact or not.
-func (b *Books) checkRevoked() (out []string) {
+func (b *Record) checkRevoked() (out []string) {
 	b.each(func(q *Request) {
 		if b.executions(q.ID) == 0 {
 			return
@@ -402,7 +402,7 @@
 }
 
 // keyRemoved returns when the version that removed a key for good was acknowledged.
-func (b *Books) keyRemoved(key string) (at time.Time, ok bool) {
+func (b *Record) keyRemoved(key string) (at time.Time, ok bool) {
 	issued := false
 	for i := range b.Versions {
 		v := &b.Versions[i]
@@ -417,12 +417,12 @@
 }
 
 // checkHeld: a route's timeout ends its requests.
-func (b *Books) checkHeld() []string {
+func (b *Record) checkHeld() []string {
 	late, all := 0, 0
 	b.each(func(q *Request) {
 		timeout := b.maxTimeout(q)
 		elapsed := q.Done.Sub(q.Sent)
-		if timeout == 0 || elapsed < timeout || q.Left || !b.inContact(q.Instance, q.Sent, q.Done) {
+		if timeout == 0 || elapsed < timeout || q.Cancelled || !b.inContact(q.Instance, q.Sent, q.Done) {
 			return
 		}
 		all++
@@ -437,7 +437,7 @@
 }
 
 // maxTimeout returns the longest timeout among the versions that may apply to q.
-func (b *Books) maxTimeout(q *Request) (longest time.Duration) {
+func (b *Record) maxTimeout(q *Request) (longest time.Duration) {
 	for _, v := range b.possibleVersions(q.Sent, q.Done) {
 		longest = max(longest, v.Routes[q.Route].Timeout)
 	}
@@ -446,10 +446,10 @@
 
 // checkOrder: a stream's events arrive once and in order, and a truncated stream does not look
 // complete.
-func (b *Books) checkOrder() (out []string) {
+func (b *Record) checkOrder() (out []string) {
 	b.each(func(q *Request) {
-		if q.Disorder || q.Short {
-			out = append(out, fmt.Sprintf("%s: %d events, out of order: %v, truncated but apparently complete: %v", q.ID, q.Events, q.Disorder, q.Short))
+		if q.OutOfOrder || q.Truncated {
+			out = append(out, fmt.Sprintf("%s: %d events, out of order: %v, truncated but apparently complete: %v", q.ID, q.Events, q.OutOfOrder, q.Truncated))
 		}
 	})
 	return out
@@ -457,7 +457,7 @@
 
 // checkTier: while no endpoint is faulty, requests of an urgent route are not rejected while
 // larger, less urgent ones are executed at the same service.
-func (b *Books) checkTier() (out []string) {
+func (b *Record) checkTier() (out []string) {
 	from, to := b.sendSpan()
 	for at := from; at.Before(to); at = at.Add(tierStep) {
 		if b.anyEndpointFaulted(at, at.Add(tierWindow)) {
@@ -480,10 +480,10 @@
 }
 
 // checkTierAt checks the window that starts at at.
-func (b *Books) checkTierAt(at time.Time) string {
+func (b *Record) checkTierAt(at time.Time) string {
 	tiers := make(map[string]*tier)
 	b.each(func(q *Request) {
-		if q.Sent.Before(at) || !q.Sent.Before(at.Add(tierWindow)) || q.Left || !b.inContact(q.Instance, q.Sent, q.Done) || !b.allowed(q) {
+		if q.Sent.Before(at) || !q.Sent.Before(at.Add(tierWindow)) || q.Cancelled || !b.inContact(q.Instance, q.Sent, q.Done) || !b.allowed(q) {
 			return
 		}
 		executed := b.executions(q.ID) > 0
@@ -515,7 +515,7 @@
 }
 
 // sendSpan returns when the first and the last request were sent.
-func (b *Books) sendSpan() (from, to time.Time) {
+func (b *Record) sendSpan() (from, to time.Time) {
 	for _, q := range b.Requests {
 		if from.IsZero() || q.Sent.Before(from) {
 			from = q.Sent
@@ -528,14 +528,14 @@
 }
 
 // anyEndpointFaulted reports whether a fault affected an endpoint between from and to.
-func (b *Books) anyEndpointFaulted(from, to time.Time) bool {
-	return slices.ContainsFunc(b.Troubles, func(t Trouble) bool { return t.Endpoint != "" && t.during(from, to) })
+func (b *Record) anyEndpointFaulted(from, to time.Time) bool {
+	return slices.ContainsFunc(b.Faults, func(t Fault) bool { return t.Endpoint != "" && t.during(from, to) })
 }
 
 // checkRecover: requests are served again within Bounds.Recover of a loss of all instances.
-func (b *Books) checkRecover() (out []string) {
-	for _, t := range b.Troubles {
-		if !t.All {
+func (b *Record) checkRecover() (out []string) {
+	for _, t := range b.Faults {
+		if !t.AllInstances {
 			continue
 		}
 		from := t.To.Add(b.Bounds.Recover)
@@ -549,9 +549,9 @@
 
 // served counts the valid requests sent between from and to, and those of them answered with
 // status 200.
-func (b *Books) served(from, to time.Time) (served, all int) {
+func (b *Record) served(from, to time.Time) (served, all int) {
 	b.each(func(q *Request) {
-		if q.Sent.Before(from) || q.Sent.After(to) || q.Left || !b.allowed(q) {
+		if q.Sent.Before(from) || q.Sent.After(to) || q.Cancelled || !b.allowed(q) {
 			return
 		}
 		all++
@@ -563,11 +563,11 @@
 }
 
 // checkCalm: nearly all requests are served after all faults are over.
-func (b *Books) checkCalm() []string {
-	if b.Calm.IsZero() {
+func (b *Record) checkCalm() []string {
+	if b.RecoveredAt.IsZero() {
 		return nil
 	}
-	served, all := b.served(b.Calm, b.Calm.Add(time.Hour))
+	served, all := b.served(b.RecoveredAt, b.RecoveredAt.Add(time.Hour))
 	if all > 0 && float64(served) < calmMinRatio*float64(all) {
 		return []string{fmt.Sprintf("%d of %d requests were served after recovery", served, all)}
 	}
@@ -575,7 +575,7 @@
 }
 
 // checkExit: no process ends unexpectedly.
-func (b *Books) checkExit() (out []string) {
+func (b *Record) checkExit() (out []string) {
 	for _, e := range b.Exits {
 		out = append(out, fmt.Sprintf("%s: process ended unexpectedly: %s", e.Instance, e.Error))
 	}
@@ -583,7 +583,7 @@
 }
 
 // checkFootprint: at the end of a run every instance is ready and its resource use is bounded.
-func (b *Books) checkFootprint() (out []string) {
+func (b *Record) checkFootprint() (out []string) {
 	for _, f := range b.Footprints {
 		if !f.Ready || f.Descriptors > maxDescriptors || f.Goroutines > maxGoroutines || f.MemoryMB > maxMemoryMB {
 			out = append(out, fmt.Sprintf("%s: ready %v, %d descriptors, %d goroutines, %d MB", f.Instance, f.Ready, f.Descriptors, f.Goroutines, f.MemoryMB))
--- a/soak/crash_requests.go
+++ b/soak/crash_requests.go
@@ -22,22 +22,22 @@
 	minEndpoints          = 3 // of a service; none is restarted unless there are more
 )
 
-// A Deadly is a request that crashes endpoints and was sent repeatedly.
-type Deadly struct{ Body string }
+// A CrashRequest is a request that crashes endpoints and was sent repeatedly.
+type CrashRequest struct{ Body string }
 
 // configureRestart has an endpoint publish itself after each restart, and crash when it executes a
 // request with crashMarker.
 func (s *site) configureRestart(e *endpoint) {
-	e.server.Return(func() {
+	e.server.OnRestart(func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !e.withdrawn {
 			s.store.List(e.registryEntry(false))
 		}
 	})
-	e.server.EndsOn(crashMarker, endpointRestartDelay, func() {
+	e.server.CrashOn(crashMarker, endpointRestartDelay, func() {
 		now := time.Now()
-		s.recordFault(Trouble{Kind: "endpoint ended", Endpoint: e.server.ID, From: now, To: now.Add(endpointRestartDelay)})
+		s.recordFault(Fault{Kind: "endpoint ended", Endpoint: e.server.ID, From: now, To: now.Add(endpointRestartDelay)})
 	})
 }
 
@@ -47,7 +47,7 @@
 	if e == nil {
 		return
 	}
-	s.apply(Trouble{Kind: "endpoint ends and returns", Endpoint: e.server.ID}, func() { e.server.End(endpointRestartDelay) }, endpointRestartDelay, func() {})
+	s.apply(Fault{Kind: "endpoint ends and returns", Endpoint: e.server.ID}, func() { e.server.Crash(endpointRestartDelay) }, endpointRestartDelay, func() {})
 }
 
 // sendCrashRequest sends one crashing request repeatedly to random instances. The endpoints that
@@ -58,14 +58,14 @@
 	}
 	defer s.run.crashRequestActive.Store(false)
 	body := fmt.Sprintf("a %s question, %d", crashMarker, s.rng.Uint64())
-	s.apply(Trouble{Kind: "request that ends endpoints", Spares: true}, func() { s.run.callers.sendCrashRequests(body) }, endpointRestartDelay, func() {})
+	s.apply(Fault{Kind: "request that ends endpoints", KeepsContact: true}, func() { s.run.callers.sendCrashRequests(body) }, endpointRestartDelay, func() {})
 	s.site.recordCrashRequest(body)
 }
 
 func (s *site) recordCrashRequest(body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.books.Deadlies = append(s.books.Deadlies, Deadly{Body: body})
+	s.books.CrashRequests = append(s.books.CrashRequests, CrashRequest{Body: body})
 }
 
 // sendCrashRequests sends a request repeatedly, each time under a new ID and to a random instance.
@@ -91,7 +91,7 @@
 	if e == nil {
 		return
 	}
-	s.apply(Trouble{Kind: "entries of another writer", Endpoint: e.server.ID}, func() {
+	s.apply(Fault{Kind: "entries of another writer", Endpoint: e.server.ID}, func() {
 		for n, text := range foreignEntries {
 			s.site.store.PutRaw(fmt.Sprintf("servers/x-%d", n), []byte(text))
 		}
@@ -107,20 +107,20 @@
 
 // checkBlamed: a request that crashes endpoints is blocked, and no other request is blocked for
 // it.
-func (b *Books) checkBlamed() (out []string) {
-	for _, d := range b.Deadlies {
+func (b *Record) checkBlamed() (out []string) {
+	for _, d := range b.CrashRequests {
 		out = append(out, b.checkCrashRequest(&d)...)
 	}
 	b.each(func(q *Request) {
-		if strings.HasPrefix(q.Text, string(verdict.EndsEndpoints)) && !b.isCrashRequest(q.Body) {
+		if strings.HasPrefix(q.Text, string(verdict.CrashesEndpoints)) && !b.isCrashRequest(q.Body) {
 			out = append(out, fmt.Sprintf("%s: blocked, though it crashes no endpoint", q.ID))
 		}
 	})
 	return out
 }
 
-func (b *Books) isCrashRequest(body string) bool {
-	for _, d := range b.Deadlies {
+func (b *Record) isCrashRequest(body string) bool {
+	for _, d := range b.CrashRequests {
 		if d.Body == body {
 			return true
 		}
@@ -130,14 +130,14 @@
 
 // checkCrashRequest counts the executions of a crashing request by instances in contact later than
 // Bounds.Contact after its third execution.
-func (b *Books) checkCrashRequest(d *Deadly) []string {
+func (b *Record) checkCrashRequest(d *CrashRequest) []string {
 	type sent struct {
 		at      time.Time
 		request *Request
 	}
 	var all []sent
 	for id, q := range b.Requests {
-		for _, r := range b.Runs[id] {
+		for _, r := range b.Deliveries[id] {
 			if q.Body == d.Body && r.Ran {
 				all = append(all, sent{r.At, q})
 			}
--- a/soak/endpoint_hints.go
+++ b/soak/endpoint_hints.go
@@ -23,7 +23,7 @@
 
 // askForRest has an endpoint reject all requests and ask for rest.
 func (s *injection) askForRest() {
-	s.changeBehaviour("endpoint asks for rest", func(b *standin.Behaviour) { b.Shed, b.Rest = true, restRequested })
+	s.changeBehaviour("endpoint asks for rest", func(b *standin.Behaviour) { b.Shed, b.RetryAfter = true, restRequested })
 }
 
 // allAskForRest has all endpoints of a service reject all requests and ask for rest.
@@ -34,16 +34,16 @@
 	}
 	service := e.server.Service
 	b := normalBehaviour[service]
-	b.Shed, b.Rest = true, restRequested
+	b.Shed, b.RetryAfter = true, restRequested
 	const kind = "all endpoints of a service ask for rest"
 	all := s.site.endpointsOf(service)
-	s.apply(Trouble{Kind: kind, Endpoint: e.server.ID}, func() {
+	s.apply(Fault{Kind: kind, Endpoint: e.server.ID}, func() {
 		for _, e := range all {
-			e.server.Behave(b)
+			e.server.SetBehaviour(b)
 		}
 	}, s.duration, func() {
 		for _, e := range all {
-			e.server.Behave(normalBehaviour[service])
+			e.server.SetBehaviour(normalBehaviour[service])
 		}
 		s.run.wait(restRequested)
 	})
@@ -69,9 +69,9 @@
 		return
 	}
 	b := normalBehaviour[e.server.Service]
-	b.Leaves = true
+	b.Draining = true
 	s.site.excludeFromFaults(e)
-	s.apply(Trouble{Kind: "endpoint leaves, as its answers say", Endpoint: e.server.ID}, func() { e.server.Behave(b) }, 2*drainPeriod, func() {})
+	s.apply(Fault{Kind: "endpoint leaves, as its answers say", Endpoint: e.server.ID}, func() { e.server.SetBehaviour(b) }, 2*drainPeriod, func() {})
 	s.site.withdraw(e)
 	s.run.wait(drainPeriod)
 }
@@ -88,15 +88,15 @@
 
 // An arrival is a run together with its request.
 type arrival struct {
-	Run
+	Delivery
 	request *Request
 }
 
 // runsByPair returns what endpoints received from each instance, in order of arrival.
-func (b *Books) runsByPair() map[pair][]arrival {
+func (b *Record) runsByPair() map[pair][]arrival {
 	out := make(map[pair][]arrival)
 	b.each(func(q *Request) {
-		for _, r := range b.Runs[q.ID] {
+		for _, r := range b.Deliveries[q.ID] {
 			p := pair{r.Endpoint, q.Instance}
 			out[p] = append(out[p], arrival{r, q})
 		}
@@ -108,11 +108,11 @@
 }
 
 // checkRest: an instance that was asked for rest sends the endpoint no requests for that time.
-func (b *Books) checkRest() (out []string) {
+func (b *Record) checkRest() (out []string) {
 	for p, runs := range b.runsByPair() {
 		for _, asked := range runs {
-			from, to := asked.Ended.Add(restInFlightGrace), asked.Ended.Add(asked.Rest)
-			if asked.Rest == 0 || b.instanceFaulted(p.instance, asked.Ended, to) {
+			from, to := asked.Ended.Add(restInFlightGrace), asked.Ended.Add(asked.RetryAfter)
+			if asked.RetryAfter == 0 || b.instanceFaulted(p.instance, asked.Ended, to) {
 				continue
 			}
 			n := 0
@@ -122,7 +122,7 @@
 				}
 			}
 			if n > restTolerance {
-				out = append(out, fmt.Sprintf("endpoint %s asked %s for %s of rest, and received %d requests within it", p.endpoint, p.instance, asked.Rest, n))
+				out = append(out, fmt.Sprintf("endpoint %s asked %s for %s of rest, and received %d requests within it", p.endpoint, p.instance, asked.RetryAfter, n))
 			}
 		}
 	}
@@ -131,10 +131,10 @@
 
 // instanceFaulted reports whether a fault took an instance out of contact between from and to.
 // Unlike inContact, it ignores earlier faults.
-func (b *Books) instanceFaulted(instance string, from, to time.Time) bool {
-	for i := range b.Troubles {
-		t := &b.Troubles[i]
-		if !t.Spares && t.Endpoint == "" && (t.Instance == "" || t.Instance == instance) && t.during(from, to) {
+func (b *Record) instanceFaulted(instance string, from, to time.Time) bool {
+	for i := range b.Faults {
+		t := &b.Faults[i]
+		if !t.KeepsContact && t.Endpoint == "" && (t.Instance == "" || t.Instance == instance) && t.during(from, to) {
 			return true
 		}
 	}
@@ -143,7 +143,7 @@
 
 // checkLeaving: an endpoint that announced in a response that it leaves receives no requests sent
 // after Bounds.Drain from the instance that got the response, whether in contact or not.
-func (b *Books) checkLeaving() (out []string) {
+func (b *Record) checkLeaving() (out []string) {
 	for p, runs := range b.runsByPair() {
 		var said time.Time
 		for _, r := range runs {
@@ -151,7 +151,7 @@
 			if late && !b.instanceFaulted(p.instance, said, r.At) {
 				out = append(out, fmt.Sprintf("%s: reached endpoint %s from %s %v after it announced in a response that it leaves", r.request.ID, p.endpoint, p.instance, r.At.Sub(said).Round(time.Millisecond)))
 			}
-			if said.IsZero() && r.Leaves {
+			if said.IsZero() && r.Draining {
 				said = r.Ended
 			}
 		}
--- a/soak/engine_loss.go
+++ b/soak/engine_loss.go
@@ -22,17 +22,17 @@
 	s.rng.Shuffle(len(engines), func(i, j int) { engines[i], engines[j] = engines[j], engines[i] })
 	engines = engines[:len(engines)/2]
 	from := time.Now()
-	s.run.logFault(Trouble{Kind: "engines lost in the middle of streams"})
+	s.run.logFault(Fault{Kind: "engines lost in the middle of streams"})
 	for range 1 + s.rng.IntN(maxLosses) {
 		for _, e := range engines {
-			e.link.Set(link.Weather{Cut: lossCutBytes})
+			e.link.Set(link.Conditions{ResetAfter: lossCutBytes})
 			e.link.Reset()
 		}
 		s.run.wait(lossInterval)
 	}
 	for _, e := range engines {
-		e.link.Set(link.Weather{})
-		s.site.recordFault(Trouble{Kind: "engines lost in the middle of streams", Endpoint: e.server.ID, From: from, To: time.Now()})
+		e.link.Set(link.Conditions{})
+		s.site.recordFault(Fault{Kind: "engines lost in the middle of streams", Endpoint: e.server.ID, From: from, To: time.Now()})
 	}
 }
 
--- a/soak/evacuate.go
+++ b/soak/evacuate.go
@@ -22,8 +22,8 @@
 	Over       time.Time // when its end was ordered; zero: still in force
 }
 
-// A Cold is a period in which an endpoint was cold.
-type Cold struct {
+// A ColdPeriod is a period in which an endpoint was cold.
+type ColdPeriod struct {
 	Endpoint string
 	From, To time.Time
 }
@@ -31,7 +31,7 @@
 // evacuate has a data centre evacuated for a while. Its endpoints are cold at the end.
 func (s *injection) evacuate() {
 	dataCentre := dataCentres[s.rng.IntN(len(dataCentres))]
-	t := Trouble{Kind: "data centre evacuated", Planned: true, Spares: true}
+	t := Fault{Kind: "data centre evacuated", Planned: true, KeepsContact: true}
 	s.apply(t, func() { s.site.evacuate(dataCentre) }, deploymentBounds.Evacuate+s.duration, func() { s.site.endEvacuation(dataCentre) })
 }
 
@@ -64,7 +64,7 @@
 // markCold records that an endpoint is cold from a time on, and publishes it. The caller holds
 // s.mu.
 func (s *site) markCold(e *endpoint, from time.Time) {
-	s.books.Colds = append(s.books.Colds, Cold{Endpoint: e.server.ID, From: from, To: from.Add(coldPeriod)})
+	s.books.ColdPeriods = append(s.books.ColdPeriods, ColdPeriod{Endpoint: e.server.ID, From: from, To: from.Add(coldPeriod)})
 	entry := e.registryEntry(false)
 	entry.ColdLeft = coldPeriod
 	s.store.List(entry)
@@ -84,9 +84,9 @@
 }
 
 // checkEvac: an evacuated data centre receives no new requests after Bounds.Evacuate.
-func (b *Books) checkEvac() (out []string) {
+func (b *Record) checkEvac() (out []string) {
 	b.each(func(q *Request) {
-		for _, r := range b.Runs[q.ID] {
+		for _, r := range b.Deliveries[q.ID] {
 			for _, e := range b.Evacuations {
 				late := r.DataCentre == e.DataCentre && r.At.After(e.Acked.Add(b.Bounds.Evacuate)) && (e.Over.IsZero() || r.At.Before(e.Over))
 				if late && r.Ran && b.inContact(q.Instance, q.Sent, r.At) {
@@ -100,15 +100,15 @@
 
 // checkFailback: a cold endpoint receives no more requests in any second than its rate allows,
 // from all instances together, in contact or not.
-func (b *Books) checkFailback() (out []string) {
+func (b *Record) checkFailback() (out []string) {
 	arrived := make(map[string][]time.Time)
-	for _, runs := range b.Runs {
+	for _, runs := range b.Deliveries {
 		for _, r := range runs {
 			arrived[r.Endpoint] = append(arrived[r.Endpoint], r.At)
 		}
 	}
 	limit := b.Bounds.ColdOver*coldRate + b.Bounds.ColdSlack
-	for _, c := range b.Colds {
+	for _, c := range b.ColdPeriods {
 		times := slices.DeleteFunc(slices.Clone(arrived[c.Endpoint]), func(at time.Time) bool { return at.Before(c.From) || at.After(c.To) })
 		if n, start := busiestSecond(times); float64(n) > limit {
 			out = append(out, fmt.Sprintf("endpoint %s received %d requests in the second that starts %v after it became cold, %.1f allowed", c.Endpoint, n, start.Sub(c.From).Round(time.Millisecond), limit))
