--- a/soak/faults.go
+++ b/soak/faults.go
@@ -56,36 +56,36 @@
 	{"faulty settings", func(s *injection) { s.withInstance(func(r *instance) { s.reload(r, true) }) }},
 	{"callers' connections reset", func(s *injection) { s.withInstance(s.resetCallers) }},
 	{"callers' link slow", func(s *injection) {
-		s.degradeLink("callers' link slow", func(r *instance) *link.TCP { return r.callers }, link.Weather{Delay: 60 * time.Millisecond})
+		s.degradeLink("callers' link slow", func(r *instance) *link.TCP { return r.callers }, link.Conditions{Delay: 60 * time.Millisecond})
 	}},
 	{"callers' answers cut", func(s *injection) {
-		s.degradeLink("callers' answers cut", func(r *instance) *link.TCP { return r.callers }, link.Weather{Cut: 900})
+		s.degradeLink("callers' answers cut", func(r *instance) *link.TCP { return r.callers }, link.Conditions{ResetAfter: 900})
 	}},
 	{"instance cut off the store", func(s *injection) {
-		s.degradeLink("instance cut off the store", func(r *instance) *link.TCP { return r.store }, link.Weather{Silent: true, SilentOut: true})
+		s.degradeLink("instance cut off the store", func(r *instance) *link.TCP { return r.store }, link.Conditions{BlockForward: true, BlockBack: true})
 	}},
 	{"store's answers lost", func(s *injection) {
-		s.degradeLink("store's answers lost", func(r *instance) *link.TCP { return r.store }, link.Weather{SilentOut: true})
+		s.degradeLink("store's answers lost", func(r *instance) *link.TCP { return r.store }, link.Conditions{BlockBack: true})
 	}},
 	{"link to the store slow", func(s *injection) {
-		s.degradeLink("link to the store slow", func(r *instance) *link.TCP { return r.store }, link.Weather{Rate: 200_000})
+		s.degradeLink("link to the store slow", func(r *instance) *link.TCP { return r.store }, link.Conditions{Rate: 200_000})
 	}},
 	{"beliefs of an instance silent", func(s *injection) {
-		s.degradeLink("beliefs of an instance silent", func(r *instance) *link.TCP { return r.peers }, link.Weather{SilentOut: true})
+		s.degradeLink("beliefs of an instance silent", func(r *instance) *link.TCP { return r.peers }, link.Conditions{BlockBack: true})
 	}},
 	{"beliefs of an instance slow", func(s *injection) {
-		s.degradeLink("beliefs of an instance slow", func(r *instance) *link.TCP { return r.peers }, link.Weather{Rate: 50_000})
+		s.degradeLink("beliefs of an instance slow", func(r *instance) *link.TCP { return r.peers }, link.Conditions{Rate: 50_000})
 	}},
 	{"instance cut off the others", func(s *injection) { s.withInstance(s.cutGossip) }},
 	{"datagrams lost, doubled, late", func(s *injection) { s.disturbGossip() }},
 	{"regions cut off each other", func(s *injection) { s.cutRegions("regions cut off each other", true) }},
 	{"regions cut off one way", func(s *injection) { s.cutRegions("regions cut off one way", false) }},
 	{"store refuses", func(s *injection) { s.failStore("store refuses", standin.Busy) }},
-	{"store counts too many calls", func(s *injection) { s.failStore("store counts too many calls", standin.Many) }},
+	{"store counts too many calls", func(s *injection) { s.failStore("store counts too many calls", standin.Throttled) }},
 	{"store silent", func(s *injection) { s.failStore("store silent", standin.Silent) }},
 	{"store resets", func(s *injection) { s.failStore("store resets", standin.Reset) }},
 	{"store slow", func(s *injection) { s.slowStore() }},
-	{"store forgets its history", func(s *injection) { s.instant("store forgets its history", s.site.store.Forget) }},
+	{"store forgets its history", func(s *injection) { s.instant("store forgets its history", s.site.store.DropHistory) }},
 	{"route moved", func(s *injection) { s.planned("route moved", s.moveRoute) }},
 	{"configurations in quick succession", func(s *injection) { s.publishRapidly() }},
 	{"homes changed", func(s *injection) { s.changeHomes() }},
@@ -98,11 +98,11 @@
 	{"data centre evacuated", func(s *injection) { s.evacuate() }},
 	{"endpoint added cold", func(s *injection) { s.addCold() }},
 	{"endpoint silent", func(s *injection) {
-		s.degradeEndpointLink("endpoint silent", link.Weather{Silent: true, SilentOut: true})
+		s.degradeEndpointLink("endpoint silent", link.Conditions{BlockForward: true, BlockBack: true})
 	}},
-	{"endpoint's answers cut", func(s *injection) { s.degradeEndpointLink("endpoint's answers cut", link.Weather{Cut: 300}) }},
+	{"endpoint's answers cut", func(s *injection) { s.degradeEndpointLink("endpoint's answers cut", link.Conditions{ResetAfter: 300}) }},
 	{"endpoint slow", func(s *injection) {
-		s.degradeEndpointLink("endpoint slow", link.Weather{Delay: 150 * time.Millisecond})
+		s.degradeEndpointLink("endpoint slow", link.Conditions{Delay: 150 * time.Millisecond})
 	}},
 	{"endpoint's connections reset", func(s *injection) { s.resetEndpoint() }},
 	{"endpoint's connections silent", func(s *injection) { s.silenceEndpointConnections() }},
@@ -114,7 +114,7 @@
 	}},
 	{"endpoint fails", func(s *injection) { s.changeBehaviour("endpoint fails", func(b *standin.Behaviour) { b.Status = 500 }) }},
 	{"endpoint hangs", func(s *injection) {
-		s.changeBehaviour("endpoint hangs", func(b *standin.Behaviour) { b.Hang = 3 * time.Second })
+		s.changeBehaviour("endpoint hangs", func(b *standin.Behaviour) { b.Delay = 3 * time.Second })
 	}},
 	{"endpoint refuses", func(s *injection) {
 		s.changeBehaviour("endpoint refuses", func(b *standin.Behaviour) { b.Shed = true })
@@ -126,10 +126,10 @@
 	{"endpoint names odd limits", func(s *injection) { s.nameOddLimits() }},
 	{"endpoint leaves, as its answers say", func(s *injection) { s.leaveByAnswers() }},
 	{"endpoint breaks off", func(s *injection) {
-		s.changeBehaviour("endpoint breaks off", func(b *standin.Behaviour) { b.Cut, b.CutAfter, b.Mid = true, 3, true })
+		s.changeBehaviour("endpoint breaks off", func(b *standin.Behaviour) { b.Cut, b.CutAfter, b.CutMidEvent = true, 3, true })
 	}},
 	{"endpoint answers twice", func(s *injection) {
-		s.changeBehaviour("endpoint answers twice", func(b *standin.Behaviour) { b.Extra = true })
+		s.changeBehaviour("endpoint answers twice", func(b *standin.Behaviour) { b.ExtraResponse = true })
 	}},
 	{"endpoint sends what is no answer", func(s *injection) {
 		s.changeBehaviour("endpoint sends what is no answer", func(b *standin.Behaviour) { b.Unsealed = true })
@@ -197,7 +197,7 @@
 }
 
 // apply starts a fault, waits for its duration, ends it and records it.
-func (s *injection) apply(t Trouble, begin func(), duration time.Duration, end func()) {
+func (s *injection) apply(t Fault, begin func(), duration time.Duration, end func()) {
 	t.From = time.Now()
 	s.run.logFault(t)
 	begin()
@@ -208,7 +208,7 @@
 }
 
 func (s *injection) kill(r *instance) {
-	s.apply(Trouble{Kind: "instance killed", Instance: r.name}, r.kill, restartDelay, func() { s.run.start(r) })
+	s.apply(Fault{Kind: "instance killed", Instance: r.name}, r.kill, restartDelay, func() { s.run.start(r) })
 }
 
 func (s *injection) killDataCentre() {
@@ -234,7 +234,7 @@
 			affected = append(affected, r)
 		}
 	}
-	t := Trouble{Kind: kind, All: all}
+	t := Fault{Kind: kind, AllInstances: all}
 	s.apply(t, func() {
 		for _, r := range affected {
 			r.signal(syscall.SIGKILL)
@@ -254,20 +254,20 @@
 
 // replace retires an instance, starts another one at a new address, and updates the seeds of all.
 func (s *injection) replace(r *instance) {
-	s.apply(Trouble{Kind: "instance replaced at another address", Instance: r.name}, func() {
+	s.apply(Fault{Kind: "instance replaced at another address", Instance: r.name}, func() {
 		r.kill()
 		s.run.fleet.retire(r)
 	}, restartDelay, func() { s.run.replace(r.dataCentre) })
 }
 
 func (s *injection) pause(r *instance) {
-	s.apply(Trouble{Kind: "instance paused", Instance: r.name}, func() { r.signal(syscall.SIGSTOP) },
+	s.apply(Fault{Kind: "instance paused", Instance: r.name}, func() { r.signal(syscall.SIGSTOP) },
 		randomDuration(s.rng, maxPause), func() { r.signal(syscall.SIGCONT) })
 }
 
 // stop shuts an instance down and starts it again.
 func (s *injection) stop(r *instance) {
-	s.apply(Trouble{Kind: "instance stopped", Instance: r.name, Planned: true}, func() {
+	s.apply(Fault{Kind: "instance stopped", Instance: r.name, Planned: true}, func() {
 		if !r.stop() {
 			s.run.note(fmt.Sprintf("%s did not exit within the grace period", r.name))
 		}
@@ -287,7 +287,7 @@
 
 // reload rewrites the settings of an instance and signals it to reload them.
 func (s *injection) reload(r *instance, faulty bool) {
-	s.apply(Trouble{Kind: "settings reloaded", Instance: r.name, Planned: true, Spares: true}, func() {
+	s.apply(Fault{Kind: "settings reloaded", Instance: r.name, Planned: true, KeepsContact: true}, func() {
 		s.run.writeSettings(r, faulty)
 		r.signal(syscall.SIGHUP)
 	}, s.duration, func() {
@@ -297,17 +297,17 @@
 }
 
 func (s *injection) resetCallers(r *instance) {
-	s.apply(Trouble{Kind: "callers' connections reset", Instance: r.name}, r.callers.Reset, 0, func() {})
+	s.apply(Fault{Kind: "callers' connections reset", Instance: r.name}, r.callers.Reset, 0, func() {})
 }
 
 // degradeLink changes the conditions of one of a random instance's links.
-func (s *injection) degradeLink(kind string, which func(*instance) *link.TCP, w link.Weather) {
+func (s *injection) degradeLink(kind string, which func(*instance) *link.TCP, w link.Conditions) {
 	s.withInstance(func(r *instance) {
-		l, normal := which(r), link.Weather{}
+		l, normal := which(r), link.Conditions{}
 		if l == r.peers {
 			normal = r.peersConditions()
 		}
-		s.apply(Trouble{Kind: kind, Instance: r.name}, func() { l.Set(w) }, s.duration, func() {
+		s.apply(Fault{Kind: kind, Instance: r.name}, func() { l.Set(w) }, s.duration, func() {
 			l.Set(normal)
 			l.Reset()
 		})
@@ -316,13 +316,15 @@
 
 // silenceConnections silences the open connections of one of a random instance's links for good.
 func (s *injection) silenceConnections(kind string, which func(*instance) *link.TCP) {
-	s.withInstance(func(r *instance) { s.apply(Trouble{Kind: kind, Instance: r.name}, which(r).Hush, 0, func() {}) })
+	s.withInstance(func(r *instance) { s.apply(Fault{Kind: kind, Instance: r.name}, which(r).Silence, 0, func() {}) })
 }
 
 func (s *injection) cutGossip(r *instance) {
-	s.apply(Trouble{Kind: "instance cut off the others", Instance: r.name}, func() {
-		s.run.fleet.setDatagramFault(s, func(from, to *instance) link.Sky { return link.Sky{Cut: from == r || to == r} })
-		r.peers.Set(link.Weather{Silent: true, SilentOut: true})
+	s.apply(Fault{Kind: "instance cut off the others", Instance: r.name}, func() {
+		s.run.fleet.setDatagramFault(s, func(from, to *instance) link.DatagramConditions {
+			return link.DatagramConditions{Cut: from == r || to == r}
+		})
+		r.peers.Set(link.Conditions{BlockForward: true, BlockBack: true})
 	}, s.duration, func() {
 		s.run.fleet.setDatagramFault(s, nil)
 		r.peers.Set(r.peersConditions())
@@ -330,27 +332,27 @@
 }
 
 func (s *injection) disturbGossip() {
-	sky := link.Sky{Lose: 0.2, Double: 0.2, Late: 80 * time.Millisecond}
-	s.apply(Trouble{Kind: "datagrams lost, doubled, late"}, func() {
-		s.run.fleet.setDatagramFault(s, func(*instance, *instance) link.Sky { return sky })
+	sky := link.DatagramConditions{Loss: 0.2, Duplicate: 0.2, Jitter: 80 * time.Millisecond}
+	s.apply(Fault{Kind: "datagrams lost, doubled, late"}, func() {
+		s.run.fleet.setDatagramFault(s, func(*instance, *instance) link.DatagramConditions { return sky })
 	}, s.duration, func() {
 		s.run.fleet.setDatagramFault(s, nil)
 	})
 }
 
-func (s *injection) failStore(kind string, t standin.Trouble) {
-	s.apply(Trouble{Kind: kind}, func() { s.site.store.SetTrouble(t) }, s.duration, func() { s.site.store.SetTrouble(standin.None) })
+func (s *injection) failStore(kind string, t standin.Fault) {
+	s.apply(Fault{Kind: kind}, func() { s.site.store.SetFault(t) }, s.duration, func() { s.site.store.SetFault(standin.None) })
 }
 
 func (s *injection) slowStore() {
-	s.apply(Trouble{Kind: "store slow"}, func() { s.site.store.SetSlow(300 * time.Millisecond) }, s.duration, func() { s.site.store.SetSlow(0) })
+	s.apply(Fault{Kind: "store slow"}, func() { s.site.store.SetDelay(300 * time.Millisecond) }, s.duration, func() { s.site.store.SetDelay(0) })
 }
 
-func (s *injection) instant(kind string, do func()) { s.apply(Trouble{Kind: kind}, do, 0, func() {}) }
+func (s *injection) instant(kind string, do func()) { s.apply(Fault{Kind: kind}, do, 0, func() {}) }
 
 // planned performs a planned operation, which must not lose requests.
 func (s *injection) planned(kind string, do func()) {
-	s.apply(Trouble{Kind: kind, Planned: true, Spares: true}, do, 0, func() {})
+	s.apply(Fault{Kind: kind, Planned: true, KeepsContact: true}, do, 0, func() {})
 }
 
 // moveRoute switches the route "moved" to the other plain service.
@@ -408,7 +410,7 @@
 	if announce {
 		kind = "endpoint leaves"
 	}
-	s.run.logFault(Trouble{Kind: kind, Endpoint: e.server.ID})
+	s.run.logFault(Fault{Kind: kind, Endpoint: e.server.ID})
 	if announce {
 		s.site.announceLeaving(e)
 		s.run.wait(drainPeriod)
@@ -418,26 +420,26 @@
 }
 
 // degradeEndpointLink changes the conditions of a random endpoint's link.
-func (s *injection) degradeEndpointLink(kind string, w link.Weather) {
+func (s *injection) degradeEndpointLink(kind string, w link.Conditions) {
 	e := s.site.randomEndpoint(s.rng, 1)
 	if e == nil {
 		return
 	}
-	s.apply(Trouble{Kind: kind, Endpoint: e.server.ID}, func() { e.link.Set(w) }, s.duration, func() {
-		e.link.Set(link.Weather{})
+	s.apply(Fault{Kind: kind, Endpoint: e.server.ID}, func() { e.link.Set(w) }, s.duration, func() {
+		e.link.Set(link.Conditions{})
 		e.link.Reset()
 	})
 }
 
 func (s *injection) resetEndpoint() {
 	if e := s.site.randomEndpoint(s.rng, 1); e != nil {
-		s.apply(Trouble{Kind: "endpoint's connections reset", Endpoint: e.server.ID}, e.link.Reset, 0, func() {})
+		s.apply(Fault{Kind: "endpoint's connections reset", Endpoint: e.server.ID}, e.link.Reset, 0, func() {})
 	}
 }
 
 func (s *injection) silenceEndpointConnections() {
 	if e := s.site.randomEndpoint(s.rng, 1); e != nil {
-		s.apply(Trouble{Kind: "endpoint's connections silent", Endpoint: e.server.ID}, e.link.Hush, 0, func() {})
+		s.apply(Fault{Kind: "endpoint's connections silent", Endpoint: e.server.ID}, e.link.Silence, 0, func() {})
 	}
 }
 
@@ -449,9 +451,9 @@
 	}
 	b := normalBehaviour[e.server.Service]
 	change(&b)
-	s.apply(Trouble{Kind: kind, Endpoint: e.server.ID}, func() { e.server.Behave(b) }, s.duration, func() { e.server.Behave(normalBehaviour[e.server.Service]) })
+	s.apply(Fault{Kind: kind, Endpoint: e.server.ID}, func() { e.server.SetBehaviour(b) }, s.duration, func() { e.server.SetBehaviour(normalBehaviour[e.server.Service]) })
 }
 
 func (s *injection) burst() {
-	s.apply(Trouble{Kind: "burst", Spares: true}, func() { s.run.callers.setRate(s.run.Rate * burstFactor) }, s.duration, func() { s.run.callers.setRate(s.run.Rate) })
+	s.apply(Fault{Kind: "burst", KeepsContact: true}, func() { s.run.callers.setRate(s.run.Rate * burstFactor) }, s.duration, func() { s.run.callers.setRate(s.run.Rate) })
 }
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -64,7 +64,7 @@
 // A fleet manages the instances.
 type fleet struct {
 	binary    string
-	older     Older
+	older     Build
 	dir       string // for settings and logs
 	net       int    // second octet of the addresses
 	store     string
@@ -80,7 +80,7 @@
 
 func newFleet(p *Params, store string, exits func(Exit)) *fleet {
 	f := &fleet{
-		binary: p.Binary, older: p.Older, dir: p.Dir, net: p.Net, store: store, gossip: link.NewSwitch(p.Seed), datagrams: newDatagramFaults(),
+		binary: p.Binary, older: p.PreviousBuild, dir: p.Dir, net: p.Subnet, store: store, gossip: link.NewSwitch(p.Seed), datagrams: newDatagramFaults(),
 		onExit: exits, spawn: make(chan func()),
 	}
 	f.gossip.Set(f.datagramConditions)
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -60,17 +60,17 @@
 		b := normal
 		b.Limit = rate
 		for _, e := range affected {
-			e.server.Behave(b)
+			e.server.SetBehaviour(b)
 		}
 	}
 	rates := []string{first[s.rng.IntN(len(first))], second[s.rng.IntN(len(second))]}
-	s.apply(Trouble{Kind: kind, Endpoint: e.server.ID}, func() {
+	s.apply(Fault{Kind: kind, Endpoint: e.server.ID}, func() {
 		announce(rates[0])
 		s.run.wait(limitsDuration / 2)
 		announce(rates[1])
 	}, limitsDuration/2, func() {
 		for _, e := range affected {
-			e.server.Behave(normal)
+			e.server.SetBehaviour(normal)
 		}
 	})
 }
@@ -83,7 +83,7 @@
 
 // checkLimit: an endpoint that announces a limit receives no more requests than it allows from the
 // instances that know the limit.
-func (b *Books) checkLimit() (out []string) {
+func (b *Record) checkLimit() (out []string) {
 	byEndpoint := make(map[string][]arrival)
 	for p, runs := range b.runsByPair() {
 		byEndpoint[p.endpoint] = append(byEndpoint[p.endpoint], runs...)
@@ -116,7 +116,7 @@
 
 // limitExceeded describes the first window in which an endpoint received too many requests; empty
 // if there is none. The highest limit announced since Bounds.Contact before the window applies.
-func (b *Books) limitExceeded(endpoint string, announced []limitedRun) string {
+func (b *Record) limitExceeded(endpoint string, announced []limitedRun) string {
 	counted := slices.DeleteFunc(slices.Clone(announced), func(r limitedRun) bool { return !b.knewLimit(announced, r.arrival) })
 	for i, first := range counted {
 		n, limit := 0, 0.0
@@ -139,7 +139,7 @@
 
 // knewLimit reports whether a run's instance had forwarded a response that announced the limit,
 // and was not disturbed since.
-func (b *Books) knewLimit(announced []limitedRun, run arrival) bool {
+func (b *Record) knewLimit(announced []limitedRun, run arrival) bool {
 	for _, r := range slices.Backward(announced) {
 		if r.request.Instance == run.request.Instance && !r.Ended.IsZero() && !r.Ended.Add(limitKnownDelay).After(run.At) {
 			return !b.limitExcused(run.request.Instance, r.Ended, run.At)
@@ -150,11 +150,11 @@
 
 // limitExcused reports whether an instance was stopped, paused or cut off between from and to.
 // Faults of the store and planned operations on the whole site are no excuse.
-func (b *Books) limitExcused(instance string, from, to time.Time) bool {
-	for i := range b.Troubles {
-		t := &b.Troubles[i]
+func (b *Record) limitExcused(instance string, from, to time.Time) bool {
+	for i := range b.Faults {
+		t := &b.Faults[i]
 		ofAll := t.Instance == "" && !t.Planned && !strings.HasPrefix(t.Kind, "store")
-		if !t.Spares && t.Endpoint == "" && (ofAll || t.Instance == instance) && t.during(from, to) {
+		if !t.KeepsContact && t.Endpoint == "" && (ofAll || t.Instance == instance) && t.during(from, to) {
 			return true
 		}
 	}
--- a/soak/mixed_builds.go
+++ b/soak/mixed_builds.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// Older describes an earlier build of the daemon, which every second instance runs at first.
-type Older struct {
-	Binary string   // path; empty: none
-	Lacks  []string // settings that the build does not know
-	Rules  []string // rules that the build does not fulfil; they are checked for newer instances only
+// Build describes an earlier build of the daemon, which every second instance runs at first.
+type Build struct {
+	Binary          string   // path; empty: none
+	UnknownSettings []string // settings that the build does not know
+	UnknownRules    []string // rules that the build does not fulfil; they are checked for newer instances only
 }
 
 // removeUnknownSettings removes the lines of settings that the build does not know.
-func (o *Older) removeUnknownSettings(text string) string {
+func (o *Build) removeUnknownSettings(text string) string {
 	lines := strings.SplitAfter(text, "\n")
 	lines = slices.DeleteFunc(lines, func(line string) bool {
 		name, _, _ := strings.Cut(strings.TrimSpace(line), ":")
-		return slices.Contains(o.Lacks, name)
+		return slices.Contains(o.UnknownSettings, name)
 	})
 	return strings.Join(lines, "")
 }
 
-// An OlderSpan is a period in which an instance ran the older build.
-type OlderSpan struct {
+// An OlderBuildPeriod is a period in which an instance ran the older build.
+type OlderBuildPeriod struct {
 	Instance string
 	From, To time.Time // To zero: until the end of the run
 }
@@ -57,14 +57,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	spans := s.books.OlderSpans
+	spans := s.books.OlderBuildPeriods
 	for i := range spans {
 		if spans[i].Instance == r.name && spans[i].To.IsZero() {
 			spans[i].To = now
 		}
 	}
 	if r.isOlder() {
-		s.books.OlderSpans = append(spans, OlderSpan{Instance: r.name, From: now})
+		s.books.OlderBuildPeriods = append(spans, OlderBuildPeriod{Instance: r.name, From: now})
 	}
 }
 
@@ -93,7 +93,7 @@
 		if r.isOlder() == older(n) {
 			continue
 		}
-		s.apply(Trouble{Kind: "build replaced", Instance: r.name, Planned: true}, func() {
+		s.apply(Fault{Kind: "build replaced", Instance: r.name, Planned: true}, func() {
 			if !r.stop() {
 				s.run.note(r.name + " did not exit within the grace period")
 			}
@@ -105,8 +105,8 @@
 }
 
 // wasOlder reports whether q was sent to an instance of the older build.
-func (b *Books) wasOlder(q *Request) bool {
-	return slices.ContainsFunc(b.OlderSpans, func(s OlderSpan) bool {
+func (b *Record) wasOlder(q *Request) bool {
+	return slices.ContainsFunc(b.OlderBuildPeriods, func(s OlderBuildPeriod) bool {
 		return s.Instance == q.Instance && q.Sent.Before(orFarFuture(s.To)) && q.Done.After(s.From)
 	})
 }
@@ -120,16 +120,16 @@
 }
 
 // withoutOlder returns the observations without the requests to instances of the older build.
-func (b *Books) withoutOlder() *Books {
-	if len(b.OlderSpans) == 0 {
+func (b *Record) withoutOlder() *Record {
+	if len(b.OlderBuildPeriods) == 0 {
 		return b
 	}
 	out := *b
 	out.Requests = make(map[string]*Request, len(b.Requests))
-	out.Runs = make(map[string][]Run, len(b.Runs))
+	out.Deliveries = make(map[string][]Delivery, len(b.Deliveries))
 	for id, q := range b.Requests {
 		if !b.wasOlder(q) {
-			out.Requests[id], out.Runs[id] = q, b.Runs[id]
+			out.Requests[id], out.Deliveries[id] = q, b.Deliveries[id]
 		}
 	}
 	return &out
--- a/soak/record.go
+++ b/soak/record.go
@@ -50,8 +50,8 @@
 
 // A Request is one attempt by a caller and its response. A caller's retry is a Request of its own.
 type Request struct {
-	standin.Ask
-	standin.Reply
+	standin.Request
+	standin.Response
 	Team       string // owner of the key
 	Route      string
 	Instance   string
@@ -61,30 +61,30 @@
 	Priority   int    // 0 is the most urgent
 	Sent       time.Time
 	Done       time.Time
-	Left       bool // the caller cancelled at Done, before the response was complete
+	Cancelled  bool // the caller cancelled at Done, before the response was complete
 	Steady     bool // the caller never stops sending or reading, though it may be slow
 }
 
-// A Run is a request as an endpoint received it.
-type Run struct {
-	standin.Received
+// A Delivery is a request as an endpoint received it.
+type Delivery struct {
+	standin.ReceivedRequest
 	Endpoint string
 	Service  string
 
 	DataCentre string // of the endpoint
 }
 
-// A Trouble is an injected fault or a planned operation that affected an instance, an endpoint or
+// A Fault is an injected fault or a planned operation that affected an instance, an endpoint or
 // the whole site.
-type Trouble struct {
-	Kind     string
-	Instance string // empty: all instances, unless Endpoint is set
-	Endpoint string // empty: not of an endpoint
-	From     time.Time
-	To       time.Time
-	Planned  bool // a stop, reload or configuration change, which must not lose requests
-	Spares   bool // instances stay in contact during it
-	All      bool // all instances were lost
+type Fault struct {
+	Kind         string
+	Instance     string // empty: all instances, unless Endpoint is set
+	Endpoint     string // empty: not of an endpoint
+	From         time.Time
+	To           time.Time
+	Planned      bool // a stop, reload or configuration change, which must not lose requests
+	KeepsContact bool // instances stay in contact during it
+	AllInstances bool // all instances were lost
 }
 
 // A Departure is an endpoint's leaving notice.
@@ -109,37 +109,37 @@
 	Ready       bool
 }
 
-// Books are the observations of a run.
-type Books struct {
+// Record are the observations of a run.
+type Record struct {
 	Bounds     Bounds
 	Versions   []Version
-	Requests   map[string]*Request // by ID
-	Runs       map[string][]Run    // by request ID, in order of arrival
-	Troubles   []Trouble
+	Requests   map[string]*Request   // by ID
+	Deliveries map[string][]Delivery // by request ID, in order of arrival
+	Faults     []Fault
 	Departures []Departure
 
-	Evacuations []Evacuation
-	Colds       []Cold
-	Rushes      []Rush
-	Deadlies    []Deadly
+	Evacuations   []Evacuation
+	ColdPeriods   []ColdPeriod
+	Rushes        []Rush
+	CrashRequests []CrashRequest
 
-	OlderSpans []OlderSpan
-	OlderRules []string // not checked for requests to the older build
+	OlderBuildPeriods []OlderBuildPeriod
+	OlderRules        []string // not checked for requests to the older build
 
-	Exits      []Exit
-	Footprints []Footprint
-	Calm       time.Time // when the site has recovered from the last fault; zero: not reached
+	Exits       []Exit
+	Footprints  []Footprint
+	RecoveredAt time.Time // when the site has recovered from the last fault; zero: not reached
 }
 
 // during reports whether t overlaps the interval from from to to.
-func (t *Trouble) during(from, to time.Time) bool { return t.From.Before(to) && t.To.After(from) }
+func (t *Fault) during(from, to time.Time) bool { return t.From.Before(to) && t.To.After(from) }
 
 // inContact reports whether no fault affected an instance between Bounds.Contact before from and
 // to.
-func (b *Books) inContact(instance string, from, to time.Time) bool {
-	for i := range b.Troubles {
-		t := &b.Troubles[i]
-		if !t.Spares && t.Endpoint == "" && (t.Instance == "" || t.Instance == instance) && t.during(from.Add(-b.Bounds.Contact), to) {
+func (b *Record) inContact(instance string, from, to time.Time) bool {
+	for i := range b.Faults {
+		t := &b.Faults[i]
+		if !t.KeepsContact && t.Endpoint == "" && (t.Instance == "" || t.Instance == instance) && t.during(from.Add(-b.Bounds.Contact), to) {
 			return false
 		}
 	}
@@ -148,15 +148,15 @@
 
 // onlyPlannedFaults reports whether the instance and the endpoints of q were affected by at least
 // one planned operation and by no other fault.
-func (b *Books) onlyPlannedFaults(q *Request) bool {
+func (b *Record) onlyPlannedFaults(q *Request) bool {
 	planned := false
-	for i := range b.Troubles {
-		t := &b.Troubles[i]
+	for i := range b.Faults {
+		t := &b.Faults[i]
 		if !t.during(q.Sent.Add(-b.Bounds.Contact), q.Done) {
 			continue
 		}
 		relevant := t.Endpoint == "" && (t.Instance == "" || t.Instance == q.Instance)
-		for _, r := range b.Runs[q.ID] {
+		for _, r := range b.Deliveries[q.ID] {
 			relevant = relevant || r.Endpoint == t.Endpoint
 		}
 		if relevant && !t.Planned {
@@ -170,7 +170,7 @@
 // possibleVersions returns the versions that may apply to a request that was sent at sent and done
 // at done: the newest one acknowledged at least Bounds.Propagation before sent, and every later
 // one published by done.
-func (b *Books) possibleVersions(sent, done time.Time) []*Version {
+func (b *Record) possibleVersions(sent, done time.Time) []*Version {
 	first := 0
 	for i := range b.Versions {
 		if v := &b.Versions[i]; !v.Acked.IsZero() && sent.After(v.Acked.Add(b.Bounds.Propagation)) {
--- a/soak/regions.go
+++ b/soak/regions.go
@@ -21,35 +21,35 @@
 )
 
 // A datagramFault returns the conditions that a fault imposes on datagrams between two instances.
-type datagramFault func(from, to *instance) link.Sky
+type datagramFault func(from, to *instance) link.DatagramConditions
 
 // datagramFaults combines the link between regions with the active datagram faults.
 type datagramFaults struct {
-	north, south *link.Narrow // towards that region
+	north, south *link.Bottleneck // towards that region
 	faults       map[*injection]datagramFault
 }
 
 func newDatagramFaults() *datagramFaults {
 	return &datagramFaults{
-		north: link.NewNarrow(regionRate, regionQueueDelay), south: link.NewNarrow(regionRate, regionQueueDelay),
+		north: link.NewBottleneck(regionRate, regionQueueDelay), south: link.NewBottleneck(regionRate, regionQueueDelay),
 		faults: make(map[*injection]datagramFault),
 	}
 }
 
 // between returns the conditions of datagrams between two instances: the worst of all active
 // faults.
-func (k *datagramFaults) between(from, to *instance) link.Sky {
-	out := link.Sky{}
+func (k *datagramFaults) between(from, to *instance) link.DatagramConditions {
+	out := link.DatagramConditions{}
 	if regionOf[from.dataCentre] != regionOf[to.dataCentre] {
-		out.Delay, out.Through = regionDelay, k.north
+		out.Delay, out.Bottleneck = regionDelay, k.north
 		if regionOf[to.dataCentre] == south {
-			out.Through = k.south
+			out.Bottleneck = k.south
 		}
 	}
 	for _, fault := range k.faults {
 		s := fault(from, to)
 		out.Cut = out.Cut || s.Cut
-		out.Lose, out.Double, out.Late = max(out.Lose, s.Lose), max(out.Double, s.Double), max(out.Late, s.Late)
+		out.Loss, out.Duplicate, out.Jitter = max(out.Loss, s.Loss), max(out.Duplicate, s.Duplicate), max(out.Jitter, s.Jitter)
 	}
 	return out
 }
@@ -66,12 +66,12 @@
 }
 
 // datagramConditions returns the conditions of datagrams between two instances, by name.
-func (f *fleet) datagramConditions(from, to string) link.Sky {
+func (f *fleet) datagramConditions(from, to string) link.DatagramConditions {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	a, b := f.lookup(from), f.lookup(to)
 	if a == nil || b == nil {
-		return link.Sky{}
+		return link.DatagramConditions{}
 	}
 	return f.datagrams.between(a, b)
 }
@@ -87,22 +87,22 @@
 }
 
 // peersConditions returns the conditions of r's link for peers while no fault affects it.
-func (r *instance) peersConditions() link.Weather {
+func (r *instance) peersConditions() link.Conditions {
 	if regionOf[r.dataCentre] == south {
-		return link.Weather{Delay: regionDelay, Rate: regionRate}
+		return link.Conditions{Delay: regionDelay, Rate: regionRate}
 	}
-	return link.Weather{}
+	return link.Conditions{}
 }
 
 // cutRegions partitions the regions, or blocks only the direction from the south to the north. All
 // instances stay connected to the store and to their own region, so no rule is excused.
 func (s *injection) cutRegions(kind string, both bool) {
-	conditions := link.Weather{Silent: both, SilentOut: true}
+	conditions := link.Conditions{BlockForward: both, BlockBack: true}
 	var affected []*instance
-	s.apply(Trouble{Kind: kind, Spares: true}, func() {
-		s.run.fleet.setDatagramFault(s, func(from, to *instance) link.Sky {
+	s.apply(Fault{Kind: kind, KeepsContact: true}, func() {
+		s.run.fleet.setDatagramFault(s, func(from, to *instance) link.DatagramConditions {
 			a, b := regionOf[from.dataCentre], regionOf[to.dataCentre]
-			return link.Sky{Cut: a != b && (both || a == south)}
+			return link.DatagramConditions{Cut: a != b && (both || a == south)}
 		})
 		for _, r := range s.run.fleet.live() {
 			if regionOf[r.dataCentre] == south {
--- a/soak/report.go
+++ b/soak/report.go
@@ -15,25 +15,25 @@
 type Counts struct {
 	Requests   int
 	Served     int // status 200, complete
-	Broken     int // status 200, truncated
+	Truncated  int // status 200, truncated
 	Refused    int // rejected with a status that means not executed
 	Failed     int // any other status
 	Unanswered int // connection closed without a response
-	Left       int // cancelled by their callers
+	Cancelled  int // cancelled by their callers
 }
 
 // Count returns the numbers of requests by outcome.
 func (r *Result) Count() Counts {
 	var c Counts
-	for _, q := range r.Books.Requests {
+	for _, q := range r.Record.Requests {
 		c.Requests++
 		switch {
-		case q.Status == http.StatusOK && q.Whole:
+		case q.Status == http.StatusOK && q.Complete:
 			c.Served++
-		case q.Left:
-			c.Left++
+		case q.Cancelled:
+			c.Cancelled++
 		case q.Status == http.StatusOK:
-			c.Broken++
+			c.Truncated++
 		case meansNotExecuted(q.Status):
 			c.Refused++
 		case q.Status == 0:
@@ -47,8 +47,8 @@
 
 // inContact returns the number of requests sent to instances in contact, which most rules require.
 func (r *Result) inContact() (n int) {
-	for _, q := range r.Books.Requests {
-		if r.Books.inContact(q.Instance, q.Sent, q.Done) {
+	for _, q := range r.Record.Requests {
+		if r.Record.inContact(q.Instance, q.Sent, q.Done) {
 			n++
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 func (r *Result) runs() (n int) {
-	for _, runs := range r.Books.Runs {
+	for _, runs := range r.Record.Deliveries {
 		n += len(runs)
 	}
 	return n
@@ -65,28 +65,28 @@
 // Write writes the result as text.
 func (r *Result) Write(w io.Writer) {
 	c := r.Count()
-	fmt.Fprintf(w, "seed %d: %d instances, faults for %v, ready %v after the start\n", r.Seed, r.Instances, r.For, r.Serving.Round(time.Millisecond))
+	fmt.Fprintf(w, "seed %d: %d instances, faults for %v, ready %v after the start\n", r.Seed, r.Instances, r.Duration, r.StartupTime.Round(time.Millisecond))
 	fmt.Fprintf(w, "requests %d: served %d, broken off %d, refused %d, failed %d, without an answer %d, left by their callers %d\n",
-		c.Requests, c.Served, c.Broken, c.Refused, c.Failed, c.Unanswered, c.Left)
+		c.Requests, c.Served, c.Truncated, c.Refused, c.Failed, c.Unanswered, c.Cancelled)
 	fmt.Fprintf(w, "from instances in touch %d, runs at endpoints %d, troubles %d, versions %d, endpoints that left %d\n",
-		r.inContact(), r.runs(), len(r.Books.Troubles), len(r.Books.Versions), len(r.Books.Departures))
-	for _, d := range r.Returns {
+		r.inContact(), r.runs(), len(r.Record.Faults), len(r.Record.Versions), len(r.Record.Departures))
+	for _, d := range r.RecoveryTimes {
 		fmt.Fprintf(w, "after a loss of all, ready again in %v\n", d.Round(time.Millisecond))
 	}
 	for _, kind := range sortedKeys(r.Faults) {
 		fmt.Fprintf(w, "  %3d x %s\n", r.Faults[kind], kind)
 	}
-	for _, f := range r.Books.Footprints {
+	for _, f := range r.Record.Footprints {
 		fmt.Fprintf(w, "  %s: %d descriptors, %d goroutines, %d MB\n", f.Instance, f.Descriptors, f.Goroutines, f.MemoryMB)
 	}
 	for _, note := range r.Notes {
 		fmt.Fprintf(w, "note: %s\n", note)
 	}
 	fmt.Fprintf(w, "promises checked: %s\n", strings.Join(Rules(), " "))
-	for _, b := range r.Breaches {
+	for _, b := range r.Violations {
 		fmt.Fprintf(w, "BROKEN %s: %s\n", b.Rule, b.What)
 	}
-	if len(r.Breaches) == 0 {
+	if len(r.Violations) == 0 {
 		fmt.Fprintln(w, "no promise was broken")
 	}
 }
@@ -107,8 +107,8 @@
 	for s := range served {
 		highest = max(highest, served[s]+other[s])
 	}
-	troubles := slices.Clone(r.Books.Troubles)
-	slices.SortFunc(troubles, func(a, b Trouble) int { return a.From.Compare(b.From) })
+	troubles := slices.Clone(r.Record.Faults)
+	slices.SortFunc(troubles, func(a, b Fault) int { return a.From.Compare(b.From) })
 	width, height := leftMargin+len(served)*secondWidth, barsHeight+lineHeight*(len(troubles)+2)
 	fmt.Fprintf(w, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="10">`+"\n", width, height)
 	fmt.Fprintf(w, `<text x="4" y="12">seed %d: requests a second (at most %d), served dark, not served red</text>`+"\n", r.Seed, highest)
@@ -128,7 +128,7 @@
 	fmt.Fprintln(w, "</svg>")
 }
 
-func colour(t *Trouble) string {
+func colour(t *Fault) string {
 	if t.Planned {
 		return "#69c"
 	}
@@ -143,15 +143,15 @@
 // requests are not counted.
 func (r *Result) seconds() (served, other []int) {
 	last := 0
-	for _, q := range r.Books.Requests {
+	for _, q := range r.Record.Requests {
 		last = max(last, int(q.Sent.Sub(r.Began).Seconds()))
 	}
 	served, other = make([]int, last+1), make([]int, last+1)
-	for _, q := range r.Books.Requests {
+	for _, q := range r.Record.Requests {
 		s := max(0, int(q.Sent.Sub(r.Began).Seconds()))
-		if q.Status == http.StatusOK && q.Whole {
+		if q.Status == http.StatusOK && q.Complete {
 			served[s]++
-		} else if !q.Left {
+		} else if !q.Cancelled {
 			other[s]++
 		}
 	}
--- a/soak/residence.go
+++ b/soak/residence.go
@@ -46,14 +46,14 @@
 }
 
 // regionBound reports whether a version that may apply to q excludes it from a region.
-func (b *Books) regionBound(q *Request) bool {
+func (b *Record) regionBound(q *Request) bool {
 	return slices.ContainsFunc(b.possibleVersions(q.Sent, q.Done), func(v *Version) bool { return !v.allowsRegion(q, north) || !v.allowsRegion(q, south) })
 }
 
 // checkHome: no request is sent to an endpoint outside its homes, whether executed there or not.
-func (b *Books) checkHome() (out []string) {
+func (b *Record) checkHome() (out []string) {
 	b.each(func(q *Request) {
-		for _, r := range b.Runs[q.ID] {
+		for _, r := range b.Deliveries[q.ID] {
 			region, known := regionOf[r.DataCentre]
 			if !known || !b.inContact(q.Instance, q.Sent, r.At) {
 				continue
@@ -69,9 +69,9 @@
 
 // earliestSend returns the earliest time at which r may have been sent. Instances evaluate the
 // homes at each send, so this is the arrival, unless a fault may have delayed the endpoint's link.
-func (b *Books) earliestSend(q *Request, r *Run) time.Time {
-	for i := range b.Troubles {
-		if t := &b.Troubles[i]; t.Endpoint == r.Endpoint && t.during(q.Sent, r.At) {
+func (b *Record) earliestSend(q *Request, r *Delivery) time.Time {
+	for i := range b.Faults {
+		if t := &b.Faults[i]; t.Endpoint == r.Endpoint && t.during(q.Sent, r.At) {
 			return q.Sent
 		}
 	}
@@ -86,7 +86,7 @@
 		name = sortedKeys(first)[s.rng.IntN(len(first))]
 	}
 	list := homeLists[s.rng.IntN(len(homeLists))]
-	t := Trouble{Kind: "homes changed", Planned: true, Spares: true}
+	t := Fault{Kind: "homes changed", Planned: true, KeepsContact: true}
 	s.apply(t, func() { s.site.setHomes(lists, name, list) }, deploymentBounds.Propagation+s.duration, func() { s.site.setHomes(lists, name, first[name]) })
 }
 
--- a/soak/run.go
+++ b/soak/run.go
@@ -17,16 +17,16 @@
 
 // Params configure a soak.
 type Params struct {
-	Seed      uint64
-	For       time.Duration // how long faults are injected
-	Instances int
-	Rate      float64  // requests per second
-	Binary    string   // path of the daemon
-	Older     Older    // build that every second instance runs at first
-	Dir       string   // for settings and logs
-	Net       int      // second octet of the loopback addresses 127.NET.x.x; concurrent soaks need different ones
-	Kinds     []string // of faults; empty: all
-	Log       *zap.Logger
+	Seed          uint64
+	Duration      time.Duration // how long faults are injected
+	Instances     int
+	Rate          float64  // requests per second
+	Binary        string   // path of the daemon
+	PreviousBuild Build    // build that every second instance runs at first
+	Dir           string   // for settings and logs
+	Subnet        int      // second octet of the loopback addresses 127.NET.x.x; concurrent soaks need different ones
+	Kinds         []string // of faults; empty: all
+	Log           *zap.Logger
 }
 
 // dataCentres are assigned to instances and endpoints in rotation.
@@ -54,13 +54,13 @@
 // A Result is the outcome of a soak.
 type Result struct {
 	Params
-	Books    *Books
-	Breaches []Breach
-	Faults   map[string]int // number injected by kind
-	Notes    []string
-	Began    time.Time
-	Serving  time.Duration   // from the start of the processes until all were ready
-	Returns  []time.Duration // from the restart after each loss of all instances until one was ready
+	Record        *Record
+	Violations    []Violation
+	Faults        map[string]int // number injected by kind
+	Notes         []string
+	Began         time.Time
+	StartupTime   time.Duration   // from the start of the processes until all were ready
+	RecoveryTimes []time.Duration // from the restart after each loss of all instances until one was ready
 }
 
 // A run is the state of a soak in progress.
@@ -81,20 +81,20 @@
 	rushActive         atomic.Bool // a rush is active, or ended less than its comparison period ago
 }
 
-// Play runs a soak and checks the rules. A violation is reported in the Result; the error, which
+// Run runs a soak and checks the rules. A violation is reported in the Result; the error, which
 // may come together with a Result, says that the soak itself could not be run as planned.
-func Play(ctx context.Context, p Params) (*Result, error) {
+func Run(ctx context.Context, p Params) (*Result, error) {
 	if err := os.MkdirAll(p.Dir, 0o700); err != nil {
 		return nil, errors.Wrap(err, "soak")
 	}
-	kinds, err := selectFaultKinds(p.Kinds, p.Older.Binary != "")
+	kinds, err := selectFaultKinds(p.Kinds, p.PreviousBuild.Binary != "")
 	if err != nil {
 		return nil, err
 	}
-	books := &Books{Bounds: deploymentBounds, Requests: make(map[string]*Request), Runs: make(map[string][]Run), OlderRules: p.Older.Rules}
+	books := &Record{Bounds: deploymentBounds, Requests: make(map[string]*Request), Deliveries: make(map[string][]Delivery), OlderRules: p.PreviousBuild.UnknownRules}
 	r := &run{
 		Params: p, kinds: kinds, site: newSite(books), ctx: ctx, acquired: make(map[*instance]bool),
-		result: &Result{Params: p, Books: books, Faults: make(map[string]int), Began: time.Now()},
+		result: &Result{Params: p, Record: books, Faults: make(map[string]int), Began: time.Now()},
 	}
 	defer r.site.close()
 	r.fleet = newFleet(&p, r.site.store.Address, r.recordExit)
@@ -107,7 +107,7 @@
 	}
 	r.execute()
 	r.site.collectRuns()
-	r.result.Breaches = Check(books)
+	r.result.Violations = Check(books)
 	return r.result, r.failed
 }
 
@@ -132,7 +132,7 @@
 	if !r.awaitReady() {
 		return errors.Errorf("soak: instances not ready within %v of their start", readyTimeout)
 	}
-	r.result.Serving = time.Since(began)
+	r.result.StartupTime = time.Since(began)
 	return nil
 }
 
@@ -175,7 +175,7 @@
 	rng := rand.New(rand.NewPCG(r.Seed, 3))
 	semaphore := make(chan struct{}, maxConcurrentFaults)
 	var active sync.WaitGroup
-	for deadline := time.Now().Add(r.For); time.Now().Before(deadline) && r.ctx.Err() == nil; {
+	for deadline := time.Now().Add(r.Duration); time.Now().Before(deadline) && r.ctx.Err() == nil; {
 		f := r.kinds[rng.IntN(len(r.kinds))]
 		s := &injection{rng: rand.New(rand.NewPCG(rng.Uint64(), 4)), duration: randomDuration(rng, maxFaultDuration), site: r.site, run: r}
 		gap := time.Duration(rng.ExpFloat64() * float64(meanFaultInterval))
@@ -195,7 +195,7 @@
 func (r *run) awaitRecovery() {
 	r.wait(deploymentBounds.Recover)
 	r.site.mu.Lock()
-	r.site.books.Calm = time.Now()
+	r.site.books.RecoveredAt = time.Now()
 	r.site.mu.Unlock()
 	r.wait(calmDuration)
 }
@@ -295,7 +295,7 @@
 			if r.fleet.ready(x) {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				r.result.Returns = append(r.result.Returns, time.Since(began))
+				r.result.RecoveryTimes = append(r.result.RecoveryTimes, time.Since(began))
 				return
 			}
 		}
@@ -311,7 +311,7 @@
 }
 
 // logFault logs and counts a fault.
-func (r *run) logFault(t Trouble) {
+func (r *run) logFault(t Fault) {
 	r.mu.Lock()
 	r.result.Faults[t.Kind]++
 	r.mu.Unlock()
--- a/soak/rush.go
+++ b/soak/rush.go
@@ -37,7 +37,7 @@
 	}
 	defer s.run.rushActive.Store(false)
 	from := time.Now()
-	s.apply(Trouble{Kind: "one team's rush", Spares: true}, func() { s.run.callers.rush(team) }, 0, func() {})
+	s.apply(Fault{Kind: "one team's rush", KeepsContact: true}, func() { s.run.callers.rush(team) }, 0, func() {})
 	s.site.recordRush(Rush{Team: team, Route: rushRoute, From: from, To: time.Now()})
 	s.run.wait(rushBaseline + callDeadline)
 }
@@ -62,7 +62,7 @@
 }
 
 // checkShare: during one team's rush the other teams' success ratio stays close to that before it.
-func (b *Books) checkShare() (out []string) {
+func (b *Record) checkShare() (out []string) {
 	for _, r := range b.Rushes {
 		if b.anyEndpointFaulted(r.From.Add(-rushBaseline), r.To) {
 			continue
@@ -81,12 +81,12 @@
 
 // othersServed counts the requests for the rush's route by other teams, and those of them served.
 // Requests bound to a region are excluded, since fewer endpoints are available to them.
-func (b *Books) othersServed(r *Rush, from, to time.Time) (served, all int) {
+func (b *Record) othersServed(r *Rush, from, to time.Time) (served, all int) {
 	b.each(func(q *Request) {
 		if q.Team == r.Team || q.Route != r.Route || q.Sent.Before(from) || !q.Sent.Before(to) {
 			return
 		}
-		if q.Left || !b.inContact(q.Instance, q.Sent, q.Done) || !b.allowed(q) || b.regionBound(q) {
+		if q.Cancelled || !b.inContact(q.Instance, q.Sent, q.Done) || !b.allowed(q) || b.regionBound(q) {
 			return
 		}
 		all++
--- a/soak/site.go
+++ b/soak/site.go
@@ -25,7 +25,7 @@
 // registryEntry returns the entry that e publishes, with its link's address.
 func (e *endpoint) registryEntry(leaving bool) standin.Entry {
 	out := e.server.Entry()
-	out.Address, out.Leaving = e.link.Address, leaving
+	out.Address, out.Draining = e.link.Address, leaving
 	return out
 }
 
@@ -34,9 +34,9 @@
 
 // normalBehaviour is how the healthy endpoints of each service respond.
 var normalBehaviour = map[string]standin.Behaviour{
-	"app":   {Echo: true, Hang: 15 * time.Millisecond, Most: 40},
-	"other": {Echo: true, Hang: 15 * time.Millisecond, Most: 40},
-	"llm":   {Echo: true, Hang: 40 * time.Millisecond, Events: 12, Pause: 25 * time.Millisecond, Places: 6, Most: 30},
+	"app":   {Echo: true, Delay: 15 * time.Millisecond, MaxInFlight: 40},
+	"other": {Echo: true, Delay: 15 * time.Millisecond, MaxInFlight: 40},
+	"llm":   {Echo: true, Delay: 40 * time.Millisecond, Events: 12, Pause: 25 * time.Millisecond, Slots: 6, MaxInFlight: 30},
 }
 
 // services lists the services with the number of endpoints that each starts with.
@@ -83,7 +83,7 @@
 	store *standin.Store
 
 	mu          sync.Mutex
-	books       *Books
+	books       *Record
 	endpoints   []*endpoint
 	created     int
 	routes      map[string]string   // service by route
@@ -94,7 +94,7 @@
 	version     int
 }
 
-func newSite(b *Books) *site {
+func newSite(b *Record) *site {
 	s := &site{store: standin.NewStore(), books: b, routes: make(map[string]string), keys: make(map[string][]string), routeHomes: firstRouteHomes, teamHomes: firstTeamHomes}
 	for _, k := range callKinds {
 		s.routes[k.route] = k.service
@@ -134,11 +134,11 @@
 	defer s.mu.Unlock()
 	change()
 	s.version += 2
-	c := &standin.Config{Version: s.version, Teams: s.keys, Homes: s.teamHomes}
+	c := &standin.Config{Version: s.version, Teams: s.keys, HomeRegions: s.teamHomes}
 	v := Version{Number: s.version, Routes: make(map[string]Route), Keys: make(map[string]string), RouteHomes: s.routeHomes, TeamHomes: s.teamHomes, Sent: time.Now()}
 	for _, k := range callKinds {
 		route := k.published(k.route, s.routes[k.route])
-		route.Homes = s.routeHomes[k.route]
+		route.HomeRegions = s.routeHomes[k.route]
 		c.Routes = append(c.Routes, route)
 		v.Routes[k.route] = Route{Service: s.routes[k.route], Timeout: k.timeout}
 	}
@@ -195,7 +195,7 @@
 func (s *site) startEndpoint(service, dataCentre string) (*endpoint, error) {
 	s.created++
 	server := standin.NewServer(fmt.Sprintf("e-%d", s.created), service, dataCentre)
-	server.Behave(normalBehaviour[service])
+	server.SetBehaviour(normalBehaviour[service])
 	l, err := link.ListenTCP("127.0.0.1:0", server.Address)
 	if err != nil {
 		return nil, err
@@ -250,10 +250,10 @@
 	defer s.mu.Unlock()
 	for _, e := range s.endpoints {
 		for _, got := range e.server.Received() {
-			s.books.Runs[got.ID] = append(s.books.Runs[got.ID], Run{Received: got, Endpoint: e.server.ID, Service: e.server.Service, DataCentre: e.server.DataCentre})
+			s.books.Deliveries[got.ID] = append(s.books.Deliveries[got.ID], Delivery{ReceivedRequest: got, Endpoint: e.server.ID, Service: e.server.Service, DataCentre: e.server.DataCentre})
 		}
 	}
-	for _, runs := range s.books.Runs {
+	for _, runs := range s.books.Deliveries {
 		sortByArrival(runs)
 	}
 }
@@ -284,14 +284,14 @@
 }
 
 // recordFault records a fault.
-func (s *site) recordFault(t Trouble) {
+func (s *site) recordFault(t Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.books.Troubles = append(s.books.Troubles, t)
+	s.books.Faults = append(s.books.Faults, t)
 }
 
-func sortByArrival(runs []Run) {
-	slices.SortFunc(runs, func(a, b Run) int { return a.At.Compare(b.At) })
+func sortByArrival(runs []Delivery) {
+	slices.SortFunc(runs, func(a, b Delivery) int { return a.At.Compare(b.At) })
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/soak/slow_callers.go
+++ b/soak/slow_callers.go
@@ -34,15 +34,15 @@
 }
 
 var slowCallerKinds = []slowCallerKind{
-	{"callers stop reading", "chat", false, standin.Pace{StopAfter: stopAfterEvents, StopFor: stopDuration}},
-	{"callers read slowly", "chat", true, standin.Pace{Read: readPause}},
-	{"callers send slowly", "once", true, standin.Pace{Send: sendPause}},
-	{"callers stop sending", "once", false, standin.Pace{Send: sendPause, SendOnly: sendStopAfterBytes, StopFor: sendStopDuration}},
+	{"callers stop reading", "chat", false, standin.Pace{PauseAfter: stopAfterEvents, PauseFor: stopDuration}},
+	{"callers read slowly", "chat", true, standin.Pace{ReadDelay: readPause}},
+	{"callers send slowly", "once", true, standin.Pace{SendDelay: sendPause}},
+	{"callers stop sending", "once", false, standin.Pace{SendDelay: sendPause, AbortAfter: sendStopAfterBytes, PauseFor: sendStopDuration}},
 }
 
 // startSlowCallers starts slow callers of a kind.
 func (s *injection) startSlowCallers(k slowCallerKind) {
-	t := Trouble{Kind: k.kind, Spares: true}
+	t := Fault{Kind: k.kind, KeepsContact: true}
 	s.apply(t, func() { s.run.callers.startSlow(&k) }, s.duration, func() {})
 }
 
@@ -67,7 +67,7 @@
 	q := c.request(kindOf(k.route), key, team)
 	q.Pace, q.Steady, q.Deadline = k.pace, k.steady, slowDeadline
 	if q.Stream {
-		q.Path += fmt.Sprintf("&%s=%d", standin.FillQuery, slowEventBytes)
+		q.Path += fmt.Sprintf("&%s=%d", standin.PaddingQuery, slowEventBytes)
 	}
 	return q
 }
@@ -84,10 +84,10 @@
 
 // checkSteady: a response to a steady caller is not truncated once it has begun, unless a fault
 // affected its instance or endpoints.
-func (b *Books) checkSteady() (out []string) {
+func (b *Record) checkSteady() (out []string) {
 	b.each(func(q *Request) {
-		truncated := q.Status == http.StatusOK && !q.Whole
-		if !q.Steady || !truncated || q.Left || q.Done.Sub(q.Sent) >= q.Deadline || !b.allowed(q) || !b.undisturbed(q) {
+		truncated := q.Status == http.StatusOK && !q.Complete
+		if !q.Steady || !truncated || q.Cancelled || q.Done.Sub(q.Sent) >= q.Deadline || !b.allowed(q) || !b.undisturbed(q) {
 			return
 		}
 		out = append(out, fmt.Sprintf("%s: response of route %s truncated after %d events and %v at %s: %v", q.ID, q.Route, q.Events, q.Done.Sub(q.Sent).Round(time.Millisecond), q.Instance, q.Err))
@@ -96,13 +96,13 @@
 }
 
 // undisturbed reports whether no fault affected the instance and the endpoints of q.
-func (b *Books) undisturbed(q *Request) bool {
+func (b *Record) undisturbed(q *Request) bool {
 	if !b.inContact(q.Instance, q.Sent, q.Done) {
 		return false
 	}
-	for _, r := range b.Runs[q.ID] {
-		for i := range b.Troubles {
-			if t := &b.Troubles[i]; t.Endpoint == r.Endpoint && t.during(q.Sent.Add(-b.Bounds.Contact), q.Done) {
+	for _, r := range b.Deliveries[q.ID] {
+		for i := range b.Faults {
+			if t := &b.Faults[i]; t.Endpoint == r.Endpoint && t.during(q.Sent.Add(-b.Bounds.Contact), q.Done) {
 				return false
 			}
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -30,15 +30,15 @@
 	if err := build.Run(); err != nil {
 		t.Fatal(err)
 	}
-	r, err := Play(context.Background(), Params{
-		Seed: shortSeed, For: shortFor, Instances: shortInstances, Rate: shortRate,
-		Binary: binary, Dir: dir, Net: shortNet, Log: zap.NewNop(),
+	r, err := Run(context.Background(), Params{
+		Seed: shortSeed, Duration: shortFor, Instances: shortInstances, Rate: shortRate,
+		Binary: binary, Dir: dir, Subnet: shortNet, Log: zap.NewNop(),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Write(os.Stderr)
-	for _, b := range r.Breaches {
+	for _, b := range r.Violations {
 		t.Errorf("%s: %s", b.Rule, b.What)
 	}
 	if c := r.Count(); c.Served < c.Requests/2 || r.inContact() == 0 {
--- a/speed/speed.go
+++ b/speed/speed.go
@@ -1,9 +1,9 @@
 // Package speed estimates how fast engines work from the requests that they served.
 //
 // Estimates are times per token, for processing a prompt or generating a response. They are
-// averaged as logarithms, so that factors of two and one half weigh the same. A Sum holds the
-// samples of one endpoint; the sums of several instances can be merged, and old samples decay.
-// A Figure is the estimate for a service: the median over its endpoints, which a few slow,
+// averaged as logarithms, so that factors of two and one half weigh the same. Samples hold the
+// times of one endpoint; Samples of several instances can be merged, and old samples decay.
+// An Estimate is the estimate for a service: the median over its endpoints, which a few slow,
 // unresponsive or misjudged endpoints don't shift. The estimate for one endpoint is that of its
 // service unless its own samples deviate significantly.
 //
@@ -32,21 +32,21 @@
 	// few samples arrive and these decay.
 	settleTime = 10 * time.Second
 	// peerWeight is the part of the difference to another instance's estimate that one call of
-	// Hear makes up. That estimate may be based on few endpoints, and endpoints differ.
+	// MergePeer makes up. That estimate may be based on few endpoints, and endpoints differ.
 	peerWeight = 0.2
 	// minWeight is the weight below which samples are dropped.
 	minWeight = 0.05
 )
 
-// A Sum is a weighted sum of the logarithms of times per token. The zero value is empty.
-type Sum struct {
+// Samples are a weighted sum of the logarithms of times per token. The zero value is empty.
+type Samples struct {
 	Weight float64
 	Log    float64 // of milliseconds per token
 }
 
 // Add adds a time per token in milliseconds. It ignores times and weights that are not
 // positive.
-func (s *Sum) Add(ms, weight float64) {
+func (s *Samples) Add(ms, weight float64) {
 	if ms <= 0 || weight <= 0 {
 		return
 	}
@@ -55,46 +55,46 @@
 }
 
 // Merge adds the samples of other.
-func (s *Sum) Merge(other Sum) {
+func (s *Samples) Merge(other Samples) {
 	s.Weight += other.Weight
 	s.Log += other.Log
 }
 
-// Faded returns s with its weight multiplied by keep, from 0 to 1.
-func (s Sum) Faded(keep float64) Sum {
+// Decayed returns s with its weight multiplied by keep, from 0 to 1.
+func (s Samples) Decayed(keep float64) Samples {
 	if keep*s.Weight < minWeight {
-		return Sum{}
+		return Samples{}
 	}
-	return Sum{Weight: keep * s.Weight, Log: keep * s.Log}
+	return Samples{Weight: keep * s.Weight, Log: keep * s.Log}
 }
 
 // mean returns the mean logarithm. The sum must not be empty.
-func (s Sum) mean() float64 { return s.Log / s.Weight }
+func (s Samples) mean() float64 { return s.Log / s.Weight }
 
-// A Figure is the estimated time per token of a service. Use NewFigure to create one.
-type Figure struct {
+// An Estimate is the estimated time per token of a service. Use NewEstimate to create one.
+type Estimate struct {
 	log   float64
 	value float64 // the exponential of log
 	prior float64 // estimate, as a logarithm, without the current samples
 }
 
-// NewFigure returns a Figure with an initial guess in milliseconds per token.
-func NewFigure(ms float64) Figure {
-	return Figure{log: math.Log(ms), value: ms, prior: math.Log(ms)}
+// NewEstimate returns an Estimate with an initial guess in milliseconds per token.
+func NewEstimate(ms float64) Estimate {
+	return Estimate{log: math.Log(ms), value: ms, prior: math.Log(ms)}
 }
 
 // set sets the estimate to a logarithm.
-func (f *Figure) set(log float64) {
+func (f *Estimate) set(log float64) {
 	f.log = log
 	f.value = math.Exp(log)
 }
 
 // Value returns the estimate in milliseconds per token.
-func (f *Figure) Value() float64 { return f.value }
+func (f *Estimate) Value() float64 { return f.value }
 
-// Of returns the estimate in milliseconds per token for an endpoint with the samples s. It
+// ForEndpoint returns the estimate in milliseconds per token for an endpoint with the samples s. It
 // deviates from that of the service as far as the deviation of the samples is significant.
-func (f *Figure) Of(s Sum) float64 {
+func (f *Estimate) ForEndpoint(s Samples) float64 {
 	if s.Weight <= 0 {
 		return f.Value()
 	}
@@ -106,9 +106,9 @@
 	return f.Value() * math.Exp(math.Copysign(significant, deviation))
 }
 
-// Hear moves f towards the estimate, in milliseconds per token, of another instance that has
+// MergePeer moves f towards the estimate, in milliseconds per token, of another instance that has
 // more samples. It ignores values that are not positive.
-func (f *Figure) Hear(ms float64) {
+func (f *Estimate) MergePeer(ms float64) {
 	if ms <= 0 {
 		return
 	}
@@ -116,8 +116,8 @@
 	f.prior = f.log
 }
 
-// Bounded returns a time in milliseconds per token limited to maxDeviation from f.
-func (f *Figure) Bounded(ms float64) float64 {
+// Clamp returns a time in milliseconds per token limited to maxDeviation from f.
+func (f *Estimate) Clamp(ms float64) float64 {
 	if ms <= 0 {
 		return ms
 	}
@@ -126,7 +126,7 @@
 
 // Update computes the estimate from the samples of a service's endpoints. Elapsed is the time
 // since the previous call. It reorders sums.
-func (f *Figure) Update(sums []Sum, elapsed time.Duration) {
+func (f *Estimate) Update(sums []Samples, elapsed time.Duration) {
 	total := 0.0
 	for _, s := range sums {
 		total += s.Weight
@@ -141,7 +141,7 @@
 
 // medianOf returns the median of the mean logarithms of sums, weighted by their samples. Total
 // is the sum of the weights.
-func medianOf(sums []Sum, total float64) float64 {
+func medianOf(sums []Samples, total float64) float64 {
 	sort.Slice(sums, func(i, j int) bool {
 		if sums[i].Weight <= 0 || sums[j].Weight <= 0 {
 			return sums[i].Weight > sums[j].Weight
--- a/speed/speed_test.go
+++ b/speed/speed_test.go
@@ -11,8 +11,8 @@
 
 // randomSums returns the sums of endpoints with a number of samples each, log-normally
 // distributed around ms per token.
-func randomSums(r *rand.Rand, endpoints, samples int, ms float64) []speed.Sum {
-	out := make([]speed.Sum, endpoints)
+func randomSums(r *rand.Rand, endpoints, samples int, ms float64) []speed.Samples {
+	out := make([]speed.Samples, endpoints)
 	for i := range out {
 		for range samples {
 			out[i].Add(ms*math.Exp(0.33*r.NormFloat64()), 1)
@@ -26,7 +26,7 @@
 func TestInitialGuessIsReplaced(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for _, tokensPerMs := range []float64{20, 43, 57, 110} {
-		f := speed.NewFigure(1 / 50.0)
+		f := speed.NewEstimate(1 / 50.0)
 		f.Update(randomSums(r, 10, 5, 1/tokensPerMs), 100*time.Millisecond)
 		if got := 1 / f.Value(); !near(got, tokensPerMs, 0.15) {
 			t.Errorf("after 50 samples of %.0f tokens per ms: got %.1f", tokensPerMs, got)
@@ -37,67 +37,67 @@
 // A few endpoints that are slow or misjudged don't shift the estimate for the service.
 func TestOutliersDoNotShiftServiceTime(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
-	f := speed.NewFigure(0.025)
+	f := speed.NewEstimate(0.025)
 	all := append(randomSums(r, 8, 20, 0.025), randomSums(r, 2, 20, 0.125)...)
 	slow := all[9]
 	f.Update(all, time.Second)
 	if !near(f.Value(), 0.025, 0.12) {
 		t.Errorf("estimate for the service %.4f ms, want 0.025", f.Value())
 	}
-	if got := f.Of(slow); got < 0.08 {
+	if got := f.ForEndpoint(slow); got < 0.08 {
 		t.Errorf("estimate %.4f ms for an endpoint that takes 0.125", got)
 	}
 }
 
 // A deviation that may be chance is ignored.
 func TestInsignificantDeviationIsIgnored(t *testing.T) {
-	f := speed.NewFigure(0.025)
-	var few, many speed.Sum
+	f := speed.NewEstimate(0.025)
+	var few, many speed.Samples
 	for range 3 {
 		few.Add(0.04, 1)
 	}
 	for range 30 {
 		many.Add(0.04, 1)
 	}
-	if got := f.Of(few); got != f.Value() {
+	if got := f.ForEndpoint(few); got != f.Value() {
 		t.Errorf("got %.4f from three samples, want the estimate for the service, %.4f", got, f.Value())
 	}
-	if got := f.Of(many); got < 0.03 || got > 0.04 {
+	if got := f.ForEndpoint(many); got < 0.03 || got > 0.04 {
 		t.Errorf("got %.4f from 30 samples of 0.04, want 0.03 to 0.04", got)
 	}
 }
 
 func TestServiceTimeSurvivesSampleDecay(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
-	f := speed.NewFigure(0.02)
+	f := speed.NewEstimate(0.02)
 	for range 30 {
 		f.Update(randomSums(r, 10, 10, 0.05), time.Second)
 	}
-	f.Update([]speed.Sum{{}, {}}, time.Second)
-	var s speed.Sum
+	f.Update([]speed.Samples{{}, {}}, time.Second)
+	var s speed.Samples
 	s.Add(0.02, 0.1)
-	f.Update([]speed.Sum{s.Faded(0.9)}, time.Second)
+	f.Update([]speed.Samples{s.Decayed(0.9)}, time.Second)
 	if !near(f.Value(), 0.05, 0.15) {
 		t.Errorf("estimate %.4f ms after the samples have decayed, want 0.05", f.Value())
 	}
-	if got := s.Faded(0.1); got != (speed.Sum{}) {
+	if got := s.Decayed(0.1); got != (speed.Samples{}) {
 		t.Errorf("samples of hardly any weight are kept: %+v", got)
 	}
 }
 
 func TestSamplesAreBounded(t *testing.T) {
-	f := speed.NewFigure(0.02)
-	if got := f.Bounded(40); got > 0.2 {
+	f := speed.NewEstimate(0.02)
+	if got := f.Clamp(40); got > 0.2 {
 		t.Errorf("a sample of 40 ms counts as %.2f ms, want at most 0.2", got)
 	}
-	if got := f.Bounded(0.03); !near(got, 0.03, 1e-9) {
+	if got := f.Clamp(0.03); !near(got, 0.03, 1e-9) {
 		t.Errorf("a sample of 0.03 ms counts as %.3f ms", got)
 	}
-	var s speed.Sum
+	var s speed.Samples
 	s.Add(0, 1)
 	s.Add(-1, 1)
 	s.Add(1, 0)
-	if s != (speed.Sum{}) {
+	if s != (speed.Samples{}) {
 		t.Errorf("samples without a positive time and weight count: %+v", s)
 	}
 }
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -78,7 +78,7 @@
 		x.written.Store(true) // nothing to write, so that the connection is reusable
 		x.reusable = true
 		x.Close(true, 0)
-		return nil, verdict.Refuse(verdict.EndpointRests, "%s: request not sent", r.Endpoint)
+		return nil, verdict.Refuse(verdict.EndpointInBackoff, "%s: request not sent", r.Endpoint)
 	}
 	if err := x.send(r); err != nil {
 		x.Close(false, 0)
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -134,28 +134,28 @@
 	return c, nil
 }
 
-// A Presence is the result of a Probe.
-type Presence uint8
+// A ProbeResult is the result of a Probe.
+type ProbeResult uint8
 
 // Results of a Probe.
 const (
-	Unclear Presence = iota // no response in time, or another error
-	Listens                 // a process accepts connections
-	Refused                 // the machine refuses connections: no process listens
+	ProbeInconclusive ProbeResult = iota // no response in time, or another error
+	ProbeListening                       // a process accepts connections
+	ProbeRefused                         // the machine refuses connections: no process listens
 )
 
 // Probe opens a connection to an endpoint to check whether its process is running. The
 // connection is kept for the next request.
-func (p *Pool) Probe(ctx context.Context, endpoint, address string) Presence {
+func (p *Pool) Probe(ctx context.Context, endpoint, address string) ProbeResult {
 	c, err := p.dial(ctx, address)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Refused
+		return ProbeRefused
 	case err != nil:
-		return Unclear
+		return ProbeInconclusive
 	}
 	p.putIdle(endpoint, c, defaultIdleTimeout)
-	return Listens
+	return ProbeListening
 }
 
 // putIdle keeps a connection for another request, for idleTimeout less idleMargin; zero
@@ -174,9 +174,9 @@
 	p.idle[endpoint] = append(p.idle[endpoint], c)
 }
 
-// Sweep closes connections that have reached their idle timeout at now, and those of
+// CloseExpired closes connections that have reached their idle timeout at now, and those of
 // endpoints for which known returns false.
-func (p *Pool) Sweep(now time.Time, known func(endpoint string) bool) {
+func (p *Pool) CloseExpired(now time.Time, known func(endpoint string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for endpoint, conns := range p.idle {
@@ -203,5 +203,5 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.Sweep(p.now(), func(string) bool { return false })
+	p.CloseExpired(p.now(), func(string) bool { return false })
 }
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -50,104 +50,104 @@
 
 // Reasons for rejecting a request that has not run.
 const (
-	BadRequest       Reason = "bad-request"
-	Unauthenticated  Reason = "unauthenticated"
-	Forbidden        Reason = "forbidden"
-	UnknownModel     Reason = "unknown-model"
-	UnknownClass     Reason = "unknown-class"
-	TooLarge         Reason = "too-large"
-	Overloaded       Reason = "overloaded"
-	DemandBeyond     Reason = "demand-beyond-fleet" // the fleet is over capacity for the request's priority and deadline
-	DeadlineMissed   Reason = "deadline-missed"
-	TeamLimit        Reason = "team-limit"
-	NoEndpoint       Reason = "no-endpoint"
-	NotReady         Reason = "not-ready"
-	NoConfiguration  Reason = "no-configuration"
-	OwnerUnreachable Reason = "owner-unreachable"
-	OwnerUnsettled   Reason = "owner-unsettled"
-	GrantExpired     Reason = "grant-expired"
-	KeyConflict      Reason = "key-conflict"
-	Leaving          Reason = "leaving"
-	UnknownRoute     Reason = "unknown-route"
-	StaleBelief      Reason = "stale-belief"
-	BodyCut          Reason = "body-cut"
-	EndpointRefused  Reason = "endpoint-refused"
-	EndpointGone     Reason = "endpoint-gone"     // the endpoint's address now belongs to another endpoint
-	BodySlow         Reason = "body-slow"         // the caller stopped sending the body
-	MemoryFull       Reason = "memory-full"       // the instance has reached its memory limit
-	NoHomeEndpoint   Reason = "no-home-endpoint"  // no endpoint in the regions where the request may be served
-	EndsEndpoints    Reason = "ends-endpoints"    // the request is known to crash endpoints
-	EndpointRests    Reason = "endpoint-rests"    // the chosen endpoint asked for a back-off, or announced its shutdown, before the request was sent
-	EndpointsRest    Reason = "endpoints-rest"    // all endpoints that may serve the request asked this instance to back off
-	EndpointsLimited Reason = "endpoints-limited" // all endpoints that may serve the request have reached their rate limits
+	BadRequest         Reason = "bad-request"
+	Unauthenticated    Reason = "unauthenticated"
+	Forbidden          Reason = "forbidden"
+	UnknownModel       Reason = "unknown-model"
+	UnknownClass       Reason = "unknown-class"
+	TooLarge           Reason = "too-large"
+	Overloaded         Reason = "overloaded"
+	OverCapacity       Reason = "demand-beyond-fleet" // the fleet is over capacity for the request's priority and deadline
+	DeadlineMissed     Reason = "deadline-missed"
+	TeamLimit          Reason = "team-limit"
+	NoEndpoint         Reason = "no-endpoint"
+	NotReady           Reason = "not-ready"
+	NoConfiguration    Reason = "no-configuration"
+	OwnerUnreachable   Reason = "owner-unreachable"
+	OwnerUnsettled     Reason = "owner-unsettled"
+	GrantExpired       Reason = "grant-expired"
+	KeyConflict        Reason = "key-conflict"
+	Leaving            Reason = "leaving"
+	UnknownRoute       Reason = "unknown-route"
+	StaleState         Reason = "stale-belief"
+	BodyCut            Reason = "body-cut"
+	EndpointRefused    Reason = "endpoint-refused"
+	EndpointGone       Reason = "endpoint-gone"     // the endpoint's address now belongs to another endpoint
+	BodySlow           Reason = "body-slow"         // the caller stopped sending the body
+	MemoryFull         Reason = "memory-full"       // the instance has reached its memory limit
+	NoHomeEndpoint     Reason = "no-home-endpoint"  // no endpoint in the regions where the request may be served
+	CrashesEndpoints   Reason = "ends-endpoints"    // the request is known to crash endpoints
+	EndpointInBackoff  Reason = "endpoint-rests"    // the chosen endpoint asked for a back-off, or announced its shutdown, before the request was sent
+	EndpointsInBackoff Reason = "endpoints-rest"    // all endpoints that may serve the request asked this instance to back off
+	EndpointsLimited   Reason = "endpoints-limited" // all endpoints that may serve the request have reached their rate limits
 )
 
 // Reasons for failing a request that may have run.
 const (
-	EndpointConnect Reason = "endpoint-connect"
-	EndpointError   Reason = "endpoint-error"
-	EndpointCut     Reason = "endpoint-cut"
-	EndpointBusy    Reason = "endpoint-busy"
-	EndpointSilent  Reason = "endpoint-silent"
-	AnswerNoMemory  Reason = "answer-no-memory" // the instance had no memory for an event of the response
-	EntryLost       Reason = "entry-lost"
-	CallerGone      Reason = "caller-gone"
-	CallerSlow      Reason = "caller-slow" // the caller stopped reading the response
-	TimeLimit       Reason = "time-limit"
-	RetryBudget     Reason = "retry-budget"
-	HomeLost        Reason = "home-lost"
-	Duplicate       Reason = "duplicate"
-	EndedEndpoints  Reason = "ended-endpoints" // as EndsEndpoints, for a request that has already been sent to an endpoint
-	Internal        Reason = "internal"
+	EndpointConnect  Reason = "endpoint-connect"
+	EndpointError    Reason = "endpoint-error"
+	EndpointCut      Reason = "endpoint-cut"
+	EndpointBusy     Reason = "endpoint-busy"
+	EndpointSilent   Reason = "endpoint-silent"
+	ResponseNoMemory Reason = "answer-no-memory" // the instance had no memory for an event of the response
+	EntryLost        Reason = "entry-lost"
+	CallerGone       Reason = "caller-gone"
+	CallerSlow       Reason = "caller-slow" // the caller stopped reading the response
+	TimeLimit        Reason = "time-limit"
+	RetryBudget      Reason = "retry-budget"
+	HomeLost         Reason = "home-lost"
+	Duplicate        Reason = "duplicate"
+	CrashedEndpoints Reason = "ended-endpoints" // as CrashesEndpoints, for a request that has already been sent to an endpoint
+	Internal         Reason = "internal"
 )
 
 // statusOf maps each reason to the HTTP status of the response.
 var statusOf = map[Reason]int{
-	BadRequest:       http.StatusBadRequest,
-	Unauthenticated:  http.StatusUnauthorized,
-	Forbidden:        http.StatusForbidden,
-	UnknownModel:     http.StatusNotFound,
-	UnknownClass:     http.StatusNotFound,
-	TooLarge:         http.StatusRequestEntityTooLarge,
-	Overloaded:       http.StatusTooManyRequests,
-	DemandBeyond:     http.StatusTooManyRequests,
-	DeadlineMissed:   http.StatusTooManyRequests,
-	TeamLimit:        http.StatusTooManyRequests,
-	NoEndpoint:       http.StatusServiceUnavailable,
-	NotReady:         http.StatusServiceUnavailable,
-	NoConfiguration:  http.StatusServiceUnavailable,
-	OwnerUnreachable: http.StatusServiceUnavailable,
-	OwnerUnsettled:   http.StatusServiceUnavailable,
-	GrantExpired:     http.StatusServiceUnavailable,
-	KeyConflict:      http.StatusConflict,
-	Leaving:          http.StatusServiceUnavailable,
-	UnknownRoute:     http.StatusNotFound,
-	StaleBelief:      http.StatusServiceUnavailable,
-	BodyCut:          http.StatusBadRequest,
-	BodySlow:         http.StatusRequestTimeout,
-	MemoryFull:       http.StatusTooManyRequests,
-	EndpointRefused:  http.StatusServiceUnavailable,
-	EndpointGone:     http.StatusServiceUnavailable,
-	NoHomeEndpoint:   http.StatusServiceUnavailable,
-	EndsEndpoints:    http.StatusTooManyRequests,
-	EndpointRests:    http.StatusServiceUnavailable,
-	EndpointsRest:    http.StatusServiceUnavailable,
-	EndpointsLimited: http.StatusServiceUnavailable,
-	EndedEndpoints:   http.StatusBadGateway,
-	EndpointConnect:  http.StatusBadGateway,
-	EndpointError:    http.StatusBadGateway,
-	EndpointCut:      http.StatusBadGateway,
-	EndpointBusy:     http.StatusServiceUnavailable,
-	EndpointSilent:   http.StatusBadGateway,
-	AnswerNoMemory:   http.StatusBadGateway,
-	EntryLost:        http.StatusBadGateway,
-	CallerGone:       499,
-	CallerSlow:       499,
-	TimeLimit:        http.StatusGatewayTimeout,
-	RetryBudget:      http.StatusServiceUnavailable,
-	HomeLost:         http.StatusServiceUnavailable,
-	Duplicate:        http.StatusConflict,
-	Internal:         http.StatusInternalServerError,
+	BadRequest:         http.StatusBadRequest,
+	Unauthenticated:    http.StatusUnauthorized,
+	Forbidden:          http.StatusForbidden,
+	UnknownModel:       http.StatusNotFound,
+	UnknownClass:       http.StatusNotFound,
+	TooLarge:           http.StatusRequestEntityTooLarge,
+	Overloaded:         http.StatusTooManyRequests,
+	OverCapacity:       http.StatusTooManyRequests,
+	DeadlineMissed:     http.StatusTooManyRequests,
+	TeamLimit:          http.StatusTooManyRequests,
+	NoEndpoint:         http.StatusServiceUnavailable,
+	NotReady:           http.StatusServiceUnavailable,
+	NoConfiguration:    http.StatusServiceUnavailable,
+	OwnerUnreachable:   http.StatusServiceUnavailable,
+	OwnerUnsettled:     http.StatusServiceUnavailable,
+	GrantExpired:       http.StatusServiceUnavailable,
+	KeyConflict:        http.StatusConflict,
+	Leaving:            http.StatusServiceUnavailable,
+	UnknownRoute:       http.StatusNotFound,
+	StaleState:         http.StatusServiceUnavailable,
+	BodyCut:            http.StatusBadRequest,
+	BodySlow:           http.StatusRequestTimeout,
+	MemoryFull:         http.StatusTooManyRequests,
+	EndpointRefused:    http.StatusServiceUnavailable,
+	EndpointGone:       http.StatusServiceUnavailable,
+	NoHomeEndpoint:     http.StatusServiceUnavailable,
+	CrashesEndpoints:   http.StatusTooManyRequests,
+	EndpointInBackoff:  http.StatusServiceUnavailable,
+	EndpointsInBackoff: http.StatusServiceUnavailable,
+	EndpointsLimited:   http.StatusServiceUnavailable,
+	CrashedEndpoints:   http.StatusBadGateway,
+	EndpointConnect:    http.StatusBadGateway,
+	EndpointError:      http.StatusBadGateway,
+	EndpointCut:        http.StatusBadGateway,
+	EndpointBusy:       http.StatusServiceUnavailable,
+	EndpointSilent:     http.StatusBadGateway,
+	ResponseNoMemory:   http.StatusBadGateway,
+	EntryLost:          http.StatusBadGateway,
+	CallerGone:         499,
+	CallerSlow:         499,
+	TimeLimit:          http.StatusGatewayTimeout,
+	RetryBudget:        http.StatusServiceUnavailable,
+	HomeLost:           http.StatusServiceUnavailable,
+	Duplicate:          http.StatusConflict,
+	Internal:           http.StatusInternalServerError,
 }
 
 // Status returns the HTTP status of a response with reason r; 500 if r is unknown.
@@ -165,7 +165,7 @@
 }
 
 // An Error describes a failed request. It must not be modified once it is
-// returned; see After.
+// returned; see WithRetryAfter.
 type Error struct {
 	Verdict    Verdict
 	Reason     Reason
@@ -193,8 +193,8 @@
 	return &Error{Verdict: v, Reason: r, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After returns a copy of e with RetryAfter set to d.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e with RetryAfter set to d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
