--- a/api/bench_test.go
+++ b/api/bench_test.go
@@ -23,9 +23,9 @@
 // replaceEngine replaces the fake engine by h, to measure without engine latency,
 // and returns its address.
 func (s *testStack) replaceEngine(b *testing.B, h http.HandlerFunc) string {
-	s.world.Endpoint("e1").Crash()
+	s.environment.Endpoint("e1").Crash()
 	addr := ""
-	for _, e := range s.world.Config.Endpoints {
+	for _, e := range s.environment.Config.Endpoints {
 		if e.Name == "e1" {
 			addr = e.Listen
 		}
--- a/balance/residency_test.go
+++ b/balance/residency_test.go
@@ -35,7 +35,7 @@
 	return p
 }
 
-func drawHomes(t *rapid.T) []string {
+func drawRegions(t *rapid.T) []string {
 	return rapid.SliceOfN(rapid.SampledFrom([]string{"north", "south", "east", "nowhere", ""}), 0, 3).Draw(t, "homes")
 }
 
@@ -80,7 +80,7 @@
 		var running []*balance.Placement
 		for n := range rapid.IntRange(1, 30).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			homes := drawHomes(t)
+			homes := drawRegions(t)
 			d := &balance.Demand{
 				Service: rapid.SampledFrom([]*catalog.Service{service, plain}).Draw(t, "service"), Residency: catalog.NewResidency(homes),
 				Objective: time.Second, Prompt: 9000, Output: 50, Sent: rapid.Bool().Draw(t, "sent before"),
--- a/cmd/ivyctl/blocked.go
+++ b/cmd/ivyctl/blocked.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// limitLine describes an endpoint's announced limit and the instance that divides it.
+// limitLine describes an endpoint's announced limit and the instance that allocates it.
 func limitLine(l *inventory.LimitedEndpoint) string {
 	line := fmt.Sprintf("endpoint names a limit: %s takes %v a second from all instances, as of %s ago; divided by %s",
 		l.ID, l.PerSecond, millis(l.AgeMS), orDash(l.Allocator))
--- a/cmd/ivyload/main.go
+++ b/cmd/ivyload/main.go
@@ -105,11 +105,11 @@
 	arrivals := w.Arrivals(o.seed)
 	go progress(ctx, client, len(arrivals))
 	outs := client.Run(ctx, arrivals)
-	books, err := load.FetchRunLog(o.control)
+	runLog, err := load.FetchRunLog(o.control)
 	if err != nil {
 		return cli.Failed, err
 	}
-	r := load.Summarize(w, o.seed, outs, books)
+	r := load.Summarize(w, o.seed, outs, runLog)
 	if err := r.Save(o.out); err != nil {
 		return cli.Failed, err
 	}
--- a/decl/decl_test.go
+++ b/decl/decl_test.go
@@ -60,7 +60,7 @@
 	s := read(t)
 	next, ok := s.WithClass("letter", func(c *decl.Class) { c.Tier = 5 })
 	if !ok || next.Class("letter").Tier != 5 || s.Class("letter").Tier != 2 {
-		t.Error("With changed the original set or did not change the copy")
+		t.Error("WithClass changed the original set or did not change the copy")
 	}
 }
 
--- a/discovery/follow.go
+++ b/discovery/follow.go
@@ -327,14 +327,14 @@
 
 // logTruncatedAnswer logs and counts a response that began to arrive but was not completed.
 func logTruncatedAnswer(s NamedSource, err error, log *zap.Logger, count func(string)) {
-	var cut *fetch.TruncatedError
-	if !errors.As(err, &cut) || !cut.HeaderReceived {
+	var truncated *fetch.TruncatedError
+	if !errors.As(err, &truncated) || !truncated.HeaderReceived {
 		return
 	}
 	count("answer-cut")
-	log.Warn("response truncated", zap.String("source", s.Name), zap.Int("bytes", cut.Bytes),
-		zap.Int64("first_ms", cut.HeaderTime.Milliseconds()), zap.Int64("took_ms", cut.Elapsed.Milliseconds()),
-		zap.String("error", cut.Err.Error()))
+	log.Warn("response truncated", zap.String("source", s.Name), zap.Int("bytes", truncated.Bytes),
+		zap.Int64("first_ms", truncated.HeaderTime.Milliseconds()), zap.Int64("took_ms", truncated.Elapsed.Milliseconds()),
+		zap.String("error", truncated.Err.Error()))
 }
 
 // logAvailability logs when a source becomes unavailable or available again.
--- a/discovery/follow_test.go
+++ b/discovery/follow_test.go
@@ -187,7 +187,7 @@
 		watch: func(context.Context, Query) (*Update, error) { return nil, errors.New("lost") },
 	}
 	table := startFollower(t, store, upstream, neverNewer)
-	eventually(t, "beliefs from the store", func() bool { return table.View().Revision == 1 })
+	eventually(t, "state from the store", func() bool { return table.View().Revision == 1 })
 	eventually(t, "a watch at the store", func() bool { return store.watches.Load() == 1 })
 }
 
@@ -285,7 +285,7 @@
 	store := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
 	start := time.Now()
 	table := startFollowerWithPeers(t, store, func() []NamedSource { return nil }, neverNewer, noUpstream)
-	eventually(t, "beliefs from the store", func() bool { return table.View().Revision == 1 })
+	eventually(t, "state from the store", func() bool { return table.View().Revision == 1 })
 	if took := time.Since(start); took < 300*time.Millisecond {
 		t.Errorf("the store was called after %v, want at least 300ms for peers", took)
 	}
@@ -309,7 +309,7 @@
 		t.Fatal("the store was called though no request is waiting")
 	}
 	close(hurry)
-	eventually(t, "beliefs from the store", func() bool { return table.View().Revision == 1 })
+	eventually(t, "state from the store", func() bool { return table.View().Revision == 1 })
 }
 
 // A peer that fails does not delay the start.
@@ -317,7 +317,7 @@
 	store := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
 	peer := &fakeSource{load: func() (*Update, error) { return nil, errors.New("lost") }}
 	table := startFollowerWithPeers(t, store, func() []NamedSource { return []NamedSource{{Name: "peer", Source: peer}} }, neverNewer, noUpstream)
-	eventually(t, "beliefs from the store", func() bool { return table.View().Revision == 1 })
+	eventually(t, "state from the store", func() bool { return table.View().Revision == 1 })
 	if n := peer.loads.Load(); n > 5 {
 		t.Errorf("a failing peer was called %d times within 300ms", n)
 	}
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -68,7 +68,7 @@
 	if r.req.Stream && res.StatusCode == http.StatusOK {
 		end, err = r.stream(res, g, sent, timer)
 	} else {
-		end, err = r.readWhole(res, sent)
+		end, err = r.readComplete(res, sent)
 	}
 	if err != nil {
 		r.machine.Step(evCut)
@@ -163,8 +163,8 @@
 	} `json:"usage"`
 }
 
-// readWhole reads the entire response before it forwards any of it.
-func (r *run) readWhole(res *http.Response, sent time.Duration) (node.Outcome, error) {
+// readComplete reads the entire response before it forwards any of it.
+func (r *run) readComplete(res *http.Response, sent time.Duration) (node.Outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(res.Body, r.d.answerLimit+1))
 	if err != nil {
 		return node.Outcome{Failed: true}, verdict.Fail(verdict.Ran, verdict.EndpointCut, "response truncated: %v", err)
--- a/experiment/bound.go
+++ b/experiment/bound.go
@@ -22,7 +22,7 @@
 	Goodput        float64 // tokens per second
 }
 
-// Bound computes the bounds of the scenario for one seed. Surge and Blind are
+// Bound computes the bounds of the scenario for one seed. Surge and UnknownLengths are
 // zero without a surge.
 func (s *Scenario) Bound(seed uint64) Bound {
 	arrivals := s.Workload.Arrivals(seed)
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -59,7 +59,7 @@
 }
 
 // A ClassResult is the outcome of one class. Each offered request counts as
-// exactly one of OnTime, Late, Refused, Failed or Left (unfinished at the end
+// exactly one of OnTime, Late, Refused, Failed or Unfinished (at the end
 // of the run); Served is OnTime plus Late.
 type ClassResult struct {
 	Class                                                      string
--- a/experiment/table.go
+++ b/experiment/table.go
@@ -21,9 +21,9 @@
 	Tokens           Stat // goodput in tokens per second
 	Wasted           Stat // fraction of the computed tokens
 	Surge            Stat // on-time requests of the surge, as a fraction of Bound.Surge
-	UnknownLengths   Stat // the same, as a fraction of Bound.Blind
+	UnknownLengths   Stat // the same, as a fraction of Bound.UnknownLengths
 	Others           Stat // attainment of the tier-0 requests of teams that no burst names
-	RecoveryTime     Stat // Result.Normal in seconds
+	RecoveryTime     Stat // Result.RecoveryTime in seconds
 	Gaps             Stat // Result.Gaps
 	Unfinished       Stat // requests unfinished at the end of the run
 }
--- a/fake/config.go
+++ b/fake/config.go
@@ -99,7 +99,7 @@
 	_ Endpoint = (*Service)(nil)
 )
 
-// A Environment is a set of running fakes.
+// An Environment is a set of running fakes.
 type Environment struct {
 	Config   *Config
 	RunLog   *RunLog
--- a/fake/control.go
+++ b/fake/control.go
@@ -19,7 +19,7 @@
 // Control returns the HTTP handler of the control interface.
 func (w *Environment) Control() http.Handler {
 	r := chi.NewRouter()
-	r.Get("/books", w.getBooks)
+	r.Get("/books", w.getRunLog)
 	r.Post("/endpoints/{name}/fault", w.postFault)
 	r.Post("/endpoints/{name}/crash", w.endpointHandler(func(e Endpoint, _ string) error { e.Crash(); return nil }))
 	r.Post("/endpoints/{name}/restart", w.endpointHandler(func(_ Endpoint, name string) error { return w.StartEndpoint(name) }))
@@ -49,7 +49,7 @@
 	PlatformCalls int64            `json:"platform_calls"`
 }
 
-func (w *Environment) getBooks(rw http.ResponseWriter, _ *http.Request) {
+func (w *Environment) getRunLog(rw http.ResponseWriter, _ *http.Request) {
 	rw.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(rw).Encode(RunLogResponse{w.RunLog.Runs(), w.RunLog.Tokens(), w.Platform.Calls.Load()})
 }
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -39,9 +39,9 @@
 // An Engine is a fake model engine with an OpenAI-compatible HTTP interface.
 // It is safe for concurrent use.
 type Engine struct {
-	Name  string
-	books *RunLog
-	lag   time.Duration // age of the load reports that are served
+	Name   string
+	runLog *RunLog
+	lag    time.Duration // age of the load reports that are served
 
 	mu      sync.Mutex
 	model   *engine.Engine
@@ -72,9 +72,9 @@
 // NewEngine starts an engine with performance p that records its runs in
 // books and serves load reports of age lag. It accepts requests once Serve is
 // called; Crash releases its resources.
-func NewEngine(name string, p engine.Params, books *RunLog, lag time.Duration) *Engine {
+func NewEngine(name string, p engine.Params, runLog *RunLog, lag time.Duration) *Engine {
 	ctx, stop := context.WithCancel(context.Background())
-	e := &Engine{Name: name, books: books, lag: lag, model: engine.New(p), wake: make(chan struct{}, 1), ctx: ctx, stop: stop}
+	e := &Engine{Name: name, runLog: runLog, lag: lag, model: engine.New(p), wake: make(chan struct{}, 1), ctx: ctx, stop: stop}
 	e.server = &http.Server{Handler: e.handler(), ConnState: e.conns.track}
 	go e.loop()
 	return e
@@ -198,7 +198,7 @@
 	if d.id == "" {
 		d.id = r.Header.Get("X-Request-Id")
 	}
-	run := e.books.Begin(d.id, e.Name, r.Header.Get("X-Team"), leaving)
+	run := e.runLog.Begin(d.id, e.Name, r.Header.Get("X-Team"), leaving)
 	if fault.Error != 0 {
 		http.Error(w, "injected engine fault", fault.Error)
 		return
@@ -249,7 +249,7 @@
 		e.model.Cancel(r.seq)
 		e.mu.Unlock()
 	}
-	e.books.End(r.run, r.produced, complete)
+	e.runLog.End(r.run, r.produced, complete)
 }
 
 // write produces the response and reports whether it was completed.
@@ -274,7 +274,7 @@
 			_ = flush.Flush()
 		}
 		if r.fault.Cut > 0 && r.produced >= r.fault.Cut {
-			r.engine.books.End(r.run, r.produced, false)
+			r.engine.runLog.End(r.run, r.produced, false)
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/fake/runs.go
+++ b/fake/runs.go
@@ -17,7 +17,7 @@
 type Run struct {
 	Endpoint     string        `json:"endpoint"`
 	Team         string        `json:"team"`
-	At           time.Duration `json:"at"` // since NewBooks
+	At           time.Duration `json:"at"` // since NewRunLog
 	Tokens       int           `json:"tokens"`
 	Complete     bool          `json:"whole"`         // the response was completed
 	AfterLeaving bool          `json:"after_leaving"` // the endpoint was already leaving
--- a/fake/service.go
+++ b/fake/service.go
@@ -17,7 +17,7 @@
 // queue. It is safe for concurrent use.
 type Service struct {
 	Name    string
-	books   *RunLog
+	runLog  *RunLog
 	work    time.Duration
 	workers chan struct{}
 	server  *http.Server
@@ -31,8 +31,8 @@
 
 // NewService returns a service that spends work on each request and records
 // its runs in books.
-func NewService(name string, work time.Duration, workers int, books *RunLog) *Service {
-	s := &Service{Name: name, books: books, work: work, workers: make(chan struct{}, workers)}
+func NewService(name string, work time.Duration, workers int, runLog *RunLog) *Service {
+	s := &Service{Name: name, runLog: runLog, work: work, workers: make(chan struct{}, workers)}
 	r := chi.NewRouter()
 	r.Get("/load", s.handleLoad)
 	r.HandleFunc("/*", s.handleRequest)
@@ -97,7 +97,7 @@
 		s.open--
 		s.mu.Unlock()
 	}()
-	run := s.books.Begin(d.id, s.Name, r.Header.Get("X-Team"), leaving)
+	run := s.runLog.Begin(d.id, s.Name, r.Header.Get("X-Team"), leaving)
 	if fault.Error != 0 {
 		http.Error(w, "injected service fault", fault.Error)
 		return
@@ -113,7 +113,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	err = json.NewEncoder(w).Encode(ServiceAnswer{ID: d.id, Endpoint: s.Name, Path: r.URL.Path})
-	s.books.End(run, 0, err == nil)
+	s.runLog.End(run, 0, err == nil)
 }
 
 // process simulates the processing of a request. It reports false if the client
--- a/gossip/broadcast.go
+++ b/gossip/broadcast.go
@@ -14,10 +14,10 @@
 
 // A receiverGroup is a group of members that are sent the same messages.
 type receiverGroup struct {
-	lastSent time.Time   // last message
-	lastFull time.Time   // last complete message
-	sentUpTo uint64      // change counter of the load reports sent so far
-	sentMark sentSummary // last summary sent
+	lastSent    time.Time   // last message
+	lastFull    time.Time   // last complete message
+	sentUpTo    uint64      // change counter of the load reports sent so far
+	sentSummary sentSummary // last summary sent
 }
 
 // receiverGroups are the groups that an instance sends to, depending on its role.
@@ -153,7 +153,7 @@
 	m.Reports, m.Complete = reports, full
 	if full {
 		group.lastFull = now
-		m.Summary = group.sentMark.next(g.ownSummary(), now)
+		m.Summary = group.sentSummary.next(g.ownSummary(), now)
 		m.Peers = samplePeers(r.localContacts)
 	}
 	g.holdForGateways(r, notices)
@@ -214,13 +214,13 @@
 // or a changed summary is urgent.
 func (g *Gossip) heartbeat(now time.Time, group *receiverGroup, to []*Member, interval time.Duration, peers []*Member) {
 	summary := g.ownSummary()
-	if len(to) == 0 || now.Sub(group.lastSent) < interval && !group.sentMark.urgent(summary) {
+	if len(to) == 0 || now.Sub(group.lastSent) < interval && !group.sentSummary.urgent(summary) {
 		return
 	}
 	group.lastSent = now
 	m := g.newMessage(now)
 	m.NextWithin = interval
-	m.Summary = group.sentMark.next(summary, now)
+	m.Summary = group.sentSummary.next(summary, now)
 	m.Peers = samplePeers(peers)
 	g.send(m, addresses(to))
 }
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	if rapid.Bool().Draw(t, "asks") {
-		m.PlacementRequest = drawAsk(t)
+		m.PlacementRequest = drawPlacementRequest(t)
 	}
 	if rapid.Bool().Draw(t, "grants") {
 		m.PlacementResponse = drawGrant(t)
@@ -69,7 +69,7 @@
 	return speed.Samples{Weight: weight, Log: weight * float64(rapid.IntRange(-2000, 2000).Draw(t, "mean")) * logUnit}
 }
 
-func drawAsk(t *rapid.T) *PlacementRequest {
+func drawPlacementRequest(t *rapid.T) *PlacementRequest {
 	a := &PlacementRequest{
 		Number:      rapid.Uint64().Draw(t, "number"),
 		Service:     rapid.StringN(0, 10, 10).Draw(t, "service"),
--- a/gossip/inventory.go
+++ b/gossip/inventory.go
@@ -3,7 +3,7 @@
 // This file announces the build and settings of this instance, and records those of others.
 //
 // An inventory.Summary is sent with heartbeats and complete reports, and only if it
-// has changed or markInterval has passed, to save bandwidth between data centres. Changed
+// has changed or summaryInterval has passed, to save bandwidth between data centres. Changed
 // settings and rejected settings files are announced at once.
 
 import (
--- a/gossip/inventory_test.go
+++ b/gossip/inventory_test.go
@@ -9,8 +9,8 @@
 	"ivyridge/inventory"
 )
 
-// setMark sets the settings that an instance announces.
-func (n *node) setMark(settings uint32) {
+// setSummary sets the settings that an instance announces.
+func (n *node) setSummary(settings uint32) {
 	n.Summary = func() inventory.Summary {
 		return inventory.Summary{Build: 1, Settings: settings, Version: 7, Ready: true}
 	}
@@ -56,7 +56,7 @@
 	w := newSimulation(t, n, dataCentres)
 	for i, node := range w.nodes {
 		if i != 40 { // an old build
-			node.setMark(1)
+			node.setSummary(1)
 		}
 	}
 	w.run(12 * time.Second)
@@ -65,14 +65,14 @@
 		t.Fatalf("at start: %v, %d without a summary, %d lost, want %d, 1, 0", got, unannounced, lost, n-2)
 	}
 	for i := 20; i < 35; i++ {
-		w.nodes[i].setMark(2)
+		w.nodes[i].setSummary(2)
 	}
 	isolated := w.nodes[46]
 	w.lost = func(a, b *node) bool { return a == isolated || b == isolated }
 	w.nodes[48].dead = true
 	w.run(heartbeatInterval(n) + time.Second)
 	w.start(48, 9999, w.nodes[48].DataCentre, 0.2)
-	w.nodes[48].setMark(3)
+	w.nodes[48].setSummary(3)
 	w.run(missedHeartbeats*heartbeatInterval(n) + time.Second)
 	got, unannounced, lost := scheduler.markCounts()
 	if got[1] != n-2-15-1-1 || got[2] != 15 || got[3] != 1 || unannounced != 1 || lost != 1 {
@@ -87,7 +87,7 @@
 		w := newSimulation(t, inventoryFleetSize(t), 5)
 		if announce {
 			for _, n := range w.nodes {
-				n.setMark(1)
+				n.setSummary(1)
 			}
 		}
 		w.run(8 * time.Second)
--- a/gossip/regions_test.go
+++ b/gossip/regions_test.go
@@ -12,7 +12,7 @@
 	"ivyridge/discovery"
 )
 
-// drawRegion omits Held, which is appended for each receiver.
+// drawRegion omits TokenHeld, which is appended for each receiver.
 func drawRegion(t *rapid.T) RegionMessage {
 	return RegionMessage{
 		Region:     rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "region"),
--- a/home/home.go
+++ b/home/home.go
@@ -4,8 +4,8 @@
 // A cell is a bounded group of identical endpoints. Its home instance holds the
 // cell's only queue and grants a request only when an endpoint has a free slot
 // for it. A Home does no I/O and reads no clock: every method takes the current
-// time and an event, and Take returns the resulting decisions. All its state is
-// soft and rebuilt within seconds from the entry instances: they hold the
+// time and an event, and TakeDecisions returns the resulting decisions. All its
+// state is soft and rebuilt within seconds from the entry instances: they hold the
 // requests, ask again elsewhere when a home is lost, and report what they run
 // to each home.
 //
@@ -44,7 +44,7 @@
 	Seq   uint64
 }
 
-// An Request is a request for an endpoint slot.
+// A Request is a request for an endpoint slot.
 type Request struct {
 	Key
 	Class      string
@@ -57,7 +57,7 @@
 	Avoid      string        // endpoint on which the previous attempt failed
 }
 
-// A Decision answers an Ask with a granted endpoint or a refusal.
+// A Decision answers a Request with a granted endpoint or a refusal.
 type Decision struct {
 	Key
 	Endpoint string // empty if refused
@@ -78,7 +78,7 @@
 	Complete   bool          // the answer completed normally
 }
 
-// A ActiveRun is one run that an entry reports in a Sync.
+// An ActiveRun is one run that an entry reports in a Sync.
 type ActiveRun struct {
 	Seq      uint64
 	Endpoint string
@@ -247,7 +247,7 @@
 	h.now = now
 	for _, e := range h.list {
 		if now-e.reported > maxReportAge {
-			e.machine.Step(evDistrust)
+			e.machine.Step(evRequireReports)
 			e.unheardSince = now
 		}
 	}
@@ -269,11 +269,11 @@
 		return
 	}
 	r := h.newRequest()
-	ask := r.Payload.(*Request)
-	*ask = a
-	*r = queue.Request{Class: class, Team: a.Team, Weight: h.weight(a.Team), Arrival: now - a.Age, Payload: ask}
-	h.estimate(r, ask)
-	if refusal := h.admit(r, ask); refusal != nil {
+	req := r.Payload.(*Request)
+	*req = a
+	*r = queue.Request{Class: class, Team: a.Team, Weight: h.weight(a.Team), Arrival: now - a.Age, Payload: req}
+	h.estimate(r, req)
+	if refusal := h.admit(r, req); refusal != nil {
 		h.decide(a.Key, nil, refusal)
 		h.freeRequests = append(h.freeRequests, r)
 		return
@@ -491,16 +491,16 @@
 }
 
 var (
-	evReport      = chart.Endpoint.Event("report")
-	evSlow        = chart.Endpoint.Event("slow")
-	evFast        = chart.Endpoint.Event("fast")
-	evUnreachable = chart.Endpoint.Event("unreachable")
-	evLeave       = chart.Endpoint.Event("leave")
-	evStop        = chart.Endpoint.Event("stop")
-	evStart       = chart.Endpoint.Event("start")
-	evTrust       = chart.Endpoint.Event("trust")
-	evDistrust    = chart.Endpoint.Event("distrust")
-	stUnheard     = chart.Endpoint.State("unheard")
-	stServing     = chart.Endpoint.State("serving")
-	stSlow        = chart.Endpoint.State("slow")
+	evReport         = chart.Endpoint.Event("report")
+	evSlow           = chart.Endpoint.Event("slow")
+	evFast           = chart.Endpoint.Event("fast")
+	evUnreachable    = chart.Endpoint.Event("unreachable")
+	evLeave          = chart.Endpoint.Event("leave")
+	evStop           = chart.Endpoint.Event("stop")
+	evStart          = chart.Endpoint.Event("start")
+	evTrust          = chart.Endpoint.Event("trust")
+	evRequireReports = chart.Endpoint.Event("distrust")
+	stUnheard        = chart.Endpoint.State("unheard")
+	stServing        = chart.Endpoint.State("serving")
+	stSlow           = chart.Endpoint.State("slow")
 )
--- a/instance/older_builds.go
+++ b/instance/older_builds.go
@@ -59,7 +59,7 @@
 	return false
 }
 
-// noteOlderBuild records the instance at address if err is gossip.ErrOlder.
+// noteOlderBuild records the instance at address if err is gossip.ErrOldBuild.
 func (i *Instance) noteOlderBuild(address string, err error) {
 	if errors.Is(err, gossip.ErrOldBuild) && i.olderBuilds.add(address, i.now()) {
 		i.log.Info("instance runs an older build; not fetching from it", zap.String("address", address), zap.String("error", err.Error()))
--- a/instance/peers.go
+++ b/instance/peers.go
@@ -55,7 +55,7 @@
 // upstream returns the instance that this one fetches updates from: the first candidate
 // with a recent validation. If the current source is superseded, the candidate must also
 // have the newest revision of any scheduler. If no validation is recent, the store is
-// probably in trouble for all, so the first candidate is kept: if the whole fleet turned
+// probably down for all, so the first candidate is kept: if the whole fleet turned
 // to the store, it would only add load. It returns false if the store is to be asked
 // instead.
 func (i *Instance) upstream(superseded bool) (discovery.NamedSource, bool) {
--- a/instance/suspects.go
+++ b/instance/suspects.go
@@ -68,9 +68,9 @@
 		out.Unavailable = append(out.Unavailable, inventory.UnavailableEndpoint{ID: a.Endpoint, BackoffMS: a.Backoff.Milliseconds(), Draining: a.Draining})
 	}
 	for _, l := range i.balancer.Limits() {
-		part, permits := i.gossip.AllocatedShare(l.Hash, l.DataCentre)
+		share, permits := i.gossip.AllocatedShare(l.Hash, l.DataCentre)
 		out.Limited = append(out.Limited, inventory.LimitedEndpoint{
-			ID: l.Endpoint, PerSecond: l.Rate, AgeMS: l.Age.Milliseconds(), Allocator: l.Allocator, Share: part, Permits: permits,
+			ID: l.Endpoint, PerSecond: l.Rate, AgeMS: l.Age.Milliseconds(), Allocator: l.Allocator, Share: share, Permits: permits,
 			Available: l.Permits, AsksInMS: l.Closed.Milliseconds(),
 		})
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -28,7 +28,7 @@
 	return p
 }
 
-// Parse parses the command line. On an error it exits with BadUsage.
+// Parse parses the command line. On an error it exits with UsageError.
 func Parse(p *flaggy.Parser) {
 	if err := p.ParseArgs(os.Args[1:]); err != nil {
 		Exit(UsageError, err)
--- a/internal/fetch/fetch.go
+++ b/internal/fetch/fetch.go
@@ -70,7 +70,7 @@
 	OnHeader func()
 }
 
-// An Response is a complete response.
+// A Response is a complete response.
 type Response struct {
 	Status     int
 	Body       []byte
@@ -98,7 +98,7 @@
 func (e *TruncatedError) Unwrap() error { return e.Err }
 
 // Do makes a call and reads its complete response, whose body may have up to maxBytes. Every error
-// is a *CutError.
+// is a *TruncatedError.
 func Do(client *http.Client, req *http.Request, maxBytes int64, w HeaderWait) (*Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
 	defer cancel(nil)
--- a/internal/fetch/fetch_test.go
+++ b/internal/fetch/fetch_test.go
@@ -41,8 +41,8 @@
 		<-r.Context().Done()
 	})
 	_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Second})
-	var cut *TruncatedError
-	if !errors.As(err, &cut) || !cut.HeaderReceived || cut.Bytes != len("a part") || !errors.Is(err, context.DeadlineExceeded) {
+	var truncated *TruncatedError
+	if !errors.As(err, &truncated) || !truncated.HeaderReceived || truncated.Bytes != len("a part") || !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("got %v", err)
 	}
 }
@@ -52,8 +52,8 @@
 	defer cancel()
 	req := newRequest(ctx, t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Second})
-	var cut *TruncatedError
-	if !errors.As(err, &cut) || cut.HeaderReceived {
+	var truncated *TruncatedError
+	if !errors.As(err, &truncated) || truncated.HeaderReceived {
 		t.Fatalf("got %v", err)
 	}
 }
@@ -95,8 +95,8 @@
 				<-r.Context().Done()
 			})
 			_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: 500 * time.Millisecond})
-			var cut *TruncatedError
-			if !errors.Is(err, ErrIdle) || !errors.As(err, &cut) || cut.HeaderReceived != begin {
+			var truncated *TruncatedError
+			if !errors.Is(err, ErrIdle) || !errors.As(err, &truncated) || truncated.HeaderReceived != begin {
 				t.Fatalf("got %v", err)
 			}
 		})
--- a/internal/link/udp.go
+++ b/internal/link/udp.go
@@ -13,8 +13,8 @@
 // maxDatagram exceeds the size of any datagram.
 const maxDatagram = 64 << 10
 
-// DatagramConditions is the condition of datagrams from one process to another. The zero value forwards them at
-// once.
+// DatagramConditions is the condition of datagrams from one process to another. The zero value
+// forwards them at once.
 type DatagramConditions struct {
 	Loss       float64       // fraction that is dropped
 	Duplicate  float64       // fraction that is duplicated
@@ -112,22 +112,22 @@
 		s.mu.Unlock()
 		return
 	}
-	sky := s.conditions(sender.name, p.name)
+	conditions := s.conditions(sender.name, p.name)
 	copies := 1
 	switch {
-	case sky.Cut || s.rng.Float64() < sky.Loss:
+	case conditions.Cut || s.rng.Float64() < conditions.Loss:
 		copies = 0
-	case s.rng.Float64() < sky.Duplicate:
+	case s.rng.Float64() < conditions.Duplicate:
 		copies = 2
 	}
 	var delays []time.Duration
 	for range copies {
-		d := sky.Delay
-		if sky.Jitter > 0 {
-			d += time.Duration(s.rng.Int64N(int64(sky.Jitter)))
+		d := conditions.Delay
+		if conditions.Jitter > 0 {
+			d += time.Duration(s.rng.Int64N(int64(conditions.Jitter)))
 		}
-		if sky.Bottleneck != nil {
-			queued, fits := sky.Bottleneck.enqueue(len(data), time.Now())
+		if conditions.Bottleneck != nil {
+			queued, fits := conditions.Bottleneck.enqueue(len(data), time.Now())
 			if !fits {
 				continue
 			}
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -14,7 +14,7 @@
 	"ivyridge/inventory"
 )
 
-func drawMark(t *rapid.T) inventory.Summary {
+func drawSummary(t *rapid.T) inventory.Summary {
 	return inventory.Summary{
 		Build: rapid.Uint32().Draw(t, "build"), Settings: rapid.Uint32().Draw(t, "settings"), Version: rapid.Int64Min(0).Draw(t, "version"),
 		Ready: rapid.Bool().Draw(t, "ready"), Refused: rapid.Bool().Draw(t, "refused"), NeedsRestart: rapid.Bool().Draw(t, "waiting"),
@@ -23,7 +23,7 @@
 
 func TestSummaryRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawMark(t)
+		m := drawSummary(t)
 		data := m.Append(nil)
 		got, ok := inventory.DecodeSummary(data)
 		if !ok || got != m {
--- a/limit/allocator.go
+++ b/limit/allocator.go
@@ -115,7 +115,7 @@
 	sweptAt   time.Time
 }
 
-// An Answer is the reply to an ask.
+// An Answer is the reply to a permit request.
 type Answer struct {
 	Granted bool          // one request may be sent
 	Wait    time.Duration // if not Granted: the delay until the next ask
--- a/load/report.go
+++ b/load/report.go
@@ -26,12 +26,12 @@
 	ComputedTokens int     `json:"computed_tokens"`
 	WastedTokens   int     `json:"wasted_tokens"`
 	// Duplicates counts requests with an idempotency key that ran more than
-	// once; Lost, requests without a final response; Crossed, requests that got
+	// once; Lost, requests without a final response; Misdirected, requests that got
 	// the response to another; RefusedButRun, requests that ran although the
 	// response said that they had not.
 	Duplicates    int   `json:"duplicates"`
 	Lost          int   `json:"lost"`
-	Crossed       int   `json:"crossed"`
+	Misdirected   int   `json:"crossed"`
 	RefusedButRun int   `json:"refused_but_run"`
 	PlatformCalls int64 `json:"platform_calls"`
 
@@ -78,7 +78,7 @@
 // Summarize computes the report of a run from the clients' outcomes and the
 // runs that the fakes recorded. It ignores outcomes without a class, which were
 // not sent.
-func Summarize(w *Workload, seed uint64, outcomes []Outcome, books *fake.RunLogResponse) *Report {
+func Summarize(w *Workload, seed uint64, outcomes []Outcome, runLog *fake.RunLogResponse) *Report {
 	r := &Report{Workload: w.Name, Seed: seed, Seconds: w.Duration.Seconds()}
 	classIndex := make(map[string]int)
 	for i := range w.Classes {
@@ -91,7 +91,7 @@
 			refusals:        hdrhistogram.New(1, histMaxMicros, histSignificantDigits),
 		})
 	}
-	r.ComputedTokens, r.PlatformCalls = books.Tokens, books.PlatformCalls
+	r.ComputedTokens, r.PlatformCalls = runLog.Tokens, runLog.PlatformCalls
 	goodTokens := 0
 	for i := range outcomes {
 		o := &outcomes[i]
@@ -99,13 +99,13 @@
 			continue // not sent
 		}
 		r.Classes[classIndex[o.Class.Name]].add(o)
-		r.checkGuarantees(o, books.Runs[o.ID])
+		r.checkGuarantees(o, runLog.Runs[o.ID])
 		if o.OnTime() {
 			goodTokens += o.Tokens
 		}
 	}
 	r.GoodputTokens = float64(goodTokens) / r.Seconds
-	r.WastedTokens = max(0, books.Tokens-goodTokens)
+	r.WastedTokens = max(0, runLog.Tokens-goodTokens)
 	for i := range r.Classes {
 		r.Classes[i].computeQuantiles()
 	}
@@ -119,7 +119,7 @@
 		r.Duplicates++
 	}
 	if o.Misdirected {
-		r.Crossed++
+		r.Misdirected++
 	}
 	if o.Status == 0 || o.Status == http.StatusOK && !o.Complete && o.Reason == "" {
 		r.Lost++
--- a/load/table.go
+++ b/load/table.go
@@ -77,7 +77,7 @@
 	}
 	_, err := fmt.Fprintf(w, "goodput %.0f tokens/s; %d tokens computed, %d wasted (%.1f%%)\nduplicates %d, lost %d, crossed %d, refused but run %d\n",
 		r.GoodputTokens, r.ComputedTokens, r.WastedTokens, 100*float64(r.WastedTokens)/float64(max(1, r.ComputedTokens)),
-		r.Duplicates, r.Lost, r.Crossed, r.RefusedButRun)
+		r.Duplicates, r.Lost, r.Misdirected, r.RefusedButRun)
 	return errors.Wrap(err, "table")
 }
 
--- a/node/ask.go
+++ b/node/ask.go
@@ -124,7 +124,7 @@
 		return n.recordGrant(c, name, d, r), false, nil
 	}
 	n.count.fallbackAsks.Add(1)
-	d, moved, err := n.getCell(c, v).ask(ctx, n, n.newAsk(r))
+	d, moved, err := n.getCell(c, v).ask(ctx, n, n.newHomeRequest(r))
 	if err != nil || moved {
 		return nil, moved, err
 	}
@@ -149,7 +149,7 @@
 	return g
 }
 
-func (n *Node) newAsk(r *Request) home.Request {
+func (n *Node) newHomeRequest(r *Request) home.Request {
 	return home.Request{
 		Key:        home.Key{Entry: n.opt.Name, Seq: n.seq.Add(1)},
 		Class:      r.Class,
@@ -165,7 +165,7 @@
 
 // askHome asks one home, which may be this instance.
 func (n *Node) askHome(ctx context.Context, v *view, c *cellView, name string, r *Request) (home.Decision, bool, error) {
-	a := n.newAsk(r)
+	a := n.newHomeRequest(r)
 	if name == n.opt.Name {
 		n.count.asksLocal.Add(1)
 		return n.getCell(c, v).ask(ctx, n, a)
@@ -204,7 +204,7 @@
 }
 
 // GrantValid reports whether a grant may still be used. A newer list, an operator command or
-// GrantLife may have invalidated it.
+// GrantTTL may have invalidated it.
 func (n *Node) GrantValid(g *Grant) bool {
 	return n.view.Load().endpoints[g.Endpoint] && n.now()-g.At < GrantTTL
 }
--- a/operator/lang.go
+++ b/operator/lang.go
@@ -2,7 +2,7 @@
 // its HTTP interface.
 //
 // A statement is one line: show queries the fleet, other verbs change it. Each
-// instance evaluates queries for itself (Local). The instance that received the
+// instance evaluates queries for itself (QueryHandler). The instance that received the
 // statement merges the results and names the instances that did not reply. The
 // language is described in docs/query-language.md.
 //
--- a/operator/serve.go
+++ b/operator/serve.go
@@ -78,7 +78,7 @@
 	expvar.Handler().ServeHTTP(w, r)
 }
 
-// A ErrorResponse is the body of an error response.
+// An ErrorResponse is the body of an error response.
 type ErrorResponse struct {
 	Error string `json:"error"`
 	Col   int    `json:"column,omitempty"`
--- a/owner/settle.go
+++ b/owner/settle.go
@@ -19,7 +19,7 @@
 	replies     map[string]PartitionReport
 }
 
-// A PartitionReport describes a partition in an Answer.
+// A PartitionReport describes a partition in a PullReply.
 type PartitionReport struct {
 	Partition   Partition
 	Intact      bool       // the instance still has all records that it ever accepted for it
@@ -27,7 +27,7 @@
 	PriorOwners [][]string // owners under earlier lists that may have been in force
 }
 
-// An PullReply is the reply to a Pull.
+// A PullReply is the reply to a Pull.
 type PullReply struct {
 	Parts   []PartitionReport
 	Records []Record
--- a/rig/rig.go
+++ b/rig/rig.go
@@ -240,7 +240,7 @@
 }
 
 // measure measures the running instances for the configured duration. It sets
-// all fields of the result but Heap and Spread.
+// all fields of the result but Heap and PropagationDelay.
 func (b *benchmark) measure() Result {
 	cpu, bytes, calls, platformCalls, done := cpuTime(), b.bytes.Load(), b.calls.Load(), b.platform.Calls.Load(), b.completed.Load()
 	began := time.Now()
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -149,10 +149,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	q.Sent = time.Now()
-	reply := standin.Call(ctx, client, address, &q.Request)
+	response := standin.Call(ctx, client, address, &q.Request)
 	q.Done = time.Now()
-	q.Response = *reply
-	q.Cancelled = abandons && !reply.Complete && ctx.Err() != nil
+	q.Response = *response
+	q.Cancelled = abandons && !response.Complete && ctx.Err() != nil
 	if q.Cancelled {
 		q.Truncated = false
 	}
--- a/soak/check.go
+++ b/soak/check.go
@@ -39,7 +39,7 @@
 	{"REST", (*Record).checkRest},
 	{"LIMIT", (*Record).checkLimit},
 	{"EVAC", (*Record).checkEvac},
-	{"HOME", (*Record).checkHome},
+	{"HOME", (*Record).checkHomeRegions},
 	{"FAILBACK", (*Record).checkFailback},
 	{"CONFIG", (*Record).checkConfig},
 	{"REVOKED", (*Record).checkRevoked},
@@ -69,11 +69,11 @@
 	var out []Violation
 	newer := b.withoutOlder()
 	for _, r := range rules {
-		books := b
+		record := b
 		if slices.Contains(b.OlderRules, r.name) {
-			books = newer
+			record = newer
 		}
-		for _, what := range r.check(books) {
+		for _, what := range r.check(record) {
 			out = append(out, Violation{r.name, what})
 		}
 	}
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -23,10 +23,10 @@
 	Evacuate: 3 * time.Second, ColdOver: 1.5, ColdSlack: 5,
 }
 
-// faultlessBooks returns observations without violations: a request per second, a version that
+// faultlessRecord returns observations without violations: a request per second, a version that
 // moves the route and revokes key-2 at 20 s, an endpoint that leaves at 30 s, and a loss of all
 // instances from 40 to 41 s.
-func faultlessBooks() *Record {
+func faultlessRecord() *Record {
 	b := &Record{
 		Bounds:   bounds,
 		Requests: make(map[string]*Request), Deliveries: make(map[string][]Delivery),
@@ -78,7 +78,7 @@
 }
 
 func TestFaultlessRecordHasNoViolations(t *testing.T) {
-	if got := Check(faultlessBooks()); len(got) != 0 {
+	if got := Check(faultlessRecord()); len(got) != 0 {
 		t.Fatalf("got %v", got)
 	}
 }
@@ -167,14 +167,14 @@
 			b.Deliveries[requestID(6)][0].DataCentre = "hall-a" // within Bounds.Evacuate
 			b.Deliveries[requestID(9)][0].DataCentre = "hall-a" // after the evacuation
 		}},
-		{"a request outside its homes", []string{"HOME"}, func(b *Record) {
+		{"a request outside its home regions", []string{"HOME"}, func(b *Record) {
 			b.Versions[0].RouteHomes = map[string][]string{"a": {north}}
 			b.Versions[1].RouteHomes = map[string][]string{"a": {south}}
 			b.Deliveries[requestID(5)][0].DataCentre = "hall-c"
 			b.Deliveries[requestID(21)][0].DataCentre = "hall-a" // within Bounds.Propagation
 			b.Deliveries[requestID(25)][0].DataCentre = "hall-c"
 		}},
-		{"a rejected request outside its team's homes", []string{"HOME"}, func(b *Record) {
+		{"a rejected request outside its team's home regions", []string{"HOME"}, func(b *Record) {
 			b.Versions[0].TeamHomes = map[string][]string{"one": {south}}
 			b.Deliveries[requestID(5)] = append([]Delivery{receivedRun("e-0", "app", 5.5)}, b.Deliveries[requestID(5)]...)
 			b.Deliveries[requestID(5)][0].Ran, b.Deliveries[requestID(5)][0].DataCentre = false, "hall-b"
@@ -280,12 +280,12 @@
 		{"an instance that stays unready", []string{"FOOTPRINT"}, func(b *Record) { b.Footprints[0].Ready = false }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := faultlessBooks()
+			b := faultlessRecord()
 			c.violate(b)
 			var violated []string
-			for _, breach := range Check(b) {
-				if !slices.Contains(violated, breach.Rule) {
-					violated = append(violated, breach.Rule)
+			for _, violation := range Check(b) {
+				if !slices.Contains(violated, violation.Rule) {
+					violated = append(violated, violation.Rule)
 				}
 			}
 			if !slices.Equal(violated, c.want) {
@@ -297,7 +297,7 @@
 
 // A fault of an instance excuses the rules that apply only to instances in contact.
 func TestInstanceFaultExcusesContactRules(t *testing.T) {
-	b := faultlessBooks()
+	b := faultlessRecord()
 	addRequest(b, "q-old", 23, "e-1", "app")
 	b.Faults = append(b.Faults, Fault{Kind: "cut", Instance: "router-1", From: at(21), To: at(22)})
 	if got := Check(b); len(got) != 0 {
@@ -311,7 +311,7 @@
 
 // Rules that an older build does not know are checked for newer instances only.
 func TestOlderBuildIsExemptFromUnknownRules(t *testing.T) {
-	b := faultlessBooks()
+	b := faultlessRecord()
 	b.ColdPeriods = []ColdPeriod{{Endpoint: "e-1", From: at(5), To: at(8)}}
 	for n := range 12 {
 		addRequest(b, "cold-"+requestID(n), 5.6+float64(n)/20, "e-1", "app").Instance = "router-2"
@@ -359,7 +359,7 @@
 		"invalid limit":       func(b *Record) { nameLimits(b, 40, "-3") },
 		"far below the limit": func(b *Record) { nameLimits(b, 40, "50") },
 	} {
-		b := faultlessBooks()
+		b := faultlessRecord()
 		change(b)
 		if got := b.checkLimit(); len(got) > 0 {
 			t.Errorf("%s: %v", name, got)
--- a/soak/crash_requests.go
+++ b/soak/crash_requests.go
@@ -65,7 +65,7 @@
 func (s *site) recordCrashRequest(body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.books.CrashRequests = append(s.books.CrashRequests, CrashRequest{Body: body})
+	s.record.CrashRequests = append(s.record.CrashRequests, CrashRequest{Body: body})
 }
 
 // sendCrashRequests sends a request repeatedly, each time under a new ID and to a random instance.
--- a/soak/evacuate.go
+++ b/soak/evacuate.go
@@ -40,7 +40,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.store.Evacuate(dataCentre)
-	s.books.Evacuations = append(s.books.Evacuations, Evacuation{DataCentre: dataCentre, Acked: time.Now()})
+	s.record.Evacuations = append(s.record.Evacuations, Evacuation{DataCentre: dataCentre, Acked: time.Now()})
 }
 
 // endEvacuation ends a data centre's evacuation and marks its endpoints cold.
@@ -48,8 +48,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	for i := range s.books.Evacuations {
-		if e := &s.books.Evacuations[i]; e.DataCentre == dataCentre && e.Over.IsZero() {
+	for i := range s.record.Evacuations {
+		if e := &s.record.Evacuations[i]; e.DataCentre == dataCentre && e.Over.IsZero() {
 			e.Over = now
 		}
 	}
@@ -64,7 +64,7 @@
 // markCold records that an endpoint is cold from a time on, and publishes it. The caller holds
 // s.mu.
 func (s *site) markCold(e *endpoint, from time.Time) {
-	s.books.ColdPeriods = append(s.books.ColdPeriods, ColdPeriod{Endpoint: e.server.ID, From: from, To: from.Add(coldPeriod)})
+	s.record.ColdPeriods = append(s.record.ColdPeriods, ColdPeriod{Endpoint: e.server.ID, From: from, To: from.Add(coldPeriod)})
 	entry := e.registryEntry(false)
 	entry.ColdLeft = coldPeriod
 	s.store.List(entry)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -88,7 +88,7 @@
 	{"store forgets its history", func(s *injection) { s.instant("store forgets its history", s.site.store.DropHistory) }},
 	{"route moved", func(s *injection) { s.planned("route moved", s.moveRoute) }},
 	{"configurations in quick succession", func(s *injection) { s.publishRapidly() }},
-	{"homes changed", func(s *injection) { s.changeHomes() }},
+	{"homes changed", func(s *injection) { s.changeHomeRegions() }},
 	{"configuration grows", func(s *injection) {
 		s.planned("configuration grows", func() { s.site.publish(func() { s.site.extraRoutes += growthRoutes }) })
 	}},
@@ -332,9 +332,9 @@
 }
 
 func (s *injection) disturbGossip() {
-	sky := link.DatagramConditions{Loss: 0.2, Duplicate: 0.2, Jitter: 80 * time.Millisecond}
+	conditions := link.DatagramConditions{Loss: 0.2, Duplicate: 0.2, Jitter: 80 * time.Millisecond}
 	s.apply(Fault{Kind: "datagrams lost, doubled, late"}, func() {
-		s.run.fleet.setDatagramFault(s, func(*instance, *instance) link.DatagramConditions { return sky })
+		s.run.fleet.setDatagramFault(s, func(*instance, *instance) link.DatagramConditions { return conditions })
 	}, s.duration, func() {
 		s.run.fleet.setDatagramFault(s, nil)
 	})
--- a/soak/mixed_builds.go
+++ b/soak/mixed_builds.go
@@ -57,14 +57,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	spans := s.books.OlderBuildPeriods
+	spans := s.record.OlderBuildPeriods
 	for i := range spans {
 		if spans[i].Instance == r.name && spans[i].To.IsZero() {
 			spans[i].To = now
 		}
 	}
 	if r.isOlder() {
-		s.books.OlderBuildPeriods = append(spans, OlderBuildPeriod{Instance: r.name, From: now})
+		s.record.OlderBuildPeriods = append(spans, OlderBuildPeriod{Instance: r.name, From: now})
 	}
 }
 
--- a/soak/record.go
+++ b/soak/record.go
@@ -3,7 +3,7 @@
 // stand-ins, and the links between them fail as a seeded random plan says.
 //
 // Only what callers, endpoints and the store observe on their sockets is checked. It is collected
-// in Books, and Check evaluates the rules of docs/promises.md on it.
+// in Record, and Check evaluates the rules of docs/promises.md on it.
 //
 // A run is determined by its seed, duration and size. Scheduling and the machine's speed still
 // vary, so a failed run can be analysed from its logs but not replayed exactly.
--- a/soak/report.go
+++ b/soak/report.go
@@ -107,9 +107,9 @@
 	for s := range served {
 		highest = max(highest, served[s]+other[s])
 	}
-	troubles := slices.Clone(r.Record.Faults)
-	slices.SortFunc(troubles, func(a, b Fault) int { return a.From.Compare(b.From) })
-	width, height := leftMargin+len(served)*secondWidth, barsHeight+lineHeight*(len(troubles)+2)
+	faults := slices.Clone(r.Record.Faults)
+	slices.SortFunc(faults, func(a, b Fault) int { return a.From.Compare(b.From) })
+	width, height := leftMargin+len(served)*secondWidth, barsHeight+lineHeight*(len(faults)+2)
 	fmt.Fprintf(w, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="10">`+"\n", width, height)
 	fmt.Fprintf(w, `<text x="4" y="12">seed %d: requests a second (at most %d), served dark, not served red</text>`+"\n", r.Seed, highest)
 	for s := range served {
@@ -118,7 +118,7 @@
 		fmt.Fprintf(w, `<rect x="%d" y="%d" width="%d" height="%d" fill="#456"/>`, x, barsHeight-up, secondWidth-1, up)
 		fmt.Fprintf(w, `<rect x="%d" y="%d" width="%d" height="%d" fill="#c33"/>`+"\n", x, barsHeight-up-bad, secondWidth-1, bad)
 	}
-	for i, t := range troubles {
+	for i, t := range faults {
 		y := barsHeight + lineHeight*(i+1)
 		from, to := t.From.Sub(r.Began).Seconds(), t.To.Sub(r.Began).Seconds()
 		fmt.Fprintf(w, `<text x="4" y="%d">%s %s%s</text>`, y, escape(t.Kind), t.Instance, t.Endpoint)
--- a/soak/residence.go
+++ b/soak/residence.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Regions, as named in settings and in lists of homes.
+// Regions, as named in settings and in lists of home regions.
 const (
 	north = "north"
 	south = "south"
@@ -20,14 +20,14 @@
 // endpoint of each plain service.
 var regionOf = map[string]string{"hall-a": north, "hall-b": north, "hall-c": south}
 
-// The initial lists of homes. Routes and teams without a list may be served anywhere.
+// The initial lists of home regions. Routes and teams without a list may be served anywhere.
 var (
-	firstRouteHomes = map[string][]string{"once": {north, south}, "letter": {north}}
-	firstTeamHomes  = map[string][]string{"oost": {south}}
+	initialRouteRegions = map[string][]string{"once": {north, south}, "letter": {north}}
+	initialTeamRegions  = map[string][]string{"oost": {south}}
 )
 
-// homeLists are the lists that a change draws from; nil removes the list.
-var homeLists = [][]string{nil, {}, {north}, {south}, {north, south}, {"nowhere"}}
+// homeRegionLists are the lists that a change draws from; nil removes the list.
+var homeRegionLists = [][]string{nil, {}, {north}, {south}, {north, south}, {"nowhere"}}
 
 // allowsRegion reports whether v allows q in a region: the lists of both its route and its team
 // must.
@@ -50,8 +50,9 @@
 	return slices.ContainsFunc(b.possibleVersions(q.Sent, q.Done), func(v *Version) bool { return !v.allowsRegion(q, north) || !v.allowsRegion(q, south) })
 }
 
-// checkHome: no request is sent to an endpoint outside its homes, whether executed there or not.
-func (b *Record) checkHome() (out []string) {
+// checkHomeRegions: no request is sent to an endpoint outside its home regions, whether executed
+// there or not.
+func (b *Record) checkHomeRegions() (out []string) {
 	b.each(func(q *Request) {
 		for _, r := range b.Deliveries[q.ID] {
 			region, known := regionOf[r.DataCentre]
@@ -60,15 +61,16 @@
 			}
 			inside := slices.ContainsFunc(b.possibleVersions(b.earliestSend(q, &r), r.At), func(v *Version) bool { return v.allowsRegion(q, region) })
 			if !inside {
-				out = append(out, fmt.Sprintf("%s: route %s of team %s was sent to endpoint %s in region %s, outside its homes, by %s", q.ID, q.Route, q.Team, r.Endpoint, region, q.Instance))
+				out = append(out, fmt.Sprintf("%s: route %s of team %s was sent to endpoint %s in region %s, outside its home regions, by %s", q.ID, q.Route, q.Team, r.Endpoint, region, q.Instance))
 			}
 		}
 	})
 	return out
 }
 
-// earliestSend returns the earliest time at which r may have been sent. Instances evaluate the
-// homes at each send, so this is the arrival, unless a fault may have delayed the endpoint's link.
+// earliestSend returns the earliest time at which r may have been sent. Instances evaluate the home
+// regions at each send, so this is the arrival, unless a fault may have delayed the endpoint's
+// link.
 func (b *Record) earliestSend(q *Request, r *Delivery) time.Time {
 	for i := range b.Faults {
 		if t := &b.Faults[i]; t.Endpoint == r.Endpoint && t.during(q.Sent, r.At) {
@@ -78,20 +80,20 @@
 	return r.At
 }
 
-// changeHomes changes the homes of a route or of the team for a while.
-func (s *injection) changeHomes() {
-	lists, first, name := &s.site.teamHomes, firstTeamHomes, "oost"
+// changeHomeRegions changes the home regions of a route or of the team for a while.
+func (s *injection) changeHomeRegions() {
+	lists, first, name := &s.site.teamRegions, initialTeamRegions, "oost"
 	if s.rng.IntN(2) == 0 {
-		lists, first = &s.site.routeHomes, firstRouteHomes
+		lists, first = &s.site.routeRegions, initialRouteRegions
 		name = sortedKeys(first)[s.rng.IntN(len(first))]
 	}
-	list := homeLists[s.rng.IntN(len(homeLists))]
+	list := homeRegionLists[s.rng.IntN(len(homeRegionLists))]
 	t := Fault{Kind: "homes changed", Planned: true, KeepsContact: true}
-	s.apply(t, func() { s.site.setHomes(lists, name, list) }, deploymentBounds.Propagation+s.duration, func() { s.site.setHomes(lists, name, first[name]) })
+	s.apply(t, func() { s.site.setHomeRegions(lists, name, list) }, deploymentBounds.Propagation+s.duration, func() { s.site.setHomeRegions(lists, name, first[name]) })
 }
 
-// setHomes publishes a list of homes for a name; nil removes it.
-func (s *site) setHomes(lists *map[string][]string, name string, list []string) {
+// setHomeRegions publishes a list of home regions for a name; nil removes it.
+func (s *site) setHomeRegions(lists *map[string][]string, name string, list []string) {
 	s.publish(func() {
 		changed := maps.Clone(*lists) // recorded versions share the old map
 		delete(changed, name)
--- a/soak/run.go
+++ b/soak/run.go
@@ -91,10 +91,10 @@
 	if err != nil {
 		return nil, err
 	}
-	books := &Record{Bounds: deploymentBounds, Requests: make(map[string]*Request), Deliveries: make(map[string][]Delivery), OlderRules: p.PreviousBuild.UnknownRules}
+	record := &Record{Bounds: deploymentBounds, Requests: make(map[string]*Request), Deliveries: make(map[string][]Delivery), OlderRules: p.PreviousBuild.UnknownRules}
 	r := &run{
-		Params: p, kinds: kinds, site: newSite(books), ctx: ctx, acquired: make(map[*instance]bool),
-		result: &Result{Params: p, Record: books, Faults: make(map[string]int), Began: time.Now()},
+		Params: p, kinds: kinds, site: newSite(record), ctx: ctx, acquired: make(map[*instance]bool),
+		result: &Result{Params: p, Record: record, Faults: make(map[string]int), Began: time.Now()},
 	}
 	defer r.site.close()
 	r.fleet = newFleet(&p, r.site.store.Address, r.recordExit)
@@ -107,14 +107,14 @@
 	}
 	r.execute()
 	r.site.collectRuns()
-	r.result.Violations = Check(books)
+	r.result.Violations = Check(record)
 	return r.result, r.failed
 }
 
 // recordExit records a process that ended unexpectedly. It is not restarted.
 func (r *run) recordExit(e Exit) {
 	r.site.mu.Lock()
-	r.site.books.Exits = append(r.site.books.Exits, e)
+	r.site.record.Exits = append(r.site.record.Exits, e)
 	r.site.mu.Unlock()
 	r.Log.Error("instance process ended unexpectedly", zap.String("instance", e.Instance), zap.String("error", e.Error))
 }
@@ -165,11 +165,11 @@
 	done.Wait()
 	for _, x := range r.fleet.live() {
 		f := r.fleet.footprint(x)
-		r.site.books.Footprints = append(r.site.books.Footprints, f)
+		r.site.record.Footprints = append(r.site.record.Footprints, f)
 	}
 }
 
-// injectFaults injects random faults, up to maxConcurrentFaults at once, until r.For has passed,
+// injectFaults injects random faults, up to maxConcurrentFaults at once, until r.Duration has passed,
 // and returns when all have ended.
 func (r *run) injectFaults() {
 	rng := rand.New(rand.NewPCG(r.Seed, 3))
@@ -195,7 +195,7 @@
 func (r *run) awaitRecovery() {
 	r.wait(deploymentBounds.Recover)
 	r.site.mu.Lock()
-	r.site.books.RecoveredAt = time.Now()
+	r.site.record.RecoveredAt = time.Now()
 	r.site.mu.Unlock()
 	r.wait(calmDuration)
 }
--- a/soak/rush.go
+++ b/soak/rush.go
@@ -45,7 +45,7 @@
 func (s *site) recordRush(r Rush) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.books.Rushes = append(s.books.Rushes, r)
+	s.record.Rushes = append(s.record.Rushes, r)
 }
 
 // rush sends requests of a team on top of all other traffic, and returns when the last one is
--- a/soak/site.go
+++ b/soak/site.go
@@ -82,20 +82,20 @@
 type site struct {
 	store *standin.Store
 
-	mu          sync.Mutex
-	books       *Record
-	endpoints   []*endpoint
-	created     int
-	routes      map[string]string   // service by route
-	keys        map[string][]string // valid keys, by team
-	routeHomes  map[string][]string // allowed regions, by route
-	teamHomes   map[string][]string // allowed regions, by team
-	extraRoutes int                 // unused routes that enlarge the configuration
-	version     int
+	mu           sync.Mutex
+	record       *Record
+	endpoints    []*endpoint
+	created      int
+	routes       map[string]string   // service by route
+	keys         map[string][]string // valid keys, by team
+	routeRegions map[string][]string // allowed regions, by route
+	teamRegions  map[string][]string // allowed regions, by team
+	extraRoutes  int                 // unused routes that enlarge the configuration
+	version      int
 }
 
 func newSite(b *Record) *site {
-	s := &site{store: standin.NewStore(), books: b, routes: make(map[string]string), keys: make(map[string][]string), routeHomes: firstRouteHomes, teamHomes: firstTeamHomes}
+	s := &site{store: standin.NewStore(), record: b, routes: make(map[string]string), keys: make(map[string][]string), routeRegions: initialRouteRegions, teamRegions: initialTeamRegions}
 	for _, k := range callKinds {
 		s.routes[k.route] = k.service
 	}
@@ -134,11 +134,11 @@
 	defer s.mu.Unlock()
 	change()
 	s.version += 2
-	c := &standin.Config{Version: s.version, Teams: s.keys, HomeRegions: s.teamHomes}
-	v := Version{Number: s.version, Routes: make(map[string]Route), Keys: make(map[string]string), RouteHomes: s.routeHomes, TeamHomes: s.teamHomes, Sent: time.Now()}
+	c := &standin.Config{Version: s.version, Teams: s.keys, HomeRegions: s.teamRegions}
+	v := Version{Number: s.version, Routes: make(map[string]Route), Keys: make(map[string]string), RouteHomes: s.routeRegions, TeamHomes: s.teamRegions, Sent: time.Now()}
 	for _, k := range callKinds {
 		route := k.published(k.route, s.routes[k.route])
-		route.HomeRegions = s.routeHomes[k.route]
+		route.HomeRegions = s.routeRegions[k.route]
 		c.Routes = append(c.Routes, route)
 		v.Routes[k.route] = Route{Service: s.routes[k.route], Timeout: k.timeout}
 	}
@@ -155,7 +155,7 @@
 	}
 	s.store.Publish(c)
 	v.Acked = time.Now()
-	s.books.Versions = append(s.books.Versions, v)
+	s.record.Versions = append(s.record.Versions, v)
 }
 
 // published returns the declaration of a route of kind k.
@@ -211,7 +211,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.store.List(e.registryEntry(true))
-	s.books.Departures = append(s.books.Departures, Departure{Endpoint: e.server.ID, Acked: time.Now()})
+	s.record.Departures = append(s.record.Departures, Departure{Endpoint: e.server.ID, Acked: time.Now()})
 }
 
 // withdraw removes the entry of e.
@@ -250,11 +250,11 @@
 	defer s.mu.Unlock()
 	for _, e := range s.endpoints {
 		for _, got := range e.server.Received() {
-			s.books.Deliveries[got.ID] = append(s.books.Deliveries[got.ID], Delivery{ReceivedRequest: got, Endpoint: e.server.ID, Service: e.server.Service, DataCentre: e.server.DataCentre})
+			s.record.Deliveries[got.ID] = append(s.record.Deliveries[got.ID], Delivery{ReceivedRequest: got, Endpoint: e.server.ID, Service: e.server.Service, DataCentre: e.server.DataCentre})
 		}
 	}
-	for _, runs := range s.books.Deliveries {
-		sortByArrival(runs)
+	for _, deliveries := range s.record.Deliveries {
+		sortByArrival(deliveries)
 	}
 }
 
@@ -280,14 +280,14 @@
 func (s *site) recordRequest(q *Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.books.Requests[q.ID] = q
+	s.record.Requests[q.ID] = q
 }
 
 // recordFault records a fault.
 func (s *site) recordFault(t Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.books.Faults = append(s.books.Faults, t)
+	s.record.Faults = append(s.record.Faults, t)
 }
 
 func sortByArrival(runs []Delivery) {
--- a/speed/speed_test.go
+++ b/speed/speed_test.go
@@ -9,9 +9,9 @@
 	"ivyridge/speed"
 )
 
-// randomSums returns the sums of endpoints with a number of samples each, log-normally
+// randomSamples returns the Samples of endpoints with a number of observations each, log-normally
 // distributed around ms per token.
-func randomSums(r *rand.Rand, endpoints, samples int, ms float64) []speed.Samples {
+func randomSamples(r *rand.Rand, endpoints, samples int, ms float64) []speed.Samples {
 	out := make([]speed.Samples, endpoints)
 	for i := range out {
 		for range samples {
@@ -27,7 +27,7 @@
 	r := rand.New(rand.NewPCG(1, 2))
 	for _, tokensPerMs := range []float64{20, 43, 57, 110} {
 		f := speed.NewEstimate(1 / 50.0)
-		f.Update(randomSums(r, 10, 5, 1/tokensPerMs), 100*time.Millisecond)
+		f.Update(randomSamples(r, 10, 5, 1/tokensPerMs), 100*time.Millisecond)
 		if got := 1 / f.Value(); !near(got, tokensPerMs, 0.15) {
 			t.Errorf("after 50 samples of %.0f tokens per ms: got %.1f", tokensPerMs, got)
 		}
@@ -38,7 +38,7 @@
 func TestOutliersDoNotShiftServiceTime(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	f := speed.NewEstimate(0.025)
-	all := append(randomSums(r, 8, 20, 0.025), randomSums(r, 2, 20, 0.125)...)
+	all := append(randomSamples(r, 8, 20, 0.025), randomSamples(r, 2, 20, 0.125)...)
 	slow := all[9]
 	f.Update(all, time.Second)
 	if !near(f.Value(), 0.025, 0.12) {
@@ -71,7 +71,7 @@
 	r := rand.New(rand.NewPCG(5, 6))
 	f := speed.NewEstimate(0.02)
 	for range 30 {
-		f.Update(randomSums(r, 10, 10, 0.05), time.Second)
+		f.Update(randomSamples(r, 10, 10, 0.05), time.Second)
 	}
 	f.Update([]speed.Samples{{}, {}}, time.Second)
 	var s speed.Samples
