--- a/balance/admit.go
+++ b/balance/admit.go
@@ -12,7 +12,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 // levels is the number of urgency levels, derived from the route's priority.
@@ -54,23 +54,23 @@
 type Cause uint8
 
 const (
-	BeyondFleet      Cause = iota // no endpoint can start it in time, or it yields to more urgent requests
-	TeamShare                     // its team exceeds its fair share of a scarce service
-	RetriesSpent                  // the service's shared retry budget is exhausted
-	EndpointsRest                 // all eligible endpoints asked the instance to back off
-	EndpointsLimited              // no permit is available at any eligible endpoint
-	PermitWanted                  // local only: a permit for the chosen endpoint must be requested first
+	OverCapacity         Cause = iota // no endpoint can start it in time, or it yields to more urgent requests
+	TeamOverShare                     // its team exceeds its fair share of a scarce service
+	RetryBudgetExhausted              // the service's shared retry budget is exhausted
+	EndpointsInBackoff                // all eligible endpoints asked the instance to back off
+	EndpointsLimited                  // no permit is available at any eligible endpoint
+	PermitWanted                      // local only: a permit for the chosen endpoint must be requested first
 )
 
 // A Refusal says that a request should not be sent now.
 type Refusal struct {
 	Cause      Cause
-	Wait       time.Duration    // at the best endpoint
-	Pressure   float64          // on the requests that it yields to, or on its own level
-	RetryAfter time.Duration    // relative to now
-	Chooser    string           // instance that refused it; empty: this one
-	Limited    *belief.Endpoint // endpoint to request a permit for; nil: none
-	Urgency    int              // urgency of the permit request, below limit.Levels
+	Wait       time.Duration       // at the best endpoint
+	Pressure   float64             // on the requests that it yields to, or on its own level
+	RetryAfter time.Duration       // relative to now
+	Scheduler  string              // instance that refused it; empty: this one
+	Limited    *discovery.Endpoint // endpoint to request a permit for; nil: none
+	Urgency    int                 // urgency of the permit request, below limit.Levels
 }
 
 // A pressure is an exponentially decaying mean.
@@ -101,7 +101,7 @@
 
 // Admit chooses among a service's endpoints as Place does, but refuses requests that would only
 // delay others. It returns neither a placement nor a refusal if no endpoint is eligible.
-func (b *Balancer) Admit(endpoints []*belief.Endpoint, d *Demand) (*Placement, *Refusal) {
+func (b *Balancer) Admit(endpoints []*discovery.Endpoint, d *Demand) (*Placement, *Refusal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -110,7 +110,7 @@
 		return nil, refusal
 	}
 	b.spendCold(best.Endpoint, best.load, d.Service, now)
-	best.Spare = b.retries.account(d, now)
+	best.RetryAvailable = b.retries.account(d, now)
 	b.begin(best, d, now)
 	if d.needsNotice() {
 		b.queueNotice(best, d)
@@ -120,7 +120,7 @@
 
 // admit returns the best endpoint for the requester, or the reason for a refusal. The caller holds
 // b.mu.
-func (b *Balancer) admit(endpoints []*belief.Endpoint, d *Demand, now time.Time, by requester) (*Placement, *Refusal) {
+func (b *Balancer) admit(endpoints []*discovery.Endpoint, d *Demand, now time.Time, by requester) (*Placement, *Refusal) {
 	if refusal := b.retries.refuse(d, now); refusal != nil {
 		return nil, refusal
 	}
@@ -162,7 +162,7 @@
 
 // admitInTime returns an endpoint that starts the request in time, preferably first, or the reason
 // for a refusal. The caller holds b.mu.
-func (b *Balancer) admitInTime(endpoints []*belief.Endpoint, d *Demand, first *Placement, now time.Time, by requester) (*Placement, *Refusal) {
+func (b *Balancer) admitInTime(endpoints []*discovery.Endpoint, d *Demand, first *Placement, now time.Time, by requester) (*Placement, *Refusal) {
 	best := b.chooseInTime(endpoints, first, d, now, by)
 	if refusal := b.statsFor(d.Service.Name).refuse(d, first, best, b.reportInterval, now); refusal != nil {
 		return nil, refusal
@@ -171,47 +171,47 @@
 }
 
 // recordHold adds the request's estimated slot hold time to the mean.
-func (f *serviceStats) recordHold(d *Demand, p *Placement) {
-	hold := float64(d.Prompt-p.Cached)*p.Pace.ReadTime + float64(d.Output)*p.Pace.TokenTime
-	if f.hold == 0 {
-		f.hold = hold
+func (s *serviceStats) recordHold(d *Demand, p *Placement) {
+	hold := float64(d.Prompt-p.Cached)*p.Pace.PrefillPerToken + float64(d.Output)*p.Pace.TokenTime
+	if s.hold == 0 {
+		s.hold = hold
 	}
-	f.hold += holdSampleWeight * (hold - f.hold)
+	s.hold += holdSampleWeight * (hold - s.hold)
 }
 
 // refuse returns the reason to refuse the request, or nil. Endpoint first is the cheapest, and p
 // the one chosen by chooseInTime. It records pressures and refusal rates.
-func (f *serviceStats) refuse(d *Demand, first, p *Placement, reportInterval time.Duration, now time.Time) *Refusal {
+func (s *serviceStats) refuse(d *Demand, first, p *Placement, reportInterval time.Duration, now time.Time) *Refusal {
 	level := d.level()
-	room := d.maxWait(first.prefillTime)
-	waits := f.waits(d, first.load, reportInterval, now)
-	f.pressures[level].add(now, level, &waits, room)
-	crowded := waits[levels-1] > refuseThreshold*room
-	room = d.maxWait(p.prefillTime)
-	waits = f.waits(d, p.load, reportInterval, now)
+	maxWait := d.maxWait(first.prefillTime)
+	waits := s.waits(d, first.load, reportInterval, now)
+	s.pressures[level].add(now, level, &waits, maxWait)
+	crowded := waits[levels-1] > refuseThreshold*maxWait
+	maxWait = d.maxWait(p.prefillTime)
+	waits = s.waits(d, p.load, reportInterval, now)
 	wait := waits[level]
-	own := wait / room
-	refusal := f.yieldRefusal(level, now)
-	if own > refuseThreshold {
-		refusal = &Refusal{Pressure: own}
+	ownPressure := wait / maxWait
+	refusal := s.yieldRefusal(level, now)
+	if ownPressure > refuseThreshold {
+		refusal = &Refusal{Pressure: ownPressure}
 	}
 	if refusal == nil || wait <= 0 {
-		f.refusalRates[level].count(now, level, false, crowded)
+		s.refusalRates[level].count(now, level, false, crowded)
 		return nil
 	}
-	f.refusalRates[level].count(now, level, true, crowded)
+	s.refusalRates[level].count(now, level, true, crowded)
 	refusal.Wait = time.Duration(wait * float64(time.Millisecond))
-	excess := max(0, wait-room/2)
+	excess := max(0, wait-maxWait/2)
 	refusal.RetryAfter = minRetryAfter + time.Duration(excess*float64(time.Millisecond)) + time.Duration(rand.Float64()*float64(retryAfterSpread))
 	return refusal
 }
 
 // yieldRefusal returns a refusal if requests of a level must yield to more urgent ones, or nil.
-func (f *serviceStats) yieldRefusal(level int, now time.Time) *Refusal {
-	for urgent := range level {
-		pressed := f.pressures[urgent][level].of(now)
-		if pressed > yieldThreshold || f.refusalRates[urgent][level].of(now) > yieldRefusalRate {
-			return &Refusal{Pressure: pressed}
+func (s *serviceStats) yieldRefusal(level int, now time.Time) *Refusal {
+	for moreUrgent := range level {
+		pressure := s.pressures[moreUrgent][level].of(now)
+		if pressure > yieldThreshold || s.refusalRates[moreUrgent][level].of(now) > yieldRefusalRate {
+			return &Refusal{Pressure: pressure}
 		}
 	}
 	return nil
@@ -219,7 +219,7 @@
 
 // slotWait returns the estimated wait, in ms, for a slot at a level. Only requests of the same or
 // more urgent levels are ahead.
-func (f *serviceStats) slotWait(t *Running, level, slots int) float64 {
+func (s *serviceStats) slotWait(t *Running, level, slots int) float64 {
 	ahead := 0
 	for _, n := range t.ByLevel[:level+1] {
 		ahead += n
@@ -227,5 +227,5 @@
 	if slots <= 0 {
 		return 0
 	}
-	return max(0, float64(ahead+1-slots)) * f.hold / float64(slots)
+	return max(0, float64(ahead+1-slots)) * s.hold / float64(slots)
 }
--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -19,7 +19,7 @@
 	"slices"
 	"time"
 
-	"ivyridge/belief"
+	"ivyridge/discovery"
 )
 
 const (
@@ -143,7 +143,7 @@
 
 // attachDirective sets l's directive from those recorded under the endpoint's ID. The caller holds
 // b.mu.
-func (b *Balancer) attachDirective(l *load, e *belief.Endpoint) {
+func (b *Balancer) attachDirective(l *load, e *discovery.Endpoint) {
 	l.inheritLimit(b.loadsByID[e.ID], e.ID)
 	b.loadsByID[e.ID], l.endpointID, l.dataCentre = l, e.ID, e.DataCentre
 	if l.limitState != nil {
@@ -174,15 +174,15 @@
 	return l.directive
 }
 
-// Rests records that the endpoint asked this instance to back off for d. It reports whether the
-// endpoint was not in back-off before.
-func (p *Placement) Rests(d time.Duration) (news bool) {
+// RecordBackoff records that the endpoint asked this instance to back off for d. It reports whether
+// the endpoint was not in back-off before.
+func (p *Placement) RecordBackoff(d time.Duration) (isNew bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	s := p.ensureDirective(now)
-	news = !now.Before(s.backoffUntil)
+	isNew = !now.Before(s.backoffUntil)
 	s.extendBackoff(d, now)
 	b.lastBackoffEnd = latest(b.lastBackoffEnd, s.backoffUntil)
 	if current := b.loadsByID[p.Endpoint.ID]; current != nil && current != p.load {
@@ -192,12 +192,12 @@
 			b.markChanged(current)
 		}
 	}
-	return news
+	return isNew
 }
 
-// Leaves records that the endpoint said it is draining; it is sent nothing new. It reports whether
-// that was not known before.
-func (p *Placement) Leaves() (news bool) {
+// RecordDraining records that the endpoint said it is draining; it is sent nothing new. It reports
+// whether that was not known before.
+func (p *Placement) RecordDraining() (isNew bool) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -263,8 +263,8 @@
 
 // unavailableRefusal returns the refusal of a request for which all otherwise eligible endpoints
 // are in back-off or lack permits, or nil if there are none. The caller holds b.mu.
-func (b *Balancer) unavailableRefusal(endpoints []*belief.Endpoint, d *Demand, now time.Time) *Refusal {
-	var earliest time.Time
+func (b *Balancer) unavailableRefusal(endpoints []*discovery.Endpoint, d *Demand, now time.Time) *Refusal {
+	var firstFree time.Time
 	var limited bool // the earliest endpoint lacks a permit
 	r := b.workingSet(d.Service.Name, endpoints)
 	loads := r.loads
@@ -278,33 +278,34 @@
 		if l.directive != nil {
 			backoffEnd = l.directive.availableAt(now)
 		}
-		if room := latest(backoffEnd, permitAt); earliest.IsZero() || room.Before(earliest) {
-			earliest, limited = room, l.limitState.needsPermit(now) && !permitAt.Before(backoffEnd)
+		if availableAt := latest(backoffEnd, permitAt); firstFree.IsZero() || availableAt.Before(firstFree) {
+			firstFree, limited = availableAt, l.limitState.needsPermit(now) && !permitAt.Before(backoffEnd)
 		}
 	}
-	if earliest.IsZero() {
+	if firstFree.IsZero() {
 		return nil
 	}
-	wait := earliest.Sub(now)
+	wait := firstFree.Sub(now)
 	if limited {
 		return b.limitedRefusal(d, loads, wait, now)
 	}
-	return &Refusal{Cause: EndpointsRest, Wait: wait, RetryAfter: wait + time.Duration(rand.Float64()*float64(retryAfterSpread))}
+	return &Refusal{Cause: EndpointsInBackoff, Wait: wait, RetryAfter: wait + time.Duration(rand.Float64()*float64(retryAfterSpread))}
 }
 
 // excluded reports whether the endpoint is ineligible for the request at any cost.
-func (b *Balancer) excluded(e *belief.Endpoint, l *load, d *Demand, now time.Time) bool {
-	return e.Closed() || l.draining(now) || slices.Contains(d.Avoid, l.hash) || !b.inAllowedRegion(e, d)
+func (b *Balancer) excluded(e *discovery.Endpoint, l *load, d *Demand, now time.Time) bool {
+	return e.RejectsNew() || l.draining(now) || slices.Contains(d.Avoid, l.hash) || !b.inAllowedRegion(e, d)
 }
 
 // recentBackoff is how long a back-off may take to reach schedulers through this instance's
 // reports.
 const recentBackoff = maxReportInterval
 
-// Resting returns the hashes of endpoints that are closed to a request from this instance although
-// schedulers may not know it: those that asked it for back-off within recentBackoff, latest first,
-// and those for which no permit may be requested now. It returns at most maxUnreachable.
-func (b *Balancer) Resting(d *Demand) []uint32 {
+// ClosedEndpoints returns the hashes of endpoints that are closed to a request from this instance
+// although schedulers may not know it: those that asked it for back-off within recentBackoff,
+// latest first, and those for which no permit may be requested now. It returns at most
+// maxUnreachable.
+func (b *Balancer) ClosedEndpoints(d *Demand) []uint32 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -312,41 +313,41 @@
 	if !now.Before(b.lastBackoffEnd) {
 		return closed[:min(len(closed), maxUnreachable)]
 	}
-	var lately []*directive
+	var recent []*directive
 	for _, s := range b.directives {
 		if now.Before(s.backoffUntil) && now.Sub(s.backoffAt) < recentBackoff {
-			lately = append(lately, s)
+			recent = append(recent, s)
 		}
 	}
-	slices.SortFunc(lately, func(x, y *directive) int { return cmp.Compare(y.backoffAt.UnixNano(), x.backoffAt.UnixNano()) })
+	slices.SortFunc(recent, func(x, y *directive) int { return cmp.Compare(y.backoffAt.UnixNano(), x.backoffAt.UnixNano()) })
 	var out []uint32
-	for _, s := range lately[:min(len(lately), maxUnreachable)] {
+	for _, s := range recent[:min(len(recent), maxUnreachable)] {
 		out = append(out, EndpointHash(s.incarnation))
 	}
 	out = append(out, closed...)
 	return out[:min(len(out), maxUnreachable)]
 }
 
-// An Absence is an endpoint that is in back-off for this instance or draining.
-type Absence struct {
+// An UnavailableEndpoint is an endpoint that is in back-off for this instance or draining.
+type UnavailableEndpoint struct {
 	Endpoint string        // ID
-	Rest     time.Duration // time left of the back-off
-	Leaves   bool
+	Backoff  time.Duration // time left of the back-off
+	Draining bool
 }
 
-// Absences returns the endpoints in back-off or draining, longest back-off first.
-func (b *Balancer) Absences() []Absence {
+// UnavailableEndpoints returns the endpoints in back-off or draining, longest back-off first.
+func (b *Balancer) UnavailableEndpoints() []UnavailableEndpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	out := make([]Absence, 0, len(b.directives))
+	out := make([]UnavailableEndpoint, 0, len(b.directives))
 	for id, s := range b.directives {
 		if s.draining || now.Before(s.backoffUntil) {
-			out = append(out, Absence{Endpoint: id, Rest: max(0, s.backoffUntil.Sub(now)), Leaves: s.draining})
+			out = append(out, UnavailableEndpoint{Endpoint: id, Backoff: max(0, s.backoffUntil.Sub(now)), Draining: s.draining})
 		}
 	}
-	slices.SortFunc(out, func(x, y Absence) int {
-		return cmp.Or(cmp.Compare(y.Rest, x.Rest), cmp.Compare(x.Endpoint, y.Endpoint))
+	slices.SortFunc(out, func(x, y UnavailableEndpoint) int {
+		return cmp.Or(cmp.Compare(y.Backoff, x.Backoff), cmp.Compare(x.Endpoint, y.Endpoint))
 	})
 	return out
 }
--- a/cmd/ivyfake/main.go
+++ b/cmd/ivyfake/main.go
@@ -1,4 +1,4 @@
-// Command ivyfake runs the stand-ins: engines, services and the platform.
+// Command ivyfake runs stand-ins for engines, plain services and the platform.
 package main
 
 import (
@@ -21,7 +21,7 @@
 
 	c, err := fake.LoadConfig(file)
 	if err != nil {
-		cli.Exit(cli.BadUsage, err)
+		cli.Exit(cli.UsageError, err)
 	}
 	w, err := fake.Start(c)
 	if err != nil {
