--- a/cmd/ivyload/main.go
+++ b/cmd/ivyload/main.go
@@ -1,4 +1,5 @@
-// Command ivyload drives a load and reports what came of it.
+// Command ivyload sends generated load to instances, measures policies in simulation, and reports
+// the results.
 package main
 
 import (
@@ -34,35 +35,35 @@
 }
 
 func main() {
-	o := options{sizes: "6,24,96", rig: rig.Params{Endpoints: 16, Pools: 1, Teams: 10, Claimed: 0.5, Hold: 2 * time.Second, Duration: 5 * time.Second}, out: "out", control: "127.0.0.1:7900", seed: 1, dir: "bench", policies: "full", seeds: 3}
-	p := cli.Parser("ivyload", "An open-loop load for ivyridge, with reports.")
+	o := options{sizes: "6,24,96", rig: rig.Params{Endpoints: 16, Pools: 1, Teams: 10, KeyedFraction: 0.5, Hold: 2 * time.Second, Duration: 5 * time.Second}, out: "out", control: "127.0.0.1:7900", seed: 1, dir: "bench", policies: "full", seeds: 3}
+	p := cli.Parser("ivyload", "Open-loop load generator for ivyridge, with reports.")
 	run := flaggy.NewSubcommand("run")
 	run.Description = "send a workload and write a report"
 	run.String(&o.workload, "w", "workload", "workload file (YAML)")
 	run.String(&o.targets, "t", "targets", "callers' addresses of the instances, separated by commas")
 	run.String(&o.out, "o", "out", "directory for the report")
-	run.String(&o.control, "f", "fakes", "control address of the stand-ins, whose books are read")
-	run.UInt64(&o.seed, "s", "seed", "seed of the arrivals")
+	run.String(&o.control, "f", "fakes", "control address of the stand-ins, from which their request records are read")
+	run.UInt64(&o.seed, "s", "seed", "seed of the random arrivals")
 	run.Int(&o.mark, "k", "mark", "also print attainment in the 10 s before and after this second")
 	compare := flaggy.NewSubcommand("compare")
 	compare.Description = "print two reports side by side"
 	compare.AddPositionalValue(&o.a, "A", 1, true, "a report.json")
 	compare.AddPositionalValue(&o.b, "B", 2, true, "another")
 	policy := flaggy.NewSubcommand("policy")
-	policy.Description = "measure policies in virtual time"
-	policy.String(&o.dir, "d", "dir", "directory with the users' declarations and workloads")
+	policy.Description = "measure policies in simulated time"
+	policy.String(&o.dir, "d", "dir", "directory with declarations and workloads")
 	policy.String(&o.scenario, "m", "match", "run only scenarios whose name contains this")
 	policy.String(&o.policies, "p", "policies", "policies, separated by commas: full, fifo, strict")
 	policy.String(&o.without, "x", "without", "mechanisms to switch off, separated by commas")
 	policy.Int(&o.seeds, "n", "seeds", "number of seeds")
 	policy.Bool(&o.ablate, "a", "ablate", "run full with each mechanism switched off in turn")
 	capacity := flaggy.NewSubcommand("capacity")
-	capacity.Description = "measure what control costs an instance, on loopback"
+	capacity.Description = "measure an instance's control overhead, on loopback"
 	capacity.String(&o.sizes, "i", "instances", "numbers of instances, separated by commas")
 	capacity.Int(&o.rig.Endpoints, "e", "endpoints", "number of endpoints")
 	capacity.Int(&o.rig.Pools, "p", "pools", "number of models, among which the endpoints are divided")
 	capacity.Int(&o.rig.Teams, "m", "teams", "number of teams")
-	capacity.Float64(&o.rig.Rate, "r", "rate", "requests a second over the fleet")
+	capacity.Float64(&o.rig.Rate, "r", "rate", "requests per second over the fleet")
 	capacity.Duration(&o.rig.Hold, "l", "hold", "how long a granted request runs")
 	capacity.Duration(&o.rig.Duration, "d", "duration", "how long each size is measured")
 	p.AttachSubcommand(capacity, 1)
@@ -83,18 +84,18 @@
 	case policy.Used:
 		code, err = o.policy()
 	default:
-		code, err = cli.BadUsage, errors.New("ivyload: say run, compare or policy; --help tells more")
+		code, err = cli.UsageError, errors.New("ivyload: want a subcommand: run, compare, policy or capacity; see --help")
 	}
 	cli.Exit(code, err)
 }
 
 func (o *options) run() (int, error) {
 	if o.workload == "" || o.targets == "" {
-		return cli.BadUsage, errors.New("ivyload run: -w and -t are needed")
+		return cli.UsageError, errors.New("ivyload run: -w and -t are needed")
 	}
 	w, err := load.Read(o.workload)
 	if err != nil {
-		return cli.BadUsage, err
+		return cli.UsageError, err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -104,25 +105,25 @@
 	arrivals := w.Arrivals(o.seed)
 	go progress(ctx, client, len(arrivals))
 	outs := client.Run(ctx, arrivals)
-	books, err := load.FetchBooks(o.control)
+	runLog, err := load.FetchRunLog(o.control)
 	if err != nil {
 		return cli.Failed, err
 	}
-	r := load.Summarize(w, o.seed, outs, books)
+	r := load.Summarize(w, o.seed, outs, runLog)
 	if err := r.Save(o.out); err != nil {
 		return cli.Failed, err
 	}
 	fmt.Println()
 	if o.mark > 0 {
 		const span = 10
-		if err := r.WriteAround(os.Stdout, o.mark, span); err != nil {
+		if err := r.WriteBeforeAfter(os.Stdout, o.mark, span); err != nil {
 			return cli.Failed, err
 		}
 	}
 	return cli.OK, r.WriteTable(os.Stdout)
 }
 
-// progress shows how far the run is, where someone may be watching.
+// progress prints the numbers of requests sent and answered while standard error is a terminal.
 func progress(ctx context.Context, c *load.Client, all int) {
 	if info, err := os.Stderr.Stat(); err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return
@@ -136,24 +137,24 @@
 func (o *options) compare() (int, error) {
 	a, err := load.ReadReport(o.a)
 	if err != nil {
-		return cli.BadUsage, err
+		return cli.UsageError, err
 	}
 	b, err := load.ReadReport(o.b)
 	if err != nil {
-		return cli.BadUsage, err
+		return cli.UsageError, err
 	}
 	return cli.OK, load.Compare(os.Stdout, a, b)
 }
 
-// policy runs the policy experiments and prints their table.
+// policy runs the policy experiments and prints a table of the results.
 func (o *options) policy() (int, error) {
 	users, err := experiment.Users(o.dir)
 	if err != nil {
-		return cli.BadUsage, err
+		return cli.UsageError, err
 	}
 	variants, err := o.variants()
 	if err != nil {
-		return cli.BadUsage, err
+		return cli.UsageError, err
 	}
 	var rows []experiment.Row
 	for i := range users {
@@ -169,7 +170,7 @@
 	return cli.OK, experiment.Write(os.Stdout, rows)
 }
 
-// A variant is a policy to measure, and what to call it.
+// A variant is a policy to measure and its name in the table.
 type variant struct {
 	name   string
 	policy home.Policy
@@ -200,13 +201,13 @@
 	return out, nil
 }
 
-// capacity measures control at several sizes and prints a line for each.
+// capacity measures the control overhead for each number of instances and prints a line for each.
 func (o *options) capacity() (int, error) {
 	fmt.Println("instances  endpoints  pools  teams  requests/s  core %  KB/s  messages/s  heap MB  platform calls/min  spread ms")
 	for _, size := range strings.Split(o.sizes, ",") {
 		n, err := strconv.Atoi(size)
 		if err != nil || n < 1 {
-			return cli.BadUsage, errors.Errorf("ivyload capacity: %q is not a number of instances", size)
+			return cli.UsageError, errors.Errorf("ivyload capacity: invalid number of instances %q", size)
 		}
 		p := o.rig
 		p.Instances = n
@@ -215,7 +216,7 @@
 			return cli.Failed, err
 		}
 		fmt.Printf("%9d  %9d  %5d  %5d  %10.0f  %6.2f  %4.1f  %10.1f  %7.2f  %18.0f  %9d\n", n, p.Endpoints, p.Pools, p.Teams,
-			float64(r.Done)/p.Duration.Seconds(), 100*r.CPU, r.Bytes/1000, r.Messages, r.Heap/1e6, r.PlatformCalls, r.Spread.Milliseconds())
+			float64(r.Done)/p.Duration.Seconds(), 100*r.CPU, r.Bytes/1000, r.Messages, r.Heap/1e6, r.PlatformCalls, r.PropagationDelay.Milliseconds())
 	}
 	return cli.OK, nil
 }
--- a/instance/suspects.go
+++ b/instance/suspects.go
@@ -1,7 +1,7 @@
 package instance
 
-// This file asks other instances for the requests that end endpoints, and lets operators see
-// them and let one go.
+// This file fetches other instances' lists of requests suspected of crashing endpoints,
+// and lets operators list and unblock them.
 
 import (
 	"context"
@@ -14,43 +14,43 @@
 	"github.com/pkg/errors"
 
 	"ivyridge/balance"
-	"ivyridge/belief"
+	"ivyridge/discovery"
 	"ivyridge/gossip"
 	"ivyridge/internal/fetch"
 	"ivyridge/inventory"
 	"ivyridge/poison"
 )
 
-// suspectsWithin is how long another instance is waited for that is asked for its suspects.
-const suspectsWithin = time.Second
+const suspectsTimeout = time.Second
 
-// askSuspects returns what the instance with a gossip address holds of suspects.
-func (i *Instance) askSuspects(address string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), suspectsWithin)
+// fetchSuspects returns the encoded suspects of the instance with a gossip address.
+func (i *Instance) fetchSuspects(address string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), suspectsTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+i.peersAddress(address)+gossip.SuspectsPath, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+i.peerAddress(address)+gossip.SuspectsPath, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "suspects")
 	}
-	a, err := fetch.Do(i.relayClient, req, gossip.MaxSuspects, fetch.Wait{Begin: suspectsWithin})
+	a, err := fetch.Do(i.relayClient, req, gossip.MaxSuspects, fetch.HeaderWait{Timeout: suspectsTimeout})
 	if err != nil {
 		return nil, errors.Wrap(err, "suspects")
 	}
 	if a.Status != http.StatusOK {
-		return nil, errors.Errorf("suspects: %s answered %d", address, a.Status)
+		return nil, errors.Errorf("suspects: %s answered with status %d", address, a.Status)
 	}
 	return a.Body, nil
 }
 
-// blocked returns what this instance keeps from endpoints.
+// blocked returns the requests, teams, endpoints and store entries that this instance
+// blocks or limits.
 func (i *Instance) blocked() *inventory.Blocked {
 	now := i.now()
 	names := i.endpointNames()
-	out := &inventory.Blocked{Requests: []inventory.BlockedRequest{}, Teams: []inventory.BlockedTeam{}, Absent: []inventory.AbsentEndpoint{}, Limited: []inventory.LimitedEndpoint{}, Entries: []inventory.BlockedEntry{}}
+	out := &inventory.Blocked{Requests: []inventory.BlockedRequest{}, Teams: []inventory.BlockedTeam{}, Unavailable: []inventory.UnavailableEndpoint{}, Limited: []inventory.LimitedEndpoint{}, Entries: []inventory.BlockedEntry{}}
 	for _, e := range i.suspects.Entries() {
 		r := inventory.BlockedRequest{
-			ID: e.ID.String(), Team: e.Team, Service: e.Service, Route: e.Route, Known: e.Known, Counted: e.Counted(),
-			LastMS: now.Sub(e.Last()).Milliseconds(), ForMS: e.Until().Sub(now).Milliseconds(),
+			ID: e.ID.String(), Team: e.Team, Service: e.Service, Route: e.Route, Confirmed: e.Confirmed, CountedStrikes: e.CountedStrikes(),
+			LastMS: now.Sub(e.Last()).Milliseconds(), ForMS: e.Expires().Sub(now).Milliseconds(),
 		}
 		for _, hash := range e.Endpoints() {
 			name, ok := names[hash]
@@ -64,26 +64,26 @@
 	for at, left := range i.suspects.SlowedTeams(now) {
 		out.Teams = append(out.Teams, inventory.BlockedTeam{Service: at.Service, Team: at.Team, ForMS: left.Milliseconds()})
 	}
-	for _, a := range i.balancer.Absences() {
-		out.Absent = append(out.Absent, inventory.AbsentEndpoint{ID: a.Endpoint, RestMS: a.Rest.Milliseconds(), Leaves: a.Leaves})
+	for _, a := range i.balancer.UnavailableEndpoints() {
+		out.Unavailable = append(out.Unavailable, inventory.UnavailableEndpoint{ID: a.Endpoint, BackoffMS: a.Backoff.Milliseconds(), Draining: a.Draining})
 	}
 	for _, l := range i.balancer.Limits() {
-		part, permits := i.gossip.Divided(l.Hash, l.DataCentre)
+		share, permits := i.gossip.AllocatedShare(l.Hash, l.DataCentre)
 		out.Limited = append(out.Limited, inventory.LimitedEndpoint{
-			ID: l.Endpoint, PerSecond: l.Rate, AgeMS: l.Age.Milliseconds(), Divider: l.Divider, Part: part, Permits: permits,
-			InHand: l.Permits, AsksInMS: l.Closed.Milliseconds(),
+			ID: l.Endpoint, PerSecond: l.Rate, AgeMS: l.Age.Milliseconds(), Allocator: l.Allocator, Share: share, Permits: permits,
+			Available: l.Permits, AsksInMS: l.Closed.Milliseconds(),
 		})
 	}
-	for _, e := range i.store.KeptOut() {
+	for _, e := range i.store.RejectedEntries() {
 		out.Entries = append(out.Entries, inventory.BlockedEntry{Key: e.Key, Revision: e.Revision, Error: e.Error})
 	}
 	return out
 }
 
-// endpointNames returns the IDs of the endpoints that are there, by their hashes.
+// endpointNames maps the hashes of listed endpoints to their IDs.
 func (i *Instance) endpointNames() map[uint32]string {
 	names := make(map[uint32]string)
-	i.beliefs.View().Services(func(_ string, endpoints []*belief.Endpoint) {
+	i.discovery.View().Services(func(_ string, endpoints []*discovery.Endpoint) {
 		for _, e := range endpoints {
 			names[balance.EndpointHash(e.ID)] = e.ID
 		}
@@ -91,8 +91,8 @@
 	return names
 }
 
-// routeBlocked adds what operators see of that, and how they let a request go. That is a DELETE,
-// which a page of another site can't have a browser send.
+// routeBlocked adds the routes to list blocked requests and to unblock one. Unblocking
+// uses DELETE, which browsers do not send cross-site without a preflight.
 func (i *Instance) routeBlocked(r chi.Router) {
 	r.Get(inventory.BlockedPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -100,7 +100,7 @@
 	})
 	r.Delete(inventory.BlockedPath+"/{id}", func(w http.ResponseWriter, r *http.Request) {
 		id, err := poison.ParseID(chi.URLParam(r, "id"))
-		if err != nil || !i.entry.Release(id) {
+		if err != nil || !i.entry.ClearSuspect(id) {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
--- a/internal/fetch/fetch_test.go
+++ b/internal/fetch/fetch_test.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-func request(ctx context.Context, t *testing.T, handler http.HandlerFunc) *http.Request {
+func newRequest(ctx context.Context, t *testing.T, handler http.HandlerFunc) *http.Request {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -21,55 +21,55 @@
 	return req
 }
 
-func TestWholeAnswer(t *testing.T) {
-	req := request(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) {
+func TestCompleteResponse(t *testing.T) {
+	req := newRequest(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusGone)
 		_, _ = w.Write([]byte("whole"))
 	})
-	a, err := Do(http.DefaultClient, req, 5, Wait{Begin: time.Second})
-	if err != nil || a.Status != http.StatusGone || string(a.Body) != "whole" || a.Took < a.First {
+	a, err := Do(http.DefaultClient, req, 5, HeaderWait{Timeout: time.Second})
+	if err != nil || a.Status != http.StatusGone || string(a.Body) != "whole" || a.TotalTime < a.HeaderTime {
 		t.Fatalf("got %+v, %v", a, err)
 	}
 }
 
-func TestCutAnswerTellsHowFarItCame(t *testing.T) {
+func TestPartialResponseReportsBytes(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	req := request(ctx, t, func(w http.ResponseWriter, r *http.Request) {
+	req := newRequest(ctx, t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = w.Write([]byte("a part"))
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
-	_, err := Do(http.DefaultClient, req, 100, Wait{Begin: time.Second})
-	var cut *CutError
-	if !errors.As(err, &cut) || !cut.Begun || cut.Bytes != len("a part") || !errors.Is(err, context.DeadlineExceeded) {
+	_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Second})
+	var truncated *TruncatedError
+	if !errors.As(err, &truncated) || !truncated.HeaderReceived || truncated.Bytes != len("a part") || !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("got %v", err)
 	}
 }
 
-func TestSilenceIsNoBegunAnswer(t *testing.T) {
+func TestTimeoutBeforeHeaderIsNotBegun(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	req := request(ctx, t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	_, err := Do(http.DefaultClient, req, 100, Wait{Begin: time.Second})
-	var cut *CutError
-	if !errors.As(err, &cut) || cut.Begun {
+	req := newRequest(ctx, t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Second})
+	var truncated *TruncatedError
+	if !errors.As(err, &truncated) || truncated.HeaderReceived {
 		t.Fatalf("got %v", err)
 	}
 }
 
-func TestTooLongAnswer(t *testing.T) {
-	req := request(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("123456")) })
-	if _, err := Do(http.DefaultClient, req, 5, Wait{Begin: time.Second}); !errors.Is(err, ErrTooLong) {
+func TestOversizedResponse(t *testing.T) {
+	req := newRequest(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("123456")) })
+	if _, err := Do(http.DefaultClient, req, 5, HeaderWait{Timeout: time.Second}); !errors.Is(err, ErrTooLong) {
 		t.Fatalf("got %v", err)
 	}
 }
 
-// An answer that arrives steadily is read to its end, however long that takes
-// beside the wait for its beginning.
-func TestLongAnswerOutlastsTheWait(t *testing.T) {
+// A response that arrives steadily is read to its end, even if that takes longer than the wait for
+// its header or the wait is abandoned meanwhile.
+func TestSteadyResponseOutlastsHeaderTimeout(t *testing.T) {
 	const begin = 500 * time.Millisecond
-	req := request(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) {
+	req := newRequest(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) {
 		for range 6 {
 			_, _ = w.Write([]byte("a part"))
 			w.(http.Flusher).Flush()
@@ -78,38 +78,38 @@
 	})
 	abandon := make(chan struct{})
 	time.AfterFunc(2*begin, func() { close(abandon) })
-	a, err := Do(http.DefaultClient, req, 100, Wait{Begin: begin, Abandon: abandon})
-	if err != nil || len(a.Body) != 6*len("a part") || a.Took < 2*begin {
+	a, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: begin, Abandon: abandon})
+	if err != nil || len(a.Body) != 6*len("a part") || a.TotalTime < 2*begin {
 		t.Fatalf("got %+v, %v", a, err)
 	}
 }
 
-func TestSilenceEndsACall(t *testing.T) {
-	for name, begin := range map[string]bool{"before the answer": false, "in the answer": true} {
+func TestIdleSourceEndsCall(t *testing.T) {
+	for name, begin := range map[string]bool{"before the header": false, "in the body": true} {
 		t.Run(name, func(t *testing.T) {
-			req := request(context.Background(), t, func(w http.ResponseWriter, r *http.Request) {
+			req := newRequest(context.Background(), t, func(w http.ResponseWriter, r *http.Request) {
 				if begin {
 					_, _ = w.Write([]byte("a part"))
 					w.(http.Flusher).Flush()
 				}
 				<-r.Context().Done()
 			})
-			_, err := Do(http.DefaultClient, req, 100, Wait{Begin: 500 * time.Millisecond})
-			var cut *CutError
-			if !errors.Is(err, ErrSilent) || !errors.As(err, &cut) || cut.Begun != begin {
+			_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: 500 * time.Millisecond})
+			var truncated *TruncatedError
+			if !errors.Is(err, ErrIdle) || !errors.As(err, &truncated) || truncated.HeaderReceived != begin {
 				t.Fatalf("got %v", err)
 			}
 		})
 	}
 }
 
-func TestAbandonedWait(t *testing.T) {
+func TestAbandonEndsWaitForHeader(t *testing.T) {
 	abandon := make(chan struct{})
-	req := request(context.Background(), t, func(_ http.ResponseWriter, r *http.Request) {
+	req := newRequest(context.Background(), t, func(_ http.ResponseWriter, r *http.Request) {
 		close(abandon)
 		<-r.Context().Done()
 	})
-	if _, err := Do(http.DefaultClient, req, 100, Wait{Begin: time.Minute, Abandon: abandon}); !errors.Is(err, ErrAbandoned) {
+	if _, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Minute, Abandon: abandon}); !errors.Is(err, ErrAbandoned) {
 		t.Fatalf("got %v", err)
 	}
 }
