--- a/length/length.go
+++ b/length/length.go
@@ -1,9 +1,8 @@
 // Package length estimates the lengths of responses.
 //
-// The length of a response is unknown until it ends, so decisions use the distribution of earlier
-// ones. A Dist is a histogram with geometric buckets and decaying counts. Distributions have a Dist
-// for each request class and for each team in a class, and use the latter once it has enough
-// observations.
+// The length of a response is unknown until it ends, so estimates use the distribution of earlier
+// ones. Distributions keeps a Dist for each request class and for each team in a class, and uses
+// the latter once it has enough observations.
 package length
 
 import "math"
@@ -18,8 +17,8 @@
 
 var invLogGrowth = 1 / math.Log(growth)
 
-// A Dist is a decaying distribution of lengths in tokens. The zero value is empty. A Dist is
-// not safe for concurrent use.
+// A Dist is a decaying histogram of lengths in tokens with geometric buckets. The zero value is
+// empty. A Dist is not safe for concurrent use.
 type Dist struct {
 	counts [numBuckets]float32
 	total  float32
@@ -37,7 +36,6 @@
 // upper returns the largest length in bucket b.
 func upper(b int) float64 { return math.Pow(growth, float64(b)) }
 
-// lower returns the lower bound of bucket b.
 func lower(b int) float64 {
 	if b == 0 {
 		return 0
@@ -75,23 +73,22 @@
 	return d.sum / float64(d.total)
 }
 
-// Quantile returns the length in tokens that a fraction q, from 0 to 1, of the responses
-// doesn't exceed, interpolated within its bucket. It returns zero without observations.
+// Quantile returns the length in tokens that a fraction q, from 0 to 1, of the responses does not
+// exceed, interpolated within its bucket. It returns zero without observations.
 func (d *Dist) Quantile(q float64) float64 {
 	target := float32(q) * d.total
-	var acc float32
+	var sum float32
 	for b, c := range d.counts {
-		if c > 0 && acc+c >= target {
-			fraction := float64((target - acc) / c)
+		if c > 0 && sum+c >= target {
+			fraction := float64((target - sum) / c)
 			return lower(b) + fraction*(upper(b)-lower(b))
 		}
-		acc += c
+		sum += c
 	}
 	return 0
 }
 
-// Within returns the fraction of the responses with at most n tokens, or one without
-// observations.
+// Within returns the fraction of responses of at most n tokens, or one without observations.
 func (d *Dist) Within(n float64) float64 {
 	if d.total == 0 {
 		return 1
@@ -99,16 +96,16 @@
 	if n <= 0 {
 		return 0
 	}
-	at := bucketOf(n)
-	var acc float32
-	for _, c := range d.counts[:at] {
-		acc += c
+	bucket := bucketOf(n)
+	var sum float32
+	for _, c := range d.counts[:bucket] {
+		sum += c
 	}
-	fraction := (n - lower(at)) / (upper(at) - lower(at))
-	return (float64(acc) + min(1, fraction)*float64(d.counts[at])) / float64(d.total)
+	fraction := (n - lower(bucket)) / (upper(bucket) - lower(bucket))
+	return (float64(sum) + min(1, fraction)*float64(d.counts[bucket])) / float64(d.total)
 }
 
-// Distributions are the distributions of one group of endpoints. They are not safe for concurrent
+// Distributions are the distributions of a group of endpoints. They are not safe for concurrent
 // use.
 type Distributions struct {
 	classes map[string]*Dist
@@ -122,34 +119,34 @@
 	return &Distributions{classes: make(map[string]*Dist), teams: make(map[teamKey]*Dist)}
 }
 
-// Observe records a response of n tokens. The number of teams with a distribution of their own
-// is bounded; further teams only count for their class.
-func (b *Distributions) Observe(class, team string, n int) {
-	d := b.classes[class]
+// Observe records a response of n tokens. The number of teams with their own distribution is
+// bounded; further teams count for their class only.
+func (ds *Distributions) Observe(class, team string, n int) {
+	d := ds.classes[class]
 	if d == nil {
 		d = new(Dist)
-		b.classes[class] = d
+		ds.classes[class] = d
 	}
 	d.Observe(n)
 	k := teamKey{class, team}
-	t := b.teams[k]
-	if t == nil && len(b.teams) < maxTeams {
-		t = new(Dist)
-		b.teams[k] = t
+	teamDist := ds.teams[k]
+	if teamDist == nil && len(ds.teams) < maxTeams {
+		teamDist = new(Dist)
+		ds.teams[k] = teamDist
 	}
-	if t != nil {
-		t.Observe(n)
+	if teamDist != nil {
+		teamDist.Observe(n)
 	}
 }
 
 // Class returns the distribution of a whole class, or nil without observations.
-func (b *Distributions) Class(class string) *Dist { return b.classes[class] }
+func (ds *Distributions) Class(class string) *Dist { return ds.classes[class] }
 
 // Dist returns the distribution to use for a request of a class and team, or nil if nothing was
 // observed for its class.
-func (b *Distributions) Dist(class, team string) *Dist {
-	if t := b.teams[teamKey{class, team}]; t != nil && t.seen >= minTeamSamples {
-		return t
+func (ds *Distributions) Dist(class, team string) *Dist {
+	if teamDist := ds.teams[teamKey{class, team}]; teamDist != nil && teamDist.seen >= minTeamSamples {
+		return teamDist
 	}
-	return b.classes[class]
+	return ds.classes[class]
 }
--- a/length/length_test.go
+++ b/length/length_test.go
@@ -38,15 +38,15 @@
 }
 
 func TestTeamDistribution(t *testing.T) {
-	b := length.NewDistributions()
+	ds := length.NewDistributions()
 	for range 100 {
-		b.Observe("letter", "long", 1000)
-		b.Observe("letter", "short", 10)
+		ds.Observe("letter", "long", 1000)
+		ds.Observe("letter", "short", 10)
 	}
-	if got := b.Dist("letter", "short").Quantile(0.9); got > 20 {
+	if got := ds.Dist("letter", "short").Quantile(0.9); got > 20 {
 		t.Errorf("quantile %.0f of the team with short responses, want at most 20", got)
 	}
-	if b.Dist("letter", "unknown") != b.Class("letter") || b.Dist("chat", "short") != nil {
+	if ds.Dist("letter", "unknown") != ds.Class("letter") || ds.Dist("chat", "short") != nil {
 		t.Error("Dist does not return the distribution of the class, or nil without one")
 	}
 }
