--- a/speed/speed.go
+++ b/speed/speed.go
@@ -2,10 +2,9 @@
 //
 // Estimates are times per token, for processing a prompt or generating a response. They are
 // averaged as logarithms, so that factors of two and one half weigh the same. Samples hold the
-// times of one endpoint; Samples of several instances can be merged, and old samples decay.
-// An Estimate is the estimate for a service: the median over its endpoints, which a few slow,
-// unresponsive or misjudged endpoints don't shift. The estimate for one endpoint is that of its
-// service unless its own samples deviate significantly.
+// decaying times of one endpoint and can be merged between instances. An Estimate is the median
+// over the endpoints of a service, which a few slow or misjudged endpoints do not shift. The
+// estimate for one endpoint is that of its service unless its own samples deviate significantly.
 //
 // The package does no I/O. Its types are not safe for concurrent use.
 package speed
@@ -17,22 +16,21 @@
 )
 
 const (
-	// maxDeviation is the largest deviation of a sample from the figure of its service that
-	// counts, as a logarithm. It allows for an engine that is seven times slower and limits
-	// the effect of a lost packet.
+	// maxDeviation is the largest deviation of a sample from the estimate of its service that
+	// counts, as a logarithm. It allows for an engine that is seven times slower, and limits the
+	// effect of a lost packet.
 	maxDeviation = 2.0
 	// sampleError is the error attributed to one sample, as a logarithm: twice the standard
-	// deviation under load. A deviation that it explains is ignored, or prompts would be sent
-	// away from the endpoints that have their prefixes cached for no benefit.
+	// deviation under load. A deviation that it explains is ignored; otherwise prompts would be
+	// sent away from the endpoints that cache their prefixes for no benefit.
 	sampleError = 1.0
-	// priorWeight is the weight of the earlier estimate, relative to samples. The first
-	// estimate is a guess.
+	// priorWeight is the weight of the earlier or initial estimate, relative to samples.
 	priorWeight = 4.0
-	// settleTime is the time in which the estimate becomes the prior, so that it lasts when
-	// few samples arrive and these decay.
+	// settleTime is the time in which the estimate becomes the prior, so that it lasts when the
+	// samples decay.
 	settleTime = 10 * time.Second
-	// peerWeight is the part of the difference to another instance's estimate that one call of
-	// MergePeer makes up. That estimate may be based on few endpoints, and endpoints differ.
+	// peerWeight is the share of the difference to another instance's estimate, which may be based
+	// on few endpoints, that one call of MergePeer makes up.
 	peerWeight = 0.2
 	// minWeight is the weight below which samples are dropped.
 	minWeight = 0.05
@@ -44,8 +42,7 @@
 	Log    float64 // of milliseconds per token
 }
 
-// Add adds a time per token in milliseconds. It ignores times and weights that are not
-// positive.
+// Add adds a time per token in milliseconds. It ignores times and weights that are not positive.
 func (s *Samples) Add(ms, weight float64) {
 	if ms <= 0 || weight <= 0 {
 		return
@@ -54,7 +51,7 @@
 	s.Log += weight * math.Log(ms)
 }
 
-// Merge adds the samples of other.
+// Merge adds the samples of other to s.
 func (s *Samples) Merge(other Samples) {
 	s.Weight += other.Weight
 	s.Log += other.Log
@@ -83,50 +80,49 @@
 	return Estimate{log: math.Log(ms), value: ms, prior: math.Log(ms)}
 }
 
-// set sets the estimate to a logarithm.
-func (f *Estimate) set(log float64) {
-	f.log = log
-	f.value = math.Exp(log)
+func (e *Estimate) set(log float64) {
+	e.log = log
+	e.value = math.Exp(log)
 }
 
 // Value returns the estimate in milliseconds per token.
-func (f *Estimate) Value() float64 { return f.value }
+func (e *Estimate) Value() float64 { return e.value }
 
 // ForEndpoint returns the estimate in milliseconds per token for an endpoint with the samples s. It
 // deviates from that of the service as far as the deviation of the samples is significant.
-func (f *Estimate) ForEndpoint(s Samples) float64 {
+func (e *Estimate) ForEndpoint(s Samples) float64 {
 	if s.Weight <= 0 {
-		return f.Value()
+		return e.Value()
 	}
-	deviation := s.mean() - f.log
+	deviation := s.mean() - e.log
 	significant := math.Abs(deviation) - sampleError/math.Sqrt(s.Weight)
 	if significant <= 0 {
-		return f.Value()
+		return e.Value()
 	}
-	return f.Value() * math.Exp(math.Copysign(significant, deviation))
+	return e.Value() * math.Exp(math.Copysign(significant, deviation))
 }
 
-// MergePeer moves f towards the estimate, in milliseconds per token, of another instance that has
+// MergePeer moves e towards the estimate, in milliseconds per token, of another instance that has
 // more samples. It ignores values that are not positive.
-func (f *Estimate) MergePeer(ms float64) {
+func (e *Estimate) MergePeer(ms float64) {
 	if ms <= 0 {
 		return
 	}
-	f.set(f.log + peerWeight*(math.Log(ms)-f.log))
-	f.prior = f.log
+	e.set(e.log + peerWeight*(math.Log(ms)-e.log))
+	e.prior = e.log
 }
 
-// Clamp returns a time in milliseconds per token limited to maxDeviation from f.
-func (f *Estimate) Clamp(ms float64) float64 {
+// Clamp returns a time in milliseconds per token limited to maxDeviation from e.
+func (e *Estimate) Clamp(ms float64) float64 {
 	if ms <= 0 {
 		return ms
 	}
-	return math.Exp(min(max(math.Log(ms), f.log-maxDeviation), f.log+maxDeviation))
+	return math.Exp(min(max(math.Log(ms), e.log-maxDeviation), e.log+maxDeviation))
 }
 
-// Update computes the estimate from the samples of a service's endpoints. Elapsed is the time
-// since the previous call. It reorders sums.
-func (f *Estimate) Update(sums []Samples, elapsed time.Duration) {
+// Update computes the estimate from the samples of a service's endpoints; elapsed is the time since
+// the previous call. It reorders sums.
+func (e *Estimate) Update(sums []Samples, elapsed time.Duration) {
 	total := 0.0
 	for _, s := range sums {
 		total += s.Weight
@@ -134,13 +130,12 @@
 	if total <= 0 {
 		return
 	}
-	f.set((total*medianOf(sums, total) + priorWeight*f.prior) / (total + priorWeight))
+	e.set((total*medianOf(sums, total) + priorWeight*e.prior) / (total + priorWeight))
 	progress := min(1, float64(elapsed)/float64(settleTime))
-	f.prior += progress * total / (total + priorWeight) * (f.log - f.prior)
+	e.prior += progress * total / (total + priorWeight) * (e.log - e.prior)
 }
 
-// medianOf returns the median of the mean logarithms of sums, weighted by their samples. Total
-// is the sum of the weights.
+// medianOf returns the weighted median of the mean logarithms of sums; total is the sum of weights.
 func medianOf(sums []Samples, total float64) float64 {
 	sort.Slice(sums, func(i, j int) bool {
 		if sums[i].Weight <= 0 || sums[j].Weight <= 0 {
@@ -148,13 +143,13 @@
 		}
 		return sums[i].mean() < sums[j].mean()
 	})
-	acc, last := 0.0, 0.0
+	sum, last := 0.0, 0.0
 	for _, s := range sums {
 		if s.Weight <= 0 {
 			break
 		}
 		last = s.mean()
-		if acc += s.Weight; acc >= total/2 {
+		if sum += s.Weight; sum >= total/2 {
 			break
 		}
 	}
--- a/speed/speed_test.go
+++ b/speed/speed_test.go
@@ -9,8 +9,7 @@
 	"ivyridge/speed"
 )
 
-// randomSamples returns the Samples of endpoints with a number of observations each, log-normally
-// distributed around ms per token.
+// randomSamples returns endpoints with log-normally distributed samples around ms per token.
 func randomSamples(r *rand.Rand, endpoints, samples int, ms float64) []speed.Samples {
 	out := make([]speed.Samples, endpoints)
 	for i := range out {
@@ -26,9 +25,9 @@
 func TestInitialGuessIsReplaced(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for _, tokensPerMs := range []float64{20, 43, 57, 110} {
-		f := speed.NewEstimate(1 / 50.0)
-		f.Update(randomSamples(r, 10, 5, 1/tokensPerMs), 100*time.Millisecond)
-		if got := 1 / f.Value(); !near(got, tokensPerMs, 0.15) {
+		e := speed.NewEstimate(1 / 50.0)
+		e.Update(randomSamples(r, 10, 5, 1/tokensPerMs), 100*time.Millisecond)
+		if got := 1 / e.Value(); !near(got, tokensPerMs, 0.15) {
 			t.Errorf("after 50 samples of %.0f tokens per ms: got %.1f", tokensPerMs, got)
 		}
 	}
@@ -37,21 +36,20 @@
 // A few endpoints that are slow or misjudged don't shift the estimate for the service.
 func TestOutliersDoNotShiftServiceTime(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
-	f := speed.NewEstimate(0.025)
+	e := speed.NewEstimate(0.025)
 	all := append(randomSamples(r, 8, 20, 0.025), randomSamples(r, 2, 20, 0.125)...)
 	slow := all[9]
-	f.Update(all, time.Second)
-	if !near(f.Value(), 0.025, 0.12) {
-		t.Errorf("estimate for the service %.4f ms, want 0.025", f.Value())
+	e.Update(all, time.Second)
+	if !near(e.Value(), 0.025, 0.12) {
+		t.Errorf("estimate for the service %.4f ms, want 0.025", e.Value())
 	}
-	if got := f.ForEndpoint(slow); got < 0.08 {
+	if got := e.ForEndpoint(slow); got < 0.08 {
 		t.Errorf("estimate %.4f ms for an endpoint that takes 0.125", got)
 	}
 }
 
-// A deviation that may be chance is ignored.
 func TestInsignificantDeviationIsIgnored(t *testing.T) {
-	f := speed.NewEstimate(0.025)
+	e := speed.NewEstimate(0.025)
 	var few, many speed.Samples
 	for range 3 {
 		few.Add(0.04, 1)
@@ -59,26 +57,26 @@
 	for range 30 {
 		many.Add(0.04, 1)
 	}
-	if got := f.ForEndpoint(few); got != f.Value() {
-		t.Errorf("got %.4f from three samples, want the estimate for the service, %.4f", got, f.Value())
+	if got := e.ForEndpoint(few); got != e.Value() {
+		t.Errorf("got %.4f from three samples, want the estimate for the service, %.4f", got, e.Value())
 	}
-	if got := f.ForEndpoint(many); got < 0.03 || got > 0.04 {
+	if got := e.ForEndpoint(many); got < 0.03 || got > 0.04 {
 		t.Errorf("got %.4f from 30 samples of 0.04, want 0.03 to 0.04", got)
 	}
 }
 
 func TestServiceTimeSurvivesSampleDecay(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
-	f := speed.NewEstimate(0.02)
+	e := speed.NewEstimate(0.02)
 	for range 30 {
-		f.Update(randomSamples(r, 10, 10, 0.05), time.Second)
+		e.Update(randomSamples(r, 10, 10, 0.05), time.Second)
 	}
-	f.Update([]speed.Samples{{}, {}}, time.Second)
+	e.Update([]speed.Samples{{}, {}}, time.Second)
 	var s speed.Samples
 	s.Add(0.02, 0.1)
-	f.Update([]speed.Samples{s.Decayed(0.9)}, time.Second)
-	if !near(f.Value(), 0.05, 0.15) {
-		t.Errorf("estimate %.4f ms after the samples have decayed, want 0.05", f.Value())
+	e.Update([]speed.Samples{s.Decayed(0.9)}, time.Second)
+	if !near(e.Value(), 0.05, 0.15) {
+		t.Errorf("estimate %.4f ms after the samples have decayed, want 0.05", e.Value())
 	}
 	if got := s.Decayed(0.1); got != (speed.Samples{}) {
 		t.Errorf("samples of hardly any weight are kept: %+v", got)
@@ -86,11 +84,11 @@
 }
 
 func TestSamplesAreBounded(t *testing.T) {
-	f := speed.NewEstimate(0.02)
-	if got := f.Clamp(40); got > 0.2 {
+	e := speed.NewEstimate(0.02)
+	if got := e.Clamp(40); got > 0.2 {
 		t.Errorf("a sample of 40 ms counts as %.2f ms, want at most 0.2", got)
 	}
-	if got := f.Clamp(0.03); !near(got, 0.03, 1e-9) {
+	if got := e.Clamp(0.03); !near(got, 0.03, 1e-9) {
 		t.Errorf("a sample of 0.03 ms counts as %.3f ms", got)
 	}
 	var s speed.Samples
