--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,15 +1,13 @@
 // Package engine simulates an inference engine with continuous batching.
 //
 // An Engine runs in iterations. Each admits waiting sequences by priority while memory allows,
-// prefills a bounded number of prompt tokens, and decodes one token of every sequence whose
-// prompt is complete. An iteration takes longer with more decoding sequences and more prompt
-// tokens, so that a fully loaded engine is slow. Prompt prefixes are cached in limited memory.
-// When memory runs out, the most recently admitted sequence of the lowest priority is preempted
-// and later recomputes its tokens.
+// prefills a bounded number of prompt tokens, and decodes one token of every sequence whose prompt
+// is complete. An iteration takes longer with more decoding sequences and more prompt tokens.
+// Prompt prefixes are cached in limited memory. When memory runs out, the most recently admitted
+// sequence of the lowest priority is preempted and later recomputes its tokens.
 //
-// The simulation has no clock: Step runs one iteration and returns how long it took. Simulated
-// endpoints drive it in real time, policy experiments in virtual time. It doesn't model any
-// particular product.
+// The simulation has no clock: Step runs one iteration and returns how long it took, so it can run
+// in real or virtual time. It does not model any particular product.
 package engine
 
 import (
@@ -28,8 +26,7 @@
 	CacheTokens  int // tokens of cached prompt prefixes
 }
 
-// Default returns the parameters of the simulated endpoints: 30 ms between tokens at 25
-// sequences.
+// Default returns the parameters of simulated endpoints: 30 ms between tokens at 25 sequences.
 func Default() Params {
 	return Params{
 		Base:         10 * time.Millisecond,
@@ -117,9 +114,8 @@
 // size returns the memory of s, in tokens.
 func (s *Sequence) size() int { return s.Prompt + s.Produced }
 
-// Step runs one iteration. It returns the duration of the iteration and the sequences for
-// which it generated a token. Those with Produced equal to Length have finished and been
-// removed.
+// Step runs one iteration. It returns its duration and the sequences for which it generated a
+// token. Those with Produced equal to Length have finished and been removed.
 func (e *Engine) Step() (time.Duration, []*Sequence) {
 	e.admit()
 	e.preempt()
@@ -190,7 +186,6 @@
 	}
 }
 
-// removeFinished removes finished sequences.
 func (e *Engine) removeFinished() {
 	kept := e.running[:0]
 	for _, s := range e.running {
@@ -212,8 +207,7 @@
 
 func newCache(capacity int) cache { return cache{capacity: capacity, sizes: make(map[uint64]int)} }
 
-// hit returns the number of leading prompt tokens that are cached, and marks the prefix as
-// used.
+// hit returns the number of cached leading prompt tokens, and marks the prefix as used.
 func (c *cache) hit(prefix uint64, n int) int {
 	if prefix == 0 || c.sizes[prefix] == 0 {
 		return 0
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -7,21 +7,20 @@
 	"ivyridge/engine"
 )
 
-// run steps the engine until it is idle, and returns the time it took and the finished
-// sequences in order.
+// run steps the engine until it is idle. It returns the elapsed time and the sequences as finished.
 func run(e *engine.Engine) (time.Duration, []*engine.Sequence) {
-	var at time.Duration
-	var ended []*engine.Sequence
+	var elapsed time.Duration
+	var finished []*engine.Sequence
 	for !e.Idle() {
 		took, out := e.Step()
-		at += took
+		elapsed += took
 		for _, s := range out {
 			if s.Produced == s.Length {
-				ended = append(ended, s)
+				finished = append(finished, s)
 			}
 		}
 	}
-	return at, ended
+	return elapsed, finished
 }
 
 func TestLargerBatchTradesLatencyForThroughput(t *testing.T) {
@@ -44,7 +43,7 @@
 	low, high := &engine.Sequence{Priority: 2, Prompt: 1, Length: 5}, &engine.Sequence{Priority: 0, Prompt: 1, Length: 5}
 	e.Add(low)
 	e.Add(high)
-	if _, ended := run(e); ended[0] != high {
+	if _, finished := run(e); finished[0] != high {
 		t.Error("the sequence of lower priority finished first")
 	}
 }
@@ -56,9 +55,9 @@
 	for i := range 4 {
 		e.Add(&engine.Sequence{Priority: i, Prompt: 50, Length: 100})
 	}
-	_, ended := run(e)
-	if len(ended) != 4 || e.Preempted == 0 {
-		t.Errorf("%d of 4 sequences finished with %d preemptions, want 4 and at least 1", len(ended), e.Preempted)
+	_, finished := run(e)
+	if len(finished) != 4 || e.Preempted == 0 {
+		t.Errorf("%d of 4 sequences finished with %d preemptions, want 4 and at least 1", len(finished), e.Preempted)
 	}
 }
 
