--- a/discovery/bootstrap.go
+++ b/discovery/bootstrap.go
@@ -1,7 +1,6 @@
 package discovery
 
-// This file obtains the initial state of an instance with few calls to the store, which matters
-// when a whole fleet starts at once.
+// This file loads an instance's initial state with few store calls, even if a whole fleet starts.
 
 import (
 	"context"
@@ -9,18 +8,16 @@
 )
 
 const (
-	// upstreamWait is how long an instance that has its initial state waits for an
-	// upstream instance before it watches the store itself. By then the schedulers
-	// are known through gossip; without the wait, almost every instance of a fleet
-	// that starts at once would watch the store.
+	// upstreamWait is how long an instance with initial state waits for an upstream before it
+	// watches the store. Without it, almost every instance of a starting fleet would watch the
+	// store, since schedulers become known only through gossip.
 	upstreamWait         = time.Second
 	upstreamPollInterval = 50 * time.Millisecond
 	peerPollInterval     = 100 * time.Millisecond
 )
 
-// bootstrap loads the initial state from a peer if one becomes available within
-// BootstrapTimeout and SkipBootstrap is not closed. It then waits for an upstream instance.
-// If it returns without any state, the store is queried as usual.
+// bootstrap loads the initial state from a peer within BootstrapTimeout, and then waits for an
+// upstream. If it returns without any state, the store is queried as usual.
 func (f *Follower) bootstrap(ctx context.Context) {
 	if f.BootstrapTimeout <= 0 {
 		return
@@ -45,7 +42,7 @@
 	}
 }
 
-// loadFromPeer loads the full state from the first peer that can provide it.
+// loadFromPeer tries the peers in order and reports whether one provided the full state.
 func (f *Follower) loadFromPeer(ctx context.Context) bool {
 	for _, peer := range f.Peers() {
 		err := f.load(ctx, peer)
--- a/discovery/changelog.go
+++ b/discovery/changelog.go
@@ -1,8 +1,7 @@
 package discovery
 
-// This file keeps a log of recent endpoint changes, so that an instance that already has most of
-// them is sent only the rest. Sending a list of thousands of endpoints at each change would
-// saturate a small machine during a rolling release.
+// This file logs recent endpoint changes, so that an instance can be sent a delta. Sending thousands
+// of endpoints at each change would saturate a small machine during a rolling release.
 
 import (
 	"encoding/binary"
@@ -12,8 +11,7 @@
 )
 
 const (
-	// maxChangeLogEntries and changeLogTTL bound the change log in size and age. Instances
-	// that are further behind receive the full state.
+	// Instances that are further behind than these limits receive the full state.
 	maxChangeLogEntries = 8192
 	changeLogTTL        = tombstoneTTL / 2
 )
@@ -31,7 +29,6 @@
 	baseRevision int64 // the log contains all changes after this revision
 }
 
-// add appends a change unless it equals the last one.
 func (c *changeLog) add(id string, revision int64, now time.Time) {
 	if n := len(c.entries); n > 0 && c.entries[n-1].id == id && c.entries[n-1].revision == revision {
 		return
@@ -39,7 +36,6 @@
 	c.entries = append(c.entries, change{id, revision, now})
 }
 
-// trim drops entries that exceed the age or size limit.
 func (c *changeLog) trim(now time.Time) {
 	n := max(0, len(c.entries)-maxChangeLogEntries)
 	for n < len(c.entries) && now.Sub(c.entries[n].at) > changeLogTTL {
@@ -52,14 +48,13 @@
 	c.entries = c.entries[n:] // append reclaims the space when it reallocates
 }
 
-// reset empties the log; changes up to the revision are unknown.
+// reset empties the log. Changes up to the revision are then unknown.
 func (c *changeLog) reset(revision int64) {
 	c.entries = nil
 	c.baseRevision = revision
 }
 
-// after returns the IDs of endpoints that changed after a revision, each once. ok is false if the
-// log does not reach back that far.
+// after returns the distinct IDs changed after a revision. ok is false if the log starts later.
 func (c *changeLog) after(revision int64) (ids []string, ok bool) {
 	if revision < c.baseRevision {
 		return nil, false
@@ -74,9 +69,8 @@
 	return ids, true
 }
 
-// Since returns the changes after a revision as an Update for another instance that has all
-// changes up to it. ok is false if revision is not positive or the change log does not reach
-// back that far.
+// Since returns the changes after a revision, for another instance that has all earlier ones. ok is
+// false if revision is not positive or precedes the change log.
 func (t *Table) Since(revision int64) (u *Update, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,16 +90,15 @@
 	return u, true
 }
 
-// Digest returns a digest of all listed endpoints and the revision of the view that it belongs
-// to. Two instances that list the same endpoint revisions have the same digest.
+// Digest returns a hash of the IDs and revisions of all listed endpoints, and the revision of the
+// view that it belongs to.
 func (t *Table) Digest() (revision int64, digest uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.view.Load().Revision, t.digest
 }
 
-// digest returns the digest of one entry, zero in its grace period. Digests are combined by xor,
-// so that a single entry can be added or removed incrementally.
+// digest returns the entry's part of Table.digest, the xor of all entries; zero in grace period.
 func (e *entry) digest() uint64 {
 	if !e.graceUntil.IsZero() {
 		return 0
--- a/discovery/changelog_test.go
+++ b/discovery/changelog_test.go
@@ -10,8 +10,7 @@
 	"ivyridge/discovery"
 )
 
-// An instance that receives only deltas lists the same endpoints as their source, for random
-// changes, deletions, full updates, store outages and polling intervals.
+// An instance that receives deltas lists the same endpoints as its source, whatever the changes.
 func TestDeltasConvergeToSourceList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, clock := newTable()
@@ -73,8 +72,7 @@
 	})
 }
 
-// The cost of a change does not depend on the size of the list: unchanged endpoints are shared with
-// the previous view, and the delta contains only the change.
+// Guards against rebuilding or sending the whole list at each change.
 func TestChangeCostIsIndependentOfListSize(t *testing.T) {
 	for _, n := range []int{1000, 4000} {
 		table, clock := newTable()
@@ -111,7 +109,6 @@
 	}
 }
 
-// Old changes are dropped from the log, and later ones are still available.
 func TestChangeLogExpires(t *testing.T) {
 	table, clock := newTable()
 	_ = table.Apply(&discovery.Update{Revision: 1, Full: true, ValidatedAt: clock.current})
@@ -127,6 +124,6 @@
 		t.Errorf("delta is %+v, %v; want 10 endpoints", u, ok)
 	}
 	if _, ok := table.Since(0); ok {
-		t.Error("an empty instance is sent a delta")
+		t.Error("an instance without state is sent a delta")
 	}
 }
--- a/discovery/compile_test.go
+++ b/discovery/compile_test.go
@@ -7,8 +7,7 @@
 	"ivyridge/catalog"
 )
 
-// Guards against holding the table's lock while a configuration is compiled, which would block
-// gossip, as it reads and renews the validation time for each datagram.
+// Guards against holding the table's lock while compiling, which would block gossip.
 func TestCompilingDoesNotBlockValidation(t *testing.T) {
 	table := NewTable(time.Now)
 	compiling, done := make(chan struct{}), make(chan struct{})
@@ -30,13 +29,13 @@
 	validated := make(chan Validation, 1)
 	go func() {
 		table.Confirm(1, time.Now())
-		p, _ := table.Validation()
-		validated <- p
+		v, _ := table.Validation()
+		validated <- v
 	}()
 	select {
-	case p := <-validated:
-		if p.Revision != 1 {
-			t.Errorf("validated revision %d while version 2 is compiled, want 1", p.Revision)
+	case v := <-validated:
+		if v.Revision != 1 {
+			t.Errorf("validated revision %d while version 2 is compiled, want 1", v.Revision)
 		}
 	case <-time.After(10 * time.Second):
 		t.Error("reading and renewing the validation time blocks while a configuration is compiled")
--- a/discovery/digest_test.go
+++ b/discovery/digest_test.go
@@ -28,8 +28,7 @@
 	return &Update{Revision: 3, ValidatedAt: s.now(), Digest: s.digest, Endpoints: []Record{{Endpoint: catalog.Endpoint{ID: "c"}, Revision: 3}}}, nil
 }
 
-// Guards against an instance that has missed a change never receiving it. A differing digest must
-// trigger a full load, at most once per minFullLoadInterval.
+// Guards against an instance that missed a change never receiving it.
 func TestDigestMismatchTriggersFullLoad(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,17 +1,12 @@
-// Package discovery maintains an instance's local copy of the published
-// configuration and endpoint list, together with the time at which that copy
-// was last validated, that is, known to contain every published change.
+// Package discovery maintains an instance's local copy of the published configuration and endpoint
+// list, and the time at which it was last validated, that is, known to contain every change.
 //
-// A validation is dated by when the request was sent, on a clock that also
-// advances while the machine is suspended. Dating it by the arrival of the
-// response or by the wall clock would make the state of an instance that was
-// paused, or whose requests hang, look fresher than it is.
+// A validation is dated by when its request was sent, on a clock that also advances during
+// suspension. Dating it by the response or the wall clock would make the state of an instance that
+// was paused, or whose requests hang, look fresher than it is.
 //
-// A Table accepts Updates from any Source, either the platform's store or
-// another instance that forwards its own state with its age, and never reverts
-// to an older version.
-//
-// A Table is safe for concurrent use. Views are immutable.
+// A Table accepts Updates from the platform's store or from other instances, which forward their
+// state with its age. It never reverts to an older version. It is safe for concurrent use.
 package discovery
 
 import (
@@ -27,8 +22,8 @@
 	"ivyridge/catalog"
 )
 
-// ErrHistoryGone is returned by Watch when the changes since the requested
-// revision are no longer retained. The caller must load the full state.
+// ErrHistoryGone is returned by Watch if the changes since the requested revision are no longer
+// retained. The caller must load the full state.
 var ErrHistoryGone = errors.New("changes since the requested revision are no longer retained")
 
 // ErrOverloaded is returned by a Source that rejects the call because of load.
@@ -44,17 +39,16 @@
 type Deletion struct {
 	ID       string
 	Revision int64
-	// Replaced is set if the entry was overwritten by a value that describes no endpoint.
-	// Such a deletion is final and gets no grace period during a store outage.
+	// Replaced is set if the entry was overwritten by a value that describes no endpoint. It is
+	// then removed without a grace period.
 	Replaced bool
 }
 
-// An Evacuation records that operators ordered the endpoints of a data centre to receive no
-// new requests, or that this order was lifted.
+// An Evacuation is an operator's order to send no new requests to a data centre, or its end.
 type Evacuation struct {
 	DataCentre string
 	Revision   int64
-	Over       bool
+	Over       bool // the order was lifted
 }
 
 // An Update is a response of a Source.
@@ -79,37 +73,32 @@
 type Query struct {
 	After int64         // return changes after this revision
 	Wait  time.Duration // how long to wait for a change if there is none yet
-	// Superseded, once closed, ends the wait with an error that matches
-	// fetch.ErrAbandoned; nil never does. A response that has begun to arrive
-	// is still read to its end: if it were aborted, it would be requested again,
-	// and a large response would never complete while changes are frequent.
+	// Superseded, once closed, ends the wait with an error that matches fetch.ErrAbandoned. A
+	// response that has begun to arrive is still read: if it were requested again each time, a
+	// large one would never complete while changes are frequent.
 	Superseded <-chan struct{}
 	// OnResponse, if set, is called once a response has begun to arrive.
 	OnResponse func()
 }
 
-// A Source provides the published configuration, endpoints and evacuations.
-// It is safe for concurrent use.
+// A Source provides the published state. It is safe for concurrent use.
 type Source interface {
 	// Load returns the full state.
 	Load(ctx context.Context) (*Update, error)
-	// Watch returns the changes that q asks for as soon as there are any, or
-	// an Update without changes when q.Wait has elapsed.
+	// Watch returns the changes that q asks for as soon as there are any, or an Update without
+	// changes after q.Wait.
 	Watch(ctx context.Context, q Query) (*Update, error)
 }
 
 // An Endpoint is an endpoint as listed in a View.
 type Endpoint struct {
 	catalog.Endpoint
-	// GraceUntil is set if the entry disappeared during a store outage, when entries
-	// may expire although their endpoints are alive. Until then the endpoint may
-	// still be tried if no other is available.
+	// GraceUntil is set if the entry disappeared during a store outage. Until then the endpoint,
+	// which may be alive, is tried if no other is available.
 	GraceUntil time.Time
-	// ColdUntil is the end of the endpoint's warm-up, during which it accepts at most the
-	// ColdRate of its service. Zero means that it is warm.
+	// ColdUntil is the end of the warm-up, which is limited to the service's ColdRate; zero: warm.
 	ColdUntil time.Time
-	// Evacuated is set while operators want the endpoint's data centre evacuated.
-	Evacuated bool
+	Evacuated bool // the data centre is evacuated
 
 	incarnation string // computed when the view is built; empty: not yet
 	rank        uint32 // valid if incarnation is set
@@ -131,29 +120,26 @@
 	return hashRank(e.ID)
 }
 
-// hashRank returns the upper half of the hash of an ID. The lower half identifies endpoints
-// in messages between instances.
+// hashRank uses the upper half of the hash; the lower half identifies endpoints in gossip.
 func hashRank(id string) uint32 { return uint32(xxhash.Sum64String(id) >> 32) }
 
 // Cold reports whether e is still warming up at now.
 func (e *Endpoint) Cold(now time.Time) bool { return now.Before(e.ColdUntil) }
 
-// RejectsNew reports whether e must not receive new requests because it is draining or its data
-// centre is being evacuated.
+// RejectsNew reports whether e must not receive new requests.
 func (e *Endpoint) RejectsNew() bool { return e.Draining || e.Evacuated }
 
 // A View is an immutable snapshot of a Table.
 type View struct {
-	Catalog   *catalog.Catalog // nil until a configuration was received
+	Catalog   *catalog.Catalog // nil until a configuration is received
 	Revision  int64
 	endpoints map[string][]*Endpoint
 	evacuated []string
 }
 
-// Evacuated returns the data centres that operators want evacuated, sorted by name.
+// Evacuated returns the evacuated data centres, sorted by name.
 func (v *View) Evacuated() []string { return v.evacuated }
 
-// endpointCount returns the number of endpoints in a data centre, zero if it is unknown.
 func (v *View) endpointCount(dataCentre string) (count int) {
 	for _, endpoints := range v.endpoints {
 		for _, e := range endpoints {
@@ -181,11 +167,10 @@
 	epoch       time.Time
 	view        atomic.Pointer[View]
 	validatedAt atomic.Int64 // nanoseconds after epoch; zero: never
-	outageSince atomic.Int64 // nanoseconds after epoch since which the store is unavailable; zero: it is available
+	outageSince atomic.Int64 // start of the store outage, in nanoseconds after epoch; zero: none
 
-	// applyMu serializes updates. mu is held only while the state is replaced: compiling a
-	// large configuration takes tens of milliseconds, and gossip must be able to read and
-	// renew the validation time meanwhile.
+	// applyMu serializes updates. mu is not held while a configuration is compiled, which takes
+	// tens of milliseconds, as gossip reads and renews the validation time.
 	applyMu         sync.Mutex
 	compileFunc     func(catalog.Document) (*catalog.Catalog, error)
 	rejectedVersion int64 // the newest version that failed to compile
@@ -200,8 +185,7 @@
 	nextRevision  int64                // the revision of the next view
 	changeLog     changeLog
 	digest        uint64 // of entries
-	// evacuations holds the latest evacuation of each data centre, including those that have
-	// ended, so that a delayed message can't restart them.
+	// evacuations includes ended ones, so that a delayed message can't restart them.
 	evacuations map[string]Evacuation
 	changed     chan struct{} // closed and replaced at every change
 }
@@ -236,10 +220,9 @@
 	At       time.Time
 }
 
-// Validation returns the last validation and the current revision; ok is false if there was no
-// validation. Both are read under one lock, since a revision and an age that are read
-// separately may not belong together.
-func (t *Table) Validation() (p Validation, ok bool) {
+// Validation returns the last validation and the current revision, read under one lock so that they
+// belong together. ok is false if there was no validation.
+func (t *Table) Validation() (v Validation, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	validatedAt := t.validatedAt.Load()
@@ -253,9 +236,8 @@
 	return t.changed
 }
 
-// Confirm renews the validation time from another instance's statement that no
-// change after a revision had been made at an instant. It has an effect only if
-// the table has a configuration and is at that revision or a later one.
+// Confirm records another instance's validation. It has an effect only if the table has a
+// configuration and is at that revision or a later one.
 func (t *Table) Confirm(revision int64, validatedAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -265,11 +247,11 @@
 	t.markValidated(revision, validatedAt)
 }
 
-// MarkStoreDown records that the store is unavailable. Entries that are missing when
-// it is next read get a grace period; entries that are deleted after that do not.
+// MarkStoreDown records that the store is unavailable. Entries that are missing when it is next read
+// get a grace period.
 func (t *Table) MarkStoreDown() { t.outageSince.CompareAndSwap(0, int64(t.now().Sub(t.epoch))) }
 
-// detectOutage records an outage since the last validation if that is older than outageAge.
+// detectOutage records an outage if the last validation is older than outageAge.
 func (t *Table) detectOutage() {
 	if age, ok := t.Age(); ok && age > outageAge {
 		t.outageSince.CompareAndSwap(0, t.validatedAt.Load())
@@ -282,14 +264,13 @@
 // storeUnavailable reports whether the store has been unavailable since it was last read.
 func (t *Table) storeUnavailable() bool { return t.outageSince.Load() != 0 }
 
-// validatedSinceOutage reports whether state that was validated at an instant was read from
-// the store after the outage began.
+// validatedSinceOutage reports whether state validated at an instant was read after the outage began.
 func (t *Table) validatedSinceOutage(validatedAt time.Time) bool {
 	return int64(validatedAt.Sub(t.epoch)) > t.outageSince.Load()
 }
 
-// Apply applies u. It returns an error if the configuration in u is invalid; the previous
-// configuration then stays in force, and the other changes are applied all the same.
+// Apply applies u. If the configuration in u is invalid, it returns an error, keeps the previous
+// configuration, and still applies the other changes.
 func (t *Table) Apply(u *Update) error {
 	t.applyMu.Lock()
 	defer t.applyMu.Unlock()
@@ -310,10 +291,9 @@
 	return err
 }
 
-// markValidated records that a source knew of no change after a revision at the given
-// instant or later. This validates later revisions too, as they contain every earlier
-// change. Otherwise, while changes arrive faster than requests are answered, the state
-// of the whole fleet would appear stale.
+// markValidated records that a source knew of no change after a revision at an instant. This
+// validates later revisions too. Otherwise, the whole fleet would appear stale while changes arrive
+// faster than responses.
 func (t *Table) markValidated(revision int64, validatedAt time.Time) {
 	if revision > t.view.Load().Revision {
 		return
@@ -335,8 +315,7 @@
 	return c, nil
 }
 
-// Snapshot returns the full state as an Update for another instance, without
-// endpoints in their grace period.
+// Snapshot returns the full state for another instance, without endpoints in their grace period.
 func (t *Table) Snapshot() *Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -351,7 +330,7 @@
 	return u
 }
 
-// newUpdate returns an Update for another instance, without endpoints. The caller holds t.mu.
+// newUpdate returns an Update without endpoints. The caller holds t.mu.
 func (t *Table) newUpdate() *Update {
 	v := t.view.Load()
 	u := &Update{Revision: v.Revision, Digest: t.digest, ValidatedAt: t.epoch.Add(time.Duration(t.validatedAt.Load()))}
@@ -364,8 +343,7 @@
 	return u
 }
 
-// HasIncarnation reports whether the endpoint process with an incarnation is listed, grace period
-// included.
+// HasIncarnation reports whether an endpoint process is listed or in its grace period.
 func (t *Table) HasIncarnation(incarnation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -11,7 +11,6 @@
 	"ivyridge/discovery"
 )
 
-// fakeClock is a clock that a test advances.
 type fakeClock struct{ current time.Time }
 
 func (c *fakeClock) now() time.Time          { return c.current }
@@ -72,8 +71,7 @@
 	}
 }
 
-// Guards against a table that appears stale while changes arrive quickly: a response for revision
-// 25 must also validate a table that has meanwhile received revision 26 from another instance.
+// Guards against a table that appears stale while changes arrive faster than responses.
 func TestOutOfOrderResponseValidatesLaterRevision(t *testing.T) {
 	table, c := newTable()
 	_ = table.Apply(&discovery.Update{Revision: 24, Full: true, Config: testDocument(1), ValidatedAt: c.now()})
@@ -102,8 +100,7 @@
 	}
 }
 
-// Whatever the order of overlapping calls, responses and validations by other instances, the table
-// never lacks a change that was made before the instant of its validation.
+// In no order of calls and responses does a table lack a change made before its validation time.
 func TestValidationNeverCoversMissingChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, c := newTable()
@@ -138,8 +135,7 @@
 	})
 }
 
-// Validation returns a revision and a validation time that belong together, during concurrent
-// updates.
+// Guards against returning a revision with the validation time of another one.
 func TestValidationIsReadAtomically(t *testing.T) {
 	origin := time.Now()
 	table := discovery.NewTable(time.Now)
@@ -159,9 +155,9 @@
 			return
 		default:
 		}
-		p, ok := table.Validation()
-		if next := origin.Add(time.Duration(p.Revision+1) * time.Microsecond); ok && !p.At.Before(next) {
-			t.Fatalf("revision %d returned with a validation %v after revision %d was made", p.Revision, p.At.Sub(next), p.Revision+1)
+		v, ok := table.Validation()
+		if next := origin.Add(time.Duration(v.Revision+1) * time.Microsecond); ok && !v.At.Before(next) {
+			t.Fatalf("revision %d returned with a validation %v after revision %d was made", v.Revision, v.At.Sub(next), v.Revision+1)
 		}
 	}
 }
@@ -207,8 +203,7 @@
 	}
 }
 
-// An entry that is deleted after an outage is removed at once. Guards against keeping it in a
-// grace period, during which requests are sent to a server that has left.
+// Guards against sending requests to an endpoint that was deleted after the outage.
 func TestDeletionAfterOutageGetsNoGracePeriod(t *testing.T) {
 	table, c := newTable()
 	_ = table.Apply(&discovery.Update{Revision: 3, Full: true, Endpoints: []discovery.Record{record("a", 1), record("b", 2)}, ValidatedAt: c.now()})
@@ -250,8 +245,7 @@
 	}
 }
 
-// The calls of the follower and the validator to the store overlap. Guards against a stale
-// response, which contains the creation of an entry but not its deletion, restoring that entry.
+// A late response that contains an entry but not its deletion must not restore the entry.
 func TestStaleResponseDoesNotRestoreEntry(t *testing.T) {
 	table, _ := newTable()
 	_ = table.Apply(&discovery.Update{Revision: 10, Full: true, Config: testDocument(1), Endpoints: []discovery.Record{record("a", 3)}})
--- a/discovery/entries.go
+++ b/discovery/entries.go
@@ -1,7 +1,6 @@
 package discovery
 
-// This file applies endpoint changes to the entries of a Table, and keeps entries that disappear
-// during a store outage for a grace period.
+// This file applies endpoint changes to a Table.
 
 import "time"
 
@@ -57,12 +56,11 @@
 	return t.sweep() || changed
 }
 
-// tombstoneTTL is how long the deletion of an endpoint is remembered. It exceeds the duration of
-// a call to the store or to another instance.
+// tombstoneTTL is how long a deletion is remembered. It exceeds the duration of a call to a source.
 const tombstoneTTL = 40 * time.Second
 
-// A tombstone records the deletion of an endpoint, so that a delayed response which predates it
-// does not restore the entry.
+// A tombstone records the deletion of an endpoint, so that an older, delayed response does not
+// restore the entry.
 type tombstone struct {
 	revision int64
 	at       time.Time
@@ -76,8 +74,8 @@
 	}
 }
 
-// newEntry returns the entry of a record. The remaining warm-up time counts from now rather than
-// from when it was sent, so that an endpoint is treated as cold rather too long than too short.
+// newEntry counts the remaining warm-up time from now rather than from when it was sent, so that an
+// endpoint is treated as cold rather too long than too short.
 func (t *Table) newEntry(r *Record) *entry {
 	e := &entry{Record: *r}
 	if r.ColdLeft > 0 {
@@ -114,7 +112,6 @@
 	t.deleteEntry(e)
 }
 
-// sweepInterval is the minimum time between two sweeps for expired tombstones.
 const sweepInterval = time.Second
 
 func (t *Table) sweep() (changed bool) {
@@ -136,7 +133,7 @@
 	return changed
 }
 
-// record returns the entry's record as it is sent to other instances.
+// record returns the entry's record for other instances, with the remaining warm-up time at now.
 func (e *entry) record(now time.Time) Record {
 	r := e.Record
 	r.ColdLeft = max(0, e.coldUntil.Sub(now))
--- a/discovery/evacuate.go
+++ b/discovery/evacuate.go
@@ -8,11 +8,10 @@
 	"ivyridge/catalog"
 )
 
-// maxEvacuations bounds the number of data centres whose evacuations are kept, since keys in
-// the store may contain arbitrary names.
+// maxEvacuations bounds memory, as keys in the store may contain arbitrary data centre names.
 const maxEvacuations = 256
 
-// applyEvacuations applies the evacuations of u. The caller holds t.mu.
+// applyEvacuations reports whether u changed any evacuation. The caller holds t.mu.
 func (t *Table) applyEvacuations(u *Update, c *catalog.Catalog) (changed bool) {
 	if u.Full && u.Revision >= t.view.Load().Revision {
 		changed = t.endMissingEvacuations(u, c)
@@ -23,7 +22,6 @@
 	return changed
 }
 
-// endMissingEvacuations ends the evacuations that a full update does not contain.
 func (t *Table) endMissingEvacuations(u *Update, c *catalog.Catalog) (changed bool) {
 	for dataCentre, known := range t.evacuations {
 		present := slices.ContainsFunc(u.Evacuations, func(e Evacuation) bool { return e.DataCentre == dataCentre })
@@ -50,9 +48,8 @@
 	return e.Over != known.Over || !ok
 }
 
-// markCold treats the endpoints of a data centre whose evacuation ended as cold. They may have
-// become cold while they received no requests, and report so only with their next heartbeat;
-// sending to all slots that look free until then would overload them.
+// markCold treats the endpoints of a data centre as cold after its evacuation. They may have become
+// cold without requests, and report it only with their next heartbeat.
 func (t *Table) markCold(dataCentre string, c *catalog.Catalog) {
 	if c == nil {
 		return
@@ -70,14 +67,13 @@
 	}
 }
 
-// isEvacuated reports whether operators want a data centre evacuated. The caller holds t.mu.
+// The caller holds t.mu.
 func (t *Table) isEvacuated(dataCentre string) bool {
 	e, ok := t.evacuations[dataCentre]
 	return ok && !e.Over
 }
 
-// evacuatedDataCentres returns the data centres that operators want evacuated, sorted. The caller
-// holds t.mu.
+// evacuatedDataCentres returns the evacuated data centres, sorted. The caller holds t.mu.
 func (t *Table) evacuatedDataCentres() []string {
 	var out []string
 	for dataCentre := range t.evacuations {
@@ -89,8 +85,7 @@
 	return out
 }
 
-// markDataCentreDirty has the endpoints of a data centre rebuilt in the next view. The caller
-// holds t.mu.
+// markDataCentreDirty schedules a rebuild of a data centre's endpoints. The caller holds t.mu.
 func (t *Table) markDataCentreDirty(dataCentre string) {
 	for id, e := range t.entries {
 		if e.DataCentre == dataCentre {
--- a/discovery/evacuate_test.go
+++ b/discovery/evacuate_test.go
@@ -77,7 +77,6 @@
 	wantEvacuated(t, table)
 }
 
-// Another instance that applies a snapshot has the same evacuations and warm-up times.
 func TestSnapshotIncludesEvacuationsAndWarmUp(t *testing.T) {
 	table, c := newTable()
 	cold := recordIn("a1", "a", 1)
--- a/discovery/follow.go
+++ b/discovery/follow.go
@@ -17,24 +17,23 @@
 
 const (
 	watchTimeout           = 25 * time.Second       // how long a watch waits for a change
-	loadTimeout            = 10 * time.Second       // for the full state, including all pages
+	loadTimeout            = 10 * time.Second       // for all pages of the full state
 	minCoalesceDelay       = 120 * time.Millisecond // pause after a change, so that changes are fetched in batches
 	coalesceDelayPerReader = 10 * time.Millisecond  // for each instance that follows the store
 	maxCoalesceDelay       = 800 * time.Millisecond
-	newerRevisionDelay     = 2 * minCoalesceDelay // for the pending watch to return a revision that a peer has
+	newerRevisionDelay     = 2 * minCoalesceDelay // how long a pending watch may take to return a peer's revision
 	minBackoff             = 60 * time.Millisecond
 	maxBackoff             = 1200 * time.Millisecond
 )
 
-// A NamedSource is a Source with its name in logs. IsStore marks the store itself;
-// a successful read of it ends an outage.
+// A NamedSource is a Source with its name in logs.
 type NamedSource struct {
 	Name    string
-	IsStore bool
+	IsStore bool // a successful read ends an outage
 	Source  Source
 }
 
-// eventName returns the name of a call to the source in the counters.
+// eventName returns the counter name of a call.
 func (s *NamedSource) eventName(call string) string {
 	if s.IsStore {
 		return call
@@ -42,23 +41,21 @@
 	return "relay-" + call
 }
 
-// A Follower keeps a Table up to date. It long-polls the store, or an instance
-// that follows the store, for changes, and loads the state of other instances
-// while neither answers. A Validator separately validates that the state is current.
+// A Follower keeps a Table up to date. It long-polls the store, or an instance that follows the
+// store, and loads the state of peers while neither answers. Validators confirm that the state is
+// current.
 type Follower struct {
 	Table *Table
 	Store NamedSource
-	// Upstream returns the instance to follow in place of the store, if there is
-	// one. If overtaken is set, other instances are ahead of the current upstream,
-	// and it must return one that is as far ahead as they are.
-	Upstream func(overtaken bool) (NamedSource, bool)
+	// Upstream returns the instance to follow instead of the store, if there is one. If lagging is
+	// set, other instances are ahead of the current upstream, and it must return one of these.
+	Upstream func(lagging bool) (NamedSource, bool)
 	// Peers returns the instances to load the full state from, in order of preference.
 	Peers func() []NamedSource
-	// NewerRevision returns a channel that is closed when another instance has a newer
-	// revision.
+	// NewerRevision returns a channel that is closed when another instance has a newer revision.
 	NewerRevision func() <-chan struct{}
-	// BootstrapTimeout is how long an instance without any state waits for a peer to load
-	// it from before it queries the store; zero disables the wait.
+	// BootstrapTimeout is how long an instance without state waits for a peer before it queries
+	// the store; zero disables the wait.
 	BootstrapTimeout time.Duration
 	// SkipBootstrap, once closed, ends that wait, because requests are waiting.
 	SkipBootstrap <-chan struct{}
@@ -69,16 +66,15 @@
 
 	failing map[string]bool // sources whose last call failed, by name
 	backoff time.Duration
-	behind  bool // the last watch was abandoned because another instance knows more
+	behind  bool // the last watch was abandoned because another instance has a newer revision
 
-	needFullLoad bool      // the state differs from the upstream's and must be loaded in full
+	needFullLoad bool      // the state differs from the upstream's
 	lastFullLoad time.Time // when it was last loaded in full for that reason
 
-	receiving atomic.Bool // a response of the store is arriving
+	receiving atomic.Bool // a store response is arriving
 }
 
-// Receiving reports whether a response of the store is being received. It is safe for
-// concurrent use.
+// Receiving reports whether a store response is arriving. It is safe for concurrent use.
 func (f *Follower) Receiving() bool { return f.receiving.Load() }
 
 // Run keeps the Table up to date until ctx is done. Only one Run may be active at a time.
@@ -100,8 +96,7 @@
 }
 
 // coalesceDelay returns how long to wait after a change before fetching the next ones, if n
-// instances follow the store. It is well below the time within which a change must take
-// effect.
+// instances follow the store.
 func coalesceDelay(n int) time.Duration {
 	return min(max(minCoalesceDelay, time.Duration(n)*coalesceDelayPerReader), maxCoalesceDelay)
 }
@@ -115,8 +110,7 @@
 	}
 }
 
-// sync calls the upstream or the store, and falls back to a peer if that fails. It reports
-// whether it ended without a failure.
+// sync reports whether the upstream or the store answered. If not, it loads from a peer.
 func (f *Follower) sync(ctx context.Context) bool {
 	wait := watchTimeout
 	if f.behind {
@@ -136,8 +130,8 @@
 	return false
 }
 
-// trySource makes one call to a source. It reports whether the call succeeded, was
-// abandoned because a peer has a newer revision, or was ended by ctx.
+// trySource reports whether a call succeeded, was abandoned because a peer has a newer revision, or
+// was ended by ctx.
 func (f *Follower) trySource(ctx context.Context, s NamedSource, wait time.Duration) bool {
 	err := f.query(ctx, s, wait)
 	if ctx.Err() != nil {
@@ -151,8 +145,8 @@
 	return err == nil
 }
 
-// query makes one call to a source, for the full state if the table is empty or must be
-// reloaded, and otherwise for changes. The first configuration also arrives as a change.
+// query requests the full state if the table is empty or must be reloaded, and otherwise changes.
+// The first configuration also arrives as a change.
 func (f *Follower) query(ctx context.Context, s NamedSource, wait time.Duration) error {
 	v := f.Table.View()
 	if v.Revision == 0 {
@@ -190,11 +184,10 @@
 	return nil
 }
 
-// newerRevisionSignal returns a channel that is closed once another instance has a newer
-// revision and the pending watch has had time to return it. It guards against a watch whose
-// connection is silently broken.
+// newerRevisionSignal returns a channel that is closed if another instance has a newer revision but
+// the pending watch does not return it, as on a silently broken connection.
 func (f *Follower) newerRevisionSignal(ctx context.Context) <-chan struct{} {
-	overtaken := make(chan struct{})
+	superseded := make(chan struct{})
 	newer := f.NewerRevision()
 	go func() {
 		select {
@@ -204,10 +197,10 @@
 		}
 		sleep(ctx, newerRevisionDelay)
 		if ctx.Err() == nil {
-			close(overtaken)
+			close(superseded)
 		}
 	}()
-	return overtaken
+	return superseded
 }
 
 func (f *Follower) load(ctx context.Context, s NamedSource) error {
@@ -228,12 +221,11 @@
 	f.checkDigest(s, u)
 }
 
-// minFullLoadInterval is the minimum time between two full loads that are caused by differing
-// digests. A difference that results from the order of updates may persist.
+// minFullLoadInterval limits full loads that are caused by differing digests. A difference that
+// results from the order of updates may persist.
 const minFullLoadInterval = 10 * time.Second
 
-// checkDigest schedules a full load if, after a delta, the listed endpoints differ from those of
-// the source, as happens when a change was missed.
+// checkDigest schedules a full load if the endpoints differ from the source's after a delta.
 func (f *Follower) checkDigest(s NamedSource, u *Update) {
 	revision, digest := f.Table.Digest()
 	if u.Full || u.Digest == 0 || u.Revision != revision || u.Digest == digest {
@@ -246,12 +238,11 @@
 	}
 }
 
-// outageAge is the age of the last validation beyond which the store is taken to be unavailable
-// to every instance, since standby validators act at standbyValidationAge. An instance that
-// follows another one has no other sign of an outage.
+// outageAge is the validation age from which the store counts as unavailable, since standby
+// validators act at standbyValidationAge. Followers of an instance have no other sign of an outage.
 const outageAge = 2500 * time.Millisecond
 
-// Apply applies an update from a source to a Table, and logs and counts what it changes.
+// Apply applies an update to a Table, and logs and counts the changes.
 func Apply(t *Table, s NamedSource, u *Update, log *zap.Logger, count func(string)) {
 	before := t.View()
 	t.detectOutage()
@@ -274,7 +265,6 @@
 	}
 }
 
-// logEvacuations logs the data centres whose evacuation began or ended.
 func logEvacuations(s NamedSource, before, after *View, log *zap.Logger) {
 	for _, dataCentre := range after.evacuated {
 		if !slices.Contains(before.evacuated, dataCentre) {
@@ -290,12 +280,10 @@
 	}
 }
 
-// maxLoggedEndpoints bounds the endpoints that are logged for one update, since the initial state
-// may contain thousands.
+// maxLoggedEndpoints bounds the log lines of one update; an initial state may contain thousands.
 const maxLoggedEndpoints = 100
 
-// logEndpoints logs the endpoints that were added or changed after a revision, and
-// those that were deleted.
+// logEndpoints logs the endpoints that were changed after a revision or deleted.
 func logEndpoints(s NamedSource, u *Update, after int64, log *zap.Logger, outage bool) {
 	logged := 0
 	for i := range u.Endpoints {
@@ -321,12 +309,12 @@
 
 func (f *Follower) logTruncated(ctx context.Context, s NamedSource, err error) {
 	if ctx.Err() == nil {
-		logTruncatedAnswer(s, err, f.Log, f.Count)
+		logTruncatedResponse(s, err, f.Log, f.Count)
 	}
 }
 
-// logTruncatedAnswer logs and counts a response that began to arrive but was not completed.
-func logTruncatedAnswer(s NamedSource, err error, log *zap.Logger, count func(string)) {
+// logTruncatedResponse logs and counts a response that began to arrive but was not completed.
+func logTruncatedResponse(s NamedSource, err error, log *zap.Logger, count func(string)) {
 	var truncated *fetch.TruncatedError
 	if !errors.As(err, &truncated) || !truncated.HeaderReceived {
 		return
@@ -337,7 +325,7 @@
 		zap.String("error", truncated.Err.Error()))
 }
 
-// logAvailability logs when a source becomes unavailable or available again.
+// logAvailability logs transitions between availability and failure.
 func (f *Follower) logAvailability(s NamedSource, err error) {
 	switch {
 	case err != nil && !f.failing[s.Name]:
--- a/discovery/follow_test.go
+++ b/discovery/follow_test.go
@@ -13,7 +13,7 @@
 	"ivyridge/internal/fetch"
 )
 
-// Coalescing changes may take only a part of the 2 s within which a change must take effect.
+// A change must take effect within 2 s, so coalescing may take only a part of that.
 func TestCoalesceDelayGrowsWithReaders(t *testing.T) {
 	for n, want := range map[int]time.Duration{
 		1: minCoalesceDelay, 7: minCoalesceDelay, 50: 500 * time.Millisecond, 80: 800 * time.Millisecond, 390: maxCoalesceDelay,
@@ -38,9 +38,7 @@
 	}
 }
 
-// Guards against all instances of a fleet calling the store at the same time once none of them has
-// a recent validation. A rank counts only recently validated instances, so all of them would be
-// first.
+// Guards against all instances calling the store at the same time when none of them has a rank.
 func TestUnrankedInstancesLimitStoreCalls(t *testing.T) {
 	const unranked = 280
 	now := time.Unix(1000, 0)
@@ -52,17 +50,17 @@
 	const seconds = 3
 	for tick := range int(seconds * time.Second / validationPollInterval) {
 		at := now.Add(time.Duration(tick) * validationPollInterval)
-		for _, p := range validators {
-			if p.due(at, maxValidationAge-time.Millisecond) {
+		for _, v := range validators {
+			if v.due(at, maxValidationAge-time.Millisecond) {
 				t.Fatal("an unranked instance calls before the maximum validation age")
 			}
 		}
 	}
 	for tick := range int(seconds * time.Second / validationPollInterval) {
 		at := now.Add(time.Duration(tick) * validationPollInterval)
-		for _, p := range validators {
-			if p.due(at, maxValidationAge) {
-				p.randomDue = time.Time{}
+		for _, v := range validators {
+			if v.due(at, maxValidationAge) {
+				v.randomDue = time.Time{}
 				calls++
 			}
 		}
@@ -73,16 +71,15 @@
 	}
 }
 
-// An instance that hears no scheduler calls as soon as the maximum validation age is reached.
+// A single unranked instance calls as soon as the maximum validation age is reached.
 func TestLoneUnrankedInstanceCallsImmediately(t *testing.T) {
-	p := &Validator{Turn: func() ValidationTurn { return ValidationTurn{Unranked: 1} }}
+	v := &Validator{Turn: func() ValidationTurn { return ValidationTurn{Unranked: 1} }}
 	now := time.Unix(1000, 0)
-	if p.due(now, maxValidationAge-time.Millisecond) || !p.due(now, maxValidationAge) {
+	if v.due(now, maxValidationAge-time.Millisecond) || !v.due(now, maxValidationAge) {
 		t.Fatal("want it to be due exactly from the maximum validation age on")
 	}
 }
 
-// A fakeSource answers with its functions, and counts calls.
 type fakeSource struct {
 	loads, watches atomic.Int32
 	load           func() (*Update, error)
@@ -103,7 +100,7 @@
 	return &Update{Revision: revision, Full: true, Config: &catalog.Document{Version: revision}, ValidatedAt: time.Now()}
 }
 
-// blockingWatch does not answer until its context is done or its wait is abandoned.
+// blockingWatch blocks until ctx is done or the watch is superseded.
 func blockingWatch(ctx context.Context, q Query) (*Update, error) {
 	if q.Wait == 0 {
 		return &Update{Revision: 1, ValidatedAt: time.Now()}, nil
@@ -124,7 +121,6 @@
 	})
 }
 
-// startFollowerWithUpstream is startFollower with an upstream that may change.
 func startFollowerWithUpstream(t *testing.T, store *fakeSource, newer func() <-chan struct{}, upstream func(bool) (NamedSource, bool)) *Table {
 	t.Helper()
 	table := NewTable(time.Now)
@@ -142,7 +138,6 @@
 	return table
 }
 
-// runFollower runs a Follower until the test ends.
 func runFollower(t *testing.T, f *Follower) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -191,17 +186,16 @@
 	eventually(t, "a watch at the store", func() bool { return store.watches.Load() == 1 })
 }
 
-// A newer revision of another instance ends a watch once. If the source does not have that revision
-// yet, it is not polled repeatedly.
+// A newer revision at another instance ends a watch once. The source is not polled repeatedly.
 func TestAbandonedWatchIsRetriedOnce(t *testing.T) {
-	closed := make(chan struct{})
-	close(closed)
+	newerRevision := make(chan struct{})
+	close(newerRevision)
 	var signalled atomic.Bool
 	newer := func() <-chan struct{} {
 		if signalled.Swap(true) {
 			return nil
 		}
-		return closed
+		return newerRevision
 	}
 	store := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
 	startFollower(t, store, nil, newer)
@@ -239,7 +233,6 @@
 	}
 }
 
-// startFollowerWithPeers runs a Follower that waits for peers at its start.
 func startFollowerWithPeers(t *testing.T, store *fakeSource, peers func() []NamedSource, newer func() <-chan struct{}, upstream func(bool) (NamedSource, bool)) *Table {
 	t.Helper()
 	table := NewTable(time.Now)
@@ -255,23 +248,23 @@
 
 func noUpstream(bool) (NamedSource, bool) { return NamedSource{}, false }
 
-// Guards against every instance of a fleet that starts at once loading from and watching the store.
+// Guards against all instances of a starting fleet loading from and watching the store.
 func TestBootstrapFromPeer(t *testing.T) {
 	store := &fakeSource{}
 	peer := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
-	heard := make(chan struct{})
-	var heardPeer atomic.Bool
+	peerAvailable := make(chan struct{})
+	var hasPeer atomic.Bool
 	time.AfterFunc(50*time.Millisecond, func() {
-		heardPeer.Store(true)
-		close(heard)
+		hasPeer.Store(true)
+		close(peerAvailable)
 	})
 	upstreamKnown := time.Now().Add(300 * time.Millisecond)
 	table := startFollowerWithPeers(t, store, func() []NamedSource {
-		if !heardPeer.Load() {
+		if !hasPeer.Load() {
 			return nil
 		}
 		return []NamedSource{{Name: "peer", Source: peer}}
-	}, func() <-chan struct{} { return heard }, func(bool) (NamedSource, bool) {
+	}, func() <-chan struct{} { return peerAvailable }, func(bool) (NamedSource, bool) {
 		return NamedSource{Name: "peer", Source: peer}, time.Now().After(upstreamKnown)
 	})
 	eventually(t, "a watch at the peer", func() bool { return peer.watches.Load() == 1 })
@@ -291,28 +284,26 @@
 	}
 }
 
-// Guards against a restarted fleet refusing requests while its instances wait for each other's
-// state.
+// Guards against refusing requests while the instances of a restarted fleet wait for each other.
 func TestBootstrapSkipsWaitForPendingRequests(t *testing.T) {
 	store := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
-	hurry := make(chan struct{})
+	skip := make(chan struct{})
 	table := NewTable(time.Now)
 	f := &Follower{
 		Table: table, Store: NamedSource{Name: "store", IsStore: true, Source: store},
 		Upstream: noUpstream, Peers: func() []NamedSource { return nil }, NewerRevision: neverNewer,
 		StoreReaders: func() int { return 1 }, Log: zap.NewNop(), Count: func(string) {},
-		BootstrapTimeout: time.Minute, SkipBootstrap: hurry,
+		BootstrapTimeout: time.Minute, SkipBootstrap: skip,
 	}
 	runFollower(t, f)
 	time.Sleep(50 * time.Millisecond)
 	if store.loads.Load() != 0 {
 		t.Fatal("the store was called though no request is waiting")
 	}
-	close(hurry)
+	close(skip)
 	eventually(t, "state from the store", func() bool { return table.View().Revision == 1 })
 }
 
-// A peer that fails does not delay the start.
 func TestBootstrapWithFailingPeer(t *testing.T) {
 	store := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
 	peer := &fakeSource{load: func() (*Update, error) { return nil, errors.New("lost") }}
@@ -323,38 +314,36 @@
 	}
 }
 
-// If the upstream stays silent while other instances are ahead, the store is used.
 func TestSilentUpstreamIsReplacedByStore(t *testing.T) {
-	overtaken := make(chan struct{})
+	newerRevision := make(chan struct{})
 	store := &fakeSource{watch: func(_ context.Context, q Query) (*Update, error) {
 		return &Update{Revision: max(q.After, 2), ValidatedAt: time.Now()}, nil
 	}}
 	upstream := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
-	table := startFollowerWithUpstream(t, store, func() <-chan struct{} { return overtaken }, func(behind bool) (NamedSource, bool) {
+	table := startFollowerWithUpstream(t, store, func() <-chan struct{} { return newerRevision }, func(behind bool) (NamedSource, bool) {
 		return NamedSource{Name: "upstream", Source: upstream}, !behind
 	})
 	eventually(t, "a watch at the upstream", func() bool { return upstream.watches.Load() == 1 })
-	close(overtaken)
+	close(newerRevision)
 	eventually(t, "the change from the store", func() bool { return table.View().Revision == 2 })
 }
 
-// An instance that follows another one gives entries that disappear during a store outage a grace
-// period, like one that reads the store itself, since all entries of a service may expire then
-// though its endpoints are alive. After the outage, deleted entries are removed at once.
+// During a store outage all entries of a service may expire though its endpoints are alive, so an
+// instance that follows another one also gives them a grace period.
 func TestFollowerKeepsEntriesDeletedDuringOutage(t *testing.T) {
-	at := time.Unix(1000, 0)
-	table := NewTable(func() time.Time { return at })
+	now := time.Unix(1000, 0)
+	table := NewTable(func() time.Time { return now })
 	upstream := NamedSource{Name: "upstream"}
 	apply := func(u *Update) { Apply(table, upstream, u, zap.NewNop(), func(string) {}) }
 	entries := []Record{{Endpoint: catalog.Endpoint{ID: "a", Service: "s"}, Revision: 1}, {Endpoint: catalog.Endpoint{ID: "b", Service: "s"}, Revision: 2}}
-	apply(&Update{Revision: 2, Full: true, Config: &catalog.Document{Version: 1}, Endpoints: entries, ValidatedAt: at})
-	at = at.Add(4 * time.Second)
-	apply(&Update{Revision: 3, Full: true, Endpoints: entries[:1], ValidatedAt: at})
+	apply(&Update{Revision: 2, Full: true, Config: &catalog.Document{Version: 1}, Endpoints: entries, ValidatedAt: now})
+	now = now.Add(4 * time.Second)
+	apply(&Update{Revision: 3, Full: true, Endpoints: entries[:1], ValidatedAt: now})
 	if got := table.View().Endpoints("s"); len(got) != 2 || got[1].GraceUntil.IsZero() {
 		t.Fatalf("%d endpoints after the outage, want two, the second in its grace period", len(got))
 	}
-	at = at.Add(100 * time.Millisecond)
-	apply(&Update{Revision: 4, Full: true, ValidatedAt: at})
+	now = now.Add(100 * time.Millisecond)
+	apply(&Update{Revision: 4, Full: true, ValidatedAt: now})
 	for _, e := range table.View().Endpoints("s") {
 		if e.ID == "a" {
 			t.Fatal("an entry that was deleted after the outage is kept")
@@ -362,20 +351,19 @@
 	}
 }
 
-// No validating call is made while a response of the store arrives, unless the last validation is
-// old.
+// No validating call is made while a store response arrives, unless the last validation is old.
 func TestValidationWaitsForArrivingResponse(t *testing.T) {
 	arriving := true
-	p := &Validator{Turn: func() ValidationTurn { return ValidationTurn{} }, Receiving: func() bool { return arriving }}
+	v := &Validator{Turn: func() ValidationTurn { return ValidationTurn{} }, Receiving: func() bool { return arriving }}
 	now := time.Unix(1000, 0)
-	if p.due(now, maxValidationAge-time.Millisecond) {
+	if v.due(now, maxValidationAge-time.Millisecond) {
 		t.Error("due while a response arrives")
 	}
-	if !p.due(now, maxValidationAge) {
+	if !v.due(now, maxValidationAge) {
 		t.Error("not due at the maximum validation age")
 	}
 	arriving = false
-	if !p.due(now, validationInterval) {
+	if !v.due(now, validationInterval) {
 		t.Error("not due though no response arrives")
 	}
 }
--- a/discovery/restart_test.go
+++ b/discovery/restart_test.go
@@ -8,7 +8,7 @@
 	"ivyridge/discovery"
 )
 
-// recordBornAt returns a record of an endpoint whose process started at an instant; zero: not sent.
+// recordBornAt returns a record with a start time in Unix milliseconds; zero: not sent.
 func recordBornAt(id string, revision, at int64) discovery.Record {
 	r := record(id, revision)
 	r.Born = at
@@ -42,7 +42,6 @@
 	}
 }
 
-// Whatever the order of updates, the start time of a listed endpoint never decreases.
 func TestStartTimeNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, c := newTable()
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -1,25 +1,24 @@
 package discovery
 
-// This file builds the endpoint lists of a View from the entries of a Table. Endpoints that did
-// not change are shared with the previous View, so that a change costs little more than copying
-// one slice of pointers.
+// This file builds the endpoint lists of a View. Unchanged endpoints are shared with the previous
+// View, so a change costs little more than copying one slice of pointers.
 
 import (
 	"sort"
 	"strings"
 )
 
-// putEntry adds an entry or replaces the one with the same ID. The caller holds t.mu.
+// putEntry adds or replaces an entry. The caller holds t.mu.
 func (t *Table) putEntry(e *entry) {
 	t.markChanged(e.ID)
-	if before := t.entries[e.ID]; before != nil {
-		t.digest ^= before.digest()
+	if old := t.entries[e.ID]; old != nil {
+		t.digest ^= old.digest()
 	}
 	t.digest ^= e.digest()
 	t.entries[e.ID] = e
 }
 
-// deleteEntry removes an entry. The caller holds t.mu.
+// The caller holds t.mu.
 func (t *Table) deleteEntry(e *entry) {
 	t.markChanged(e.ID)
 	t.digest ^= e.digest()
@@ -27,15 +26,13 @@
 	delete(t.inGrace, e.ID)
 }
 
-// markChanged adds an endpoint to the change log and has it rebuilt in the next view. The caller
-// holds t.mu.
+// markChanged logs a change of an endpoint and schedules its rebuild. The caller holds t.mu.
 func (t *Table) markChanged(id string) {
 	t.dirty[id] = true
 	t.changeLog.add(id, t.nextRevision, t.now())
 }
 
-// buildEndpoints returns the endpoints of the next view by service, given those of the current
-// one. The caller holds t.mu.
+// buildEndpoints returns the endpoints of the next view by service. The caller holds t.mu.
 func (t *Table) buildEndpoints(before map[string][]*Endpoint) map[string][]*Endpoint {
 	if len(t.dirty) == 0 {
 		return before
@@ -56,21 +53,20 @@
 	return after
 }
 
-// An endpointEdit sets or removes an endpoint in a list.
 type endpointEdit struct {
 	id       string
-	endpoint *Endpoint // nil: remove it
+	endpoint *Endpoint // nil: remove the endpoint
 }
 
 type endpointEdits []endpointEdit
 
-// collectEdits returns the edits to the list of each service. The caller holds t.mu.
+// collectEdits returns the edits of each service's list, sorted by ID. The caller holds t.mu.
 func (t *Table) collectEdits() map[string]endpointEdits {
 	out := make(map[string]endpointEdits)
 	for id := range t.dirty {
-		shown, e := t.viewEndpoints[id], t.entries[id]
-		if shown != nil && (e == nil || e.Service != shown.Service) {
-			out[shown.Service] = append(out[shown.Service], endpointEdit{id: id})
+		current, e := t.viewEndpoints[id], t.entries[id]
+		if current != nil && (e == nil || e.Service != current.Service) {
+			out[current.Service] = append(out[current.Service], endpointEdit{id: id})
 		}
 		if e == nil {
 			delete(t.viewEndpoints, id)
