--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,10 +1,8 @@
-// Package catalog models the configuration that operators declare: routes,
-// services, teams and request limits.
+// Package catalog models the configuration that operators declare: routes, services, teams and
+// request limits. It does no I/O and knows no wire format.
 //
-// A Document is the declared form, as plain data. Compile checks a Document
-// and returns a Catalog, which is immutable, safe for concurrent use, and
-// maps a request to its route and an API key to its team. The package does no
-// I/O and knows no wire format.
+// Compile checks a Document, the declared form, and returns a Catalog, which is immutable and safe
+// for concurrent use.
 package catalog
 
 import (
@@ -19,14 +17,13 @@
 // A Kind determines how often a route's requests may run and how they are answered.
 type Kind string
 
-// The kinds of requests.
 const (
 	Repeatable Kind = "repeatable" // may run more than once
 	AtMostOnce Kind = "single"     // runs at most once
 	Stream     Kind = "stream"     // answered by an event stream; runs at most once unless it is resumable
 )
 
-// A Target is a service that receives a share of a route's requests.
+// A Target is a service that receives a share of a route's requests, in proportion to its Weight.
 type Target struct {
 	Service string
 	Weight  int
@@ -43,7 +40,7 @@
 	PauseObjective time.Duration // target time between the events of a stream
 	Priority       int           // 0 is the most urgent
 	Targets        []Target
-	MaxAttempts    int      // maximum number of endpoints that a request is sent to
+	MaxAttempts    int      // maximum number of endpoints that a request is sent to, at least 1
 	Anonymous      bool     // no API key is required
 	Resumable      bool     // a stream may be continued after its last event
 	HomeRegions    []string // regions in which its requests may be served; nil: all, empty: none
@@ -85,8 +82,8 @@
 // CanFetchCache reports whether an engine can fetch cached prompt prefixes from another one.
 func (e *Engine) CanFetchCache() bool { return e.TokenBytes > 0 && e.LinkMbps > 0 }
 
-// CacheTransferMS returns how long, in ms, it takes to transfer the cache of so many tokens between
-// engines. It must be called only if CanFetchCache reports true.
+// CacheTransferMS returns the time in ms to transfer the cache of tokens between engines. It must be
+// called only if CanFetchCache reports true.
 func (e *Engine) CacheTransferMS(tokens int) float64 {
 	const bitsPerMS = 1e3 // at 1 Mbit/s
 	return float64(tokens) * float64(e.TokenBytes) * 8 / (e.LinkMbps * bitsPerMS)
@@ -128,8 +125,7 @@
 	Limits   Limits
 }
 
-// An Endpoint is one server of a service, as it registers itself. Its address may later belong to
-// another endpoint.
+// An Endpoint is one server of a service, as it registers itself. Addresses may be reused.
 type Endpoint struct {
 	ID         string
 	Service    string
@@ -141,8 +137,8 @@
 	Born       int64         // start time of its process in Unix milliseconds; zero: not sent
 }
 
-// Incarnation identifies one process of an endpoint. An endpoint may restart under the same ID;
-// its new process has none of the requests and cached data of the earlier one.
+// Incarnation identifies one process of an endpoint, which may restart under the same ID. A new
+// process has none of the requests and cached data of the earlier one.
 func (e *Endpoint) Incarnation() string {
 	if e.Born == 0 {
 		return e.ID
@@ -216,8 +212,7 @@
 // Limits returns the limits on client requests.
 func (c *Catalog) Limits() Limits { return c.doc.Limits }
 
-// Route returns the route of host whose prefix is the longest that matches path, or nil.
-// A port in host is ignored.
+// Route returns the route of host with the longest prefix of path, or nil. A port is ignored.
 func (c *Catalog) Route(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -243,21 +238,19 @@
 func (c *Catalog) Teams() []Team { return c.doc.Teams }
 
 const (
-	teamPriorities = 3 // team priorities that are distinguished among requests of one route
+	teamPriorities = 3 // number of team priorities that are distinguished within one route
 	maxRank        = 9
 )
 
-// Rank returns the scheduling priority of t's requests on r at an engine, from 0, the most
-// urgent, to 9. An engine that runs out of memory or slots preempts the request with the
-// highest rank. The priority of the route comes first: a request is never preempted while one
-// of a less urgent route is running, whatever their teams. Requests of one route are ordered
-// by their teams' priorities. All routes of priority 3 or above share rank 9. t may be nil.
+// Rank returns the priority of t's requests on r at an engine, from 0, the most urgent, to 9. An
+// engine preempts the highest rank first. Ranks are ordered by route priority, then by team
+// priority; all routes of priority 3 or above share rank 9. t may be nil.
 func Rank(r *Route, t *Team) int {
 	rank := teamPriorities*max(0, r.Priority) + min(max(0, Priority(r, t)), teamPriorities-1)
 	return min(rank, maxRank)
 }
 
-// Priority returns the priority of t's requests on r. t may be nil.
+// Priority returns the team's priority if set, and otherwise the route's. t may be nil.
 func Priority(r *Route, t *Team) int {
 	if t != nil && t.Priority != nil {
 		return *t.Priority
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -87,8 +87,7 @@
 	}
 }
 
-// An engine preempts the highest rank first. No request of a route may rank after one of a less
-// urgent route, whatever the priorities of their teams.
+// No request may be preempted before one of a less urgent route, whatever their teams.
 func TestRankOrdersByRouteFirst(t *testing.T) {
 	first, second := 0, 1
 	preferred, other := &catalog.Team{Priority: &first}, &catalog.Team{Priority: &second}
--- a/catalog/residency_test.go
+++ b/catalog/residency_test.go
@@ -23,17 +23,17 @@
 		{"a team's empty list", []string{"north"}, []string{}, true, nil, []string{"north", ""}},
 		{"a region without a name", []string{""}, nil, true, nil, []string{""}},
 	} {
-		h := catalog.ResidencyOf(&catalog.Route{HomeRegions: c.route}, &catalog.Team{HomeRegions: c.team})
-		if h.Restricted() != c.restricted {
-			t.Errorf("%s: Restricted() = %t, want %t", c.name, h.Restricted(), c.restricted)
+		residency := catalog.ResidencyOf(&catalog.Route{HomeRegions: c.route}, &catalog.Team{HomeRegions: c.team})
+		if residency.Restricted() != c.restricted {
+			t.Errorf("%s: Restricted() = %t, want %t", c.name, residency.Restricted(), c.restricted)
 		}
 		for _, region := range c.allowed {
-			if !h.Allows(region) {
+			if !residency.Allows(region) {
 				t.Errorf("%s: %q is not allowed", c.name, region)
 			}
 		}
 		for _, region := range c.denied {
-			if h.Allows(region) {
+			if residency.Allows(region) {
 				t.Errorf("%s: %q is allowed", c.name, region)
 			}
 		}
