--- a/inventory/blocked.go
+++ b/inventory/blocked.go
@@ -1,8 +1,6 @@
 package inventory
 
-// This file reports to operators what an instance withholds from endpoints: requests that crash
-// them, teams that send such requests, all requests to endpoints that accept none, and entries of
-// the store that can't be used.
+// This file reports the requests, teams, endpoints and store entries that an instance withholds.
 
 import (
 	"context"
@@ -14,11 +12,11 @@
 	"ivyridge/internal/fetch"
 )
 
-// BlockedPath is the path at which an instance reports what it withholds from endpoints. A DELETE
-// of a request's ID below it unblocks that request.
+// BlockedPath is where an instance serves its Blocked report. DELETE BlockedPath/ID unblocks a
+// request.
 const BlockedPath = "/blocked.json"
 
-// A Blocked reports what an instance withholds from endpoints.
+// A Blocked lists what an instance withholds from endpoints, and store entries that it can't use.
 type Blocked struct {
 	Requests    []BlockedRequest      `json:"requests"`
 	Teams       []BlockedTeam         `json:"teams"`
@@ -27,10 +25,10 @@
 	Entries     []BlockedEntry        `json:"entries"`
 }
 
-// An UnavailableEndpoint asked the instance not to send any requests.
+// An UnavailableEndpoint asked the instance to send it no requests.
 type UnavailableEndpoint struct {
 	ID        string `json:"id"`
-	BackoffMS int64  `json:"rest_ms"` // remaining time for which it wants no requests from this instance
+	BackoffMS int64  `json:"rest_ms"` // remaining time without requests from this instance
 	Draining  bool   `json:"leaves"`
 }
 
@@ -46,7 +44,7 @@
 	AsksInMS  int64   `json:"asks_in_ms"` // until this instance requests its next permit
 }
 
-// A BlockedRequest was running on endpoints when they crashed.
+// A BlockedRequest was in flight at endpoints when they crashed.
 type BlockedRequest struct {
 	ID             string   `json:"same_as"` // as logged under this key
 	Team           string   `json:"team"`
@@ -73,7 +71,7 @@
 	Error    string `json:"error"`
 }
 
-// AskBlocked returns what the instance with the given metrics address withholds from endpoints.
+// AskBlocked returns the Blocked report of the instance with the given metrics address.
 func (c *Client) AskBlocked(ctx context.Context, address string) (*Blocked, error) {
 	b := new(Blocked)
 	return b, c.get(ctx, address, BlockedPath, nil, b)
@@ -96,5 +94,5 @@
 	case http.StatusNotFound:
 		return errors.Errorf("inventory: %s does not block request %s", address, id)
 	}
-	return errors.Errorf("inventory: %s answered %d", address, resp.Status)
+	return errors.Errorf("inventory: %s answered with status %d", address, resp.Status)
 }
--- a/inventory/detail.go
+++ b/inventory/detail.go
@@ -1,6 +1,6 @@
 package inventory
 
-// This file defines the full report of an instance, and compares the settings of two instances.
+// This file defines the full report of an instance.
 
 import (
 	"runtime/debug"
@@ -73,7 +73,6 @@
 	Error       string `json:"error,omitempty"` // why the instance could not be queried
 }
 
-// sortedPaths returns the paths of fields in order.
 func sortedPaths(fields map[string]string) []string {
 	out := make([]string, 0, len(fields))
 	for path := range fields {
@@ -91,15 +90,15 @@
 	AffectsResponses bool   `json:"answers"` // it may make the instances respond differently to clients
 }
 
-// responsePrefixes are prefixes of the paths of settings that affect responses to clients.
+// responsePrefixes are the path prefixes of settings that affect responses to clients.
 var responsePrefixes = []string{"promises.", "store", "seeds", "data_centres"}
 
-// affectsResponses reports whether a setting affects responses to clients.
 func affectsResponses(path string) bool {
 	return slices.ContainsFunc(responsePrefixes, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
 }
 
-// Diff returns the settings that differ between a and b, without instance-specific ones.
+// Diff returns the settings that differ between a and b, sorted by path, without those that are
+// instance-specific in either.
 func Diff(a, b *Detail) []Difference {
 	all := make(map[string]string, len(a.Fields))
 	for _, fields := range []map[string]string{a.Fields, b.Fields} {
--- a/inventory/fleet.go
+++ b/inventory/fleet.go
@@ -7,18 +7,17 @@
 	"slices"
 )
 
-// Roles of instances.
 const (
-	Scheduler = "scheduler" // it chooses endpoints for other instances
+	Scheduler = "scheduler" // an instance that chooses endpoints for others
 	Follower  = "follower"
 )
 
-// An Instance describes one instance as another one sees it.
+// An Instance is the state of one instance as known to another.
 type Instance struct {
 	Address      string `json:"address"` // of the listener for other instances
 	DataCentre   string `json:"data_centre"`
 	Role         string `json:"role"`
-	Reported     bool   `json:"told"` // it reported a Summary, which older builds don't
+	Reported     bool   `json:"told"` // it reported a Summary; older builds don't
 	Build        string `json:"build,omitempty"`
 	Settings     string `json:"settings,omitempty"`
 	Version      int64  `json:"version,omitempty"`
@@ -28,54 +27,54 @@
 	Leaving      bool   `json:"leaving,omitempty"`
 	Lost         bool   `json:"lost,omitempty"` // heartbeats from it have stopped
 	HeardMS      int64  `json:"heard_ms"`       // since the last heartbeat
-	ValidatedMS  int64  `json:"proof_ms"`       // since its state was last validated as current; negative: unknown
+	ValidatedMS  int64  `json:"proof_ms"`       // since its state was last validated; negative: unknown
 }
 
 // SetSummary sets the fields that the instance's own Summary reports.
-func (r *Instance) SetSummary(m Summary) {
-	r.Reported = true
-	r.Build, r.Settings, r.Version = HashText(m.Build), HashText(m.Settings), m.Version
-	r.Ready, r.Refused, r.NeedsRestart = m.Ready, m.Refused, m.NeedsRestart
+func (inst *Instance) SetSummary(s Summary) {
+	inst.Reported = true
+	inst.Build, inst.Settings, inst.Version = HashText(s.Build), HashText(s.Settings), s.Version
+	inst.Ready, inst.Refused, inst.NeedsRestart = s.Ready, s.Refused, s.NeedsRestart
 }
 
 // A Fleet is the list of instances known to one of them, itself included.
 type Fleet struct {
 	Asked string `json:"asked"` // the instance that made the list
-	// Partial is set if a part of the fleet is missing: a region of which no scheduler
-	// answered, or everything that a non-scheduler does not receive heartbeats from.
+	// Partial is set if instances are missing: a region whose schedulers did not answer, or all
+	// instances that a non-scheduler receives no heartbeats from.
 	Partial   bool       `json:"partial"`
 	Instances []Instance `json:"instances"`
 }
 
-// Merge adds the rows of other. If both contain an instance, the more recent row is kept.
+// Merge adds the instances of other. If both contain an instance, the more recent state is kept.
 func (f *Fleet) Merge(other *Fleet) {
 	at := make(map[string]int, len(f.Instances))
-	for i, r := range f.Instances {
-		at[r.Address] = i
+	for i, inst := range f.Instances {
+		at[inst.Address] = i
 	}
-	for _, r := range other.Instances {
-		i, known := at[r.Address]
+	for _, inst := range other.Instances {
+		i, known := at[inst.Address]
 		switch {
 		case !known:
-			f.Instances = append(f.Instances, r)
-		case f.Instances[i].olderThan(&r):
-			f.Instances[i] = r
+			f.Instances = append(f.Instances, inst)
+		case f.Instances[i].olderThan(&inst):
+			f.Instances[i] = inst
 		}
 	}
 }
 
-// olderThan reports whether other holds better information about the instance than r.
-func (r *Instance) olderThan(other *Instance) bool {
-	if r.Lost != other.Lost {
-		return r.Lost
+// olderThan reports whether other is the more recent or more complete state of the instance.
+func (inst *Instance) olderThan(other *Instance) bool {
+	if inst.Lost != other.Lost {
+		return inst.Lost
 	}
-	if r.Reported != other.Reported {
+	if inst.Reported != other.Reported {
 		return other.Reported
 	}
-	return other.HeardMS < r.HeardMS
+	return other.HeardMS < inst.HeardMS
 }
 
-// Sort sorts the rows by data centre and address.
+// Sort sorts the instances by data centre and address.
 func (f *Fleet) Sort() {
 	slices.SortFunc(f.Instances, func(a, b Instance) int {
 		return cmp.Or(cmp.Compare(a.DataCentre, b.DataCentre), cmp.Compare(a.Address, b.Address))
@@ -92,28 +91,26 @@
 	DataCentres map[string]int `json:"data_centres"` // number of instances by data centre
 }
 
-// contains reports whether an instance belongs to the group.
-func (g *Group) contains(r *Instance) bool {
-	return g.Reported == r.Reported && g.Build == r.Build && g.Settings == r.Settings && g.Version == r.Version
+func (g *Group) contains(inst *Instance) bool {
+	return g.Reported == inst.Reported && g.Build == inst.Build && g.Settings == inst.Settings && g.Version == inst.Version
 }
 
-// Groups returns the combinations of build, settings and configuration that instances run, the
-// most common first. Instances that don't report theirs form the last group. Lost instances
-// belong to none.
+// Groups returns the groups of instances that are not lost, the largest first. Instances that report
+// no Summary form the last group.
 func (f *Fleet) Groups() []Group {
 	var out []Group
 	for i := range f.Instances {
-		r := &f.Instances[i]
-		if r.Lost {
+		inst := &f.Instances[i]
+		if inst.Lost {
 			continue
 		}
-		at := slices.IndexFunc(out, func(g Group) bool { return g.contains(r) })
+		at := slices.IndexFunc(out, func(g Group) bool { return g.contains(inst) })
 		if at < 0 {
 			at = len(out)
-			out = append(out, Group{Reported: r.Reported, Build: r.Build, Settings: r.Settings, Version: r.Version, DataCentres: make(map[string]int)})
+			out = append(out, Group{Reported: inst.Reported, Build: inst.Build, Settings: inst.Settings, Version: inst.Version, DataCentres: make(map[string]int)})
 		}
 		out[at].Count++
-		out[at].DataCentres[r.DataCentre]++
+		out[at].DataCentres[inst.DataCentre]++
 	}
 	slices.SortStableFunc(out, func(a, b Group) int {
 		if a.Reported != b.Reported {
@@ -133,39 +130,37 @@
 	Differs []string `json:"differs"`
 }
 
-// Values of Outlier.Differs.
 const (
-	differsBuild       = "build"
-	differsSettings    = "settings"
-	differsConfig      = "configuration"
-	differsRefused     = "new settings refused"
-	differsWaiting     = "settings wait for a restart"
-	differsNotReported = "does not tell"
-	differsLost        = "not heard"
+	differsBuild        = "build"
+	differsSettings     = "settings"
+	differsConfig       = "configuration"
+	differsRefused      = "new settings refused"
+	differsNeedsRestart = "settings wait for a restart"
+	differsNotReported  = "does not tell"
+	differsLost         = "not heard"
 )
 
-// Outliers returns the instances that differ from the most common group, report nothing, or are
-// lost.
+// Outliers returns the instances that differ from the largest group, report nothing, or are lost.
 func (f *Fleet) Outliers() []Outlier {
 	groups := f.Groups()
 	var out []Outlier
-	for _, r := range f.Instances {
+	for _, inst := range f.Instances {
 		var common *Group
 		if len(groups) > 0 {
 			common = &groups[0]
 		}
-		if differs := r.differs(common); len(differs) > 0 {
-			out = append(out, Outlier{Instance: r, Differs: differs})
+		if differs := inst.differs(common); len(differs) > 0 {
+			out = append(out, Outlier{Instance: inst, Differs: differs})
 		}
 	}
 	return out
 }
 
-func (r *Instance) differs(common *Group) []string {
+func (inst *Instance) differs(common *Group) []string {
 	switch {
-	case r.Lost:
+	case inst.Lost:
 		return []string{differsLost}
-	case !r.Reported:
+	case !inst.Reported:
 		return []string{differsNotReported}
 	}
 	var out []string
@@ -173,11 +168,11 @@
 		what    string
 		differs bool
 	}{
-		{differsBuild, r.Build != common.Build},
-		{differsSettings, r.Settings != common.Settings},
-		{differsConfig, r.Version != common.Version},
-		{differsRefused, r.Refused},
-		{differsWaiting, r.NeedsRestart},
+		{differsBuild, inst.Build != common.Build},
+		{differsSettings, inst.Settings != common.Settings},
+		{differsConfig, inst.Version != common.Version},
+		{differsRefused, inst.Refused},
+		{differsNeedsRestart, inst.NeedsRestart},
 	} {
 		if c.differs {
 			out = append(out, c.what)
@@ -187,27 +182,26 @@
 }
 
 // WithoutSettings returns the instances that are not known to run the settings with the given hash.
-// Lost instances that left as planned are omitted; other lost ones, and those that report nothing,
-// are included.
+// Lost instances are included unless they left as planned.
 func (f *Fleet) WithoutSettings(settings string) []Instance {
 	var out []Instance
-	for _, r := range f.Instances {
-		if r.Lost && r.Leaving {
+	for _, inst := range f.Instances {
+		if inst.Lost && inst.Leaving {
 			continue
 		}
-		if r.Lost || !r.Reported || r.Settings != settings {
-			out = append(out, r)
+		if inst.Lost || !inst.Reported || inst.Settings != settings {
+			out = append(out, inst)
 		}
 	}
 	return out
 }
 
-// CountBy returns the number of instances for each value that pick returns, without lost ones.
-func (f *Fleet) CountBy(pick func(r *Instance) string) map[string]int {
+// CountBy returns the number of instances by the value of pick, without lost ones.
+func (f *Fleet) CountBy(pick func(inst *Instance) string) map[string]int {
 	out := make(map[string]int)
 	for i := range f.Instances {
-		if r := &f.Instances[i]; !r.Lost {
-			out[pick(r)]++
+		if inst := &f.Instances[i]; !inst.Lost {
+			out[pick(inst)]++
 		}
 	}
 	return out
--- a/inventory/http.go
+++ b/inventory/http.go
@@ -1,7 +1,5 @@
 package inventory
 
-// This file implements the HTTP client and handlers.
-
 import (
 	"context"
 	"encoding/json"
@@ -15,10 +13,10 @@
 	"ivyridge/internal/fetch"
 )
 
-// Paths on the listener for other instances.
+// Paths on the peer listener.
 const (
 	DetailPath = "/v2/inventory/detail" // the instance's Detail
-	FleetPath  = "/v2/inventory/fleet"  // the Fleet that the instance receives heartbeats from
+	FleetPath  = "/v2/inventory/fleet"  // the instances that it receives heartbeats from
 )
 
 // Paths on the metrics listener, for operators.
@@ -31,9 +29,9 @@
 )
 
 const (
-	// maxResponseSize bounds a response: some 200 bytes per instance, for 4,000 instances.
+	// maxResponseSize is in bytes; 4,000 instances take about 200 each.
 	maxResponseSize = 1 << 20
-	// maxDetails bounds the instances whose details are returned by one request.
+	// maxDetails is the maximum number of instances in one request for details.
 	maxDetails = 32
 	// QueryTimeout is the timeout for a request to another instance.
 	QueryTimeout = 400 * time.Millisecond
@@ -45,7 +43,6 @@
 	Wait time.Duration // maximum time until a response begins
 }
 
-// get requests a path from address and decodes the JSON response into out.
 func (c *Client) get(ctx context.Context, address, path string, query url.Values, out any) error {
 	target := url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
@@ -57,7 +54,7 @@
 		return errors.Wrapf(err, "inventory: %s", address)
 	}
 	if resp.Status != http.StatusOK {
-		return errors.Errorf("inventory: %s answered %d", address, resp.Status)
+		return errors.Errorf("inventory: %s answered with status %d", address, resp.Status)
 	}
 	return errors.Wrapf(json.Unmarshal(resp.Body, out), "inventory: %s", address)
 }
@@ -68,26 +65,25 @@
 	return f, c.get(ctx, address, FleetPath, nil, f)
 }
 
-// FullFleet returns the fleet including other regions from the instance with the given peer
-// address.
+// FullFleet returns the instances of all regions from the one with the given peer address.
 func (c *Client) FullFleet(ctx context.Context, address string) (*Fleet, error) {
 	f := new(Fleet)
 	return f, c.get(ctx, address, FleetPath, url.Values{allRegionsQuery: {"1"}}, f)
 }
 
-// Detail returns the report of the instance with the given peer address.
+// Detail returns the Detail of the instance with the given peer address.
 func (c *Client) Detail(ctx context.Context, address string) (*Detail, error) {
 	d := new(Detail)
 	return d, c.get(ctx, address, DetailPath, nil, d)
 }
 
-// AskFleet returns the whole fleet from the instance with the given metrics address.
+// AskFleet returns the instances of all regions from the one with the given metrics address.
 func (c *Client) AskFleet(ctx context.Context, address string) (*Fleet, error) {
 	f := new(Fleet)
 	return f, c.get(ctx, address, FleetJSONPath, nil, f)
 }
 
-// AskDetails returns the details of instances, given by their peer addresses, through the one with
+// AskDetails returns the Details of the instances with the given peer addresses, from the one with
 // the given metrics address. An instance that could not be queried has its Error set.
 func (c *Client) AskDetails(ctx context.Context, address string, instances ...string) ([]Detail, error) {
 	var out []Detail
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -23,40 +23,39 @@
 
 func TestSummaryRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawSummary(t)
-		data := m.Append(nil)
+		s := drawSummary(t)
+		data := s.Append(nil)
 		got, ok := inventory.DecodeSummary(data)
-		if !ok || got != m {
-			t.Fatalf("got %+v, %t, want %+v", got, ok, m)
+		if !ok || got != s {
+			t.Fatalf("got %+v, %t, want %+v", got, ok, s)
 		}
 		// Newer builds may append data.
-		if more, ok := inventory.DecodeSummary(append(data, 1, 2, 3)); !ok || more != m {
+		if more, ok := inventory.DecodeSummary(append(data, 1, 2, 3)); !ok || more != s {
 			t.Fatalf("with trailing data: got %+v, %t", more, ok)
 		}
 		if _, ok := inventory.DecodeSummary(data[:rapid.IntRange(0, 9).Draw(t, "cut")]); ok {
-			t.Fatal("a truncated mark was decoded")
+			t.Fatal("a truncated summary was decoded")
 		}
 	})
 }
 
-// A summary with a typical configuration version, including its frame tag and length, fits in 16
-// bytes.
+// A Summary with a typical version must fit in 16 bytes, including its frame tag and length.
 func TestSummarySize(t *testing.T) {
-	const head = 3
-	if n := head + len(inventory.Summary{Build: 1 << 31, Settings: 1 << 31, Version: 1<<28 - 1}.Append(nil)); n > 16 {
+	const frameOverhead = 3
+	if n := frameOverhead + len(inventory.Summary{Build: 1 << 31, Settings: 1 << 31, Version: 1<<28 - 1}.Append(nil)); n > 16 {
 		t.Errorf("%d bytes, want 16 at most", n)
 	}
 }
 
-func FuzzDecodeMark(f *testing.F) {
+func FuzzDecodeSummary(f *testing.F) {
 	f.Add(inventory.Summary{Build: 1, Settings: 2, Version: 3, Ready: true}.Append(nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		m, ok := inventory.DecodeSummary(data)
+		s, ok := inventory.DecodeSummary(data)
 		if !ok {
 			return
 		}
-		if again, ok := inventory.DecodeSummary(m.Append(nil)); !ok || again != m {
-			t.Fatalf("got %+v, %t, want %+v", again, ok, m)
+		if again, ok := inventory.DecodeSummary(s.Append(nil)); !ok || again != s {
+			t.Fatalf("got %+v, %t, want %+v", again, ok, s)
 		}
 	})
 }
@@ -73,27 +72,26 @@
 	}
 }
 
-func row(address, settings string, edit func(*inventory.Instance)) inventory.Instance {
-	r := inventory.Instance{Address: address, DataCentre: "dc", Reported: true, Build: "b", Settings: settings, Version: 7}
+func testInstance(address, settings string, edit func(*inventory.Instance)) inventory.Instance {
+	inst := inventory.Instance{Address: address, DataCentre: "dc", Reported: true, Build: "b", Settings: settings, Version: 7}
 	if edit != nil {
-		edit(&r)
+		edit(&inst)
 	}
-	return r
+	return inst
 }
 
 func testFleet() *inventory.Fleet {
 	return &inventory.Fleet{Asked: "a1", Instances: []inventory.Instance{
-		row("a1", "s", nil), row("a2", "s", nil), row("a3", "s", func(r *inventory.Instance) { r.Version = 6 }),
-		row("a4", "other", nil), row("a5", "s", func(r *inventory.Instance) { r.Refused, r.NeedsRestart = true, true }),
-		row("a6", "", func(r *inventory.Instance) { *r = inventory.Instance{Address: "a6", DataCentre: "<b>dc</b>"} }),
-		row("a7", "s", func(r *inventory.Instance) { r.Lost = true }),
-		row("a8", "s", func(r *inventory.Instance) { r.Lost, r.Leaving = true, true }),
-		row("a9", "s", func(r *inventory.Instance) { r.Build = "b2" }),
+		testInstance("a1", "s", nil), testInstance("a2", "s", nil), testInstance("a3", "s", func(inst *inventory.Instance) { inst.Version = 6 }),
+		testInstance("a4", "other", nil), testInstance("a5", "s", func(inst *inventory.Instance) { inst.Refused, inst.NeedsRestart = true, true }),
+		testInstance("a6", "", func(inst *inventory.Instance) { *inst = inventory.Instance{Address: "a6", DataCentre: "<b>dc</b>"} }),
+		testInstance("a7", "s", func(inst *inventory.Instance) { inst.Lost = true }),
+		testInstance("a8", "s", func(inst *inventory.Instance) { inst.Lost, inst.Leaving = true, true }),
+		testInstance("a9", "s", func(inst *inventory.Instance) { inst.Build = "b2" }),
 	}}
 }
 
-// Lost instances, those that report nothing, and those that run something else are always listed
-// as different.
+// Guards against a report that omits lost or silent instances.
 func TestOutliers(t *testing.T) {
 	f := testFleet()
 	want := map[string]string{
@@ -101,8 +99,8 @@
 		"a6": "does not tell", "a7": "not heard", "a8": "not heard", "a9": "build",
 	}
 	got := make(map[string]string)
-	for _, r := range f.Outliers() {
-		got[r.Address] = strings.Join(r.Differs, ",")
+	for _, inst := range f.Outliers() {
+		got[inst.Address] = strings.Join(inst.Differs, ",")
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("outliers are %v, want %v", got, want)
@@ -115,11 +113,11 @@
 		t.Errorf("the last group is %+v, want the instance that does not report", last)
 	}
 	var lacking []string
-	for _, r := range f.WithoutSettings("s") {
-		lacking = append(lacking, r.Address)
+	for _, inst := range f.WithoutSettings("s") {
+		lacking = append(lacking, inst.Address)
 	}
 	if want := []string{"a4", "a6", "a7"}; !reflect.DeepEqual(lacking, want) {
-		t.Errorf("lacking are %v, want %v", lacking, want)
+		t.Errorf("instances without settings s are %v, want %v", lacking, want)
 	}
 	empty := &inventory.Fleet{}
 	if len(empty.Groups()) != 0 || len(empty.Outliers()) != 0 {
@@ -127,20 +125,20 @@
 	}
 }
 
-// Merging keeps the more recent row, and an instance is lost only if every region lost it.
+// Merging keeps the more recent state; an instance is lost only if every region lost it.
 func TestMerge(t *testing.T) {
 	f := &inventory.Fleet{Instances: []inventory.Instance{
-		row("a1", "s", nil), row("a2", "s", func(r *inventory.Instance) { r.Lost, r.HeardMS = true, 9000 }),
-		row("a3", "", func(r *inventory.Instance) { r.Reported = false }), row("a4", "s", func(r *inventory.Instance) { r.HeardMS = 10 }),
+		testInstance("a1", "s", nil), testInstance("a2", "s", func(inst *inventory.Instance) { inst.Lost, inst.HeardMS = true, 9000 }),
+		testInstance("a3", "", func(inst *inventory.Instance) { inst.Reported = false }), testInstance("a4", "s", func(inst *inventory.Instance) { inst.HeardMS = 10 }),
 	}}
 	f.Merge(&inventory.Fleet{Instances: []inventory.Instance{
-		row("a2", "t", func(r *inventory.Instance) { r.HeardMS = 400 }), row("a3", "t", func(r *inventory.Instance) { r.HeardMS = 900 }),
-		row("a4", "old", func(r *inventory.Instance) { r.HeardMS = 700 }), row("b1", "t", nil),
-		row("a1", "old", func(r *inventory.Instance) { r.Lost = true }),
+		testInstance("a2", "t", func(inst *inventory.Instance) { inst.HeardMS = 400 }), testInstance("a3", "t", func(inst *inventory.Instance) { inst.HeardMS = 900 }),
+		testInstance("a4", "old", func(inst *inventory.Instance) { inst.HeardMS = 700 }), testInstance("b1", "t", nil),
+		testInstance("a1", "old", func(inst *inventory.Instance) { inst.Lost = true }),
 	}})
 	got := make(map[string]string)
-	for _, r := range f.Instances {
-		got[r.Address] = r.Settings
+	for _, inst := range f.Instances {
+		got[inst.Address] = inst.Settings
 	}
 	want := map[string]string{"a1": "s", "a2": "t", "a3": "t", "a4": "s", "b1": "t"}
 	if !reflect.DeepEqual(got, want) || len(f.Outliers()) == 0 {
@@ -159,7 +157,6 @@
 	}
 }
 
-// Data from other instances is escaped on the page.
 func TestPageEscapesContent(t *testing.T) {
 	s := &inventory.Source{FullFleet: func(context.Context) *inventory.Fleet { return testFleet() }, Log: zap.NewNop()}
 	w := httptest.NewRecorder()
--- a/inventory/page.go
+++ b/inventory/page.go
@@ -10,11 +10,9 @@
 	"go.uber.org/zap"
 )
 
-// groupColours distinguish groups. The most common group is grey, so that others stand out. Groups
-// beyond the last colour share it.
+// groupColours start with grey for the largest group. Groups beyond the last colour share it.
 var groupColours = []string{"#b8c4bb", "#d9480f", "#1971c2", "#9c36b5", "#e8a200", "#2f9e44", "#862e9c"}
 
-// Colours of instances that report nothing or are lost.
 const (
 	colourNotReported = "#222222"
 	colourLost        = "#ffffff"
@@ -60,29 +58,28 @@
 	return p
 }
 
-func (p *page) add(r *Instance) {
+func (p *page) add(inst *Instance) {
 	n := len(p.DataCentres)
-	if n == 0 || p.DataCentres[n-1].Name != r.DataCentre {
-		p.DataCentres = append(p.DataCentres, pageDataCentre{Name: r.DataCentre})
+	if n == 0 || p.DataCentres[n-1].Name != inst.DataCentre {
+		p.DataCentres = append(p.DataCentres, pageDataCentre{Name: inst.DataCentre})
 		n++
 	}
 	d := &p.DataCentres[n-1]
-	d.Squares = append(d.Squares, pageSquare{Colour: p.colour(r), Title: r.Address + " " + r.Role + ", heard " + formatAge(r.HeardMS) + " ago"})
+	d.Squares = append(d.Squares, pageSquare{Colour: p.colour(inst), Title: inst.Address + " " + inst.Role + ", heard " + formatAge(inst.HeardMS) + " ago"})
 }
 
-func (p *page) colour(r *Instance) string {
-	if r.Lost {
+func (p *page) colour(inst *Instance) string {
+	if inst.Lost {
 		return colourLost
 	}
 	for _, g := range p.Groups {
-		if g.contains(r) {
+		if g.contains(inst) {
 			return g.Colour
 		}
 	}
 	return colourNotReported
 }
 
-// formatAge formats a time in ms for display.
 func formatAge(ms int64) string {
 	if ms < 0 {
 		return "never"
--- a/inventory/sets.go
+++ b/inventory/sets.go
@@ -1,13 +1,13 @@
 package inventory
 
-// This file reports to operators which of a service's endpoints an instance chooses among.
+// This file reports the working sets of an instance.
 
 import "context"
 
 // SetsPath is the path at which an instance reports its working sets.
 const SetsPath = "/sets.json"
 
-// Sets are the working sets of an instance, and the slow endpoints that it knows of.
+// Sets are the working sets of an instance, and the endpoints that it knows to be slow.
 type Sets struct {
 	Services []WorkingSet   `json:"services"`
 	Slow     []SlowEndpoint `json:"slow"`
--- a/inventory/summary.go
+++ b/inventory/summary.go
@@ -1,15 +1,9 @@
-// Package inventory reports what each instance of a fleet runs: its build, the
-// settings in force, and the configuration.
+// Package inventory reports the build, settings and configuration of each instance of a fleet.
 //
-// Each instance sends a Summary of at most 16 bytes with its heartbeats. An
-// instance that receives all heartbeats, a scheduler, can list the Fleet. A
-// Detail is large and is requested from the instance that it describes. The
-// package compares and displays these, and opens no connections other than
-// those of its Client.
+// Each instance sends a Summary of at most 16 bytes with its heartbeats. A scheduler, which receives
+// all heartbeats, can list the Fleet. A Detail is larger and is requested from its instance.
 package inventory
 
-// This file defines the summary that an instance sends with its heartbeats.
-
 import (
 	"encoding/binary"
 	"fmt"
@@ -29,32 +23,30 @@
 	NeedsRestart bool // changed settings require a restart
 }
 
-// Flags in the encoding of a Summary.
 const (
 	flagReady = 1 << iota
 	flagRefused
-	flagWaiting
+	flagNeedsRestart
 )
 
 // summaryHeaderSize is the size of an encoded Summary without its version, in bytes.
 const summaryHeaderSize = 9
 
-// Append appends the encoding of m to b.
-func (m Summary) Append(b []byte) []byte {
-	b = binary.BigEndian.AppendUint32(b, m.Build)
-	b = binary.BigEndian.AppendUint32(b, m.Settings)
+// Append appends the encoding of s to b.
+func (s Summary) Append(b []byte) []byte {
+	b = binary.BigEndian.AppendUint32(b, s.Build)
+	b = binary.BigEndian.AppendUint32(b, s.Settings)
 	var flags byte
-	for flag, set := range map[byte]bool{flagReady: m.Ready, flagRefused: m.Refused, flagWaiting: m.NeedsRestart} {
+	for flag, set := range map[byte]bool{flagReady: s.Ready, flagRefused: s.Refused, flagNeedsRestart: s.NeedsRestart} {
 		if set {
 			flags |= flag
 		}
 	}
 	b = append(b, flags)
-	return binary.AppendUvarint(b, uint64(max(0, m.Version)))
+	return binary.AppendUvarint(b, uint64(max(0, s.Version)))
 }
 
-// DecodeSummary decodes a Summary. It returns false if b does not hold one. Trailing data, written
-// by newer builds, is ignored.
+// DecodeSummary decodes a Summary. Trailing data, written by newer builds, is ignored.
 func DecodeSummary(b []byte) (Summary, bool) {
 	if len(b) <= summaryHeaderSize {
 		return Summary{}, false
@@ -66,14 +58,14 @@
 	flags := b[summaryHeaderSize-1]
 	return Summary{
 		Build: binary.BigEndian.Uint32(b), Settings: binary.BigEndian.Uint32(b[4:]), Version: int64(version),
-		Ready: flags&flagReady != 0, Refused: flags&flagRefused != 0, NeedsRestart: flags&flagWaiting != 0,
+		Ready: flags&flagReady != 0, Refused: flags&flagRefused != 0, NeedsRestart: flags&flagNeedsRestart != 0,
 	}, true
 }
 
-// Hash returns a hash that identifies a build or settings by their text.
+// Hash returns a hash of a text, such as that of a build.
 func Hash(text string) uint32 { return uint32(xxhash.Sum64String(text)) }
 
-// HashText formats a hash as operators read and enter it.
+// HashText formats a hash as 8 hexadecimal digits.
 func HashText(hash uint32) string { return fmt.Sprintf("%08x", hash) }
 
 // HashFields returns a hash of the paths and values of fields, independent of map order.
