--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,9 +1,4 @@
-// Package clock provides clocks that also advance while the process or its
-// machine is suspended.
-//
-// A Clock counts the time since it was created. Boot reads the system's
-// boot-time clock, which advances during suspension. Monotonic reads Go's
-// monotonic clock, and follows virtual time in tests.
+// Package clock provides clocks that also advance while the process or its machine is suspended.
 package clock
 
 import (
@@ -19,8 +14,8 @@
 
 type bootClock struct{ start time.Duration }
 
-// Boot returns a Clock over the boot-time clock, or Monotonic if the system
-// has none.
+// Boot returns a Clock over the system's boot-time clock, which advances during suspension, or
+// Monotonic if the system has none.
 func Boot() Clock {
 	now, ok := readBoot()
 	if !ok {
@@ -29,7 +24,6 @@
 	return bootClock{now}
 }
 
-// Now returns the time since Boot was called, including suspension.
 func (b bootClock) Now() time.Duration {
 	now, _ := readBoot()
 	return now - b.start
@@ -45,8 +39,7 @@
 
 type monotonicClock struct{ start time.Time }
 
-// Monotonic returns a Clock over Go's monotonic clock.
+// Monotonic returns a Clock over Go's monotonic clock. It follows virtual time in tests.
 func Monotonic() Clock { return monotonicClock{time.Now()} }
 
-// Now returns the time since Monotonic was called.
 func (m monotonicClock) Now() time.Duration { return time.Since(m.start) }
--- a/clock/steady.go
+++ b/clock/steady.go
@@ -6,14 +6,12 @@
 	"time"
 )
 
-// A Steady returns instants as time.Time that also advance while the machine is suspended, at
-// little more than the cost of time.Now. Go's monotonic clock stops during suspension, so that
-// anything timed by it would look younger than it is.
+// A Steady returns instants as time.Time that also advance while the machine is suspended. Go's
+// monotonic clock stops during suspension, so anything timed by it would look too young.
 //
-// Reading the boot-time clock takes a system call, too expensive to make many times per request.
-// The wall clock also advances during suspension and is read together with the monotonic clock.
-// So the boot-time clock is read only when those two have drifted apart, and by Refresh. Setting
-// the wall clock causes one additional read and has no other effect.
+// Reading the boot-time clock takes a system call, too expensive to make many times per request. So
+// Now reads it only if the wall clock, which advances during suspension, has drifted from the
+// monotonic clock. Setting the wall clock causes one additional read and has no other effect.
 //
 // Instants of a Steady may be compared only with each other. Use Deadline to convert one for the
 // runtime's timers. A Steady is safe for concurrent use.
@@ -25,27 +23,24 @@
 	startWall  int64 // Unix nanoseconds
 	startBoot  time.Duration
 	suspended  atomic.Int64 // nanoseconds since start that the monotonic clock did not count
-	wallOffset atomic.Int64 // nanoseconds by which the wall clock ran ahead of the monotonic clock, as last seen
+	wallOffset atomic.Int64 // nanoseconds by which the wall clock was ahead of the monotonic clock when last compared
 	mu         sync.Mutex   // held while the boot-time clock is read
 }
 
 const (
-	// maxWallDrift is the drift between the wall clock and the monotonic clock beyond which the
-	// boot-time clock is read. Suspensions last longer, and slewing the wall clock takes
-	// seconds to reach it.
+	// maxWallDrift is the drift from which the boot-time clock is read. Suspensions last longer,
+	// and slewing the wall clock takes seconds to reach it.
 	maxWallDrift = 10 * time.Millisecond
 	// maxReadTime is the time within which two clocks must be read to count as simultaneous.
 	maxReadTime = time.Millisecond
-	// maxReadAttempts bounds the retries if reading takes longer. The last reading is used in
-	// any case, and may underestimate the suspension.
+	// maxReadAttempts bounds the retries. The last reading may underestimate the suspension.
 	maxReadAttempts = 3
 )
 
-// NewSteady returns a Steady whose clock starts now.
+// NewSteady returns a Steady that starts now.
 func NewSteady() *Steady { return newSteady(readBoth, readBoot) }
 
-// readBoth returns the current time with its monotonic reading, and the wall clock in Unix
-// nanoseconds.
+// readBoth returns the current time, and the wall clock in Unix nanoseconds.
 func readBoth() (time.Time, int64) {
 	t := time.Now()
 	return t, t.UnixNano()
@@ -68,14 +63,13 @@
 	return t.Add(time.Duration(s.suspended.Load()))
 }
 
-// wallOffsetAt returns by how many nanoseconds the wall clock ran ahead of the monotonic clock
-// from the start until t.
+// wallOffsetAt returns by how many nanoseconds the wall clock was ahead at t, relative to the start.
 func (s *Steady) wallOffsetAt(t time.Time, wall int64) int64 {
 	return wall - s.startWall - int64(t.Sub(s.start))
 }
 
-// Refresh reads the boot-time clock. Calling it periodically detects suspensions that a
-// simultaneous change of the wall clock hides.
+// Refresh reads the boot-time clock. Periodic calls detect suspensions that a simultaneous change
+// of the wall clock hides.
 func (s *Steady) Refresh() { s.refresh() }
 
 func (s *Steady) refresh() {
--- a/clock/steady_test.go
+++ b/clock/steady_test.go
@@ -5,7 +5,6 @@
 	"time"
 )
 
-// A fakeMachine has clocks that a test advances.
 type fakeMachine struct {
 	mono       time.Time // with a monotonic reading
 	wallOffset time.Duration
@@ -56,8 +55,7 @@
 	}
 }
 
-// Setting the wall clock forward and back, with suspensions in between, neither makes Now jump nor
-// makes it go back.
+// Setting the wall clock, with suspensions in between, makes Now neither jump nor go back.
 func TestWallClockStepsDoNotAffectNow(t *testing.T) {
 	m := &fakeMachine{mono: time.Now(), boot: time.Hour}
 	s := newSteady(m.now, m.readBoot)
