--- a/platformclient/platformclient.go
+++ b/platformclient/platformclient.go
@@ -1,10 +1,7 @@
-// Package platformclient reads the documents that the platform publishes: the
-// configuration, and the list of instances and endpoints.
+// Package platformclient reads the documents that the platform publishes: the configuration, and the
+// list of instances and endpoints.
 //
-// The platform's service can only be read and watched. A watch is one
-// long-polling call, which returns when there is a newer revision or the wait
-// ends. The platform meters every call, so only a few instances watch on
-// behalf of all.
+// The platform meters every call, so only a few instances watch on behalf of all.
 package platformclient
 
 import (
@@ -25,7 +22,6 @@
 // A Kind identifies a published document.
 type Kind string
 
-// The published documents.
 const (
 	Config Kind = "config"
 	List   Kind = "list"
@@ -39,8 +35,8 @@
 
 // A Reader reads published documents. It is safe for concurrent use.
 type Reader interface {
-	// Watch returns a revision newer than after, or nil if there is none
-	// when wait ends. If wait is zero, it returns at once.
+	// Watch long-polls for a revision newer than after. It returns nil if there is none after
+	// wait, or at once if wait is zero.
 	Watch(ctx context.Context, k Kind, after int64, wait time.Duration) (*Published, error)
 }
 
@@ -55,8 +51,8 @@
 	return &Client{base: "http://" + addr, http: &http.Client{}}
 }
 
-// responseDelay is the time beyond its wait within which a watch must begin its response. How
-// long the response takes to arrive depends on the size of the document.
+// responseDelay is how long after its wait a watch must begin its response. The time to transfer the
+// body depends on the size of the document and is not limited.
 const responseDelay = time.Second
 
 // Watch implements Reader.
@@ -80,5 +76,5 @@
 		}
 		return p, nil
 	}
-	return nil, errors.Errorf("publish: %s answered %d", k, resp.Status)
+	return nil, errors.Errorf("publish: %s answered with status %d", k, resp.Status)
 }
--- a/platformclient/platformclient_test.go
+++ b/platformclient/platformclient_test.go
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// Guards against applying the limit on the start of a response to its whole body: a document that
-// arrives slowly would be aborted and requested again forever.
+// Guards against a document that arrives slowly being aborted and requested again forever.
 func TestSlowResponseBodyIsReadToEnd(t *testing.T) {
 	value := strings.Repeat("a declaration\n", 1000)
 	data, err := json.Marshal(&Published{Revision: 2, Value: value})
