--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -3,14 +3,13 @@
 import "time"
 
 // A TokenBucket refills at a constant rate and starts full: within any span d its holder spends at
-// most capacity + rate x d. The zero value is ready to use.
+// most capacity + rate x d. The zero value is ready to use. It is not safe for concurrent use.
 type TokenBucket struct {
 	tokens float64
 	at     time.Time
 }
 
-// Available returns the tokens at now of a bucket that refills at rate per second up to
-// capacity.
+// Available returns the tokens at now, given the rate per second and the capacity.
 func (b *TokenBucket) Available(rate, capacity float64, now time.Time) float64 {
 	if b.at.IsZero() {
 		return capacity
@@ -18,17 +17,17 @@
 	return min(capacity, b.tokens+rate*now.Sub(b.at).Seconds())
 }
 
-// Spend takes one token. It doesn't check that one is available.
+// Spend takes one token without checking that one is available.
 func (b *TokenBucket) Spend(rate, capacity float64, now time.Time) {
 	b.tokens = b.Available(rate, capacity, now) - 1
 	b.at = now
 }
 
 const (
-	// recentWindow is how long deposits raise the capacity of a RetryBudget: half of the
-	// 10 s windows in which retries are counted.
+	// recentWindow is how long deposits raise the capacity of a RetryBudget: half of the 10 s
+	// windows in which retries are counted.
 	recentWindow = 5 * time.Second
-	// reserveRatio is the part of a deposit that raises the capacity rather than the balance.
+	// reserveRatio is the fraction of a deposit that raises the capacity rather than the balance.
 	reserveRatio = 0.3
 
 	slots        = 5
@@ -36,18 +35,16 @@
 )
 
 // A RetryBudget is a token bucket filled by the requests that its holder serves. It starts empty.
-// Its capacity is base, which may change between calls, plus reserveRatio of the deposits of
-// the last recentWindow, so that a busy service, which loses more requests with each failed
-// endpoint, can retry more of them. Tokens beyond the capacity are lost.
+// Its capacity is base plus reserveRatio of the recent deposits, since a busy service loses more
+// requests with each failed endpoint. It is not safe for concurrent use.
 type RetryBudget struct {
 	tokens   float64
 	start    time.Time      // of the first slot
 	recent   [slots]float64 // deposits by slot
-	lastSlot int64          // newest slot seen
+	lastSlot int64          // newest slot used
 }
 
-// Deposit deposits n tokens for one request at now. It does nothing unless n and base are
-// positive.
+// Deposit deposits n tokens for one request. It does nothing unless n and base are positive.
 func (b *RetryBudget) Deposit(n, base float64, now time.Time) {
 	if base <= 0 || n <= 0 {
 		return
@@ -57,7 +54,6 @@
 	b.tokens = min(b.capacity(base, now), b.tokens+(1-reserveRatio)*n)
 }
 
-// expire clears the slots that are older than recentWindow.
 func (b *RetryBudget) expire(now time.Time) {
 	if b.start.IsZero() {
 		b.start = now
@@ -69,7 +65,6 @@
 	b.lastSlot = max(b.lastSlot, current)
 }
 
-// capacity returns the most tokens that the bucket holds at now.
 func (b *RetryBudget) capacity(base float64, now time.Time) float64 {
 	if base <= 0 {
 		return 0
@@ -87,11 +82,10 @@
 	return max(0, min(b.capacity(base, now), b.tokens))
 }
 
-// CanSpend reports whether one token can be spent at now with the part reserve of the capacity
-// left.
+// CanSpend reports whether one token can be spent and leave the fraction reserve of the capacity.
 func (b *RetryBudget) CanSpend(base, reserve float64, now time.Time) bool {
 	return b.Available(base, now) >= 1+reserve*b.capacity(base, now)
 }
 
-// Spend takes one token. The caller has checked CanSpend.
+// Spend takes one token. The caller must have checked CanSpend.
 func (b *RetryBudget) Spend(base float64, now time.Time) { b.tokens = b.Available(base, now) - 1 }
--- a/quota/claim.go
+++ b/quota/claim.go
@@ -1,23 +1,18 @@
 package quota
 
-// This file decides whether a scheduler may use its share of a limit that the schedulers
-// divide.
-//
-// Each configured data centre has the same share, whether or not its instances can be heard.
-// The shares in use add up to at most the whole limit, except while two instances briefly both
-// act as the same scheduler of a data centre. Uncertainty counts against the instance: one
-// that hears at most half of the instances it heard recently may be partitioned, and one that
-// hears nobody may be one of many such.
+// This file decides whether a scheduler may use its share of a limit. Each configured data centre
+// has the same share, whether or not its instances can be heard. The shares in use add up to at most
+// the limit, except while two instances briefly act as the same scheduler. An instance that hears at
+// most half of those it heard recently may be partitioned, and gets nothing.
 
 import "time"
 
 const (
-	// peakWindow is how long an instance remembers the highest number of instances heard in
-	// its data centre. It outlasts a network partition and a rolling restart.
+	// peakWindow is how long the highest number of instances heard is remembered. It outlasts a
+	// network partition and a rolling restart.
 	peakWindow = 30 * time.Second
-	// claimDelay is how long an instance must have been a scheduler that hears a majority,
-	// without a break, before it uses its share. An isolated instance notices up to 1.5 s
-	// late, as late as its successors do, and after a partition heals both sides hear a
+	// claimDelay is how long an instance must hear a majority as a scheduler before it uses its
+	// share: isolation is noticed up to 1.5 s late, and after a partition heals both sides hear a
 	// majority before they hear each other.
 	claimDelay = 2 * time.Second
 	// maxDuplicates is how many data centres' shares may be in use twice at a time.
@@ -26,26 +21,26 @@
 
 // A View is an instance's view of the instances that divide a limit.
 type View struct {
-	Heard       int  // instances heard in its data centre, including itself
+	Heard       int  // number of instances heard in its data centre, including itself
 	Isolated    bool // no other instance is heard although others are expected
-	IsScheduler bool // it is one of its data centre's schedulers
-	Schedulers  int  // schedulers per data centre
-	DataCentres int  // data centres that divide the limit
+	IsScheduler bool // the instance is one of its data centre's schedulers
+	Schedulers  int  // number of schedulers per data centre
+	DataCentres int  // number of data centres that divide the limit
 }
 
-// A Claim tracks whether an instance may use its share. The zero value is the claim of an
-// instance that has just started. A Claim is not safe for concurrent use.
+// A Claim tracks whether an instance may use its share. The zero value is the claim of an instance
+// that has just started. A Claim is not safe for concurrent use.
 type Claim struct {
 	peak   int       // highest number of instances heard recently
 	peakAt time.Time // when peak was last reached
 	since  time.Time // start of the current claim; zero if there is none
 }
 
-// Share returns the share of the limit at now, from 0 to 1, which is 0 until the claim has
-// lasted claimDelay. Call it often: interruptions between calls go unnoticed.
-func (c *Claim) Share(s View, now time.Time) float64 {
-	majority := c.hearsMajority(s.Heard, now)
-	if !majority || s.Isolated || !s.IsScheduler {
+// Share returns the share of the limit at now, from 0 to 1, which is 0 until the claim has lasted
+// claimDelay. It must be called often: interruptions between calls go unnoticed.
+func (c *Claim) Share(v View, now time.Time) float64 {
+	majority := c.hearsMajority(v.Heard, now)
+	if !majority || v.Isolated || !v.IsScheduler {
 		c.since = time.Time{}
 		return 0
 	}
@@ -55,11 +50,10 @@
 	if now.Sub(c.since) < claimDelay {
 		return 0
 	}
-	return 1 / float64(s.Schedulers*s.DataCentres)
+	return 1 / float64(v.Schedulers*v.DataCentres)
 }
 
-// hearsMajority records that n instances are heard and reports whether they are more than half
-// of the recent peak.
+// hearsMajority records that n instances are heard. It reports whether they exceed half the peak.
 func (c *Claim) hearsMajority(n int, now time.Time) bool {
 	if n >= c.peak || now.Sub(c.peakAt) > peakWindow {
 		c.peak, c.peakAt = n, now
@@ -67,6 +61,5 @@
 	return 2*n > c.peak
 }
 
-// MaxTotalShare returns an upper limit of the sum of the shares of all instances, as a multiple of
-// the limit that dataCentres divide.
+// MaxTotalShare returns an upper bound of the sum of all shares, as a multiple of the limit.
 func MaxTotalShare(dataCentres int) float64 { return 1 + maxDuplicates/float64(max(1, dataCentres)) }
--- a/quota/partition_test.go
+++ b/quota/partition_test.go
@@ -10,13 +10,11 @@
 )
 
 // stabilize gives a claim the same view for long enough to reach its share.
-func stabilize(c *quota.PartitionClaim, s quota.PartitionView, now time.Time) float64 {
-	c.Share(s, now)
-	return c.Share(s, now.Add(2*time.Second))
+func stabilize(c *quota.PartitionClaim, v quota.PartitionView, now time.Time) float64 {
+	c.Share(v, now)
+	return c.Share(v, now.Add(2*time.Second))
 }
 
-// The share is zero at the start, whole while all instances are heard, and falls at once in a
-// partition.
 func TestShareFollowsReachableInstances(t *testing.T) {
 	var c quota.PartitionClaim
 	all := quota.PartitionView{Heard: 6, MaxPeerHeard: 6, DataCentres: 3, ConfiguredDataCentres: 3}
@@ -38,17 +36,17 @@
 	}
 }
 
-// Losing one data centre of three or six leaves the share whole. The last instance of a fleet
-// has a share at once and, without configured data centres, the whole after a while.
+// Losing one data centre of three or six leaves the share whole. The last instance keeps a part, and
+// gets the whole after a while if no data centres are configured.
 func TestInstanceLossKeepsShare(t *testing.T) {
-	for _, s := range []quota.PartitionView{
+	for _, v := range []quota.PartitionView{
 		{Heard: 83, MaxPeerHeard: 83, DataCentres: 5, ConfiguredDataCentres: 6},
 		{Heard: 5, MaxPeerHeard: 5, DataCentres: 3, ConfiguredDataCentres: 3},
 	} {
 		var c quota.PartitionClaim
-		stabilize(&c, quota.PartitionView{Heard: 6 * s.Heard / 5, MaxPeerHeard: 6 * s.Heard / 5, DataCentres: s.ConfiguredDataCentres, ConfiguredDataCentres: s.ConfiguredDataCentres}, start)
-		if share := c.Share(s, start.Add(3*time.Second)); share != 1 {
-			t.Errorf("%+v: share %.2f, want 1", s, share)
+		stabilize(&c, quota.PartitionView{Heard: 6 * v.Heard / 5, MaxPeerHeard: 6 * v.Heard / 5, DataCentres: v.ConfiguredDataCentres, ConfiguredDataCentres: v.ConfiguredDataCentres}, start)
+		if share := c.Share(v, start.Add(3*time.Second)); share != 1 {
+			t.Errorf("%+v: share %.2f, want 1", v, share)
 		}
 	}
 	var c quota.PartitionClaim
@@ -62,23 +60,22 @@
 	}
 }
 
-// However a fleet is partitioned, the shares of all sides add up to less than one and a half,
-// at once and later, even if no instance remembers the size of the fleet or two sides hear the
-// same instances.
+// However a fleet is partitioned, the shares of all sides add up to at most 1.4, even if no instance
+// remembers the size of the fleet.
 func TestSharesOfAllPartitionsStayBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		named := rapid.IntRange(2, 6).Draw(t, "data centres")
+		dataCentres := rapid.IntRange(2, 6).Draw(t, "data centres")
 		perDataCentre := rapid.IntRange(1, 60).Draw(t, "instances of each")
-		partition := make([]int, named) // index of the side, by data centre
+		partition := make([]int, dataCentres) // index of the side, by data centre
 		for i := range partition {
-			partition[i] = rapid.IntRange(0, named-1).Draw(t, "side")
+			partition[i] = rapid.IntRange(0, dataCentres-1).Draw(t, "side")
 		}
-		forgotten := rapid.Bool().Draw(t, "forgotten")
+		forgetPeak := rapid.Bool().Draw(t, "forgotten")
 		sum := 0.0
-		for p := range named {
+		for side := range dataCentres {
 			heard := 0
 			for _, other := range partition {
-				if other == p {
+				if other == side {
 					heard++
 				}
 			}
@@ -86,9 +83,9 @@
 				continue
 			}
 			var c quota.PartitionClaim
-			stabilize(&c, quota.PartitionView{Heard: named * perDataCentre, MaxPeerHeard: named * perDataCentre, DataCentres: named, ConfiguredDataCentres: named}, start)
-			view := quota.PartitionView{Heard: heard * perDataCentre, MaxPeerHeard: heard * perDataCentre, DataCentres: heard, ConfiguredDataCentres: named}
-			if forgotten {
+			stabilize(&c, quota.PartitionView{Heard: dataCentres * perDataCentre, MaxPeerHeard: dataCentres * perDataCentre, DataCentres: dataCentres, ConfiguredDataCentres: dataCentres}, start)
+			view := quota.PartitionView{Heard: heard * perDataCentre, MaxPeerHeard: heard * perDataCentre, DataCentres: heard, ConfiguredDataCentres: dataCentres}
+			if forgetPeak {
 				c = quota.PartitionClaim{}
 				sum += stabilize(&c, view, start.Add(time.Hour))
 			} else {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -11,29 +11,27 @@
 
 var start = time.Unix(1000, 0)
 
-// A share expires unless it is renewed, and Renew reports whether it had.
 func TestLeaseExpiresUnlessRenewed(t *testing.T) {
-	var p quota.Lease
-	if !p.Renew(0.5, start) {
+	var lease quota.Lease
+	if !lease.Renew(0.5, start) {
 		t.Error("the first Renew reports that a share was held before")
 	}
 	at := start.Add(900 * time.Millisecond)
-	if p.Share(at) != 0.5 || p.Renew(0.25, at) {
+	if lease.Share(at) != 0.5 || lease.Renew(0.25, at) {
 		t.Error("a share expired within 0.9 s")
 	}
 	at = at.Add(1100 * time.Millisecond)
-	if p.Share(at) != 0 || !p.Renew(0.25, at) {
+	if lease.Share(at) != 0 || !lease.Renew(0.25, at) {
 		t.Error("a share is still valid after 1.1 s")
 	}
 }
 
-// A bucketEvent is one event of the model of RetryBudgets.
 type bucketEvent int
 
 const (
 	request bucketEvent = iota // is served by a holder
 	retry
-	loss  // the holder dies or its share expires; a new bucket replaces it
+	loss  // the holder dies or its share expires, and a new bucket replaces it
 	delay // time passes for all holders
 	bucketEvents
 )
@@ -43,9 +41,8 @@
 	event bucketEvent
 }
 
-// In every interleaving of requests, retries, bucket losses and delays of two holders, the
-// retries within any window are at most both base capacities plus the ratio of the requests in
-// it, or in the window before.
+// In every interleaving of events at two holders, the retries within any window are at most both
+// base capacities plus the ratio of the requests in it, or in the window before.
 func TestRetryBudgetsStayWithinLimit(t *testing.T) {
 	const (
 		deposit = 3 // large, so that a few steps can reach the limit
@@ -77,14 +74,14 @@
 			}
 		}
 	}
-	var explore func(left int, held [2]quota.RetryBudget, now time.Time)
-	explore = func(left int, held [2]quota.RetryBudget, now time.Time) {
+	var explore func(left int, budgets [2]quota.RetryBudget, now time.Time)
+	explore = func(left int, budgets [2]quota.RetryBudget, now time.Time) {
 		if left == 0 {
 			return
 		}
-		for holder := range held {
+		for holder := range budgets {
 			for event := range bucketEvents {
-				next, at := held, now
+				next, at := budgets, now
 				switch event {
 				case request:
 					next[holder].Deposit(deposit, base, at)
@@ -109,9 +106,8 @@
 	t.Logf("%d states", states)
 }
 
-// For any number of instances and data centres, all buckets together hold at most the extra
-// and a request deposits at most the ratio, even while two data centres' shares are in use
-// twice and two halves of the fleet have started without hearing each other.
+// All buckets together hold at most the extra, and a request deposits at most the ratio, even while
+// shares are duplicated and two halves of the fleet have started separately.
 func TestRetriesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := quota.RetryLimit{Ratio: rapid.Float64Range(0, 1).Draw(t, "ratio"), Extra: rapid.Float64Range(0, 1000).Draw(t, "extra")}
--- a/quota/retries.go
+++ b/quota/retries.go
@@ -1,26 +1,20 @@
 package quota
 
-// This file divides the retries that a service may receive: a ratio of its requests plus a
-// constant.
-//
-// An endpoint that fails interrupts several requests of a few instances at once, and a constant
-// that is divided among hundreds of instances leaves each less than one retry. So most of it
-// is pooled at the schedulers, which see all requests of a data centre. A small part stays with
-// each instance for when no scheduler answers.
+// This file divides the retries that a service may receive. An endpoint that fails interrupts
+// several requests of a few instances at once, and an equal part of a constant is less than one
+// retry for each of hundreds of instances. So most of it is pooled at the schedulers, and a small
+// part stays with each instance for when no scheduler answers.
 
 const (
-	// duplicateMargin scales all deposits: a message that the network duplicates is counted
-	// twice.
+	// duplicateMargin scales deposits, as a message duplicated by the network counts twice.
 	duplicateMargin = 0.95
-	// instanceRatio and instanceExtra are the parts of Ratio and Extra that the instances' own
-	// buckets have together.
+	// instanceRatio and instanceExtra are the fractions of Ratio and Extra for the instances' buckets.
 	instanceRatio = 0.2
 	instanceExtra = 0.3
-	// minInstances is the lowest number of instances assumed: instances that start together
-	// don't hear each other at once.
+	// minInstances is the lowest number assumed: starting instances don't hear each other at once.
 	minInstances = 4
-	// maxPartitions is how many parts of the fleet, whose instances have started without
-	// hearing the other parts, together stay within the limit.
+	// maxPartitions is how many parts of a fleet may start without hearing each other and still
+	// stay within the limit.
 	maxPartitions = 2
 )
 
@@ -31,8 +25,8 @@
 	Extra float64 // retries beyond the ratio
 }
 
-// A DepositKind is the part of a request's deposit that goes to the scheduler's bucket. Its
-// number is sent between instances.
+// A DepositKind is the part of a request's deposit that goes to the scheduler's bucket. Its number
+// is sent between instances.
 type DepositKind uint8
 
 // The instance that handles the request decides, so that nothing is deposited twice even if
@@ -43,9 +37,9 @@
 	DepositFull                         // the instance has no bucket of its own
 )
 
-// InstanceBudget returns the deposit of each request into an instance's own bucket and that
-// bucket's base capacity, given the number of instances heard, including itself. Both are zero if
-// the number is not yet known (zero), or if the capacity is below one retry.
+// InstanceBudget returns the deposit of each request into an instance's own bucket and its base
+// capacity, given the number of instances heard, including itself (zero: unknown). Both are zero if
+// that is unknown or the capacity is below one retry.
 func (r RetryLimit) InstanceBudget(instances int) (deposit, capacity float64) {
 	if instances <= 0 {
 		return 0, 0
@@ -58,8 +52,8 @@
 }
 
 // PooledDeposit returns the deposit of a request into the scheduler's bucket.
-func (r RetryLimit) PooledDeposit(e DepositKind) float64 {
-	switch e {
+func (r RetryLimit) PooledDeposit(kind DepositKind) float64 {
+	switch kind {
 	case DepositRemainder:
 		return duplicateMargin * (1 - instanceRatio) * r.Ratio
 	case DepositFull:
@@ -68,10 +62,9 @@
 	return 0
 }
 
-// PooledCapacity returns the base capacity of the bucket of a scheduler with the given share of the
-// limit, where dataCentres divide the limit and the scheduler hears that many instances. It
-// leaves out what the instances' own buckets may hold. If there are too many instances for own
-// buckets, even if half of them started without hearing the others, that is less.
+// PooledCapacity returns the base capacity of the bucket of a scheduler with a share of the limit,
+// where dataCentres divide the limit and the scheduler hears that many instances. It leaves out what
+// the instances' own buckets hold, which is less if there are too many instances for these.
 func (r RetryLimit) PooledCapacity(share float64, dataCentres, instances int) float64 {
 	reserved := instanceExtra
 	if _, capacity := r.InstanceBudget(instances / maxPartitions); capacity <= 0 && instances >= maxPartitions {
