--- a/fair/fair.go
+++ b/fair/fair.go
@@ -1,19 +1,15 @@
 // Package fair divides the capacity of an overloaded service among teams.
 //
-// While a service has spare capacity, a team may use as much as it wants. When the service is
-// congested, a team that uses more than the fair rate has the excess refused; teams below the
-// fair rate are not affected. The fair rate is found by feedback (core-stateless fair queueing:
-// Stoica, Shenker, Zhang 1998): it falls while the service is congested and rises while it is
-// not, so that the capacity needn't be known and what one team leaves is available to others.
-// Requests have a level of urgency; a team's use at more urgent levels counts against its less
-// urgent requests.
+// While a service is congested, a team that uses more than the fair rate has the excess refused. The
+// fair rate falls while the service is congested and rises while it is not (core-stateless fair
+// queueing: Stoica, Shenker, Zhang 1998), so the capacity needn't be known and what one team leaves
+// is available to others. A team's use at more urgent levels counts against its less urgent
+// requests.
 //
-// A team's use is the rate of work that its requests ask for, including refused ones, as
-// counted by this instance and reported by others. Only the teams with the highest use are
-// tracked. Counts decay within seconds; unknown use counts as none.
+// A team's use is the rate of work that its requests ask for, including refused ones, as counted
+// here and reported by other instances. Only the teams with the highest use are tracked.
 //
-// Shares have no clock and no source of randomness: both are passed in. They are not safe for
-// concurrent use.
+// Times and random numbers are passed in. Shares are not safe for concurrent use.
 package fair
 
 import (
@@ -27,33 +23,30 @@
 const Levels = 3
 
 const (
-	// decreaseTime and increaseTime are the times in which the fair rate changes by a factor
-	// of e, down at a congestion of 2 or more and up at 0.
+	// decreaseTime and increaseTime are the times in which the fair rate changes by a factor of e,
+	// down at a congestion of 2 or more and up at 0.
 	decreaseTime = 400 * time.Millisecond
 	increaseTime = 1200 * time.Millisecond
-	// adjustInterval is the least time between changes of the fair rate. maxAdjustStep is the
-	// longest time that one change accounts for, since nothing is known about the time without
-	// requests.
+	// adjustInterval is the least time between changes of the fair rate. One change accounts for
+	// at most maxAdjustStep, since the congestion is unknown while there are no requests.
 	adjustInterval = 20 * time.Millisecond
 	maxAdjustStep  = 100 * time.Millisecond
 	// staleAfter is how long a fair rate is valid without requests.
 	staleAfter = 2 * time.Second
-	// unlimitFactor is the fair rate, as a multiple of the use of the largest team, above
-	// which limiting ends.
+	// Limiting ends when the fair rate exceeds unlimitFactor times the use of the largest team.
 	unlimitFactor = 1.2
-	// minTeams is the lowest number of teams assumed for an equal share. Teams below that
-	// share can't be the cause of the congestion.
+	// minTeams is the lowest number of teams assumed for an equal share. Smaller teams can't be
+	// the cause of the congestion.
 	minTeams = 16
-	// minGrantedPart is the part of the recently granted work that the fair rate leaves in any
-	// case. Without it the rate falls below the capacity before the congestion is over, and
-	// teams below their share are refused too.
-	minGrantedPart = 0.8
-	// minRequests is how many recent requests of a team must have been counted to limit it,
-	// unless other instances report its use: fewer may be chance.
+	// minGrantedFraction is the fraction of the recently granted work that remains granted. Without
+	// it the rate falls below the capacity, and teams below their share are refused too.
+	minGrantedFraction = 0.8
+	// minRequests is how many recent requests a team must have to be limited, unless other
+	// instances report its use. Fewer may be chance.
 	minRequests = 4.0
-	// soleUserPart is the part of the total use above which a team is not limited, since
+	// soleUserFraction is the fraction of the total use above which a team is not limited, since
 	// nobody else would use what it is refused.
-	soleUserPart = 0.98
+	soleUserFraction = 0.98
 	// limitedTimeout is how long after its last refusal a team is reported as limited.
 	limitedTimeout = 2 * time.Second
 )
@@ -70,7 +63,7 @@
 	own         sketch
 	rate        float64 // the fair rate; zero if teams are not limited
 	adjustedAt  time.Time
-	nearLimitAt time.Time // when congestion was last at least nearLimit
+	congestedAt time.Time // when congestion was last at least minReportCongestion
 	limited     []Limited
 }
 
@@ -93,8 +86,8 @@
 	return s.use(now, level, team)+s.urgentUse(now, level, team) > p.rate && !s.soleUser(now, level, team)
 }
 
-// Offer counts a request and reports whether it is to be refused because the team is above the
-// fair rate. If so, over is the team's use as a multiple of the fair rate.
+// Offer counts a request and reports whether it is to be refused because the team is above the fair
+// rate. If so, over is the team's use as a multiple of the fair rate.
 func (s *Shares) Offer(now time.Time, r *Request) (over float64, refused bool) {
 	p := &s.pools[r.Level]
 	c := p.own.add(now, r.Team, r.Work)
@@ -123,7 +116,7 @@
 	s.pools[level].own.grant(now, team, work)
 }
 
-// idleAfter is how long a service has no requests until its Shares may be dropped.
+// idleAfter is how long a service must have no requests before its Shares may be dropped.
 const idleAfter = time.Minute
 
 // Idle reports whether the Shares may be dropped for lack of recent requests.
@@ -150,7 +143,7 @@
 	return sum
 }
 
-// use returns a team's use at a level.
+// use returns a team's use at a level, as counted here and reported by other instances.
 func (s *Shares) use(now time.Time, level int, team uint32) float64 {
 	p := &s.pools[level]
 	use := s.peers.rate(now, level, team)
@@ -160,13 +153,13 @@
 	return use
 }
 
-// soleUser reports whether nearly all use at a level and more urgent ones is the team's.
+// soleUser reports whether a team has nearly all use at a level and more urgent ones.
 func (s *Shares) soleUser(now time.Time, level int, team uint32) bool {
 	sum := 0.0
 	for l := range level + 1 {
 		sum += s.use(now, l, team)
 	}
-	return sum > soleUserPart*s.total(now, level)
+	return sum > soleUserFraction*s.total(now, level)
 }
 
 // total returns the use of all teams at a level and more urgent ones.
@@ -178,11 +171,10 @@
 	return sum
 }
 
-// adjustRate updates the fair rate of a level, at most once per adjustInterval.
 func (s *Shares) adjustRate(now time.Time, level int, congestion float64) {
 	p := &s.pools[level]
-	if congestion >= nearLimit {
-		p.nearLimitAt = now
+	if congestion >= minReportCongestion {
+		p.congestedAt = now
 	}
 	elapsed := now.Sub(p.adjustedAt)
 	if elapsed < adjustInterval {
@@ -211,8 +203,8 @@
 	}
 }
 
-// collectUses fills s.uses with the use of each tracked team at a level and more urgent ones,
-// and returns the largest.
+// collectUses fills s.uses with the use of each tracked team at a level and more urgent ones, and
+// returns the largest.
 func (s *Shares) collectUses(now time.Time, level int) (largest float64) {
 	p := &s.pools[level]
 	s.uses = s.uses[:0]
@@ -231,9 +223,8 @@
 	return largest
 }
 
-// minRate returns the lowest permitted fair rate of a level: an equal share of the total use,
-// or the rate that leaves teams minGrantedPart of the recently granted work. It is called
-// after collectUses.
+// minRate returns the lowest permitted fair rate of a level: an equal share of the total use, or the
+// rate that leaves minGrantedFraction of the recently granted work. It requires collectUses.
 func (s *Shares) minRate(now time.Time, level int) float64 {
 	total := s.total(now, level)
 	asked, granted := 0.0, 0.0
@@ -245,24 +236,23 @@
 	if asked == 0 {
 		return equalShare
 	}
-	return max(equalShare, s.cutoff(total, minGrantedPart*total*granted/asked))
+	return max(equalShare, s.cutoff(total, minGrantedFraction*total*granted/asked))
 }
 
-// cutoff returns the rate to which the largest of s.uses must be limited to bring the total
-// down to a bound.
+// cutoff returns the rate to which the largest of s.uses must be limited to bring total to bound.
 func (s *Shares) cutoff(total, bound float64) float64 {
 	slices.SortFunc(s.uses, func(a, b float64) int { return cmp.Compare(b, a) })
 	excess := total - bound
 	if excess <= 0 {
 		return 0 // more is granted than asked for
 	}
-	cut := 0.0 // the total reduction if the uses before the i-th are limited to it
+	reduction := 0.0 // of the total, if the uses before the i-th are limited to it
 	for i, use := range s.uses {
 		if i > 0 {
-			cut += float64(i) * (s.uses[i-1] - use)
+			reduction += float64(i) * (s.uses[i-1] - use)
 		}
-		if cut >= excess {
-			return use + (cut-excess)/float64(i)
+		if reduction >= excess {
+			return use + (reduction-excess)/float64(i)
 		}
 	}
 	return 0
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -10,8 +10,8 @@
 	"ivyridge/fair"
 )
 
-// A request is refused only if its team is above the fair rate, never while the service has
-// spare capacity, for a sole team, or if it is Unlimited.
+// A request is refused only if its team is above the fair rate, never while there is spare capacity,
+// for a sole team, or if it is Unlimited.
 func TestOnlyUseAboveTheFairRateIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -38,8 +38,7 @@
 	})
 }
 
-// A surge is a scenario in which some teams send many times their usual rate, through several
-// schedulers that exchange reports.
+// A surge is a scenario in which some teams send many times their usual rate.
 type surge struct {
 	name    string
 	teams   int     // together use 0.8 of the capacity
@@ -65,8 +64,8 @@
 )
 
 // send offers a request of one unit of work and reports whether it is served.
-func (f *fleet) send(at int, team uint32) bool {
-	s := f.schedulers[at%len(f.schedulers)]
+func (f *fleet) send(scheduler int, team uint32) bool {
+	s := f.schedulers[scheduler%len(f.schedulers)]
 	// Congestion is 1 at 60 ms of queued work; the queue is full at 120 ms.
 	_, refused := s.Offer(f.now, &fair.Request{Team: team, Level: 2, Work: 1, Congestion: f.queue / (0.06 * capacity), Chance: f.rand.Float64()})
 	if refused || f.queue > 0.12*capacity {
@@ -94,8 +93,7 @@
 	}
 }
 
-// run returns the part of the requests of the non-surging teams that are served, from one
-// second after the start of the surge.
+// run returns the fraction of the other teams' requests that is served, from 1 s into the surge.
 func (r *surge) run(factor float64) float64 {
 	f := &fleet{now: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(1, 2))}
 	for range 6 {
@@ -114,11 +112,11 @@
 				rate *= factor
 			}
 			for n := rate*step.Seconds() + f.rand.Float64(); n >= 1; n-- {
-				at := f.rand.IntN(len(f.schedulers))
+				scheduler := f.rand.IntN(len(f.schedulers))
 				if heavy && r.partial {
-					at /= 2
+					scheduler /= 2
 				}
-				ok := f.send(at, uint32(team+1))
+				ok := f.send(scheduler, uint32(team+1))
 				if !heavy && i >= 300 {
 					sent++
 					if ok {
@@ -135,8 +133,7 @@
 	return float64(served) / float64(sent)
 }
 
-// Teams that don't surge keep at least 0.95 of what they are served without the surge, even if
-// a scheduler is lost or restarts or the schedulers are partitioned.
+// Other teams keep at least 0.95 of their service, even if schedulers are lost or partitioned.
 func TestSurgeDoesNotAffectOtherTeams(t *testing.T) {
 	for _, r := range []surge{
 		{name: "one", teams: 24, heavy: 1, factor: 30},
@@ -157,8 +154,7 @@
 	}
 }
 
-// A team may use the capacity that others leave: the others ask for half of it, this team for
-// twice.
+// One team asks for twice the capacity, the others together for half. It must get what they leave.
 func TestSpareCapacityIsUsed(t *testing.T) {
 	f := &fleet{now: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(1, 2)), schedulers: []*fair.Shares{new(fair.Shares)}}
 	served := 0
@@ -174,12 +170,11 @@
 		}
 		f.advance()
 	}
-	if part := float64(served) / (6 * capacity); part < 0.95 {
-		t.Errorf("%.2f of the capacity is used, want at least 0.95", part)
+	if used := float64(served) / (6 * capacity); used < 0.95 {
+		t.Errorf("%.2f of the capacity is used, want at least 0.95", used)
 	}
 }
 
-// Memory and reports are bounded, whatever the number of teams.
 func TestManyTeamsUseBoundedMemory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s fair.Shares
@@ -221,7 +216,6 @@
 	}
 }
 
-// Without a fair rate no team is above it; with one, only teams that use more are.
 func TestTeamsAboveTheFairRate(t *testing.T) {
 	var s fair.Shares
 	now := time.Unix(1000, 0)
--- a/fair/granted_test.go
+++ b/fair/granted_test.go
@@ -7,9 +7,8 @@
 	"ivyridge/fair"
 )
 
-// More work may be granted than was asked for, since a request may be sent to an endpoint that
-// has less of its prompt cached than the one it was counted for. That must not disable
-// limiting.
+// A request may be granted more work than it was counted with, if its endpoint has less of its
+// prompt cached. That must not disable limiting.
 func TestTeamsAreLimitedWhereMoreIsGrantedThanAsked(t *testing.T) {
 	for _, granted := range []float64{1, 2} {
 		var s fair.Shares
--- a/fair/report.go
+++ b/fair/report.go
@@ -1,6 +1,6 @@
 package fair
 
-// This file reports to operators which teams are limited and how evenly work is granted.
+// This file reports which teams are limited and how evenly work is granted.
 
 import (
 	"cmp"
@@ -8,17 +8,15 @@
 	"time"
 )
 
-// A Limited is a team that has had requests refused.
+// A Limited is a team that has recently had requests refused.
 type Limited struct {
 	Team        uint32
 	Since       time.Time
 	lastRefused time.Time
 }
 
-// maxLimited bounds the number of teams recorded as limited.
 const maxLimited = maxCounters
 
-// markLimited records that a request of a team is refused.
 func (p *pool) markLimited(now time.Time, team uint32) {
 	for i := range p.limited {
 		if p.limited[i].Team == team {
@@ -31,12 +29,12 @@
 	}
 }
 
-// A Change is that a team starts or stops being limited at a level.
+// A Change is the start or end of the limiting of a team at a level.
 type Change struct {
 	Team       uint32
 	Level      int
 	Ended      bool
-	LimitedFor time.Duration // if Ended: how long the team was limited
+	LimitedFor time.Duration // if Ended
 }
 
 // Changes returns the changes since last, the time of the previous call.
@@ -60,12 +58,12 @@
 	return out
 }
 
-// A TeamStatus is the work per second that a team asks for and is granted at this instance.
+// A TeamStatus is the rate of work, per second, that a team asks for and is granted.
 type TeamStatus struct {
 	Team    uint32
 	Asked   float64
 	Granted float64
-	Others  float64 // asked for at other instances, as they report
+	Others  float64 // asked for at other instances
 }
 
 // A Status is the state of one level.
@@ -73,15 +71,15 @@
 	Level      int
 	FairRate   float64      // zero if teams are not limited
 	Limited    int          // number of limited teams
-	Jain       float64      // Jain's index of the granted parts of the teams' requests; 1 is even
-	WorstTenth float64      // mean granted part of the tenth of teams with the lowest
+	Jain       float64      // Jain's fairness index of the granted fractions of the teams' work; 1 is even
+	WorstTenth float64      // mean of the lowest tenth of these fractions
 	Teams      []TeamStatus // in descending order of use
 }
 
-// idleRate is the rate below which a team is left out.
+// idleRate is the rate below which a team is omitted from a Status.
 const idleRate = 1e-3
 
-// Status returns the state of the levels in use.
+// Status returns the state of the levels that have requests.
 func (s *Shares) Status(now time.Time) []Status {
 	var out []Status
 	for level := range s.pools {
@@ -106,19 +104,17 @@
 	return out
 }
 
-// fairness returns Jain's index of the granted parts of all teams, and the mean of the lowest
-// tenth.
 func fairness(teams []TeamStatus) (jain, worst float64) {
-	parts := make([]float64, 0, len(teams))
+	fractions := make([]float64, 0, len(teams))
 	sum, squares := 0.0, 0.0
 	for _, t := range teams {
 		x := min(t.Granted/t.Asked, 1)
-		parts = append(parts, x)
+		fractions = append(fractions, x)
 		sum += x
 		squares += x * x
 	}
-	slices.SortFunc(parts, cmp.Compare[float64])
-	tenth := parts[:max(1, len(parts)/10)]
+	slices.SortFunc(fractions, cmp.Compare[float64])
+	tenth := fractions[:max(1, len(fractions)/10)]
 	for _, x := range tenth {
 		worst += x / float64(len(tenth))
 	}
--- a/fair/sketch.go
+++ b/fair/sketch.go
@@ -1,11 +1,9 @@
 package fair
 
-// This file counts the use of the teams with the highest use.
-//
-// A sketch has a bounded number of counters (space saving: Metwally, Agrawal, El Abbadi 2005).
-// A team without one takes over the smallest and inherits its count. Inherited counts, an upper
-// bound of the team's own earlier use, are not held against it. A team with more than
-// 1/maxCounters of all work always has a counter.
+// This file counts the use of the teams with the highest use, with a bounded number of counters
+// (space saving: Metwally, Agrawal, El Abbadi 2005). A team without a counter takes over the
+// smallest and inherits its count, which is not held against it. A team with more than 1/maxCounters
+// of all work always has a counter.
 
 import (
 	"math"
@@ -15,9 +13,9 @@
 const (
 	// decayTime is the time constant of the exponential decay of counts.
 	decayTime = time.Second
-	// maxCounters is the maximum number of counters of a sketch.
+	// maxCounters bounds the counters of a sketch.
 	maxCounters = 64
-	// maxExponent bounds the exponent of the unit, after which counts are rescaled.
+	// maxExponent bounds the exponent of the unit; beyond it counts are rescaled.
 	maxExponent = 30
 )
 
@@ -42,7 +40,7 @@
 	unit   float64   // what a count of one adds at unitAt
 }
 
-// scale returns the unit at now. It is cached because a request needs it several times.
+// scale returns the unit at now. It is cached, as a request needs it several times.
 func (s *sketch) scale(now time.Time) float64 {
 	if now.Equal(s.unitAt) {
 		return s.unit
@@ -59,7 +57,6 @@
 	return s.unit
 }
 
-// rescale multiplies all counts by factor and restarts the unit at one.
 func (s *sketch) rescale(now time.Time, factor float64) {
 	s.origin = now
 	s.totalWork *= factor
@@ -73,7 +70,6 @@
 	}
 }
 
-// find returns the counter of a team, or nil.
 func (s *sketch) find(team uint32) *counter {
 	for i := range s.counters {
 		if s.counters[i].team == team {
@@ -83,7 +79,6 @@
 	return nil
 }
 
-// add counts work that a team asks for.
 func (s *sketch) add(now time.Time, team uint32, work float64) *counter {
 	unit := s.scale(now)
 	s.totalWork += work * unit
@@ -105,7 +100,6 @@
 	return c
 }
 
-// grant counts work of a team that was not refused.
 func (s *sketch) grant(now time.Time, team uint32, work float64) {
 	unit := s.scale(now)
 	s.granted += work * unit
@@ -114,7 +108,6 @@
 	}
 }
 
-// smallest returns the counter with the least work.
 func (s *sketch) smallest() *counter {
 	smallest := &s.counters[0]
 	for i := range s.counters {
