--- a/poison/bench_test.go
+++ b/poison/bench_test.go
@@ -27,7 +27,6 @@
 	}
 }
 
-// BenchmarkKnows measures the cost per request without suspects and with a thousand.
 func BenchmarkKnows(b *testing.B) {
 	for _, suspects := range []int{0, 1000} {
 		b.Run(fmt.Sprint(suspects), func(b *testing.B) {
--- a/poison/confirm.go
+++ b/poison/confirm.go
@@ -1,26 +1,21 @@
 package poison
 
-// This file decides which suspects are poison.
-//
-// An endpoint that crashes has dozens of requests in flight, of which at most one is the cause,
-// or none if a machine, a rack or a third of the endpoints is lost for another reason. A request
-// that callers repeat all the time is in flight at nearly every crash, so the number of strikes
-// alone doesn't tell. Hence:
+// This file decides which suspects are poison. At most one of the dozens of requests in flight at a
+// crash is its cause, and a harmless request that is repeated all the time is in flight at nearly
+// every crash, so the number of strikes alone doesn't tell. Hence:
 //
 //   - A strike counts only if the request was sent to that endpoint after the previous strike.
-//     Simultaneous crashes are one strike, however many copies of the request were in flight.
-//   - A request that is answered is cleared (Table.Clear).
+//     Simultaneous crashes are one strike.
+//   - A request that is answered is cleared.
 //   - Crashes that a confirmed request explains don't count against others.
-//   - The remaining strikes may be chance: other crashes happen during the same time, and the
-//     request is at some endpoint for a part of it. Chance is ruled out when fewer than
-//     maxChance of the requests in flight at the first crash are expected to have the other
-//     strikes by chance. In a large fleet that takes three crashes. If a third of a small fleet
-//     crashes all the time chance can't be ruled out, and sufficientStrikes applies.
+//   - A suspect is confirmed when fewer than maxChance of the requests in flight at the first crash
+//     are expected to have the other strikes by chance. In a large fleet that takes three crashes.
+//     If a small fleet crashes all the time, chance can't be ruled out, and sufficientStrikes
+//     applies.
 //
-// Dividing the blame for a crash by the number of requests in flight doesn't separate a poison
-// request from one that was in flight twice. Asking for one more strike per crash without the
-// suspect doesn't protect a harmless request that is in flight at the first crashes of several
-// poison requests.
+// Weighting a crash by the number of requests in flight doesn't separate a poison request from one
+// that was in flight twice. Requiring another strike for each crash without the suspect doesn't
+// protect a harmless request that is in flight at the first crashes of several poison requests.
 
 import (
 	"cmp"
@@ -29,42 +24,38 @@
 )
 
 const (
-	// minStrikes is how many consecutive strikes a suspect needs to be confirmed, however
-	// unlikely chance is.
+	// minStrikes is the least number of consecutive strikes to confirm a suspect.
 	minStrikes = 3
-	// sufficientStrikes confirm a suspect in any case. A route limits the attempts of one
-	// request, so a caller must have sent it repeatedly for that many consecutive crashes
-	// without an answer.
+	// sufficientStrikes confirm a suspect in any case. As a route limits attempts, the caller must
+	// have sent it repeatedly without an answer.
 	sufficientStrikes = 6
-	// sufficientSpan is the least time between the first and the last of sufficientStrikes.
-	// When a rack is lost, its endpoints go within milliseconds of each other, and a request
-	// that is repeated all the time is at six of them before a copy is answered.
+	// sufficientSpan is the least time between the first and the last of sufficientStrikes. When
+	// a rack is lost, a repeated request may be at six of its endpoints before a copy is answered.
 	sufficientSpan = time.Second
 	// maxChance is the expected number of requests with such strikes by chance below which a
 	// suspect is confirmed.
 	maxChance = 1e-4
 	// minSpan is the least time span for which a crash rate is computed.
 	minSpan = 100 * time.Millisecond
-	// minResidence is the least time that a request counts as in flight at an endpoint, as
+	// minResidence is the least time that a request counts as in flight at an endpoint, since
 	// crashes are detected some milliseconds late.
 	minResidence = 10 * time.Millisecond
 )
 
-// A crash is the crash of one endpoint.
 type crash struct {
 	Strike
 	service   string
-	explained bool // a confirmed request was in flight
+	explained bool // a confirmed request was in flight at the endpoint
 }
 
-// confirm marks the suspects that are poison and returns their IDs. The caller holds t.mu.
+// confirm confirms the suspects that are poison and returns their IDs. The caller holds t.mu.
 func (t *Table) confirm() (confirmed []ID) {
 	for {
 		found := t.confirmOnce()
 		if len(found) == 0 {
 			return confirmed
 		}
-		confirmed = append(confirmed, found...) // this explains further crashes
+		confirmed = append(confirmed, found...) // these explain further crashes
 	}
 }
 
@@ -88,8 +79,7 @@
 	return confirmed
 }
 
-// crashes returns the crashes in the strikes of all suspects, each once. The caller holds
-// t.mu.
+// crashes returns the distinct crashes in the strikes of all suspects. The caller holds t.mu.
 func (t *Table) crashes() (out []crash) {
 	byEndpoint := make(map[uint32][]int)
 	for _, e := range t.suspects {
@@ -116,7 +106,6 @@
 	return -1
 }
 
-// isPoison reports whether a suspect is to be confirmed.
 func (t *Table) isPoison(e *Entry, crashes []crash) bool {
 	all := e.consecutive(func(Strike) bool { return true })
 	if len(all) >= sufficientStrikes && all[len(all)-1].CrashedAt.Sub(all[0].CrashedAt) >= sufficientSpan {
@@ -136,9 +125,8 @@
 	return expectedByChance(unexplained, e.crashesDuring(crashes, unexplained)) < maxChance
 }
 
-// expectedByChance returns how many of the requests in flight at the first strike are expected
-// to have the other strikes by chance, given how many endpoints of the service crashed in that
-// time.
+// expectedByChance returns how many of the requests in flight at the first strike are expected to
+// have the other strikes by chance, if that many endpoints of the service crashed meanwhile.
 func expectedByChance(strikes []Strike, crashed int) float64 {
 	span := max(minSpan, strikes[len(strikes)-1].CrashedAt.Sub(strikes[0].CrashedAt)).Seconds()
 	expected := float64(max(1, strikes[0].InFlight))
@@ -149,8 +137,8 @@
 	return expected
 }
 
-// consecutive returns the strikes that count, by time: accepted, not void, and of a request
-// that was sent after the previous one.
+// consecutive returns the strikes that count, by time: accepted, not void, and of a request that was
+// sent after the previous one.
 func (e *Entry) consecutive(accept func(Strike) bool) (out []Strike) {
 	sorted := slices.Clone(e.Strikes)
 	slices.SortFunc(sorted, func(a, b Strike) int { return a.CrashedAt.Compare(b.CrashedAt) })
@@ -165,8 +153,7 @@
 	return out
 }
 
-// crashesDuring returns the number of unexplained crashes of the service in the time of the
-// strikes.
+// crashesDuring returns the number of unexplained crashes of the service during the strikes.
 func (e *Entry) crashesDuring(crashes []crash, strikes []Strike) (n int) {
 	first, last := strikes[0].CrashedAt.Add(-sameCrashWindow), strikes[len(strikes)-1].CrashedAt.Add(sameCrashWindow)
 	for i := range crashes {
@@ -179,7 +166,7 @@
 	return n
 }
 
-// CountedStrikes returns the number of strikes that count, for display.
+// CountedStrikes returns the number of strikes that count, including those at explained crashes.
 func (e *Entry) CountedStrikes() int { return len(e.consecutive(func(Strike) bool { return true })) }
 
 // Endpoints returns the hashes of the endpoint IDs in the strikes, by time of the crash.
--- a/poison/fleet_test.go
+++ b/poison/fleet_test.go
@@ -1,7 +1,7 @@
 package poison_test
 
-// This file simulates endpoints that crash, because of requests and for other reasons, with
-// thousands of requests in flight, and checks which requests the table blames.
+// This file simulates endpoints that crash, because of requests and for other reasons, and checks
+// which requests are confirmed as poison.
 
 import (
 	"encoding/binary"
@@ -19,31 +19,28 @@
 	"ivyridge/poison"
 )
 
-// A testRequest is a request in flight at an endpoint.
 type testRequest struct {
 	id       poison.ID
 	team     string
-	attempts int // attempts left
-	began    time.Time
-	done     time.Time // when it is answered
+	attempts int // number left
+	startAt  time.Time
+	endAt    time.Time // when it is answered
 	repeats  bool      // the caller sends an identical request as soon as it is answered
-	crashes  bool      // the endpoint crashes at done
+	crashes  bool      // the endpoint crashes at endAt
 }
 
-// A simulation is a fleet with a clock of its own.
 type simulation struct {
 	t           *testing.T
 	rng         *rand.Rand
 	now         time.Time
 	table       *poison.Table
 	running     [][]*testRequest // by endpoint
-	restartAt   []time.Time      // by endpoint: down until then
-	crashCount  int              // crashes of all endpoints
+	restartAt   []time.Time      // by endpoint, which is down until then
+	crashCount  int              // of all endpoints
 	crashesByID map[poison.ID]int
 	lastID      uint64
 }
 
-// step is the time step of the simulation.
 const step = 5 * time.Millisecond
 
 // sendDelay is the time until a request reaches its endpoint.
@@ -56,34 +53,33 @@
 	}
 }
 
-func (p *simulation) newID() (id poison.ID) {
-	p.lastID++
-	binary.LittleEndian.PutUint64(id[:], p.lastID)
+func (sim *simulation) newID() (id poison.ID) {
+	sim.lastID++
+	binary.LittleEndian.PutUint64(id[:], sim.lastID)
 	return id
 }
 
-// pickEndpoint returns a random endpoint that is up, for a suspect one with the fewest other
-// suspects, or -1 if all are down.
-func (p *simulation) pickEndpoint(suspect bool) int {
-	best, least := -1, math.MaxInt
-	for _, e := range p.rng.Perm(len(p.running)) {
-		if p.restartAt[e].After(p.now) {
+// pickEndpoint returns a random endpoint that is up, or -1 if there is none. For a suspect it returns
+// one with the fewest other suspects.
+func (sim *simulation) pickEndpoint(suspect bool) int {
+	best, fewest := -1, math.MaxInt
+	for _, e := range sim.rng.Perm(len(sim.running)) {
+		if sim.restartAt[e].After(sim.now) {
 			continue
 		}
 		if !suspect {
 			return e
 		}
-		if n := p.suspects(e); n < least {
-			best, least = e, n
+		if n := sim.suspects(e); n < fewest {
+			best, fewest = e, n
 		}
 	}
 	return best
 }
 
-// suspects returns the number of suspects in flight at an endpoint.
-func (p *simulation) suspects(e int) (n int) {
-	for _, r := range p.running[e] {
-		if p.table.Standing(r.id) == poison.Suspected {
+func (sim *simulation) suspects(e int) (n int) {
+	for _, r := range sim.running[e] {
+		if sim.table.Standing(r.id) == poison.Suspected {
 			n++
 		}
 	}
@@ -91,123 +87,120 @@
 }
 
 // send sends a request to an endpoint, unless the table blocks it or it has no attempts left.
-func (p *simulation) send(r testRequest) {
-	standing := p.table.Standing(r.id)
+func (sim *simulation) send(r testRequest) {
+	standing := sim.table.Standing(r.id)
 	if standing == poison.Confirmed {
 		return
 	}
-	e := p.pickEndpoint(standing == poison.Suspected)
+	e := sim.pickEndpoint(standing == poison.Suspected)
 	if e < 0 || r.attempts == 0 {
 		return
 	}
 	r.attempts--
-	at := p.now.Add(sendDelay)
-	r.began, r.done = at, at.Add(r.done.Sub(r.began))
-	p.running[e] = append(p.running[e], &r)
+	at := sim.now.Add(sendDelay)
+	r.startAt, r.endAt = at, at.Add(r.endAt.Sub(r.startAt))
+	sim.running[e] = append(sim.running[e], &r)
 }
 
 // crash crashes endpoints at the same time and resends their requests.
-func (p *simulation) crash(endpoints ...int) {
+func (sim *simulation) crash(endpoints ...int) {
 	var lost []*testRequest
-	before, away := slices.Clone(p.running), p.table.DownEndpoints(p.now, "s")
+	before, down := slices.Clone(sim.running), sim.table.DownEndpoints(sim.now, "s")
 	for _, e := range endpoints {
-		if p.restartAt[e].After(p.now) {
+		if sim.restartAt[e].After(sim.now) {
 			continue
 		}
-		p.crashCount++
-		in := p.running[e]
-		p.running[e], p.restartAt[e] = nil, p.now.Add(time.Duration(1000+p.rng.IntN(3000))*time.Millisecond)
+		sim.crashCount++
+		inFlight := sim.running[e]
+		sim.running[e], sim.restartAt[e] = nil, sim.now.Add(time.Duration(1000+sim.rng.IntN(3000))*time.Millisecond)
 		var entries []poison.Entry
-		for _, r := range in {
-			if r.began.After(p.now) {
+		for _, r := range inFlight {
+			if r.startAt.After(sim.now) {
 				continue // not yet arrived
 			}
 			entries = append(entries, poison.Entry{ID: r.id, Service: "s", Team: r.team, Strikes: []poison.Strike{{
-				Endpoint: uint32(e), CrashedAt: p.now, SentAt: r.began, ListedEndpoints: len(p.running), InFlight: len(in), TeamSpread: spread(before, r.team, e, away),
+				Endpoint: uint32(e), CrashedAt: sim.now, SentAt: r.startAt, ListedEndpoints: len(sim.running), InFlight: len(inFlight), TeamSpread: spread(before, r.team, e, down),
 			}}})
-			if r.crashes && p.finishing(r) {
-				p.crashesByID[r.id]++
+			if r.crashes && sim.finishing(r) {
+				sim.crashesByID[r.id]++
 			}
 		}
-		p.table.EndpointCrashed(p.now, entries)
-		lost = append(lost, in...)
+		sim.table.EndpointCrashed(sim.now, entries)
+		lost = append(lost, inFlight...)
 	}
-	for team := range p.table.SlowedTeams(p.now) {
+	for team := range sim.table.SlowedTeams(sim.now) {
 		if team.Team != "flood" {
-			p.t.Errorf("after %d crashes team %q is slowed", p.crashCount, team.Team)
+			sim.t.Errorf("after %d crashes team %q is slowed", sim.crashCount, team.Team)
 		}
 	}
 	for _, r := range lost {
-		if !r.crashes && p.table.Standing(r.id) == poison.Confirmed {
-			p.t.Errorf("after %d crashes a harmless request is blamed: %+v\n%+v", p.crashCount, r, p.strikes(r.id))
+		if !r.crashes && sim.table.Standing(r.id) == poison.Confirmed {
+			sim.t.Errorf("after %d crashes a harmless request is confirmed: %+v\n%+v", sim.crashCount, r, sim.strikes(r.id))
 			continue
 		}
-		p.send(*r)
+		sim.send(*r)
 	}
 }
 
-// finishing reports whether a request is at its end, which is when a poison request crashes
-// its endpoint.
-func (p *simulation) finishing(r *testRequest) bool { return !p.now.Before(r.done) }
+// finishing reports whether a request ends, which is when a poison request crashes its endpoint.
+func (sim *simulation) finishing(r *testRequest) bool { return !sim.now.Before(r.endAt) }
 
-// advance moves the simulation forward by one step.
-func (p *simulation) advance() {
-	p.now = p.now.Add(step)
-	for e := range p.running {
-		for _, r := range slices.Clone(p.running[e]) {
-			if r.done.After(p.now) || !slices.Contains(p.running[e], r) {
+func (sim *simulation) advance() {
+	sim.now = sim.now.Add(step)
+	for e := range sim.running {
+		for _, r := range slices.Clone(sim.running[e]) {
+			if r.endAt.After(sim.now) || !slices.Contains(sim.running[e], r) {
 				continue
 			}
 			if r.crashes {
-				p.crash(e)
+				sim.crash(e)
 				break
 			}
-			p.running[e] = slices.DeleteFunc(p.running[e], func(other *testRequest) bool { return other == r })
-			p.table.Clear(r.id)
+			sim.running[e] = slices.DeleteFunc(sim.running[e], func(other *testRequest) bool { return other == r })
+			sim.table.Clear(r.id)
 			if r.repeats {
-				p.send(testRequest{id: r.id, attempts: 3, began: p.now, done: p.now.Add(r.done.Sub(r.began)), repeats: true})
+				sim.send(testRequest{id: r.id, attempts: 3, startAt: sim.now, endAt: sim.now.Add(r.endAt.Sub(r.startAt)), repeats: true})
 			}
 		}
 	}
 }
 
 // sendHarmless sends a request that is unlike any other.
-func (p *simulation) sendHarmless() {
-	lasts := time.Duration(20+p.rng.IntN(3000)) * time.Millisecond
-	p.send(testRequest{id: p.newID(), team: p.randomTeam(), attempts: 1 + p.rng.IntN(3), began: p.now, done: p.now.Add(lasts)})
+func (sim *simulation) sendHarmless() {
+	duration := time.Duration(20+sim.rng.IntN(3000)) * time.Millisecond
+	sim.send(testRequest{id: sim.newID(), team: sim.randomTeam(), attempts: 1 + sim.rng.IntN(3), startAt: sim.now, endAt: sim.now.Add(duration)})
 }
 
 // randomTeam returns one of ten teams, of which the first sends 0.4 of all requests.
-func (p *simulation) randomTeam() string {
-	if p.rng.Float64() < 1.0/3 {
+func (sim *simulation) randomTeam() string {
+	if sim.rng.Float64() < 1.0/3 {
 		return "team 0"
 	}
-	return fmt.Sprint("team ", p.rng.IntN(10))
+	return fmt.Sprint("team ", sim.rng.IntN(10))
 }
 
-// spread returns the part of the running endpoints, except one, at which a team has requests.
-func spread(running [][]*testRequest, team string, except, away int) float64 {
+// spread returns the fraction of the running endpoints, except one, at which a team has requests.
+func spread(running [][]*testRequest, team string, except, down int) float64 {
 	n := 0.5
 	for e := range running {
 		if e != except && slices.ContainsFunc(running[e], func(r *testRequest) bool { return r.team == team }) {
 			n++
 		}
 	}
-	return n / float64(max(1, len(running)-away))
+	return n / float64(max(1, len(running)-down))
 }
 
 // sendRepeating sends copies of a request that its callers repeat without end.
-func (p *simulation) sendRepeating(copies int) {
-	id := p.newID()
+func (sim *simulation) sendRepeating(copies int) {
+	id := sim.newID()
 	for range copies {
-		p.send(testRequest{id: id, attempts: 3, began: p.now, done: p.now.Add(time.Duration(20+p.rng.IntN(300)) * time.Millisecond), repeats: true})
+		sim.send(testRequest{id: id, attempts: 3, startAt: sim.now, endAt: sim.now.Add(time.Duration(20+sim.rng.IntN(300)) * time.Millisecond), repeats: true})
 	}
 }
 
-// No harmless request is blamed, not even one that is in flight at nearly every crash, when
-// endpoints crash for other reasons: alone, a third at once, one after the other or
-// repeatedly. IVYRIDGE_FLEETS sets the number of simulated fleets; 72 have 10,000 crashes.
-func TestHarmlessRequestsAreNotBlamed(t *testing.T) {
+// No harmless request is confirmed, however endpoints crash. IVYRIDGE_FLEETS sets the number of
+// simulated fleets; 72 have 10,000 crashes.
+func TestHarmlessRequestsAreNotConfirmed(t *testing.T) {
 	fleets := 20
 	if n, err := strconv.Atoi(os.Getenv("IVYRIDGE_FLEETS")); err == nil {
 		fleets = n
@@ -224,88 +217,86 @@
 	}
 }
 
-// crashAtRandom crashes endpoints for reasons other than requests, and returns the number of
-// crashes.
-func crashAtRandom(p *simulation) int {
-	for range 1 + p.rng.IntN(3) {
-		p.sendRepeating(1 + p.rng.IntN(2*len(p.running)))
+// crashAtRandom crashes endpoints for reasons other than requests and returns the number of crashes.
+func crashAtRandom(sim *simulation) int {
+	for range 1 + sim.rng.IntN(3) {
+		sim.sendRepeating(1 + sim.rng.IntN(2*len(sim.running)))
 	}
 	rolling := 0
 	for range 4000 {
-		for range 1 + p.rng.IntN(2) {
-			p.sendHarmless()
+		for range 1 + sim.rng.IntN(2) {
+			sim.sendHarmless()
 		}
-		switch x := p.rng.Float64(); {
+		switch x := sim.rng.Float64(); {
 		case x < 0.002:
-			p.crash(p.rng.Perm(len(p.running))[:1+len(p.running)*3/10]...)
+			sim.crash(sim.rng.Perm(len(sim.running))[:1+len(sim.running)*3/10]...)
 		case x < 0.004:
-			rolling = len(p.running) / 2
+			rolling = len(sim.running) / 2
 		case x < 0.03:
-			p.crash(p.rng.IntN(len(p.running)))
+			sim.crash(sim.rng.IntN(len(sim.running)))
 		}
-		if rolling > 0 && p.rng.Float64() < 0.1 {
-			p.crash(rolling)
+		if rolling > 0 && sim.rng.Float64() < 0.1 {
+			sim.crash(rolling)
 			rolling--
 		}
-		p.advance()
+		sim.advance()
 	}
-	return p.crashCount
+	return sim.crashCount
 }
 
-// One or five poison requests among harmless traffic are each confirmed after at most six
-// crashes.
+// One or five poison requests are each confirmed after at most six crashes.
 func TestPoisonRequestsAreFound(t *testing.T) {
 	for seed := range uint64(40) {
-		p := newSimulation(t, 1000+seed, 9+int(seed%5)*14)
-		poisonous, most := 1, 6
+		sim := newSimulation(t, 1000+seed, 9+int(seed%5)*14)
+		poisonous, maxCrashes := 1, 6
 		if seed%2 == 1 {
-			poisonous, most = 5, 6
+			poisonous, maxCrashes = 5, 6
 		}
-		p.sendRepeating(1 + p.rng.IntN(len(p.running)))
+		sim.sendRepeating(1 + sim.rng.IntN(len(sim.running)))
 		var ids []poison.ID
 		for range poisonous {
-			ids = append(ids, p.newID())
+			ids = append(ids, sim.newID())
 		}
 		for i := range 4000 {
-			p.sendHarmless()
+			sim.sendHarmless()
 			for k, id := range ids {
 				if (i+k*37)%200 == 0 {
-					p.send(testRequest{id: id, team: fmt.Sprint("poison ", k), attempts: 1, crashes: true, began: p.now, done: p.now.Add(time.Duration(p.rng.IntN(200)) * time.Millisecond)})
+					sim.send(testRequest{id: id, team: fmt.Sprint("poison ", k), attempts: 1, crashes: true, startAt: sim.now, endAt: sim.now.Add(time.Duration(sim.rng.IntN(200)) * time.Millisecond)})
 				}
 			}
-			p.advance()
+			sim.advance()
 		}
 		for _, id := range ids {
-			if p.table.Standing(id) != poison.Confirmed || p.crashesByID[id] > most {
-				t.Errorf("seed %d, %d endpoints: one of %d poison requests has crashed %d endpoints, confirmed: %v, want at most %d", seed, len(p.running), poisonous, p.crashesByID[id], p.table.Standing(id) == poison.Confirmed, most)
+			if sim.table.Standing(id) != poison.Confirmed || sim.crashesByID[id] > maxCrashes {
+				t.Errorf("seed %d, %d endpoints: one of %d poison requests has crashed %d endpoints, confirmed: %v, want at most %d", seed, len(sim.running), poisonous, sim.crashesByID[id], sim.table.Standing(id) == poison.Confirmed, maxCrashes)
 			}
 		}
 	}
 }
 
-// A team sends four different poison requests a second. It is slowed after at most 12 crashes,
-// or 30 in a small fleet, and no other team is.
+// A team that sends four different poison requests a second is slowed after at most 12 crashes, or
+// 30 in a small fleet, and no other team is.
 func TestFloodingTeamIsSlowed(t *testing.T) {
 	for seed := range uint64(40) {
-		p := newSimulation(t, 2000+seed, 9+int(seed%5)*14)
-		slowedAfter, most := 0, 12
-		if len(p.running) < 20 {
-			most = 30 // at four crashes a second half of nine endpoints are down
+		sim := newSimulation(t, 2000+seed, 9+int(seed%5)*14)
+		slowedAfter, maxCrashes := 0, 12
+		if len(sim.running) < 20 {
+			maxCrashes = 30 // at four crashes a second half of nine endpoints are down
 		}
 		for i := range 3000 {
-			if p.rng.Float64() < 0.035*float64(len(p.running)) { // seven per second and endpoint
-				p.sendHarmless()
+			if sim.rng.Float64() < 0.035*float64(len(sim.running)) { // seven per second and endpoint
+				sim.sendHarmless()
 			}
 			if i%50 == 0 && slowedAfter == 0 {
-				p.send(testRequest{id: p.newID(), team: "flood", attempts: 1, crashes: true, began: p.now, done: p.now.Add(time.Duration(p.rng.IntN(200)) * time.Millisecond)})
+				sim.send(testRequest{id: sim.newID(), team: "flood", attempts: 1, crashes: true, startAt: sim.now, endAt: sim.now.Add(time.Duration(sim.rng.IntN(200)) * time.Millisecond)})
 			}
-			p.advance()
-			if slowedAfter == 0 && p.table.Slowed(p.now, "s", "flood") {
-				slowedAfter = p.crashCount
+			sim.advance()
+			if slowedAfter == 0 && sim.table.Slowed(sim.now, "s", "flood") {
+				slowedAfter = sim.crashCount
 			}
 		}
-		if slowedAfter == 0 || slowedAfter > most {
-			t.Errorf("seed %d, %d endpoints: the team is slowed after %d crashes of %d", seed, len(p.running), slowedAfter, p.crashCount)
+		if slowedAfter == 0 || slowedAfter > maxCrashes {
+			t.Errorf("seed %d, %d endpoints: the team is slowed after %d crashes of %d", seed, len(sim.running), slowedAfter, sim.crashCount)
 		}
 	}
 }
@@ -322,20 +313,20 @@
 			var id poison.ID
 			id[0] = byte(rng.IntN(4))
 			at := origin.Add(time.Duration(rng.IntN(4)) * 2 * time.Second)
-			side := tables[rng.IntN(len(tables))]
+			table := tables[rng.IntN(len(tables))]
 			if rng.IntN(8) == 0 {
-				updates = append(updates, side.Clear(id)...)
+				updates = append(updates, table.Clear(id)...)
 				continue
 			}
 			e := poison.Entry{ID: id, Service: "s", Strikes: []poison.Strike{{Endpoint: uint32(rng.IntN(3)), CrashedAt: at, SentAt: at.Add(-100 * time.Millisecond)}}}
-			updates = append(updates, side.EndpointCrashed(now, []poison.Entry{e})...)
+			updates = append(updates, table.EndpointCrashed(now, []poison.Entry{e})...)
 		}
 		for stable := false; !stable; {
 			stable = true
-			for _, side := range tables {
+			for _, table := range tables {
 				rng.Shuffle(len(updates), func(i, j int) { updates[i], updates[j] = updates[j], updates[i] })
 				for _, e := range slices.Clone(updates) {
-					changed := side.Merge(now, []poison.Entry{e})
+					changed := table.Merge(now, []poison.Entry{e})
 					updates = append(updates, changed...)
 					stable = stable && len(changed) == 0
 				}
@@ -352,9 +343,8 @@
 	}
 }
 
-// strikes formats the strikes of a suspect.
-func (p *simulation) strikes(id poison.ID) string {
-	e, _ := p.table.Entry(id)
+func (sim *simulation) strikes(id poison.ID) string {
+	e, _ := sim.table.Entry(id)
 	out := ""
 	for _, s := range e.Strikes {
 		out += fmt.Sprintf("\n\t%d at %s, sent %s before, %d endpoints, %d in flight, void %v", s.Endpoint, s.CrashedAt.Format("05.000"), s.CrashedAt.Sub(s.SentAt), s.ListedEndpoints, s.InFlight, s.Void)
--- a/poison/identity.go
+++ b/poison/identity.go
@@ -13,8 +13,8 @@
 	"github.com/pkg/errors"
 )
 
-// A Request holds what makes two requests identical: sender, destination and body. Request ID,
-// deadline, other headers and body framing differ each time and don't count.
+// A Request holds what makes two requests identical: sender, destination and body. The request ID,
+// deadline, other headers and body framing don't count.
 type Request struct {
 	Team   string // empty for a caller without an API key
 	Method string
@@ -23,9 +23,8 @@
 	Body   []byte
 }
 
-// An ID identifies all identical requests. It is a truncated cryptographic hash over the
-// fields with their lengths, so that no caller can construct a request that collides with
-// another team's.
+// An ID identifies all identical requests. It is a truncated cryptographic hash, so that no caller
+// can construct a request that collides with another team's.
 type ID [16]byte
 
 // String returns the ID in hexadecimal digits.
@@ -58,7 +57,7 @@
 	_, _ = h.Write([]byte(text))
 }
 
-// An Outline is a cheap hash of a request without the content of its body, used to skip
+// An Outline is a cheap hash of a request without the content of its body. It is used to skip
 // computing the ID of requests that can't be suspects.
 type Outline uint64
 
--- a/poison/identity_test.go
+++ b/poison/identity_test.go
@@ -8,8 +8,7 @@
 	"ivyridge/poison"
 )
 
-// Two requests have the same ID if and only if all their fields are equal, however text is
-// divided among the fields.
+// Guards against IDs that don't depend on how text is divided among the fields.
 func TestIDIsUniqueToRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) poison.Request {
--- a/poison/poison.go
+++ b/poison/poison.go
@@ -1,35 +1,29 @@
-// Package poison finds requests that crash the endpoints which run them, so that they can be
-// blocked.
+// Package poison finds requests that crash the endpoints which run them, known as poison requests or
+// queries of death, so that they can be blocked. Their callers retry them with a new request ID at
+// any instance. An endpoint crashes when its process ends, for whatever reason.
 //
-// Such a request, known as a poison request or a query of death, triggers a fault that others
-// don't. Its caller retries it with a new request ID at any instance, and each attempt takes
-// down an endpoint with all that it runs. Here an endpoint crashes when its process ends, for
-// whatever reason.
+// A Table holds the suspects: the requests that were in flight at endpoints that crashed, with a
+// Strike for each crash. A suspect that an endpoint answers is cleared. One with enough consecutive
+// strikes, as defined in confirm.go, is Confirmed and blocked until it is no longer received. Tables
+// of several instances can be merged in any order and repeatedly, and converge.
 //
-// A Table holds the suspects: the requests that were in flight at endpoints when these crashed,
-// with a Strike for each crash. A suspect that an endpoint answers is cleared. One with enough
-// consecutive strikes is Confirmed and blocked as long as it keeps coming; confirm.go
-// has the criteria. Tables of several instances can be merged in any order and repeatedly, and
-// converge.
-//
-// The package does no I/O and has no clock: times are passed in. A Table is safe for concurrent
-// use.
+// The package does no I/O, and times are passed in. A Table is safe for concurrent use.
 package poison
 
 import "time"
 
 // A Strike is a crash of an endpoint that had a request in flight.
 type Strike struct {
-	Endpoint        uint32    // hash of the endpoint's ID
-	CrashedAt       time.Time // time of the crash
+	Endpoint        uint32 // hash of the endpoint's ID
+	CrashedAt       time.Time
 	SentAt          time.Time // when the request was sent to the endpoint
-	ListedEndpoints int       // number of endpoints of the service listed at that time
-	TeamSpread      float64   // part of the service's endpoints at which the team had requests in flight, over all instances
+	ListedEndpoints int       // number of endpoints of the service listed at the crash
+	TeamSpread      float64   // fraction of the service's endpoints at which the team had requests in flight, over all instances
 	InFlight        int       // requests that the reporting instance had in flight at the endpoint, including this one
 	Void            bool      // an endpoint answered the request later, or an operator cleared it
 }
 
-// An Entry is the state of one suspect. It is immutable once returned.
+// An Entry is the state of one suspect. The caller must not modify its Strikes.
 type Entry struct {
 	ID        ID
 	Outline   Outline
@@ -54,7 +48,7 @@
 // Cleared reports whether all strikes are void.
 func (e *Entry) Cleared() bool { return e.liveStrikes() == 0 }
 
-// Last returns the time of the latest event recorded for the suspect.
+// Last returns the time of the latest event of the suspect.
 func (e *Entry) Last() time.Time {
 	at := e.LastSeen
 	for i := range e.Strikes {
@@ -70,6 +64,6 @@
 
 const (
 	Unknown   Standing = iota // not a suspect
-	Suspected                 // in flight at a crash; run with precautions
-	Confirmed                 // confirmed as poison; blocked
+	Suspected                 // in flight at a crash; sent with precautions
+	Confirmed                 // poison; blocked
 )
--- a/poison/table.go
+++ b/poison/table.go
@@ -10,25 +10,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limits of a table.
 const (
-	// MostSuspects is the maximum number of suspects, each of about 0.3 KB: 17 endpoints that
-	// crash at once with 120 requests each.
+	// MostSuspects is the maximum number of suspects, each of about 0.3 KB.
 	MostSuspects = 2048
-	// MostStrikes is the maximum number of strikes of a suspect, more than it takes to be
-	// confirmed.
+	// MostStrikes is the maximum number of strikes of a suspect, more than confirm it.
 	MostStrikes = 12
-	// sameCrashWindow is the time difference below which two reports of a crash of the same
-	// endpoint mean the same one. An endpoint takes some seconds to restart.
+	// sameCrashWindow is the time within which two reports of a crash of an endpoint mean the same
+	// one. An endpoint takes some seconds to restart.
 	sameCrashWindow = time.Second
-	// suspectTTL is how long a suspect is kept after its latest event. It is longer than the
-	// pause of callers that retry by hand or in a job every five minutes.
+	// suspectTTL is how long a suspect is kept after its latest event. It exceeds the pause of
+	// callers that retry by hand or in a periodic job.
 	suspectTTL = 10 * time.Minute
-	// clearedTTL is the same for a cleared suspect. It is longer than other instances may
-	// still report it.
+	// clearedTTL is the same for a cleared suspect. Other instances report it for less time.
 	clearedTTL = time.Minute
-	// seenInterval is the least time between reports that a confirmed request was received
-	// again. It is well below suspectTTL.
+	// seenInterval is the least time between reports that a confirmed request was received again.
 	seenInterval = time.Minute
 )
 
@@ -40,7 +35,7 @@
 	suspects       map[ID]*Entry
 	outlines       map[Outline]int           // number of suspects by outline
 	slowed         map[ServiceTeam]time.Time // until when
-	teamsCheckedAt time.Time                 // time of the latest checkTeams
+	teamsCheckedAt time.Time                 // when checkTeams last ran
 	digest         uint64
 	digestValid    bool // digest is up to date
 }
@@ -50,8 +45,8 @@
 	return &Table{suspects: make(map[ID]*Entry), outlines: make(map[Outline]int), slowed: make(map[ServiceTeam]time.Time)}
 }
 
-// MayContain reports whether a request may be a suspect, by its outline. It costs next to nothing
-// while there are no suspects.
+// MayContain reports, by its outline, whether a request may be a suspect. It is cheap while there
+// are no suspects.
 func (t *Table) MayContain(r *Request) bool {
 	if t.size.Load() == 0 {
 		return false
@@ -76,8 +71,8 @@
 	return Suspected
 }
 
-// EndpointCrashed records the crash of an endpoint, with one entry of one strike for each request
-// in flight, and returns the updates for other instances. Suspects that this confirms are marked.
+// EndpointCrashed records the crash of an endpoint, with one entry of one strike for each request in
+// flight. It confirms suspects that are now poison and returns the updates for other instances.
 func (t *Table) EndpointCrashed(now time.Time, in []Entry) (updates []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,8 +85,8 @@
 	return t.current(t.evaluate(now, updates))
 }
 
-// Merge records updates of another instance and returns those that changed the table, to be
-// forwarded.
+// Merge records updates of another instance and returns those to be forwarded, which changed the
+// table.
 func (t *Table) Merge(now time.Time, in []Entry) (updates []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,8 +99,8 @@
 	return t.current(t.evaluate(now, updates))
 }
 
-// Clear clears a suspect, after an endpoint answered it in full or at an operator's
-// request, and returns the updates for other instances.
+// Clear clears a suspect, after an endpoint answered it in full or at an operator's request, and
+// returns the updates for other instances.
 func (t *Table) Clear(id ID) (updates []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,7 +118,7 @@
 	return []Entry{next}
 }
 
-// Seen records that a confirmed request was received again, and returns the updates for other
+// Seen records that a confirmed request was received again and returns the updates for other
 // instances.
 func (t *Table) Seen(now time.Time, id ID) (updates []Entry) {
 	t.mu.Lock()
@@ -148,8 +143,8 @@
 	return e, false
 }
 
-// Entries returns all suspects: confirmed ones first, then by number of live strikes, then the
-// latest first.
+// Entries returns all suspects: confirmed ones first, then by number of strikes that are not void,
+// then the latest first.
 func (t *Table) Entries() []Entry {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -161,7 +156,7 @@
 	return out
 }
 
-// ranksBefore is the order of Entries. The last suspects are dropped first.
+// ranksBefore is the order of Entries. Suspects that rank last are dropped first.
 func ranksBefore(a, b *Entry) bool {
 	switch {
 	case a.Confirmed != b.Confirmed:
@@ -204,7 +199,6 @@
 	}
 }
 
-// expired reports whether a suspect is to be removed.
 func (e *Entry) expired(now time.Time) bool { return now.After(e.Expires()) }
 
 // Expires returns when the suspect expires unless there are further events.
@@ -215,7 +209,7 @@
 	return e.Last().Add(suspectTTL)
 }
 
-// put adds or replaces a suspect. The caller holds t.mu.
+// The caller holds t.mu.
 func (t *Table) put(e *Entry) {
 	if t.suspects[e.ID] == nil {
 		t.outlines[e.Outline]++
@@ -225,7 +219,7 @@
 	t.digestValid = false
 }
 
-// drop removes a suspect. The caller holds t.mu.
+// The caller holds t.mu.
 func (t *Table) drop(id ID) {
 	e := t.suspects[id]
 	delete(t.suspects, id)
@@ -236,9 +230,9 @@
 	t.digestValid = false
 }
 
-// merge records an entry and reports whether it changed the table. The send times in strikes
-// of this instance itself (own) replace reported ones if later, as those depend on another
-// instance's clock; among reported ones the first is kept. The caller holds t.mu.
+// merge records an entry and reports whether it changed the table. A later send time in a strike of
+// this instance (own) replaces a reported one, which depends on another instance's clock. The caller
+// holds t.mu.
 func (t *Table) merge(now time.Time, in *Entry, own bool) (changed bool) {
 	before := t.suspects[in.ID]
 	if before == nil && in.expired(now) {
@@ -280,8 +274,8 @@
 	return changed
 }
 
-// add adds a strike and reports whether it did. At MostStrikes it replaces the oldest void
-// strike if that is older.
+// add reports whether it added a strike. At MostStrikes it replaces the oldest void strike if that
+// is older.
 func (e *Entry) add(s Strike) bool {
 	if len(e.Strikes) < MostStrikes {
 		e.Strikes = append(e.Strikes, s)
@@ -310,14 +304,13 @@
 	return -1
 }
 
-// sameCrash reports whether two strikes are of the same crash.
 func (s Strike) sameCrash(other Strike) bool {
-	apart := s.CrashedAt.Sub(other.CrashedAt)
-	return s.Endpoint == other.Endpoint && -sameCrashWindow < apart && apart < sameCrashWindow
+	diff := s.CrashedAt.Sub(other.CrashedAt)
+	return s.Endpoint == other.Endpoint && -sameCrashWindow < diff && diff < sameCrashWindow
 }
 
-// evaluate confirms suspects and checks teams if there are new entries. It returns the IDs of
-// these and of the suspects confirmed. The caller holds t.mu.
+// evaluate confirms suspects and checks teams if there are new entries. It returns the IDs of these
+// and of the suspects confirmed. The caller holds t.mu.
 func (t *Table) evaluate(now time.Time, entries []Entry) (ids []ID) {
 	for i := range entries {
 		ids = append(ids, entries[i].ID)
@@ -330,7 +323,7 @@
 	return ids
 }
 
-// current returns the current entries of suspects, each once. The caller holds t.mu.
+// current returns the entries of distinct suspects. The caller holds t.mu.
 func (t *Table) current(ids []ID) (out []Entry) {
 	seen := make(map[ID]bool, len(ids))
 	for _, id := range ids {
@@ -342,8 +335,8 @@
 	return out
 }
 
-// Digest returns a hash of the table's content except for times. Tables with the same
-// suspects, strikes and confirmations have the same digest; it is zero for an empty table.
+// Digest returns a hash of the suspects, strikes and confirmations, without times. It is zero for an
+// empty table.
 func (t *Table) Digest() uint64 {
 	if t.size.Load() == 0 {
 		return 0
--- a/poison/teams.go
+++ b/poison/teams.go
@@ -1,17 +1,13 @@
 package poison
 
-// This file finds teams that crash endpoints with requests that are all different.
+// This file finds teams that crash endpoints with requests that are all different, so that none is
+// confirmed. Such a team has a new request in flight at each crash. A team with requests at a
+// twentieth of the endpoints is present at a twentieth of the crashes by chance, but not at eight of
+// eight. It is slowed rather than blocked, since most of its requests may be harmless.
 //
-// None of these requests is repeated, so none is ever confirmed. But the team has a request in
-// flight at each of the crashes, each time for the first time. A team that has requests at a
-// twentieth of the endpoints is present at a twentieth of the crashes by chance; eight of eight
-// within half a minute is not chance. The team is slowed rather than blocked, since most of its
-// requests may be harmless.
-//
-// Simpler criteria fail. The largest teams have a request in flight at nearly every crash. The
-// last request sent before a crash, or a team's part of all requests in flight, misleads at
-// endpoints with little load. Counting simultaneous crashes once is too slow when all endpoints
-// crash within seconds.
+// Simpler criteria fail: the largest teams have a request in flight at nearly every crash, and the
+// last request sent, or a team's share of the requests in flight, misleads at endpoints with little
+// load. Counting simultaneous crashes once is too slow when all endpoints crash within seconds.
 
 import (
 	"math"
@@ -24,24 +20,24 @@
 	// teamSlowDuration is how long a team is slowed after it last met the criteria.
 	teamSlowDuration = 10 * time.Second
 	// minTeamCrashes is the least number of crashes for a team to be slowed. It is more than a
-	// team causes in the first second of repeating requests that will be confirmed.
+	// team causes in one second by repeating requests that will be confirmed.
 	minTeamCrashes = 8
-	// maxTeamChance is the probability of chance below which a team is slowed. It is well
-	// below maxChance since it affects many requests.
+	// maxTeamChance is the probability of chance below which a team is slowed. It is well below
+	// maxChance since it affects many requests.
 	maxTeamChance = 1e-5
-	// minSpread is the lowest probability assumed for one crash. If a part of a large service
-	// is faulty, its crashes are concentrated on few endpoints.
+	// minSpread is the lowest probability assumed for one crash, as crashes may be concentrated on
+	// the few endpoints of a faulty part of a service.
 	minSpread = 1e-3
 	// spreadMargin is a safety factor for Strike.TeamSpread: some of the endpoints counted are
 	// down, and their load is at the others.
 	spreadMargin = 1.2
-	// teamCheckInterval is the least time between checks of all teams. When a rack is lost,
-	// updates arrive in dozens of messages.
+	// teamCheckInterval limits checks of all teams. When a rack is lost, updates arrive in dozens
+	// of messages.
 	teamCheckInterval = 100 * time.Millisecond
 )
 
-// Slowed reports whether a team is to be slowed at a service, since too many endpoints crashed
-// with different requests of the team in flight.
+// Slowed reports whether a team is to be slowed at a service because too many endpoints crashed with
+// its requests in flight.
 func (t *Table) Slowed(now time.Time, service, team string) bool {
 	if t.size.Load() < minTeamCrashes {
 		return false
@@ -62,11 +58,11 @@
 	}
 	t.teamsCheckedAt = now
 	crashes := t.crashes()
-	first := make(map[ServiceTeam]map[int]float64) // by crash with a first strike of the team: the probability of its presence
-	repeated := make(map[ServiceTeam]map[int]bool) // crashes at which the team has a later strike of a request
+	first := make(map[ServiceTeam]map[int]float64) // TeamSpread, by crash with a first strike of a request of the team
+	repeated := make(map[ServiceTeam]map[int]bool) // crashes with a later strike of a request of the team
 	byService := make(map[string]map[int]bool)     // crashes by service
 	for _, e := range t.suspects {
-		at := ServiceTeam{e.Service, e.Team}
+		key := ServiceTeam{e.Service, e.Team}
 		for _, s := range e.Strikes {
 			i := crashIndex(crashes, s)
 			if crashes[i].explained || now.Sub(s.CrashedAt) > teamCrashWindow {
@@ -76,18 +72,18 @@
 			switch {
 			case s.Void || e.Team == "":
 			case e.hasEarlierStrike(s):
-				putNested(repeated, at, i, true)
+				putNested(repeated, key, i, true)
 			default:
-				putNested(first, at, i, max(first[at][i], s.TeamSpread))
+				putNested(first, key, i, max(first[key][i], s.TeamSpread))
 			}
 		}
 	}
-	for at, chances := range first {
-		for i := range repeated[at] {
-			delete(chances, i)
+	for key, spreads := range first {
+		for i := range repeated[key] {
+			delete(spreads, i)
 		}
-		if len(chances) >= minTeamCrashes && teamChance(chances, len(byService[at.Service])) < maxTeamChance {
-			t.slowed[at] = now.Add(teamSlowDuration)
+		if len(spreads) >= minTeamCrashes && teamChance(spreads, len(byService[key.Service])) < maxTeamChance {
+			t.slowed[key] = now.Add(teamSlowDuration)
 		}
 	}
 }
@@ -102,7 +98,6 @@
 	return false
 }
 
-// putNested sets m[key][i], allocating the inner map if needed.
 func putNested[K comparable, V any](m map[K]map[int]V, key K, i int, v V) {
 	if m[key] == nil {
 		m[key] = make(map[int]V)
@@ -110,20 +105,19 @@
 	m[key][i] = v
 }
 
-// teamChance returns an upper bound of the probability of being present at that many of the
-// crashes by chance, given the probability of presence at each.
+// teamChance returns an upper bound of the probability of being present by chance at that many of
+// the crashes, given the probability of presence at each.
 func teamChance(spreads map[int]float64, crashes int) float64 {
 	all, _ := math.Lgamma(float64(crashes + 1))
 	in, _ := math.Lgamma(float64(len(spreads) + 1))
 	out, _ := math.Lgamma(float64(crashes - len(spreads) + 1))
-	sum := all - in - out // the number of ways to choose them
+	sum := all - in - out // logarithm of the number of ways to choose them
 	for _, p := range spreads {
 		sum += math.Log(max(minSpread, min(spreadMargin*p, 1)))
 	}
 	return math.Exp(sum)
 }
 
-// crashIndex returns the index of the crash of a strike, or -1.
 func crashIndex(crashes []crash, s Strike) int {
 	for i := range crashes {
 		if crashes[i].sameCrash(s) {
@@ -143,15 +137,15 @@
 	}
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	away := make(map[uint32]bool)
+	down := make(map[uint32]bool)
 	for _, e := range t.suspects {
 		for _, s := range e.Strikes {
 			if e.Service == service && now.Sub(s.CrashedAt) < restartTime {
-				away[s.Endpoint] = true
+				down[s.Endpoint] = true
 			}
 		}
 	}
-	return len(away)
+	return len(down)
 }
 
 // SlowedTeams returns the teams that are slowed, with the remaining time.
@@ -159,9 +153,9 @@
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	out := make(map[ServiceTeam]time.Duration)
-	for at, until := range t.slowed {
+	for key, until := range t.slowed {
 		if now.Before(until) {
-			out[at] = until.Sub(now)
+			out[key] = until.Sub(now)
 		}
 	}
 	return out
@@ -169,9 +163,9 @@
 
 // pruneTeams removes the teams that are no longer slowed. The caller holds t.mu.
 func (t *Table) pruneTeams(now time.Time) {
-	for at, until := range t.slowed {
+	for key, until := range t.slowed {
 		if !now.Before(until) {
-			delete(t.slowed, at)
+			delete(t.slowed, key)
 		}
 	}
 }
