--- a/limit/allocator.go
+++ b/limit/allocator.go
@@ -8,35 +8,31 @@
 )
 
 const (
-	// minRate is the lowest rate assigned to an endpoint, in requests per second, whatever its
-	// limit: only a response can tell that the limit has been lifted, and that is to be
-	// noticed within 3 s.
+	// minRate is the lowest rate assigned to an endpoint, in requests per second. Only a response
+	// can tell that the limit has been lifted, which is to be noticed within 3 s.
 	minRate = 0.5
-	// minBurst and burstTime set the capacity of a bucket: one request plus what the rate
-	// yields in burstTime. Clients return some milliseconds after a permit is available, and a
-	// full bucket gains nothing meanwhile.
+	// The capacity of a bucket is minBurst plus what the rate yields in burstTime. Clients return
+	// some milliseconds after a permit is available, and a full bucket gains nothing meanwhile.
 	minBurst  = 1.0
 	burstTime = 250 * time.Millisecond
 
-	// minAskRate and asksPerPermit limit the asks per second of clients that were denied,
-	// absolutely and per permit, by spreading their retries. The rate is high enough that
-	// permits don't stay unused, and low enough that hundreds of instances don't ask at once.
-	minAskRate    = 100.0
-	asksPerPermit = 8.0
+	// minRequestRate and requestsPerPermit limit the permit requests per second of denied clients,
+	// absolutely and per permit, by spreading their retries. Lower rates would leave permits unused.
+	minRequestRate    = 100.0
+	requestsPerPermit = 8.0
 	// maxSpread and maxWait limit the delay of a denied client, which may be the only one that
 	// still needs the endpoint.
 	maxSpread = 2 * time.Second
 	maxWait   = 2 * time.Second
-	// askDecayTime is the time constant of the exponential decay of the count of asks.
-	askDecayTime = time.Second
-	// urgentGrace is how long after the time it was told a more urgent client is expected to
-	// return. Less urgent clients get no permit until then.
+	// requestDecayTime is the time constant of the exponential decay of the count of permit requests.
+	requestDecayTime = time.Second
+	// urgentGrace is how late a denied, more urgent client may return. Less urgent clients get no
+	// permit until then.
 	urgentGrace = 200 * time.Millisecond
 	// NoShareWait is the delay of a client that has found no instance with a share of the rate. A
-	// new instance gains its share after some seconds, and another may have been asked too
-	// early.
+	// new instance gains its share after some seconds.
 	NoShareWait = 200 * time.Millisecond
-	// entryTTL is how long an endpoint is kept without asks.
+	// entryTTL is how long an endpoint is kept without permit requests.
 	entryTTL = time.Minute
 )
 
@@ -44,31 +40,31 @@
 // second for teams above their fair share.
 const Levels = 6
 
-// A bucket is a token bucket of an endpoint's permits. It starts empty, since an instance that
-// takes over from another doesn't know what that has granted.
+// A bucket is a token bucket of permits. It starts empty, since an instance that takes over from
+// another doesn't know what that has granted.
 type bucket struct {
 	tokens       float64
-	updatedAt    time.Time         // time of tokens and asks; zero before the first ask
+	updatedAt    time.Time         // time of tokens and requests; zero before the first request
 	pendingUntil [Levels]time.Time // by level: a denied client is expected until then
-	asks         float64           // recent asks, decayed
+	requests     float64           // recent permit requests, decayed
 }
 
-// refill updates the bucket to now. Its rate is in tokens per second.
+// refill updates the bucket to now, at a rate in tokens per second.
 func (b *bucket) refill(rate float64, now time.Time) {
 	if b.updatedAt.IsZero() {
 		b.updatedAt = now
 	}
 	elapsed := max(0, now.Sub(b.updatedAt))
 	b.tokens = min(minBurst+rate*burstTime.Seconds(), b.tokens+rate*elapsed.Seconds())
-	b.asks *= math.Exp(-elapsed.Seconds() / askDecayTime.Seconds())
+	b.requests *= math.Exp(-elapsed.Seconds() / requestDecayTime.Seconds())
 	b.updatedAt = now
 }
 
-// take spends a token and returns zero, or returns the delay until the client may ask again.
-// Chance is random, from 0 to 1.
+// take spends a token and returns zero, or returns the delay until the client may ask again. Chance
+// is random, from 0 to 1.
 func (b *bucket) take(rate float64, level int, now time.Time, chance float64) (wait time.Duration) {
 	b.refill(rate, now)
-	b.asks++
+	b.requests++
 	if b.tokens >= 1 && !b.expectsMoreUrgent(level, now) {
 		b.tokens--
 		b.pendingUntil[level] = time.Time{}
@@ -76,16 +72,15 @@
 	}
 	missing := max(0, 1-b.tokens)
 	if missing == 0 {
-		missing = 1 // the next permit is for a more urgent client
+		missing = 1 // the available permit is for a more urgent client
 	}
 	wait = seconds(missing / rate)
-	spread := min(seconds(b.asks/max(minAskRate, asksPerPermit*rate)), maxSpread)
+	spread := min(seconds(b.requests/max(minRequestRate, requestsPerPermit*rate)), maxSpread)
 	wait = min(wait, maxWait) + time.Duration(chance*float64(spread))
 	b.pendingUntil[level] = now.Add(wait + urgentGrace)
 	return max(wait, time.Millisecond)
 }
 
-// expectsMoreUrgent reports whether a denied, more urgent client is expected to return.
 func (b *bucket) expectsMoreUrgent(level int, now time.Time) bool {
 	for urgent := range level {
 		if now.Before(b.pendingUntil[urgent]) {
@@ -100,12 +95,11 @@
 	return time.Duration(min(s, time.Hour.Seconds()) * float64(time.Second))
 }
 
-// An entry is the state of one endpoint.
 type entry struct {
 	bucket
-	state   State
-	askedAt time.Time
-	permits uint64 // granted
+	state       State
+	requestedAt time.Time
+	permits     uint64 // number granted
 }
 
 // An Allocator grants permits for the endpoints whose limits this instance allocates. The zero
@@ -118,25 +112,25 @@
 // An Answer is the reply to a permit request.
 type Answer struct {
 	Granted bool          // one request may be sent
-	Wait    time.Duration // if not Granted: the delay until the next ask
+	Wait    time.Duration // if not Granted: the delay until the next permit request
 	State   State         // the allocator's knowledge of the limit; without a limit no permits are needed
 }
 
-// Ask handles a request of an instance to send one request of a level to an endpoint, given
-// the instance's knowledge of the limit. Share is the part of the rate that this allocator may
-// grant, from 0 to 1; at 0 it grants nothing. Chance is random, from 0 to 1.
-func (d *Allocator) Ask(endpoint uint32, state State, share float64, level int, now time.Time, chance float64) Answer {
-	d.sweep(now)
-	if d.endpoints == nil {
-		d.endpoints = make(map[uint32]*entry)
+// Ask handles a request for a permit to send one request of a level to an endpoint. State is the
+// client's knowledge of the limit. Share is the fraction of the rate that this allocator may grant,
+// from 0 to 1; at 0 it grants nothing. Chance is random, from 0 to 1.
+func (a *Allocator) Ask(endpoint uint32, state State, share float64, level int, now time.Time, chance float64) Answer {
+	a.sweep(now)
+	if a.endpoints == nil {
+		a.endpoints = make(map[uint32]*entry)
 	}
-	e := d.endpoints[endpoint]
+	e := a.endpoints[endpoint]
 	if e == nil {
 		e = new(entry)
-		d.endpoints[endpoint] = e
+		a.endpoints[endpoint] = e
 	}
 	e.state.Merge(state)
-	e.askedAt = now
+	e.requestedAt = now
 	if e.state.Known() && !e.state.Limited {
 		return Answer{Granted: true, State: e.state}
 	}
@@ -152,22 +146,21 @@
 }
 
 // Permits returns the number of permits granted for an endpoint since it was added.
-func (d *Allocator) Permits(endpoint uint32) uint64 {
-	if e := d.endpoints[endpoint]; e != nil {
+func (a *Allocator) Permits(endpoint uint32) uint64 {
+	if e := a.endpoints[endpoint]; e != nil {
 		return e.permits
 	}
 	return 0
 }
 
-// sweep removes the endpoints without recent asks.
-func (d *Allocator) sweep(now time.Time) {
-	if now.Sub(d.sweptAt) < entryTTL {
+func (a *Allocator) sweep(now time.Time) {
+	if now.Sub(a.sweptAt) < entryTTL {
 		return
 	}
-	d.sweptAt = now
-	for endpoint, e := range d.endpoints {
-		if now.Sub(e.askedAt) > entryTTL {
-			delete(d.endpoints, endpoint)
+	a.sweptAt = now
+	for endpoint, e := range a.endpoints {
+		if now.Sub(e.requestedAt) > entryTTL {
+			delete(a.endpoints, endpoint)
 		}
 	}
 }
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -1,79 +1,70 @@
 // Package limit enforces the rate limits that endpoints announce in their responses, over all
 // instances together.
 //
-// No instance sees all requests to an endpoint, and an equal share of a low rate is less than a
-// request for each of hundreds of instances. So one instance allocates the rate of an endpoint: the
-// others ask it for a permit before each request, and it applies a token bucket (Allocator). All
-// instances compute the same allocator for an endpoint (AllocatorOf). How much of the rate it may
+// An equal share of a low rate is less than one request for each of hundreds of instances. So one
+// instance, computed by AllocatorOf, allocates the rate of an endpoint: the others ask it for a
+// permit before each request, and its Allocator applies a token bucket. How much of the rate it may
 // grant depends on which instances it hears (quota.PartitionView).
 //
-// A State is what is known about a limit. States of several instances can be merged in any order
-// and repeatedly; the newest wins.
-//
-// The package does no I/O: times and random numbers are passed in. Nothing in it is safe for
-// concurrent use.
+// Times and random numbers are passed in. Nothing here is safe for concurrent use.
 package limit
 
 import "time"
 
-// A State is what is known about an endpoint's limit. The zero value is no knowledge.
+// A State is what is known about an endpoint's limit. The zero value is no knowledge. States of
+// several instances can be merged in any order and repeatedly; the newest wins.
 type State struct {
 	Limited bool      // the endpoint has a limit
 	Rate    float64   // if Limited: requests per second from all instances together
-	AsOf    time.Time // when the endpoint stated this, or later; zero if it never did
+	AsOf    time.Time // when the endpoint stated this, or later; zero: never
 }
 
-// Known reports whether anything is known about the limit.
-func (w *State) Known() bool { return !w.AsOf.IsZero() }
+func (s *State) Known() bool { return !s.AsOf.IsZero() }
 
-// Set records a response, received now, that states a limit of rate. It reports whether the
-// limit has changed.
-func (w *State) Set(rate float64, now time.Time) (news bool) {
-	news = !w.Limited || w.Rate != rate
-	*w = State{Limited: true, Rate: rate, AsOf: now}
-	return news
+// Set records a response, received now, that states a limit of rate in requests per second. It
+// reports whether the limit has changed.
+func (s *State) Set(rate float64, now time.Time) (changed bool) {
+	changed = !s.Limited || s.Rate != rate
+	*s = State{Limited: true, Rate: rate, AsOf: now}
+	return changed
 }
 
-// Lift records a response without a limit to a request that was sent at the given time. It has
-// no effect if the request isn't newer than the known limit, since responses overtake each
-// other and the head of a stream is as old as its start. It reports whether it lifted a
-// limit.
-func (w *State) Lift(sent time.Time) (news bool) {
-	if !w.Known() || !sent.After(w.AsOf) {
+// Lift records a response without a limit to a request sent at an instant, and reports whether that
+// lifts a limit. It has no effect unless the request is newer than the limit, since responses
+// overtake each other.
+func (s *State) Lift(sent time.Time) (changed bool) {
+	if !s.Known() || !sent.After(s.AsOf) {
 		return false
 	}
-	news = w.Limited
-	*w = State{AsOf: sent}
-	return news
+	changed = s.Limited
+	*s = State{AsOf: sent}
+	return changed
 }
 
-// Merge adopts another instance's State if it is newer, and reports whether the limit has
-// changed.
-func (w *State) Merge(other State) (news bool) {
-	if !other.Known() || !other.AsOf.After(w.AsOf) {
+// Merge adopts another instance's State if it is newer and reports whether the limit has changed.
+func (s *State) Merge(other State) (changed bool) {
+	if !other.Known() || !other.AsOf.After(s.AsOf) {
 		return false
 	}
-	news = w.Limited != other.Limited || w.Rate != other.Rate
-	*w = other
-	return news
+	changed = s.Limited != other.Limited || s.Rate != other.Rate
+	*s = other
+	return changed
 }
 
 const (
-	// liftedTTL is how long it is reported that a limit was lifted, enough to reach all
-	// instances.
+	// liftedTTL is how long a lifted limit is reported, enough to reach all instances.
 	liftedTTL = 5 * time.Second
-	// relayPenalty is added to the age of a State received, more than its time in transit.
-	// Otherwise a State that is relayed in circles would appear newer each time and outlive the
-	// one that lifts the limit.
+	// relayPenalty is added to the age of a received State and exceeds its time in transit.
+	// Otherwise a State relayed in circles would appear newer each time and outlive its successor.
 	relayPenalty = 500 * time.Millisecond
 )
 
-// Received returns a State received now from another instance, with the age that it states.
-func Received(named bool, rate float64, age time.Duration, now time.Time) State {
-	return State{Limited: named, Rate: rate, AsOf: now.Add(-age - relayPenalty)}
+// Received returns the State for a report, received now from another instance, of the given age.
+func Received(limited bool, rate float64, age time.Duration, now time.Time) State {
+	return State{Limited: limited, Rate: rate, AsOf: now.Add(-age - relayPenalty)}
 }
 
 // Reportable reports whether the State needs to be sent to other instances.
-func (w *State) Reportable(now time.Time) bool {
-	return w.Known() && (w.Limited || now.Sub(w.AsOf) < liftedTTL)
+func (s *State) Reportable(now time.Time) bool {
+	return s.Known() && (s.Limited || now.Sub(s.AsOf) < liftedTTL)
 }
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -13,36 +13,34 @@
 
 var start = time.Unix(1000, 0)
 
-// The newest State wins, in whatever order responses and messages arrive, and a response that
-// may predate the limit doesn't lift it.
+// A response that may predate the limit doesn't lift it.
 func TestNewestStateWins(t *testing.T) {
-	var w limit.State
-	if w.Known() || w.Lift(start) {
+	var s limit.State
+	if s.Known() || s.Lift(start) {
 		t.Error("a zero State is known or has a limit")
 	}
-	if !w.Set(1.2, start) || w.Set(1.2, start.Add(time.Second)) {
+	if !s.Set(1.2, start) || s.Set(1.2, start.Add(time.Second)) {
 		t.Error("Set reports a change other than for a new limit")
 	}
-	if w.Lift(start.Add(500 * time.Millisecond)) {
+	if s.Lift(start.Add(500 * time.Millisecond)) {
 		t.Error("a response to a request sent before the limit was stated lifts it")
 	}
-	if !w.Set(0.5, start.Add(2*time.Second)) || w.Rate != 0.5 {
+	if !s.Set(0.5, start.Add(2*time.Second)) || s.Rate != 0.5 {
 		t.Error("a lower limit is not reported as a change")
 	}
-	other := w
-	if !w.Lift(start.Add(3*time.Second)) || w.Limited {
+	other := s
+	if !s.Lift(start.Add(3*time.Second)) || s.Limited {
 		t.Error("a response to a later request does not lift the limit")
 	}
-	if w.Merge(other) {
+	if s.Merge(other) {
 		t.Error("Merge adopts an older State")
 	}
-	if !other.Merge(w) || other.Limited {
+	if !other.Merge(s) || other.Limited {
 		t.Error("Merge does not adopt a newer State without a limit")
 	}
 }
 
-// A State relayed in circles, with an age that is a little too low each time, is replaced by a
-// newer one.
+// Guards against a State that is relayed in circles and appears newer each time.
 func TestRelayedStatesDoNotOutliveNewerOnes(t *testing.T) {
 	var a, b limit.State
 	a.Set(2, start)
@@ -57,32 +55,31 @@
 		a.Merge(limit.Received(b.Limited, b.Rate, age, now))
 	}
 	if !a.Lift(start.Add(time.Second)) || !b.Merge(a) {
-		t.Errorf("Words of %v and %v are not lifted by a newer one", a.AsOf, b.AsOf)
+		t.Errorf("States of %v and %v are not replaced by a newer one", a.AsOf, b.AsOf)
 	}
 }
 
-// Instances that merge the same States, in any order and repeatedly, have the same state.
 func TestStatesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		words := make([]limit.State, rapid.IntRange(1, 6).Draw(t, "words"))
-		for i := range words {
+		states := make([]limit.State, rapid.IntRange(1, 6).Draw(t, "words"))
+		for i := range states {
 			// Two different responses don't have the same time.
-			words[i] = limit.State{Limited: rapid.Bool().Draw(t, "named"), AsOf: start.Add(time.Duration(i+1) * time.Second)}
-			if words[i].Limited {
-				words[i].Rate = float64(i) // each is different
+			states[i] = limit.State{Limited: rapid.Bool().Draw(t, "named"), AsOf: start.Add(time.Duration(i+1) * time.Second)}
+			if states[i].Limited {
+				states[i].Rate = float64(i) // each is different
 			}
 		}
-		newest := words[len(words)-1]
+		newest := states[len(states)-1]
 		for range 2 {
-			var w limit.State
-			for _, i := range rapid.Permutation(indexes(len(words))).Draw(t, "order") {
-				w.Merge(words[i])
+			var s limit.State
+			for _, i := range rapid.Permutation(indexes(len(states))).Draw(t, "order") {
+				s.Merge(states[i])
 				if rapid.Bool().Draw(t, "twice") {
-					w.Merge(words[i])
+					s.Merge(states[i])
 				}
 			}
-			if w.Limited != newest.Limited || w.Rate != newest.Rate {
-				t.Fatalf("got %+v, want %+v", w, newest)
+			if s.Limited != newest.Limited || s.Rate != newest.Rate {
+				t.Fatalf("got %+v, want %+v", s, newest)
 			}
 		}
 	})
@@ -101,31 +98,30 @@
 	level int
 }
 
-// A result is the outcome of a simulation.
 type result struct {
-	granted []time.Time
-	byLevel [limit.Levels]int
-	asks    int
+	granted  []time.Time
+	byLevel  [limit.Levels]int
+	requests int
 }
 
-// simulate has clients ask for permits for a duration. A client asks again pause after each ask,
-// or after the delay that it is told if that is longer.
-func simulate(d *limit.Allocator, rate, share float64, clients []client, pause, duration time.Duration, rng *rand.Rand) (out result) {
+// simulate has clients request permits for a duration. A client waits for pause after each request,
+// or for the delay that it is told if that is longer.
+func simulate(allocator *limit.Allocator, rate, share float64, clients []client, pause, duration time.Duration, rng *rand.Rand) (out result) {
 	state := limit.State{Limited: true, Rate: rate, AsOf: start}
 	for now := start; now.Before(start.Add(duration)); now = now.Add(2 * time.Millisecond) {
 		for i := range clients {
-			a := &clients[i]
-			if now.Before(a.next) {
+			c := &clients[i]
+			if now.Before(c.next) {
 				continue
 			}
-			out.asks++
-			answer := d.Ask(7, state, share, a.level, now, rng.Float64())
-			a.next = now.Add(pause + 2*time.Millisecond)
+			out.requests++
+			answer := allocator.Ask(7, state, share, c.level, now, rng.Float64())
+			c.next = now.Add(pause + 2*time.Millisecond)
 			if answer.Granted {
 				out.granted = append(out.granted, now)
-				out.byLevel[a.level]++
-			} else if later := now.Add(answer.Wait); later.After(a.next) {
-				a.next = later
+				out.byLevel[c.level]++
+			} else if later := now.Add(answer.Wait); later.After(c.next) {
+				c.next = later
 			}
 		}
 	}
@@ -144,8 +140,7 @@
 	return n
 }
 
-// Permits exceed the limit in no span of 4 s and use most of it, for any number of clients and
-// low and high limits, with a bounded rate of asks.
+// Permits stay within the limit in every span of 4 s and use most of it, with few permit requests.
 func TestPermitsUseLimitWithoutExceedingIt(t *testing.T) {
 	const span, duration = 4 * time.Second, 60 * time.Second
 	for _, rate := range []float64{0, 0.5, 1.2, 6, 50, 200} {
@@ -158,15 +153,14 @@
 				if used := float64(len(got.granted)) / duration.Seconds(); used < 0.9*rate || rate == 0 && used < 0.4 {
 					t.Errorf("%.2f permits per second", used)
 				}
-				if asks := float64(got.asks) / duration.Seconds(); asks > max(1000, 8*rate) {
-					t.Errorf("%.0f asks per second", asks)
+				if requests := float64(got.requests) / duration.Seconds(); requests > max(1000, 8*rate) {
+					t.Errorf("%.0f permit requests per second", requests)
 				}
 			})
 		}
 	}
 }
 
-// Less urgent requests get only the permits that more urgent ones leave.
 func TestUrgentRequestsGetPermitsFirst(t *testing.T) {
 	clients := make([]client, 6)
 	for i := range clients {
@@ -181,20 +175,20 @@
 		clients[i] = client{level: 1}
 	}
 	clients[0].level = 0
-	d := new(limit.Allocator)
+	allocator := new(limit.Allocator)
 	state := limit.State{Limited: true, Rate: 6, AsOf: start}
 	urgent, other := 0, 0
 	next := start
 	for now := start; now.Before(start.Add(30 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		if !now.Before(next) {
-			if a := d.Ask(7, state, 1, 0, now, 0); a.Granted {
+			if a := allocator.Ask(7, state, 1, 0, now, 0); a.Granted {
 				urgent++
 				next = now.Add(2 * time.Second)
 			} else {
 				next = now.Add(a.Wait)
 			}
 		}
-		if d.Ask(7, state, 1, 2, now, 0).Granted {
+		if allocator.Ask(7, state, 1, 2, now, 0).Granted {
 			other++
 		}
 	}
@@ -205,32 +199,32 @@
 
 // An allocator without a share grants nothing, unless the endpoint has no limit.
 func TestAllocatorWithoutShare(t *testing.T) {
-	d := new(limit.Allocator)
-	if a := d.Ask(7, limit.State{Limited: true, Rate: 50, AsOf: start}, 0, 0, start.Add(time.Minute), 0); a.Granted || a.Wait != limit.NoShareWait {
+	allocator := new(limit.Allocator)
+	if a := allocator.Ask(7, limit.State{Limited: true, Rate: 50, AsOf: start}, 0, 0, start.Add(time.Minute), 0); a.Granted || a.Wait != limit.NoShareWait {
 		t.Errorf("got %+v", a)
 	}
-	if a := d.Ask(7, limit.State{AsOf: start.Add(time.Second)}, 0, 0, start.Add(time.Minute), 0); !a.Granted || a.State.Limited {
+	if a := allocator.Ask(7, limit.State{AsOf: start.Add(time.Second)}, 0, 0, start.Add(time.Minute), 0); !a.Granted || a.State.Limited {
 		t.Errorf("got %+v", a)
 	}
 }
 
-// The allocator of an endpoint is in the endpoint's data centre if possible, doesn't depend on
-// the order of the candidates, and changes only if it is removed itself.
+// The allocator is in the endpoint's data centre if possible, doesn't depend on the order of the
+// candidates, and changes only if it is removed itself.
 func TestAllocatorOfIsConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := make([]limit.Candidate, rapid.IntRange(1, 18).Draw(t, "candidates"))
 		for i := range all {
 			all[i] = limit.Candidate{ID: uint64(i + 1), DataCentre: fmt.Sprint("dc", rapid.IntRange(0, 5).Draw(t, "data centre"))}
 		}
-		endpoint, home := rapid.Uint32().Draw(t, "endpoint"), fmt.Sprint("dc", rapid.IntRange(0, 5).Draw(t, "home"))
-		first := all[limit.AllocatorOf(endpoint, home, all)]
+		endpoint, dataCentre := rapid.Uint32().Draw(t, "endpoint"), fmt.Sprint("dc", rapid.IntRange(0, 5).Draw(t, "home"))
+		first := all[limit.AllocatorOf(endpoint, dataCentre, all)]
 		for _, c := range all {
-			if c.DataCentre == home && first.DataCentre != home {
-				t.Fatalf("%+v allocates a limit of %s although %+v is there", first, home, c)
+			if c.DataCentre == dataCentre && first.DataCentre != dataCentre {
+				t.Fatalf("%+v allocates a limit of %s although %+v is there", first, dataCentre, c)
 			}
 		}
 		shuffled := rapid.Permutation(all).Draw(t, "order")
-		if again := shuffled[limit.AllocatorOf(endpoint, home, shuffled)]; again != first {
+		if again := shuffled[limit.AllocatorOf(endpoint, dataCentre, shuffled)]; again != first {
 			t.Fatalf("got %+v in one order, %+v in another", first, again)
 		}
 		for i, c := range all {
@@ -238,7 +232,7 @@
 				continue
 			}
 			left := append(append([]limit.Candidate(nil), all[:i]...), all[i+1:]...)
-			if again := left[limit.AllocatorOf(endpoint, home, left)]; again != first {
+			if again := left[limit.AllocatorOf(endpoint, dataCentre, left)]; again != first {
 				t.Fatalf("without %+v the allocator is %+v, want %+v", c, again, first)
 			}
 		}
@@ -248,14 +242,13 @@
 	}
 }
 
-// BenchmarkAsk measures an ask at an instance that allocates the limits of 690 endpoints.
 func BenchmarkAsk(b *testing.B) {
-	d := new(limit.Allocator)
+	allocator := new(limit.Allocator)
 	state := limit.State{Limited: true, Rate: 1.2, AsOf: start}
 	now := start
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
-		d.Ask(uint32(i%690), state, 1, i%limit.Levels, now, 0.5)
+		allocator.Ask(uint32(i%690), state, 1, i%limit.Levels, now, 0.5)
 	}
 }
--- a/limit/order.go
+++ b/limit/order.go
@@ -1,7 +1,5 @@
 package limit
 
-// This file selects the instance that allocates the limit of an endpoint.
-
 import (
 	"encoding/binary"
 
@@ -15,10 +13,8 @@
 }
 
 // AllocatorOf returns the index of the candidate that allocates the limit of an endpoint in a data
-// centre, or -1 if there are none. Candidates in the endpoint's data centre come first, since
-// an instance that can't reach that data centre can't send to the endpoint either. Otherwise
-// data centres, and the instances in each, are ordered by rendezvous hashing, so that limits
-// are spread evenly and a candidate that joins or leaves moves only its own.
+// centre, or -1 if there are none. It prefers that data centre, since an instance that can't reach it
+// can't send to the endpoint either. Rendezvous hashing spreads limits evenly.
 func AllocatorOf(endpoint uint32, dataCentre string, candidates []Candidate) int {
 	best := -1
 	for i := range candidates {
