--- a/memory/memory.go
+++ b/memory/memory.go
@@ -1,14 +1,9 @@
-// Package memory accounts for the memory that an instance holds for callers and endpoints, and
-// keeps it within a limit.
+// Package memory accounts for the memory that an instance holds for callers and endpoints, and keeps
+// it within a limit.
 //
-// A caller that reads or sends slowly occupies little memory, but thousands of them exceed that
-// of a small machine, and a process over its limit is killed with all requests in flight. So
-// memory is taken from an Account before it is allocated and given back when it is freed.
-// Requests are refused before the limit is reached, the least urgent first.
-//
-// A Reservation is the memory of one request or connection. Its Close gives back all of it, so that
-// one deferred call covers every return. Memory that belongs to no request (gossip,
-// configuration, the program) is one fixed Reservation of kind Base.
+// Thousands of slow callers would exceed the memory of a small machine, and a process over its limit
+// is killed with all requests in flight. So memory is reserved from an Account before it is
+// allocated. Requests are refused before the limit is reached, the least urgent first.
 //
 // An Account without a limit counts but refuses nothing. Accounts and Reservations are safe for
 // concurrent use.
@@ -37,27 +32,24 @@
 // String returns the name of k in published statistics.
 func (k Kind) String() string { return kindNames[k] }
 
-// Thresholds, as parts of the limit.
+// Thresholds, as fractions of the limit.
 const (
-	// maxBuffered is the part of the limit reserved for Buffered, so that slow callers don't
-	// cause requests to be refused. When it is full, responses are read only as fast as their
-	// callers read them. The other thresholds are parts of the rest, the shared memory.
+	// maxBuffered is the fraction reserved for Buffered, so that slow callers don't cause requests
+	// to be refused. The other thresholds are fractions of the rest, the shared memory.
 	maxBuffered = 0.15
-	// admitThreshold is the use of shared memory up to which requests of the most urgent
-	// priority are admitted. The remainder is for running requests and for connections.
+	// admitThreshold is the use of shared memory up to which the most urgent requests are
+	// admitted. The remainder is for running requests and for connections.
 	admitThreshold = 0.9
-	// admitStep lowers the threshold for each less urgent priority.
-	admitStep = 0.05
-	// lowestPriority is the priority from which the threshold is no longer lowered.
+	// admitStep lowers the threshold for each less urgent priority, down to lowestPriority.
+	admitStep      = 0.05
 	lowestPriority = 3
-	// teamThreshold is the use of shared memory above which a team with more than maxTeam is
+	// teamThreshold is the use of shared memory above which a team with more than maxTeam of it is
 	// refused, if other teams hold memory.
 	teamThreshold = 0.5
-	// maxTeam is the part of shared memory that one team may hold above teamThreshold.
-	maxTeam = 0.25
+	maxTeam       = 0.25
 )
 
-// A Cause is the reason for which a request was refused.
+// A Cause is the reason why a request was refused.
 type Cause string
 
 const (
@@ -81,22 +73,20 @@
 	return &Account{limit: limit, teams: make(map[uint64]int64), refused: make(map[Cause]int64)}
 }
 
-// SetLimit replaces the limit. Memory in use above a lower limit stays in use until it is
-// given back.
+// SetLimit replaces the limit. Memory above a lower limit stays in use until it is released.
 func (a *Account) SetLimit(limit int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.limit = limit
 }
 
-// shared returns the part of the limit that is not reserved for Buffered, and how much of it is
-// used. The caller holds a.mu.
+// shared returns the limit and the use of shared memory. The caller holds a.mu.
 func (a *Account) shared() (limit, used float64) {
 	return (1 - maxBuffered) * float64(a.limit), float64(a.used - a.held[Buffered])
 }
 
-// fits reports whether n more bytes of kind k keep the memory for that kind within threshold.
-// The caller holds a.mu.
+// fits reports whether n more bytes of kind k keep the memory for that kind within threshold. The
+// caller holds a.mu.
 func (a *Account) fits(k Kind, n int64, threshold float64) bool {
 	if a.limit <= 0 {
 		return true
@@ -122,7 +112,7 @@
 	return true
 }
 
-// release counts n bytes as freed. The caller holds a.mu.
+// The caller holds a.mu.
 func (a *Account) release(k Kind, team uint64, n int64) {
 	a.used -= n
 	a.held[k] -= n
@@ -137,7 +127,7 @@
 	}
 }
 
-// A Reservation is the memory of one request or connection.
+// A Reservation is the memory of one request or connection, or of the program itself (Base).
 type Reservation struct {
 	account *Account
 	team    uint64
@@ -147,11 +137,11 @@
 
 // Reserve returns a Reservation of n bytes of kind k, or nil if they don't fit.
 func (a *Account) Reserve(k Kind, n int64) *Reservation {
-	h := &Reservation{account: a}
-	if !h.Grow(k, n) {
+	r := &Reservation{account: a}
+	if !r.Grow(k, n) {
 		return nil
 	}
-	return h
+	return r
 }
 
 // Admit returns a Reservation of n bytes of kind Requests for a request of a team (zero for none)
@@ -163,17 +153,17 @@
 		a.refused[TeamHigh]++
 		return nil, TeamHigh
 	}
-	h := &Reservation{account: a, team: team}
+	r := &Reservation{account: a, team: team}
 	if !a.acquire(Requests, team, n, admitThreshold-admitStep*float64(min(max(priority, 0), lowestPriority))) {
 		a.refused[Full]++
 		return nil, Full
 	}
-	h.held[Requests] = n
-	return h, ""
+	r.held[Requests] = n
+	return r, ""
 }
 
-// teamHigh reports whether a team with n more bytes holds too much while memory is scarce and
-// other teams hold some. The caller holds a.mu.
+// teamHigh reports whether a team with n more bytes holds too much while memory is scarce and other
+// teams hold some. The caller holds a.mu.
 func (a *Account) teamHigh(team uint64, n int64) bool {
 	others := len(a.teams)
 	if a.teams[team] > 0 {
@@ -183,48 +173,47 @@
 	return team != 0 && limit > 0 && others > 0 && used > teamThreshold*limit && float64(a.teams[team]+n) > maxTeam*limit
 }
 
-// Grow adds n bytes of kind k, and reports false without adding them if they don't fit or h is
-// closed.
-func (h *Reservation) Grow(k Kind, n int64) bool {
-	a := h.account
+// Grow adds n bytes of kind k. It reports false and adds nothing if they don't fit or r is closed.
+func (r *Reservation) Grow(k Kind, n int64) bool {
+	a := r.account
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if h.closed {
+	if r.closed {
 		return false
 	}
-	if !a.acquire(k, h.team, n, 1) {
+	if !a.acquire(k, r.team, n, 1) {
 		return false
 	}
-	h.held[k] += n
+	r.held[k] += n
 	return true
 }
 
-// Shrink gives back n bytes of kind k. It panics if h holds less. It has no effect after Close.
-func (h *Reservation) Shrink(k Kind, n int64) {
-	a := h.account
+// Shrink releases n bytes of kind k. It panics if r holds less. It has no effect after Close.
+func (r *Reservation) Shrink(k Kind, n int64) {
+	a := r.account
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if h.closed {
+	if r.closed {
 		return
 	}
-	if h.held[k] < n {
-		panic("memory: holding releases more " + k.String() + " than it holds")
+	if r.held[k] < n {
+		panic("memory: reservation releases more " + k.String() + " than it holds")
 	}
-	h.held[k] -= n
-	a.release(k, h.team, n)
+	r.held[k] -= n
+	a.release(k, r.team, n)
 }
 
-// Close gives back all memory of h. Later calls of Grow, Shrink and Close have no effect.
-func (h *Reservation) Close() {
-	a := h.account
+// Close releases all memory of r. Later calls of Grow, Shrink and Close have no effect.
+func (r *Reservation) Close() {
+	a := r.account
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if h.closed {
+	if r.closed {
 		return
 	}
-	h.closed = true
-	for k, n := range h.held {
-		a.release(Kind(k), h.team, n)
+	r.closed = true
+	for k, n := range r.held {
+		a.release(Kind(k), r.team, n)
 	}
 }
 
--- a/memory/memory_test.go
+++ b/memory/memory_test.go
@@ -11,8 +11,7 @@
 
 const mb = 1 << 20
 
-// As memory fills up, requests are refused by priority, and before that those of a team with a
-// large part of it.
+// As memory fills up, requests are refused by priority, and before that those of a large team.
 func TestAdmission(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -39,13 +38,13 @@
 			t.Fatalf("%s: Buffered memory refused", c.name)
 		}
 		if c.teamHeld > 0 {
-			if h, cause := a.Admit(1, 0, c.teamHeld*mb); h == nil {
+			if r, cause := a.Admit(1, 0, c.teamHeld*mb); r == nil {
 				t.Fatalf("%s: team refused at the start: %s", c.name, cause)
 			}
 		}
 		if c.used > c.teamHeld { // held by another team
-			h, _ := a.Admit(7, 0, mb)
-			if h == nil || !h.Grow(memory.Bodies, (c.used-c.teamHeld-1)*mb) {
+			r, _ := a.Admit(7, 0, mb)
+			if r == nil || !r.Grow(memory.Bodies, (c.used-c.teamHeld-1)*mb) {
 				t.Fatalf("%s: setup request refused", c.name)
 			}
 		}
@@ -55,8 +54,8 @@
 	}
 }
 
-// In any sequence of operations the limit is not exceeded, the kinds add up to the total, and
-// nothing is in use after all holdings are closed.
+// In any sequence of operations the limit is not exceeded, and closing all reservations frees all
+// memory.
 func TestAccountStatsAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Int64Range(1, 1000).Draw(t, "limit")
@@ -67,9 +66,9 @@
 			n := rapid.Int64Range(0, 200).Draw(t, "n")
 			switch step := rapid.IntRange(0, 5).Draw(t, "step"); {
 			case step == 0:
-				if h, _ := a.Admit(rapid.Uint64Range(0, 3).Draw(t, "team"), rapid.IntRange(-1, 5).Draw(t, "priority"), n); h != nil {
-					open = append(open, h)
-					held[h] = [6]int64{memory.Requests: n}
+				if r, _ := a.Admit(rapid.Uint64Range(0, 3).Draw(t, "team"), rapid.IntRange(-1, 5).Draw(t, "priority"), n); r != nil {
+					open = append(open, r)
+					held[r] = [6]int64{memory.Requests: n}
 				}
 			case len(open) == 0:
 			case step == 1:
@@ -79,25 +78,25 @@
 				delete(held, open[at])
 				open = append(open[:at], open[at+1:]...)
 			default:
-				h := open[rapid.IntRange(0, len(open)-1).Draw(t, "which")]
+				r := open[rapid.IntRange(0, len(open)-1).Draw(t, "which")]
 				k := memory.Kind(rapid.IntRange(0, 5).Draw(t, "kind"))
-				sums := held[h]
-				if step < 4 && h.Grow(k, n) {
+				sums := held[r]
+				if step < 4 && r.Grow(k, n) {
 					sums[k] += n
 				} else if step >= 4 {
 					n = min(n, sums[k])
-					h.Shrink(k, n)
+					r.Shrink(k, n)
 					sums[k] -= n
 				}
-				held[h] = sums
+				held[r] = sums
 			}
 			check(t, a, held)
 		}
-		for _, h := range open {
-			h.Close()
+		for _, r := range open {
+			r.Close()
 		}
 		if s := a.Stats(); s.Used != 0 || s.Teams != 0 {
-			t.Fatalf("memory in use after closing all holdings: %+v", s)
+			t.Fatalf("memory in use after closing all reservations: %+v", s)
 		}
 	})
 }
@@ -118,7 +117,6 @@
 	}
 }
 
-// Concurrent requests don't exceed the limit.
 func TestConcurrentUseStaysWithinLimit(t *testing.T) {
 	a := memory.New(1000)
 	var wg sync.WaitGroup
@@ -127,12 +125,12 @@
 		go func() {
 			defer wg.Done()
 			for i := range 2000 {
-				h, _ := a.Admit(uint64(n%3), n%4, int64(i%90))
-				if h == nil {
+				r, _ := a.Admit(uint64(n%3), n%4, int64(i%90))
+				if r == nil {
 					continue
 				}
-				h.Grow(memory.Buffered, int64(i%200))
-				h.Close()
+				r.Grow(memory.Buffered, int64(i%200))
+				r.Close()
 			}
 		}()
 	}
