--- a/fair/fair.go
+++ b/fair/fair.go
@@ -67,7 +67,7 @@
 	limited     []Limited
 }
 
-// A Request is a request for work.
+// A Request is one request of a team, with its estimated work in any unit used throughout.
 type Request struct {
 	Team       uint32
 	Level      int
--- a/quota/retries.go
+++ b/quota/retries.go
@@ -32,7 +32,7 @@
 // The instance that handles the request decides, so that nothing is deposited twice even if
 // instances disagree about the size of the fleet.
 const (
-	DepositNone      DepositKind = iota // the request was deposited before
+	DepositNone      DepositKind = iota // the request has already been counted
 	DepositRemainder                    // the instance has deposited its part in its own bucket
 	DepositFull                         // the instance has no bucket of its own
 )
