--- a/command/command.go
+++ b/command/command.go
@@ -103,7 +103,7 @@
 			delete(s.promised, slot)
 		case p.version == c.Version && p.origin == c.Origin:
 		case p.version >= c.Version || slot == c.Key():
-			return errors.Errorf("another command for %s is in progress", slot)
+			return errors.Errorf("another operator is changing %s", slot)
 		}
 	}
 	s.promised[c.Key()] = promise{c.Version, c.Origin, now}
@@ -210,7 +210,7 @@
 		return err
 	}
 	if copied.Target() <= 0 {
-		return errors.Errorf("class %q would have no latency target", c.Target)
+		return errors.Errorf("class %q would be left without a target", c.Target)
 	}
 	return nil
 }
--- a/instance/inventory.go
+++ b/instance/inventory.go
@@ -65,11 +65,11 @@
 	leaving, _ := i.entry.Leaving()
 	switch {
 	case leaving:
-		return "instance is shutting down"
+		return "it leaves"
 	case i.discovery.View().Catalog == nil:
-		return "no configuration received yet"
+		return "no configuration is known yet"
 	}
-	return "team keys were last validated too long ago"
+	return "teams' keys were proved too long ago"
 }
 
 // localFleet returns the part of the fleet that this instance receives heartbeats from.
