--- a/instance/accept.go
+++ b/instance/accept.go
@@ -2,13 +2,11 @@
 
 // This file accepts caller connections.
 //
-// Connections beyond the limit of descriptors or memory are closed before anything is
-// read, so the caller can safely retry elsewhere. If descriptors ran out instead,
-// connections to endpoints would fail too and healthy endpoints would look dead.
+// Connections beyond the limit of descriptors or memory are closed unread, so that callers can safely
+// retry elsewhere. If descriptors ran out, healthy endpoints could not be reached either.
 //
-// Header and idle timeouts are part of the published configuration, which arrives after
-// the HTTP server has started and may change. net/http reads its timeouts once, so each
-// connection shortens the deadlines that the server sets.
+// net/http reads its timeouts once, before the published configuration with the header and idle
+// timeouts arrives. Each connection therefore shortens the deadlines that the server sets.
 
 import (
 	"net"
@@ -22,23 +20,20 @@
 	"ivyridge/memory"
 )
 
-// writeBufferSize limits the kernel's send buffer of a connection, in bytes; the kernel
-// doubles it. With a round trip of 30 ms it allows 4 MB/s. Automatic sizing would let
-// the buffer of a caller that does not read grow to 4 MB.
+// writeBufferSize is the kernel's send buffer of a connection, in bytes; the kernel doubles it. With
+// automatic sizing, the buffer of a caller that does not read grows to 4 MB.
 const writeBufferSize = 64 << 10
 
-// callerDescriptorDivisor sets the share of file descriptors for caller connections:
-// one in callerDescriptorDivisor. Most of the rest is for connections to endpoints.
+// One in callerDescriptorDivisor file descriptors is for callers, most others are for endpoints.
 const callerDescriptorDivisor = 2
 
-// A callerListener limits the number of connections and their memory. It is safe for
-// concurrent use.
+// A callerListener limits connections and their memory. It is safe for concurrent use.
 type callerListener struct {
 	net.Listener
 	account  *memory.Account
-	maxConns int64                 // 0 means unlimited
-	timeouts func() callerTimeouts // current
-	count    func(event string)    // accepted, refused-descriptors, refused-memory
+	maxConns int64 // 0 means unlimited
+	timeouts func() callerTimeouts
+	count    func(event string) // accepted, refused-descriptors, refused-memory
 	open     atomic.Int64
 }
 
@@ -99,9 +94,8 @@
 	return sc.SyscallConn()
 }
 
-// CloseWrite closes the sending side of the connection. net/http calls it before it closes
-// a connection whose request it has not read completely, so that the caller sees the end
-// of the response at once and can read it before a reset.
+// CloseWrite closes the sending side. net/http calls it before it closes a connection with an unread
+// request body, so that the caller can read the response to its end before a reset.
 func (c *callerConn) CloseWrite() error {
 	closer, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
@@ -110,8 +104,7 @@
 	return closer.CloseWrite()
 }
 
-// SetReadDeadline sets the earlier of t and the configured timeout. A zero t clears
-// the deadline.
+// SetReadDeadline sets the earlier of t and the configured timeout. A zero t clears the deadline.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	if t.IsZero() {
 		c.isIdle.Store(false)
@@ -139,8 +132,7 @@
 	return c.Conn.Close()
 }
 
-// markIdle is the ConnState hook of the server. It marks connections that wait for
-// their next request.
+// markIdle is the server's ConnState hook. It marks connections that wait for the next request.
 func markIdle(c net.Conn, state http.ConnState) {
 	if cc, ok := c.(*callerConn); ok && state == http.StateIdle {
 		cc.isIdle.Store(true)
--- a/instance/accept_test.go
+++ b/instance/accept_test.go
@@ -10,12 +10,11 @@
 	"ivyridge/memory"
 )
 
-// Connections beyond the descriptor or memory limit are closed unread; closing one admits
-// another.
+// Connections beyond a limit are closed unread; closing one admits another.
 func TestConnectionLimits(t *testing.T) {
 	for want, l := range map[string]*callerListener{
 		"refused-descriptors": {maxConns: 2, account: memory.New(0)},
-		"refused-memory":      {account: memory.New(20 << 10)}, // room for two connections beside the part reserved for responses
+		"refused-memory":      {account: memory.New(20 << 10)}, // room for two connections beside the share reserved for responses
 	} {
 		counts := serve(t, l)
 		first, second := dial(t, l), dial(t, l)
@@ -39,8 +38,7 @@
 	}
 }
 
-// The configured header and idle timeouts apply to connections, although net/http has
-// its own and the configuration arrives later.
+// The published header and idle timeouts apply, although net/http started with its own.
 func TestConfiguredTimeouts(t *testing.T) {
 	const header, idle = 150 * time.Millisecond, 500 * time.Millisecond
 	l := &callerListener{account: memory.New(0), timeouts: func() callerTimeouts { return callerTimeouts{header, idle} }}
@@ -73,7 +71,7 @@
 	return c.n[event]
 }
 
-// serve runs a server behind l on a loopback address and counts the events of l.
+// serve runs a server behind l on a loopback address. It returns the counts of the events of l.
 func serve(t *testing.T, l *callerListener) *eventCounts {
 	t.Helper()
 	c := &eventCounts{n: make(map[string]int)}
@@ -116,7 +114,6 @@
 	return n > 0
 }
 
-// timeToClose returns how long the peer took to close c.
 func timeToClose(t *testing.T, c net.Conn) time.Duration {
 	t.Helper()
 	began := time.Now()
--- a/instance/account.go
+++ b/instance/account.go
@@ -5,12 +5,10 @@
 import "ivyridge/memory"
 
 const (
-	// limitFraction is the part of the machine's memory that accounted data may use. It is
-	// below the heap fraction of 0.75 from which the garbage collector runs more often:
-	// accounted data is in use and can't be collected.
+	// limitFraction is the fraction of the machine's memory for accounted data, which is live. It is
+	// below 0.75, above which the garbage collector runs more often, since it could not free any.
 	limitFraction = 0.65
-	// baseFraction is the part of the machine's memory reserved for the program,
-	// its configuration and gossip.
+	// baseFraction is the fraction reserved for the program, its configuration and gossip.
 	baseFraction = 0.125
 )
 
@@ -20,7 +18,6 @@
 	return int64(limitFraction * total), int64(baseFraction * total)
 }
 
-// newAccount returns an account with the base reserved.
 func newAccount(s *Settings) *memory.Account {
 	limit, base := memoryLimit(s)
 	a := memory.New(limit)
--- a/instance/half_close_test.go
+++ b/instance/half_close_test.go
@@ -7,9 +7,8 @@
 	"ivyridge/memory"
 )
 
-// net/http half-closes a connection whose request body it has not read, so that the caller
-// sees the end of the response before a reset. Wrapping the TCP connection must not hide
-// its CloseWrite method.
+// net/http half-closes a connection with an unread request body, so that the caller sees the end of
+// the response at once. The wrapper of the connection must therefore have CloseWrite.
 func TestCallerConnCloseWrite(t *testing.T) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/instance/holdings.go
+++ b/instance/holdings.go
@@ -7,14 +7,12 @@
 	"ivyridge/quota"
 )
 
-// retries returns the retry limit of a service.
-func retries(s *Settings) quota.RetryLimit {
+func retryLimit(s *Settings) quota.RetryLimit {
 	return quota.RetryLimit{Ratio: s.Promises.RetryRatio, Extra: float64(s.Promises.RetryExtra)}
 }
 
-// retryBudgetSharers returns how many instances share the per-instance part of the retry
-// budget if n instances are live, this one included. It returns 0, for unknown, if the
-// settings name other seeds and no other instance is live.
+// retryBudgetSharers returns how many instances share the retry budget if n, including this one, are
+// live. It returns 0, for unknown, if other seeds are configured but no other instance is live.
 func (i *Instance) retryBudgetSharers(n int) int {
 	if n > 1 {
 		return n
@@ -27,11 +25,10 @@
 	return n
 }
 
-// shareHoldings lists the shares that this instance holds, and the holders of those
-// that are divided among schedulers.
+// shareHoldings lists the quota shares of this instance and the retry shares of the others.
 type shareHoldings struct {
 	balance.QuotaShares
-	Holders map[string]float64 `json:"holders"` // last reported shares of other instances, by gossip address
+	Holders map[string]float64 `json:"holders"` // last reported, by gossip address
 }
 
 // holdings returns the value of the "bounds" metric.
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -1,6 +1,5 @@
-// Package instance assembles one ivyentry instance: its copy of the published
-// configuration, its listeners, its gossip with other instances, its logs and
-// counters. cmd/ivyentry is a thin main around it.
+// Package instance assembles one ivyentry instance: its copy of the published configuration, its
+// listeners, its gossip with other instances, its logs and counters.
 package instance
 
 import (
@@ -38,18 +37,15 @@
 	maxHeaderBytes = 64 << 10
 )
 
-// Timing of shutdown and maintenance.
 const (
 	readinessDelay = 2300 * time.Millisecond // for the load balancer to see that the instance is not ready
-	// graceFraction is the part of the grace period that Stop may use. The rest is
-	// left for the process to exit on a busy machine.
+	// graceFraction is the fraction of the grace period for Stop; the process exits in the rest.
 	graceFraction       = 15.0 / 16
 	maintenanceInterval = 500 * time.Millisecond
 )
 
-// maxRequestFraction is the number of concurrent requests per file descriptor.
 // A running request holds two descriptors: the caller's and the endpoint's.
-const maxRequestFraction = 3.0 / 8
+const maxRequestsPerDescriptor = 3.0 / 8
 
 // An Instance is one running instance.
 type Instance struct {
@@ -137,7 +133,7 @@
 	i.discovery = discovery.NewTable(i.now)
 	i.balancer = balance.New(s.DataCentre, i.now)
 	i.balancer.SetColdBounds(coldBounds(s))
-	i.balancer.SetRetries(retries(s))
+	i.balancer.SetRetries(retryLimit(s))
 	i.balancer.SetRegions(regions(s))
 	counters.Set("shares", sharesVar(i.balancer, i.teams))
 	i.pool = upstream.NewPool(counter(subMap(counters, "connections")), i.now)
@@ -197,11 +193,10 @@
 		RetryRatio:   p.RetryRatio,
 		RetryExtra:   p.RetryExtra,
 		StallTimeout: time.Duration(p.CallerStallMS) * time.Millisecond,
-		MaxRunning:   int(maxRequestFraction * float64(s.Machine.Descriptors)),
+		MaxRunning:   int(maxRequestsPerDescriptor * float64(s.Machine.Descriptors)),
 	}
 }
 
-// coldBounds returns the limits on requests to cold endpoints. ColdOver defaults to 1.
 func coldBounds(s *Settings) balance.ColdBounds {
 	over := s.Promises.ColdOver
 	if over == 0 {
@@ -324,7 +319,6 @@
 	}
 }
 
-// callerTimeouts returns the timeouts of the current configuration.
 func (i *Instance) callerTimeouts() callerTimeouts {
 	c := i.discovery.View().Catalog
 	if c == nil {
@@ -341,7 +335,6 @@
 	}()
 }
 
-// metricsPath is the HTTP path of the counters.
 const metricsPath = "/debug/vars"
 
 func (i *Instance) metricsHandler() http.Handler {
@@ -363,8 +356,7 @@
 	return r
 }
 
-// maintain periodically detects suspension, tracks status changes and drops the
-// state of removed endpoints.
+// maintain periodically detects suspension, and drops the state of removed endpoints.
 func (i *Instance) maintain(ctx context.Context) {
 	tick := time.NewTicker(maintenanceInterval)
 	defer tick.Stop()
@@ -385,15 +377,14 @@
 	}
 }
 
-// Reload applies new promises, seeds and the memory limit. All other settings keep
-// their initial values until a restart.
+// Reload applies the promises, seeds and memory limit of s. Other settings need a restart.
 func (i *Instance) Reload(s *Settings) {
 	effective := i.applyReload(s)
 	i.entry.SetBounds(bounds(effective))
 	limit, _ := memoryLimit(effective)
 	i.account.SetLimit(limit)
 	i.balancer.SetColdBounds(coldBounds(effective))
-	i.balancer.SetRetries(retries(effective))
+	i.balancer.SetRetries(retryLimit(effective))
 	i.gossip.SetSeeds(gossipSeeds(effective))
 	changed, pending := i.status.reload(s, i.now())
 	i.log.Info("settings reloaded", zap.String("settings", i.status.settingsHash()),
@@ -428,10 +419,9 @@
 	i.pool.Close()
 }
 
-// Stop shuts the instance down gracefully. It reports not ready at once, accepts
-// requests until the load balancer has noticed, and returns when the requests in
-// flight are done or the grace period is nearly over. It waits no longer than that
-// for background work: decoding a response, for one, can't be interrupted.
+// Stop shuts the instance down gracefully. It reports not ready, accepts requests until the load
+// balancer has noticed, and waits for those in flight. It returns before the grace period ends, even
+// if background work that can't be interrupted, such as decoding a response, continues.
 func (i *Instance) Stop() {
 	grace := i.effective.Load().Promises.GraceS * float64(time.Second)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(grace*graceFraction))
--- a/instance/inventory.go
+++ b/instance/inventory.go
@@ -23,8 +23,7 @@
 // summary returns the status summary sent with heartbeats.
 func (i *Instance) summary() inventory.Summary { return i.status.summary(i.version(), i.entry.Ready()) }
 
-// peerAddress converts an instance's gossip address to that of its peer listener.
-// All instances use the same port.
+// peerAddress maps a gossip address to that of the peer listener, whose port all instances share.
 func (i *Instance) peerAddress(gossip string) string {
 	return net.JoinHostPort(hostOf(gossip), portOf(i.settings.Listen.Peers))
 }
@@ -36,8 +35,7 @@
 	return inventory.Follower
 }
 
-// validationAge returns the time since the local data was last known to be current,
-// in ms, or -1 if it never was.
+// validationAge returns the ms since the local data was last known to be current; -1 if it never was.
 func (i *Instance) validationAge() int64 {
 	age, validated := i.discovery.Age()
 	if !validated {
@@ -46,7 +44,6 @@
 	return age.Milliseconds()
 }
 
-// detail returns the full status of this instance.
 func (i *Instance) detail() *inventory.Detail {
 	d := &inventory.Detail{
 		Name: i.settings.Name, DataCentre: i.settings.DataCentre, Role: i.role(), Address: i.settings.Listen.Peers,
@@ -72,7 +69,7 @@
 	return "teams' keys were proved too long ago"
 }
 
-// localFleet returns the part of the fleet that this instance receives heartbeats from.
+// localFleet returns this instance and those that it receives heartbeats from.
 func (i *Instance) localFleet() *inventory.Fleet {
 	self := inventory.Instance{Address: i.settings.Listen.Peers, DataCentre: i.settings.DataCentre, Role: i.role(), ValidatedMS: i.validationAge()}
 	self.SetSummary(i.summary())
@@ -100,9 +97,8 @@
 	return r
 }
 
-// fullFleet returns the whole fleet. A scheduler hears its own region and asks a
-// scheduler of each other region; other instances ask a scheduler. If none answers,
-// the result is marked as partial.
+// fullFleet returns the whole fleet, marked as partial if a region or all schedulers do not answer.
+// A scheduler knows its own region and asks the others; other instances ask a scheduler.
 func (i *Instance) fullFleet(ctx context.Context) *inventory.Fleet {
 	f := i.localFleet()
 	if !f.Partial {
@@ -123,7 +119,6 @@
 	return f
 }
 
-// addRegions adds the instances of other regions to f.
 func (i *Instance) addRegions(ctx context.Context, f *inventory.Fleet) {
 	regions := regions(i.settings)
 	asked := map[string]bool{regions[i.settings.DataCentre]: true}
@@ -139,8 +134,7 @@
 	f.Sort()
 }
 
-// addRegion adds the instances of one region to f. It tries the region's schedulers in
-// turn and reports whether one answered.
+// addRegion adds the instances of a region to f. It reports whether a scheduler there answered.
 func (i *Instance) addRegion(ctx context.Context, f *inventory.Fleet, regions balance.Regions, region string) bool {
 	schedulers, _ := i.gossip.Schedulers()
 	for _, m := range schedulers {
@@ -156,8 +150,8 @@
 	return false
 }
 
-// fetchDetail returns the status of another instance. Only members of the fleet are
-// called: the page must not let a browser reach arbitrary addresses.
+// fetchDetail returns the status of the instance at address. It calls only members of the fleet, so
+// that the inventory page does not let a browser reach arbitrary addresses.
 func (i *Instance) fetchDetail(ctx context.Context, address string) (*inventory.Detail, error) {
 	if address == i.settings.Listen.Peers {
 		return i.detail(), nil
@@ -170,14 +164,13 @@
 	return nil, errors.Errorf("no instance at %s is known", address)
 }
 
-// routeInventory adds the inventory's routes to the metrics handler.
 func routeInventory(r chi.Router, s *inventory.Source) {
 	r.Get(inventory.PagePath, s.ServePage)
 	r.Get(inventory.FleetJSONPath, s.ServeFleet)
 	r.Get(inventory.DetailsJSONPath, s.ServeDetails)
 }
 
-// fleetCounters returns counters of the fleet as known to this instance.
+// fleetCounters returns the value of the "fleet" metric.
 func (i *Instance) fleetCounters() any {
 	f := i.localFleet()
 	oldest := int64(-1)
@@ -192,7 +185,7 @@
 	}
 }
 
-// unreported is the key of instances that don't report a value.
+// unreported is the metric key for instances that don't report a value.
 const unreported = "not told"
 
 func orUnreported(text string) string {
--- a/instance/older_builds.go
+++ b/instance/older_builds.go
@@ -12,18 +12,15 @@
 	"ivyridge/gossip"
 )
 
-// olderBuildExpiry is how long an instance with an older build is not asked again. It may
-// be upgraded under the same address in the meantime.
+// olderBuildExpiry is how long an instance is not asked again. It may be upgraded in the meantime.
 const olderBuildExpiry = 10 * time.Second
 
-// olderBuilds holds the gossip addresses of instances with older builds and when each
-// was found. It is safe for concurrent use.
+// olderBuilds is a set of instances with older builds. It is safe for concurrent use.
 type olderBuilds struct {
 	mu    sync.Mutex
-	found map[string]time.Time
+	found map[string]time.Time // by gossip address
 }
 
-// add records an instance with an older build and reports whether it was not in the set.
 func (o *olderBuilds) add(address string, now time.Time) (added bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -66,7 +63,6 @@
 	}
 }
 
-// excludeOlderBuilds returns the members not known to run an older build.
 func (i *Instance) excludeOlderBuilds(members []gossip.Member) []gossip.Member {
 	var out []gossip.Member
 	for _, m := range members {
--- a/instance/peers.go
+++ b/instance/peers.go
@@ -19,16 +19,15 @@
 )
 
 const (
-	// maxValidationAge is the age up to which another instance's validation is recent.
+	// maxValidationAge is the age up to which another instance's validation counts as recent.
 	maxValidationAge = 2500 * time.Millisecond
 	// maxPeerSources limits the instances that are asked in turn for a newer revision.
 	maxPeerSources   = 2
 	relayIdleTimeout = 5 * time.Second
 )
 
-// validationTurn returns the position of this instance in the order of validation.
-// Schedulers with a recent validation take turns. Other instances learn the result from
-// them, and ask the store only if no scheduler can, without an order among themselves.
+// validationTurn returns the position of this instance in the order of validation. Schedulers with a
+// recent validation take turns. Other instances ask the store only if no scheduler can, unordered.
 func (i *Instance) validationTurn() discovery.ValidationTurn {
 	schedulers, schedules := i.gossip.Schedulers()
 	if !schedules {
@@ -44,7 +43,7 @@
 	return discovery.ValidationTurn{Rank: rank}
 }
 
-// A placer selects endpoints through the instance's gossip, which is set up after the entry.
+// A placer selects endpoints through the instance's gossip, which is set up after the entry proxy.
 type placer struct{ i *Instance }
 
 // Place implements entry.Placer.
@@ -52,12 +51,9 @@
 	return p.i.gossip.Place(ctx, endpoints, d)
 }
 
-// upstream returns the instance that this one fetches updates from: the first candidate
-// with a recent validation. If the current source is superseded, the candidate must also
-// have the newest revision of any scheduler. If no validation is recent, the store is
-// probably down for all, so the first candidate is kept: if the whole fleet turned
-// to the store, it would only add load. It returns false if the store is to be asked
-// instead.
+// upstream returns the instance to fetch updates from, or false for the store: the first candidate
+// validated recently and, if the current source is superseded, at the newest revision. Without one,
+// the first candidate is kept unless superseded: the store is probably down, and needs no more load.
 func (i *Instance) upstream(superseded bool) (discovery.NamedSource, bool) {
 	now := i.now()
 	upstreams, newest := i.gossip.Upstreams()
@@ -73,13 +69,11 @@
 	return i.relay(&upstreams[0]), true
 }
 
-// bootstrapTimeout is how long a starting instance waits for data from a peer. It spans
-// a few heartbeats, and keeps a restart of the fleet from loading the store with one
-// full read per instance.
+// bootstrapTimeout is how long a starting instance waits for a peer's data, a few heartbeats. Without
+// the wait, a restart of the fleet loads the store with one full read per instance.
 const bootstrapTimeout = 300 * time.Millisecond
 
-// bootstrapWait returns how long to wait for peers at the start. Seeds don't wait, since
-// other instances depend on them.
+// bootstrapWait returns how long to wait for peers at start: 0 for seeds, which others depend on.
 func (i *Instance) bootstrapWait() time.Duration {
 	address := i.settings.Listen.Peers
 	if len(i.settings.Seeds) == 0 || slices.Contains(i.settings.Seeds, address) {
@@ -88,8 +82,7 @@
 	return bootstrapTimeout
 }
 
-// newerPeers returns instances with a newer revision, those of the local data centre
-// first. The order is otherwise random to spread the load.
+// newerPeers returns instances with a newer revision: local ones first, shuffled to spread the load.
 func (i *Instance) newerPeers() []discovery.NamedSource {
 	revision := i.discovery.View().Revision
 	var local, remote []discovery.NamedSource
@@ -135,7 +128,6 @@
 	return port
 }
 
-// peersHandler returns the HTTP handler for other instances.
 func (i *Instance) peersHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Get(gossip.StatePath, gossip.StateHandler(i.discovery, i.log))
--- a/instance/reload_test.go
+++ b/instance/reload_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// The reported effective settings must be those that the instance uses: a reload applies
-// exactly the fields that it reports as changed, and no field that needs a restart.
+// A reload must apply exactly the fields that it reports as changed.
 func TestReloadReportsEffectiveSettings(t *testing.T) {
 	start := &Settings{Name: "a", Seeds: []string{"10.0.0.1:1"}, Machine: Machine{MemoryMB: 184, Descriptors: 4000}, Promises: Promises{GraceS: 8, RetryExtra: 10}}
 	next := &Settings{Name: "b", Seeds: []string{"10.0.0.2:1"}, Machine: Machine{MemoryMB: 300, Descriptors: 8000}, Promises: Promises{GraceS: 5, RetryExtra: 20}}
--- a/instance/settings.go
+++ b/instance/settings.go
@@ -44,12 +44,12 @@
 	ColdOver  float64 `yaml:"cold_over"`
 	ColdSlack float64 `yaml:"cold_slack"`
 
-	// CallerStallMS closes the connection of a caller that reads nothing of its
-	// response for that long. The default is 8 s.
+	// CallerStallMS is how long a caller may read nothing of its response before its connection is
+	// closed. 0 means 8 s.
 	CallerStallMS int `yaml:"caller_stall_ms"`
 }
 
-// A DataCentre is a zone with instances or endpoints.
+// A DataCentre is a site of instances or endpoints.
 type DataCentre struct {
 	Pos    yamlfile.Pos
 	Name   string `yaml:"name"`
@@ -87,8 +87,7 @@
 	return ParseSettings(file, data)
 }
 
-// ParseSettings validates settings. The error, if any, is a yamlfile.Errors that
-// lists every fault with its position.
+// ParseSettings validates settings. The error, if any, is a yamlfile.Errors with every fault.
 func ParseSettings(file string, data []byte) (*Settings, error) {
 	s := new(Settings)
 	err := yamlfile.Decode(file, data, s)
--- a/instance/shares.go
+++ b/instance/shares.go
@@ -1,7 +1,7 @@
 package instance
 
-// This file publishes the rates of teams among the metrics. A scheduler knows the
-// requests that it placed; other instances know only their own.
+// This file publishes the request rates of teams as a metric. A scheduler counts the requests that it
+// placed, for any instance; other instances count only their own.
 
 import (
 	"cmp"
@@ -34,7 +34,7 @@
 	Others  float64 `json:"asked_elsewhere"` // reported by other instances
 }
 
-// sharesVar publishes the shares of b with team names.
+// sharesVar returns a metric of the shares of b, with team names for their hashes.
 func sharesVar(b *balance.Balancer, teams func() []catalog.Team) expvar.Func {
 	return func() any {
 		var out []levelShares
@@ -67,7 +67,6 @@
 	return hashes
 }
 
-// teams returns the configured teams.
 func (i *Instance) teams() []catalog.Team {
 	if c := i.discovery.View().Catalog; c != nil {
 		return c.Teams()
--- a/instance/shares_test.go
+++ b/instance/shares_test.go
@@ -10,7 +10,6 @@
 	"ivyridge/discovery"
 )
 
-// Shares list teams by their configured names.
 func TestSharesVarTeamNames(t *testing.T) {
 	b := balance.New("z", time.Now)
 	endpoints := []*discovery.Endpoint{{Endpoint: catalog.Endpoint{ID: "e", DataCentre: "z", Slots: 4}}}
--- a/instance/status.go
+++ b/instance/status.go
@@ -1,7 +1,6 @@
 package instance
 
-// This file tracks the status of the instance: the effective settings, rejected settings
-// files, and settings that need a restart.
+// This file tracks which settings are effective, rejected, or waiting for a restart.
 
 import (
 	"slices"
@@ -13,24 +12,22 @@
 	"ivyridge/yamlfile"
 )
 
-// instanceSpecific lists the settings that differ between instances. They are not hashed.
+// instanceSpecific lists the settings that the hash leaves out, since each instance has its own.
 var instanceSpecific = []string{
 	"name", "data_centre", "listen.callers", "listen.ready", "listen.peers",
 	"machine.cores", "machine.memory_mb", "machine.descriptors",
 }
 
-// Sources of the effective settings.
 const (
 	sourceStart  = "start"
 	sourceReload = "reload"
 )
 
-// reloadable reports whether a setting is applied without a restart.
 func reloadable(path string) bool {
 	return strings.HasPrefix(path, "promises.") || path == "seeds" || path == "machine.memory_mb"
 }
 
-// status is the status of this instance. It is safe for concurrent use.
+// status records the settings, version and readiness of this instance. It is safe for concurrent use.
 type status struct {
 	build   inventory.Build
 	started time.Time
@@ -61,32 +58,32 @@
 }
 
 func newStatus(s *Settings, now time.Time) *status {
-	r := &status{build: inventory.ReadBuild(), started: now, source: sourceStart, effectiveSince: now}
-	r.apply(yamlfile.Flatten(s))
-	return r
+	st := &status{build: inventory.ReadBuild(), started: now, source: sourceStart, effectiveSince: now}
+	st.apply(yamlfile.Flatten(s))
+	return st
 }
 
-// apply makes fields effective. The caller holds r.mu or has exclusive access to r.
-func (r *status) apply(fields map[string]string) {
-	r.fields = fields
+// apply makes fields effective. The caller holds st.mu or has exclusive access to st.
+func (st *status) apply(fields map[string]string) {
+	st.fields = fields
 	shared := make(map[string]string, len(fields))
 	for path, value := range fields {
 		if !slices.Contains(instanceSpecific, path) {
 			shared[path] = value
 		}
 	}
-	r.hash = inventory.HashFields(shared)
-	r.hashText = inventory.HashText(r.hash)
+	st.hash = inventory.HashFields(shared)
+	st.hashText = inventory.HashText(st.hash)
 }
 
-// reload applies the reloadable settings of s. It returns the paths of those that
-// changed, and of changed settings that need a restart.
-func (r *status) reload(s *Settings, now time.Time) (changed, pendingRestart []string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	fields := make(map[string]string, len(r.fields))
+// reload applies the reloadable settings of s. It returns the sorted paths of those that changed, and
+// of changed settings that need a restart.
+func (st *status) reload(s *Settings, now time.Time) (changed, pendingRestart []string) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	fields := make(map[string]string, len(st.fields))
 	for path, value := range yamlfile.Flatten(s) {
-		previous := r.fields[path]
+		previous := st.fields[path]
 		switch {
 		case value == previous:
 		case reloadable(path):
@@ -99,57 +96,53 @@
 	}
 	slices.Sort(changed)
 	slices.Sort(pendingRestart)
-	r.rejection, r.rejectedAt, r.pendingRestart = "", time.Time{}, pendingRestart
+	st.rejection, st.rejectedAt, st.pendingRestart = "", time.Time{}, pendingRestart
 	if len(changed) > 0 {
-		r.source, r.effectiveSince = sourceReload, now
-		r.apply(fields)
+		st.source, st.effectiveSince = sourceReload, now
+		st.apply(fields)
 	}
 	return changed, pendingRestart
 }
 
-// reject records that a settings file was rejected.
-func (r *status) reject(err error, now time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.rejection, r.rejectedAt = err.Error(), now
+func (st *status) reject(err error, now time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.rejection, st.rejectedAt = err.Error(), now
 }
 
-// settingsHash returns the hash of the effective settings as text.
-func (r *status) settingsHash() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.hashText
+func (st *status) settingsHash() string {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.hashText
 }
 
-// observe records the configuration version and readiness.
-func (r *status) observe(version int64, ready bool, now time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.version.observe(version, now)
-	r.ready.observe(ready, now)
+func (st *status) observe(version int64, ready bool, now time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.version.observe(version, now)
+	st.ready.observe(ready, now)
 }
 
-// summary returns the status summary sent with heartbeats.
-func (r *status) summary(version int64, ready bool) inventory.Summary {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (st *status) summary(version int64, ready bool) inventory.Summary {
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	return inventory.Summary{
-		Build: r.build.Hash(), Settings: r.hash, Version: version,
-		Ready: ready, Refused: r.rejection != "", NeedsRestart: len(r.pendingRestart) > 0,
+		Build: st.build.Hash(), Settings: st.hash, Version: version,
+		Ready: ready, Refused: st.rejection != "", NeedsRestart: len(st.pendingRestart) > 0,
 	}
 }
 
-// detail sets the fields of d that r holds.
-func (r *status) detail(d *inventory.Detail, now time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	d.Build, d.InstanceSpecific = r.build, instanceSpecific
-	d.Settings, d.Fields = r.hashText, r.fields
-	d.SettingsBy, d.SettingsMS = r.source, inventory.Since(now, r.effectiveSince)
-	d.PendingRestart = r.pendingRestart
-	if r.rejection != "" {
-		d.Refused, d.RefusedMS = r.rejection, inventory.Since(now, r.rejectedAt)
+// detail sets the fields of d that st records.
+func (st *status) detail(d *inventory.Detail, now time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	d.Build, d.InstanceSpecific = st.build, instanceSpecific
+	d.Settings, d.Fields = st.hashText, st.fields
+	d.SettingsBy, d.SettingsMS = st.source, inventory.Since(now, st.effectiveSince)
+	d.PendingRestart = st.pendingRestart
+	if st.rejection != "" {
+		d.Refused, d.RefusedMS = st.rejection, inventory.Since(now, st.rejectedAt)
 	}
-	d.VersionMS, d.ReadyMS = inventory.Since(now, r.version.since), inventory.Since(now, r.ready.since)
-	d.Uptime = int64(now.Sub(r.started).Seconds())
+	d.VersionMS, d.ReadyMS = inventory.Since(now, st.version.since), inventory.Since(now, st.ready.since)
+	d.Uptime = int64(now.Sub(st.started).Seconds())
 }
--- a/instance/suspects.go
+++ b/instance/suspects.go
@@ -1,7 +1,6 @@
 package instance
 
-// This file fetches other instances' lists of requests suspected of crashing endpoints,
-// and lets operators list and unblock them.
+// This file fetches, lists and unblocks requests that are suspected of crashing endpoints.
 
 import (
 	"context"
@@ -23,7 +22,7 @@
 
 const suspectsTimeout = time.Second
 
-// fetchSuspects returns the encoded suspects of the instance with a gossip address.
+// fetchSuspects returns the encoded suspects of the instance at a gossip address.
 func (i *Instance) fetchSuspects(address string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), suspectsTimeout)
 	defer cancel()
@@ -41,8 +40,7 @@
 	return a.Body, nil
 }
 
-// blocked returns the requests, teams, endpoints and store entries that this instance
-// blocks or limits.
+// blocked lists the requests, teams, endpoints and store entries that i blocks or limits.
 func (i *Instance) blocked() *inventory.Blocked {
 	now := i.now()
 	names := i.endpointNames()
@@ -61,8 +59,8 @@
 		}
 		out.Requests = append(out.Requests, r)
 	}
-	for at, left := range i.suspects.SlowedTeams(now) {
-		out.Teams = append(out.Teams, inventory.BlockedTeam{Service: at.Service, Team: at.Team, ForMS: left.Milliseconds()})
+	for key, remaining := range i.suspects.SlowedTeams(now) {
+		out.Teams = append(out.Teams, inventory.BlockedTeam{Service: key.Service, Team: key.Team, ForMS: remaining.Milliseconds()})
 	}
 	for _, a := range i.balancer.UnavailableEndpoints() {
 		out.Unavailable = append(out.Unavailable, inventory.UnavailableEndpoint{ID: a.Endpoint, BackoffMS: a.Backoff.Milliseconds(), Draining: a.Draining})
@@ -91,8 +89,7 @@
 	return names
 }
 
-// routeBlocked adds the routes to list blocked requests and to unblock one. Unblocking
-// uses DELETE, which browsers do not send cross-site without a preflight.
+// Unblocking uses DELETE, which browsers do not send cross-site without a preflight.
 func (i *Instance) routeBlocked(r chi.Router) {
 	r.Get(inventory.BlockedPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
--- a/instance/suspend.go
+++ b/instance/suspend.go
@@ -1,7 +1,6 @@
 package instance
 
-// This file detects that the machine was suspended. The instance's clock keeps running
-// during a suspension, so ages are right immediately afterwards. Runtime timers do not.
+// This file detects suspension of the machine, which stops timers but not the instance's clock.
 
 import (
 	"time"
@@ -9,13 +8,13 @@
 	"go.uber.org/zap"
 )
 
-// minSuspend is the shortest difference between the clocks that counts as a suspension.
-// The clocks are not read at the same instant, and the process may be delayed in between.
+// minSuspend is the shortest suspension reported. A delay of the process between its readings of the
+// two clocks looks like a shorter one.
 const minSuspend = 250 * time.Millisecond
 
 // A suspendDetector compares a clock that runs during suspension with one that does not.
 type suspendDetector struct {
-	monotonic    time.Time // last reading of the monotonic clock
+	monotonic    time.Time // last reading
 	suspendAware time.Time // last reading of the instance's clock
 }
 
@@ -23,8 +22,7 @@
 	return &suspendDetector{monotonic: time.Now(), suspendAware: now()}
 }
 
-// check returns how long the machine was suspended since the last call, or 0. now is a
-// reading of the instance's clock.
+// check returns how long the machine was suspended since the last call. now is the instance's time.
 func (s *suspendDetector) check(now time.Time) time.Duration {
 	monotonic := time.Now()
 	suspended := now.Sub(s.suspendAware) - monotonic.Sub(s.monotonic)
--- a/instance/watch.go
+++ b/instance/watch.go
@@ -1,7 +1,5 @@
 package instance
 
-// This file watches the settings file for changes.
-
 import (
 	"context"
 	"os"
--- a/instance/working_sets.go
+++ b/instance/working_sets.go
@@ -11,7 +11,6 @@
 	"ivyridge/inventory"
 )
 
-// workingSets returns the working sets of this instance and the slowness reported by endpoints.
 func (i *Instance) workingSets() *inventory.Sets {
 	out := &inventory.Sets{Services: []inventory.WorkingSet{}, Slow: []inventory.SlowEndpoint{}}
 	for _, s := range i.balancer.WorkingSets() {
