--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,9 +1,5 @@
-// Package settings reads and validates the settings of one ivyrouted instance.
-//
-// Settings hold what an instance needs before it can contact others: its name,
-// addresses and data centre, the platform's address and its keys. All other
-// configuration is published by the platform. Parse reports every fault with
-// its position.
+// Package settings reads and validates the settings of one ivyrouted instance: what it needs to
+// contact others. All other configuration is published by the platform.
 package settings
 
 import (
@@ -72,7 +68,7 @@
 type Policy struct {
 	Pos      yamlfile.Pos
 	Name     string   `yaml:"name"`
-	Disabled []string `yaml:"without"` // parts of the policy to disable
+	Disabled []string `yaml:"without"` // mechanisms to disable; see home.Mechanisms
 	// Standalone makes each instance schedule independently, as a baseline for comparison.
 	Standalone bool `yaml:"alone"`
 }
@@ -92,11 +88,9 @@
 	Limits       Limits        `yaml:"limits"`
 	Policy       Policy        `yaml:"policy"`
 	DrainTimeout time.Duration `yaml:"drain_within"` // limit of a graceful shutdown
-	// Quarantine is how long keys are refused if no instance can confirm their
-	// records; see package owner.
+	// Quarantine is how long keys are refused whose records no instance can confirm; see package owner.
 	Quarantine *time.Duration `yaml:"key_quarantine"`
-	// ColdStart declares that the fleet may be starting for the first time.
-	// No quarantine is then needed if all instances are new.
+	// ColdStart permits a first start of the fleet: no quarantine applies if all instances are new.
 	ColdStart bool `yaml:"cold_start"`
 }
 
@@ -109,7 +103,7 @@
 	return Parse(file, data)
 }
 
-// Parse validates settings and sets defaults. The error, if any, is a yamlfile.Errors.
+// Parse validates settings and sets defaults. The error, if any, is a yamlfile.Errors with every fault.
 func Parse(file string, data []byte) (*Settings, error) {
 	s := new(Settings)
 	err := yamlfile.Decode(file, data, s)
