--- a/operator/client.go
+++ b/operator/client.go
@@ -43,12 +43,12 @@
 	}
 	raw = bytes.TrimSpace(raw)
 	if res.StatusCode != http.StatusOK {
-		var f ErrorResponse
-		if json.Unmarshal(raw, &f) != nil {
+		var body ErrorResponse
+		if json.Unmarshal(raw, &body) != nil {
 			return nil, raw, errors.Errorf("%s: %s", res.Status, raw)
 		}
-		return nil, raw, errors.New(f.Error)
+		return nil, raw, errors.New(body.Error)
 	}
 	t := new(Table)
-	return t, raw, errors.Wrap(json.Unmarshal(raw, t), "answer")
+	return t, raw, errors.Wrap(json.Unmarshal(raw, t), "decode response")
 }
--- a/operator/lang.go
+++ b/operator/lang.go
@@ -1,13 +1,9 @@
-// Package operator implements the query and command language for operators and
-// its HTTP interface.
+// Package operator implements the query and command language for operators, which
+// docs/query-language.md describes, and its HTTP interface.
 //
-// A statement is one line: show queries the fleet, other verbs change it. Each
-// instance evaluates queries for itself (QueryHandler). The instance that received the
-// statement merges the results and names the instances that did not reply. The
-// language is described in docs/query-language.md.
-//
-// The files: lang.go (grammar), table.go (results), local.go (evaluation),
-// serve.go (the HTTP interface).
+// A statement is one line: show queries the fleet, other verbs change it. Each instance evaluates
+// queries for itself (QueryHandler). The instance that received the statement merges the results and
+// names the instances that did not reply.
 package operator
 
 import (
@@ -81,7 +77,6 @@
 	Msg string
 }
 
-// Error returns the column and message.
 func (e *SyntaxError) Error() string { return errors.Errorf("column %d: %s", e.Col, e.Msg).Error() }
 
 const defaultWindow = time.Minute
@@ -167,8 +162,7 @@
 	return nil
 }
 
-// Command returns the command of a statement that changes something. It returns false
-// for a query.
+// Command returns the statement's command, or false for a query.
 func (s *Statement) Command() (command.Command, bool) {
 	switch {
 	case s.SetClass != nil:
--- a/operator/local.go
+++ b/operator/local.go
@@ -30,7 +30,6 @@
 	}
 }
 
-// An evaluator evaluates one query on the local instance.
 type evaluator struct {
 	node *node.Node
 	show *Show
@@ -58,8 +57,7 @@
 	return ev.commands()
 }
 
-// counts builds a counted table from the rows that each adds, grouped and filtered
-// as the query says.
+// counts builds a table of the counts that each adds, grouped and filtered as the query says.
 func (ev *evaluator) counts(each func(add func(fields map[string]string, n int64))) *Table {
 	by := ev.show.By
 	t := &Table{Columns: append(append([]string(nil), by...), countColumn), Rows: [][]string{}}
@@ -127,15 +125,15 @@
 }
 
 // rows builds a table that is not counted, filtered as the query says.
-func (ev *evaluator) rows(columns string, each func(add func(cells ...string))) *Table {
+func (ev *evaluator) rows(columns string, each func(add func(values ...string))) *Table {
 	t := &Table{Columns: strings.Fields(columns), Rows: [][]string{}}
-	each(func(cells ...string) {
-		fields := make(map[string]string, len(cells))
-		for i, c := range cells {
-			fields[t.Columns[i]] = c
+	each(func(values ...string) {
+		fields := make(map[string]string, len(values))
+		for i, v := range values {
+			fields[t.Columns[i]] = v
 		}
 		if ev.matches(fields) {
-			t.Rows = append(t.Rows, cells)
+			t.Rows = append(t.Rows, values)
 		}
 	})
 	return t
--- a/operator/serve.go
+++ b/operator/serve.go
@@ -52,8 +52,7 @@
 	return r
 }
 
-// authenticate returns the account that the request's bearer token belongs to. It
-// checks all accounts in constant time.
+// authenticate returns the account of the request's bearer token, which it compares in constant time.
 func (s *Server) authenticate(r *http.Request) (*Account, bool) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -85,18 +84,18 @@
 }
 
 func (s *Server) writeError(w http.ResponseWriter, status int, err error) {
-	f := ErrorResponse{Error: err.Error()}
+	body := ErrorResponse{Error: err.Error()}
 	var se *SyntaxError
 	if errors.As(err, &se) {
-		f.Col = se.Col
+		body.Col = se.Col
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(f)
+	_ = json.NewEncoder(w).Encode(body)
 }
 
 func (s *Server) handleStatement(w http.ResponseWriter, r *http.Request) {
-	who, ok := s.authenticate(r)
+	account, ok := s.authenticate(r)
 	if !ok {
 		s.writeError(w, http.StatusUnauthorized, errors.New("an operator's bearer token is needed"))
 		return
@@ -112,7 +111,7 @@
 		return
 	}
 	if c, ok := st.Command(); ok {
-		s.execute(w, r.Context(), who, c)
+		s.execute(w, r.Context(), account, c)
 		return
 	}
 	s.writeTable(w, s.query(r.Context(), string(text)))
@@ -142,12 +141,11 @@
 	return t
 }
 
-// execute applies a command to all instances.
-func (s *Server) execute(w http.ResponseWriter, ctx context.Context, who *Account, c command.Command) {
-	c.Operator = who.Name
-	if who.ReadOnly {
+func (s *Server) execute(w http.ResponseWriter, ctx context.Context, account *Account, c command.Command) {
+	c.Operator = account.Name
+	if account.ReadOnly {
 		s.commands.Add("forbidden", 1)
-		s.writeError(w, http.StatusForbidden, errors.Errorf("operator %q may only query", who.Name))
+		s.writeError(w, http.StatusForbidden, errors.Errorf("operator %q may only query", account.Name))
 		return
 	}
 	old, err := s.node.Command(ctx, c)
--- a/operator/table.go
+++ b/operator/table.go
@@ -14,8 +14,7 @@
 // countColumn is the name of the last column of a counted table.
 const countColumn = "count"
 
-// A Table is the result of a statement. Missing names the instances that did not
-// reply, with the reason.
+// A Table is the result of a statement. Missing lists the instances that did not reply, and why.
 type Table struct {
 	Columns []string   `json:"columns"`
 	Rows    [][]string `json:"rows"`
