--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,4 @@
-// Package daemon assembles one ivyrouted instance: its node, listeners, logs and
-// counters. cmd/ivyrouted is a thin main around it.
+// Package daemon assembles one ivyrouted instance: its node, listeners, logs and counters.
 package daemon
 
 import (
@@ -27,11 +26,9 @@
 	"ivyridge/settings"
 )
 
-// readinessDelay is how long an instance that is shutting down accepts requests, for
-// the load balancer to see that it is not ready.
+// readinessDelay gives the load balancer time to see that an instance is not ready.
 const readinessDelay = time.Second
 
-// Timeouts of connections.
 const (
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 2 * time.Minute
@@ -155,10 +152,9 @@
 
 func (d *Daemon) Node() *node.Node { return d.node }
 
-// Shutdown shuts the instance down gracefully. It reports not ready, accepts requests
-// until the load balancer has noticed, completes those in flight and queued, hands
-// its cells and keys over, and stops. It returns when all is done or the drain_within
-// setting has passed, with an error if requests were then still in flight.
+// Shutdown shuts the instance down gracefully. It reports not ready, accepts requests until the load
+// balancer has noticed, completes those in flight and queued, and hands over its cells and keys. It
+// returns an error if requests are still in flight after the drain_within setting.
 func (d *Daemon) Shutdown() error {
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTimeout)
 	defer cancel()
@@ -178,7 +174,7 @@
 	d.node.Close()
 	_ = d.peers.Shutdown(context.Background())
 	d.wg.Wait()
-	d.log.Info("left")
+	d.log.Info("stopped")
 	return err
 }
 
