--- a/command/command.go
+++ b/command/command.go
@@ -1,13 +1,10 @@
 // Package command implements operators' commands: changes to the published
 // declarations that stay effective until a newer publication overrides them.
 //
-// The system has no writable storage, so the instances hold the commands. A
-// command is replicated in two phases: every listed instance must promise to
-// accept it (Prepare) before it takes effect (Commit). Heartbeats carry accepted
-// commands to new instances, so they survive a rolling replacement of the fleet.
-// An instance promises only versions above all it has seen, so versions are ordered.
-//
-// A Set does no I/O and is not safe for concurrent use.
+// The system has no writable storage, so the instances hold the commands. A command takes effect
+// (Commit) after every listed instance has promised to accept it (Prepare). An instance promises only
+// versions above all it has seen, which orders them. Heartbeats carry accepted commands to new
+// instances, so they survive a rolling replacement of the fleet.
 package command
 
 import (
@@ -42,16 +39,14 @@
 	Target string `json:"target"`
 	Field  string `json:"field,omitempty"`
 	Value  string `json:"value,omitempty"`
-	// Base is the published value of the field when the command was given. The
-	// command is overridden once the published value differs.
+	// Base is the value published when the command was given. Publishing another overrides the command.
 	Base     string `json:"base,omitempty"`
 	Operator string `json:"who"`
 	Origin   string `json:"origin"` // instance that received the command
 	Version  int64  `json:"version"`
 }
 
-// Key identifies what a command changes. A later command for the same slot
-// replaces an earlier one.
+// Key returns the slot that a command changes. A later command replaces the one in its slot.
 func (c *Command) Key() string {
 	switch c.Op {
 	case SetClass:
@@ -62,7 +57,7 @@
 	return "endpoint/" + c.Target
 }
 
-// A Set holds the commands known to an instance.
+// A Set holds the commands known to an instance. It is not safe for concurrent use.
 type Set struct {
 	accepted map[string]Command
 	promised map[string]promise
@@ -186,9 +181,9 @@
 		if class == nil || fields[c.Field] == nil || fields[c.Field].read(class) != c.Base {
 			continue
 		}
-		next, ok := set.WithClass(c.Target, func(k *decl.Class) { _ = fields[c.Field].write(k, c.Value) })
+		changed, ok := set.WithClass(c.Target, func(k *decl.Class) { _ = fields[c.Field].write(k, c.Value) })
 		if ok {
-			set = next
+			set = changed
 		}
 	}
 	return set
