--- a/yamlfile/check.go
+++ b/yamlfile/check.go
@@ -1,6 +1,6 @@
 package yamlfile
 
-// This file holds checks of fields that several kinds of files have.
+// This file checks fields that several kinds of files have.
 
 import "net"
 
@@ -22,7 +22,7 @@
 // DefaultLogLevel is the log level of settings without one.
 const DefaultLogLevel = "info"
 
-// CheckLogLevel sets an empty level to DefaultLogLevel, and adds an error if the level is unknown.
+// CheckLogLevel replaces an empty level by DefaultLogLevel, and adds an error if level is unknown.
 func (es *Errors) CheckLogLevel(p Pos, level *string) {
 	switch *level {
 	case "":
--- a/yamlfile/yamlfile.go
+++ b/yamlfile/yamlfile.go
@@ -1,10 +1,8 @@
 // Package yamlfile decodes YAML strictly and reports every error with its position.
 //
-// Decode walks the document along with the Go type that it fills. Unknown fields, duplicate
-// fields, wrong types and invalid values are all collected, so that one check reports everything
-// there is to fix. Fields are matched by their `yaml` tags; a type with UnmarshalText decodes a
-// scalar itself. A struct field of type Pos named "Pos" receives the position of its node, for use
-// in later checks.
+// Decode collects all unknown fields, duplicate fields, wrong types and invalid values. Fields are
+// matched by their yaml tags; a type with UnmarshalText decodes a scalar itself. A struct field of
+// type Pos named "Pos" receives the position of its node, for later checks.
 package yamlfile
 
 import (
@@ -26,19 +24,15 @@
 	Col  int
 }
 
-// String returns file:line:col.
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col) }
 
 // An Error is an error in a file.
 type Error struct {
-	Pos Pos
-	Msg string
-	// Unreadable says that the file could not be parsed at all, so that later checks are
-	// pointless.
-	Unreadable bool
+	Pos        Pos
+	Msg        string
+	Unreadable bool // the file could not be parsed, so further checks are pointless
 }
 
-// Error returns the position and the message.
 func (e *Error) Error() string { return e.Pos.String() + ": " + e.Msg }
 
 // Errors is a list of errors in a file.
@@ -76,8 +70,8 @@
 	return es
 }
 
-// Decode fills out, a pointer to a struct, from data. file is the name that errors give. A non-nil
-// error is an Errors; out is then filled as far as possible.
+// Decode fills out, a pointer to a struct, from data. Errors name the file. A non-nil error is an
+// Errors; out is then filled as far as possible.
 func Decode(file string, data []byte, out any) error {
 	d := &decoder{file: file}
 	var root yaml.Node
