--- a/chart/chart.go
+++ b/chart/chart.go
@@ -1,9 +1,8 @@
 // Package chart compiles and runs state charts.
 //
-// A chart file lists events and states. Every state handles every event, by a transition or by
-// ignoring it, unless it is final. A state may name the verdict of a request that ends in it. The
-// files in charts/ are compiled when the package is initialized; a Machine then steps through a
-// table without allocating. The package runs no actions: the owner of a Machine reads its state.
+// Every state handles every event, by a transition or by ignoring it, unless it is final. A state may
+// name the verdict of a request that ends in it. The package runs no actions: the owner of a Machine
+// reads its state. Steps do not allocate.
 package chart
 
 import (
@@ -19,7 +18,7 @@
 //go:embed charts/*.yaml
 var files embed.FS
 
-// The charts in charts/.
+// The charts in charts/, compiled at initialization.
 var (
 	Request       = mustLoad("request")
 	Endpoint      = mustLoad("endpoint")
@@ -122,8 +121,7 @@
 	p.chart.initial = initial
 }
 
-// row compiles the transitions of s. An event that a state does not handle is an error unless the
-// state is final.
+// row compiles the transitions of s, which must handle every event unless it is final.
 func (p *compiler) row(s stateFile) []State {
 	const none = State(-1)
 	row := make([]State, len(p.chart.events))
@@ -142,12 +140,12 @@
 		}
 	}
 	self, _ := p.chart.lookupState(s.Name)
-	for _, m := range s.On {
-		to, ok := p.chart.lookupState(m.To)
+	for _, t := range s.On {
+		to, ok := p.chart.lookupState(t.To)
 		if !ok {
-			p.errs.Add(m.Pos, "state %q: unknown state %q", s.Name, m.To)
+			p.errs.Add(t.Pos, "state %q: unknown state %q", s.Name, t.To)
 		}
-		set(m.Pos, m.Event, to)
+		set(t.Pos, t.Event, to)
 	}
 	for _, event := range s.Ignore {
 		set(s.Pos, event, self)
@@ -181,8 +179,7 @@
 	return 0, false
 }
 
-// Event returns the event called name. It panics if there is none, so names should be resolved at
-// program start.
+// Event returns the event called name. It panics if there is none.
 func (c *Chart) Event(name string) Event {
 	ev, ok := c.lookupEvent(name)
 	if !ok {
@@ -215,15 +212,13 @@
 // StateName returns the name of s.
 func (c *Chart) StateName(s State) string { return c.states[s].name }
 
-// Final reports whether s is final. A final state that a file defines without transitions never
-// changes.
+// Final reports whether s is final.
 func (c *Chart) Final(s State) bool { return c.states[s].final }
 
 // Verdict returns the verdict of a request that ends in s.
 func (c *Chart) Verdict(s State) verdict.Verdict { return c.states[s].verdict }
 
-// A Machine holds the current state of a chart. Its zero value is not usable. It is not safe for
-// concurrent use.
+// A Machine is a running chart, made by Chart.New. It is not safe for concurrent use.
 type Machine struct {
 	chart *Chart
 	state State
--- a/chart/chart_test.go
+++ b/chart/chart_test.go
@@ -10,7 +10,6 @@
 
 var charts = []*chart.Chart{chart.Request, chart.Endpoint, chart.Instance, chart.Configuration}
 
-// reachable returns the states that are reachable from s, including s.
 func reachable(c *chart.Chart, s chart.State) map[chart.State]bool {
 	seen := map[chart.State]bool{s: true}
 	for todo := []chart.State{s}; len(todo) > 0; {
@@ -50,8 +49,7 @@
 	}
 }
 
-// After bytes may have reached an endpoint, a state with verdict "not run" is reached only through
-// an event that proves it.
+// Once bytes may have reached an endpoint, only an event that proves it leads to "not run".
 func TestNotRunRequiresProof(t *testing.T) {
 	c := chart.Request
 	proofs := map[chart.Event]bool{c.Event("unsent"): true, c.Event("refused_unrun"): true}
@@ -74,8 +72,7 @@
 	walk(c.State("sent"))
 }
 
-// An endpoint that is leaving never serves again.
-func TestLeavingIsFinal(t *testing.T) {
+func TestLeavingEndpointIsFinal(t *testing.T) {
 	c := chart.Endpoint
 	if n := len(reachable(c, c.State("leaving"))); n != 1 {
 		t.Errorf("%d states are reachable from leaving", n-1)
