--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,4 @@
-// Package cli holds what the project's commands share: the version, the exit codes, and argument
-// parsing with error output.
+// Package cli holds the version, exit codes and argument parsing that the commands share.
 package cli
 
 import (
--- a/internal/fetch/fetch.go
+++ b/internal/fetch/fetch.go
@@ -1,6 +1,5 @@
-// Package fetch makes HTTP calls that read the complete response. A call is aborted when the
-// source stops sending, not when the response is long. The error of an incomplete response tells
-// how much of it arrived.
+// Package fetch makes HTTP calls that read the complete response, with separate limits for silence,
+// total time and size. The error of an incomplete response tells how much of it arrived.
 package fetch
 
 import (
@@ -14,13 +13,11 @@
 	"github.com/pkg/errors"
 )
 
-// Timeouts of a response whose header has arrived. They bound the cost of a source that stops or
-// trickles, and do not depend on the size of the response.
+// Timeouts of a response whose header has arrived, whatever its size.
 const (
-	// silenceTimeout is the longest pause between bytes: twice the half second by which a
-	// saturated link delays the packets that it still forwards.
+	// silenceTimeout is the longest pause between bytes. A saturated link delays packets by half this.
 	silenceTimeout = time.Second
-	// arrivalTimeout bounds the transfer of a response. It suffices for 12 MB at 10 Mbit/s.
+	// arrivalTimeout limits the transfer of the body. It suffices for 12 MB at 10 Mbit/s.
 	arrivalTimeout = 10 * time.Second
 )
 
@@ -32,8 +29,7 @@
 	ErrAbandoned = errors.New("wait for the response was abandoned")
 )
 
-// Timeouts of connections. Keep-alive probes detect a connection that died without a reset within
-// three seconds.
+// Keep-alive probes detect a connection that died without a reset within three seconds.
 const (
 	dialTimeout   = 600 * time.Millisecond
 	probeInterval = time.Second // idle time before the first keep-alive probe, and between probes
@@ -41,7 +37,7 @@
 )
 
 // NewClient returns a client that keeps up to maxIdle idle connections per host, each for up to
-// idleTimeout, and follows no redirects. It detects a dead connection by keep-alive probes.
+// idleTimeout, and follows no redirects.
 func NewClient(maxIdle int, idleTimeout time.Duration) *http.Client {
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
@@ -63,11 +59,9 @@
 // A HeaderWait bounds the wait for the response header.
 type HeaderWait struct {
 	Timeout time.Duration // until the header arrives
-	// Abandon, once closed, ends the wait for the header; nil: never. A response whose header has
-	// arrived is still read to its end.
-	Abandon <-chan struct{}
-	// OnHeader, if set, is called when the header has arrived.
-	OnHeader func()
+	// Abandon, if not nil and closed before the header has arrived, aborts the call.
+	Abandon  <-chan struct{}
+	OnHeader func() // called when the header has arrived; may be nil
 }
 
 // A Response is a complete response.
@@ -80,8 +74,8 @@
 
 // A TruncatedError is the error of a call without a complete response.
 type TruncatedError struct {
-	HeaderReceived bool          // the header arrived
-	Bytes          int           // of the body that arrived
+	HeaderReceived bool
+	Bytes          int           // received of the body
 	HeaderTime     time.Duration // from the call to the header; zero if it did not arrive
 	Elapsed        time.Duration // from the call to the error
 	Err            error
@@ -94,7 +88,6 @@
 	return fmt.Sprintf("response truncated after %d bytes and %v: %v", e.Bytes, e.Elapsed.Round(time.Millisecond), e.Err)
 }
 
-// Unwrap returns the reason of the failure.
 func (e *TruncatedError) Unwrap() error { return e.Err }
 
 // Do makes a call and reads its complete response, whose body may have up to maxBytes. Every error
@@ -115,26 +108,25 @@
 	}
 	arrival := time.AfterFunc(arrivalTimeout, func() { cancel(ErrTooSlow) })
 	defer arrival.Stop()
-	a := &Response{Status: res.StatusCode, HeaderTime: time.Since(began)}
-	a.Body, err = io.ReadAll(io.LimitReader(&idleReader{res.Body, silence}, maxBytes+1))
-	a.TotalTime = time.Since(began)
-	if err == nil && int64(len(a.Body)) > maxBytes {
+	out := &Response{Status: res.StatusCode, HeaderTime: time.Since(began)}
+	out.Body, err = io.ReadAll(io.LimitReader(&idleReader{res.Body, silence}, maxBytes+1))
+	out.TotalTime = time.Since(began)
+	if err == nil && int64(len(out.Body)) > maxBytes {
 		err = ErrTooLong
 	}
 	if err != nil {
-		return nil, &TruncatedError{HeaderReceived: true, Bytes: len(a.Body), HeaderTime: a.HeaderTime, Elapsed: a.TotalTime, Err: cause(ctx, err)}
+		return nil, &TruncatedError{HeaderReceived: true, Bytes: len(out.Body), HeaderTime: out.HeaderTime, Elapsed: out.TotalTime, Err: cause(ctx, err)}
 	}
-	return a, nil
+	return out, nil
 }
 
-// head makes a call and returns when the response header has arrived. Until then, closing abandon
-// aborts the call.
+// head returns when the response header has arrived. Until then, closing abandon aborts the call.
 func head(ctx context.Context, cancel context.CancelCauseFunc, client *http.Client, req *http.Request, abandon <-chan struct{}) (*http.Response, error) {
-	begun := make(chan struct{})
-	defer close(begun)
+	returned := make(chan struct{})
+	defer close(returned)
 	go func() {
 		select {
-		case <-begun:
+		case <-returned:
 		case <-abandon:
 			cancel(ErrAbandoned)
 		}
@@ -150,7 +142,7 @@
 	return err
 }
 
-// An idleReader postpones the silence timer with each read.
+// An idleReader restarts the silence timer at each read.
 type idleReader struct {
 	io.Reader
 	silence *time.Timer
--- a/internal/fetch/fetch_test.go
+++ b/internal/fetch/fetch_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestTimeoutBeforeHeaderIsNotBegun(t *testing.T) {
+func TestTimeoutBeforeHeader(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	req := newRequest(ctx, t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
@@ -65,30 +65,29 @@
 	}
 }
 
-// A response that arrives steadily is read to its end, even if that takes longer than the wait for
-// its header or the wait is abandoned meanwhile.
+// Neither the timeout of the header nor Abandon ends a response whose header has arrived.
 func TestSteadyResponseOutlastsHeaderTimeout(t *testing.T) {
-	const begin = 500 * time.Millisecond
+	const headerTimeout = 500 * time.Millisecond
 	req := newRequest(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) {
 		for range 6 {
 			_, _ = w.Write([]byte("a part"))
 			w.(http.Flusher).Flush()
-			time.Sleep(begin / 2)
+			time.Sleep(headerTimeout / 2)
 		}
 	})
 	abandon := make(chan struct{})
-	time.AfterFunc(2*begin, func() { close(abandon) })
-	a, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: begin, Abandon: abandon})
-	if err != nil || len(a.Body) != 6*len("a part") || a.TotalTime < 2*begin {
+	time.AfterFunc(2*headerTimeout, func() { close(abandon) })
+	a, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: headerTimeout, Abandon: abandon})
+	if err != nil || len(a.Body) != 6*len("a part") || a.TotalTime < 2*headerTimeout {
 		t.Fatalf("got %+v, %v", a, err)
 	}
 }
 
 func TestIdleSourceEndsCall(t *testing.T) {
-	for name, begin := range map[string]bool{"before the header": false, "in the body": true} {
+	for name, sendsHeader := range map[string]bool{"before the header": false, "in the body": true} {
 		t.Run(name, func(t *testing.T) {
 			req := newRequest(context.Background(), t, func(w http.ResponseWriter, r *http.Request) {
-				if begin {
+				if sendsHeader {
 					_, _ = w.Write([]byte("a part"))
 					w.(http.Flusher).Flush()
 				}
@@ -96,7 +95,7 @@
 			})
 			_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: 500 * time.Millisecond})
 			var truncated *TruncatedError
-			if !errors.Is(err, ErrIdle) || !errors.As(err, &truncated) || truncated.HeaderReceived != begin {
+			if !errors.Is(err, ErrIdle) || !errors.As(err, &truncated) || truncated.HeaderReceived != sendsHeader {
 				t.Fatalf("got %v", err)
 			}
 		})
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,9 +1,7 @@
 // Package freeport finds free ports for tests that must know them before they listen.
 //
-// A port that the system picked and that was closed again may be assigned to any connection before
-// the test listens on it. So ports are taken from below the ephemeral range. Each process takes
-// them in turn from a block chosen by its process ID, which keeps tests of different packages
-// apart.
+// A port that the system picks may be reassigned before the test listens on it. So ports are taken
+// from below the ephemeral range, by each process from a block chosen by its process ID.
 package freeport
 
 import (
@@ -14,7 +12,7 @@
 	"testing"
 )
 
-// The range that ports are taken from. It lies below the ephemeral range and above fixed ports.
+// The range of ports, below the ephemeral range and above the fixed ports of other tests.
 const (
 	Lowest  = 20000
 	Highest = 32000
@@ -23,12 +21,11 @@
 	blockCount = (Highest - Lowest) / blockSize
 )
 
-// next counts the ports of the block that were tried.
+// next counts the ports tried.
 var next atomic.Int64
 
-// Find returns a port that is free for TCP and UDP on all addresses. It returns no port twice in a
-// process until the whole block was tried. It fails the test if no port of the block is free.
-// Concurrent tests may call it.
+// Find returns a port that is free for TCP and UDP on all addresses, and none twice until the block is
+// exhausted. It fails the test if no port of the block is free. It is safe for concurrent use.
 func Find(t testing.TB) int {
 	t.Helper()
 	first := Lowest + os.Getpid()%blockCount*blockSize
--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// Guards against a test getting the same port twice when it asks for several ports before it
-// listens on any: the later listen would fail with "address already in use".
+// A test may ask for several ports before it listens on any.
 func TestFindReturnsDistinctPorts(t *testing.T) {
 	seen := make(map[int]bool)
 	for range 400 {
--- a/internal/link/narrow_test.go
+++ b/internal/link/bottleneck_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-func TestNarrowQueuesAndDrops(t *testing.T) {
-	n, now := NewBottleneck(1000, 250*time.Millisecond), time.Unix(1000, 0)
+func TestBottleneckQueuesAndDrops(t *testing.T) {
+	b, now := NewBottleneck(1000, 250*time.Millisecond), time.Unix(1000, 0)
 	for i, want := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
-		if got, ok := n.enqueue(100, now); !ok || got != want {
+		if got, ok := b.enqueue(100, now); !ok || got != want {
 			t.Errorf("datagram %d: got %v, %v, want %v", i, got, ok, want)
 		}
 	}
-	if _, ok := n.enqueue(100, now); ok {
+	if _, ok := b.enqueue(100, now); ok {
 		t.Error("a datagram was accepted above the maximum queueing delay")
 	}
-	if got, ok := n.enqueue(100, now.Add(time.Second)); !ok || got != 100*time.Millisecond {
+	if got, ok := b.enqueue(100, now.Add(time.Second)); !ok || got != 100*time.Millisecond {
 		t.Errorf("empty queue: got %v, %v, want 100ms", got, ok)
 	}
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -8,8 +8,7 @@
 	"time"
 )
 
-// startEcho starts an echo server and a link to it, and returns the link and a connection through
-// it.
+// startEcho returns a link to an echo server, and a connection through it.
 func startEcho(t *testing.T) (*TCP, net.Conn) {
 	t.Helper()
 	server, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,25 +56,25 @@
 	}
 }
 
-func TestTCPSilence(t *testing.T) {
+func TestTCPBlockBack(t *testing.T) {
 	l, c := startEcho(t)
 	l.Set(Conditions{BlockBack: true})
 	_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if got, err := roundTrip(t, c, "one\n"); err == nil {
-		t.Fatalf("got %q through a silent link, want a timeout", got)
+		t.Fatalf("got %q through a blocked link, want a timeout", got)
 	}
 	l.Set(Conditions{})
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if got, err := bufio.NewReader(c).ReadString('\n'); got != "one\n" || err != nil {
-		t.Fatalf("after the silence: got %q, %v", got, err)
+		t.Fatalf("after unblocking: got %q, %v", got, err)
 	}
 }
 
-func TestTCPCutAndReset(t *testing.T) {
+func TestTCPResets(t *testing.T) {
 	l, c := startEcho(t)
 	l.Set(Conditions{ResetAfter: 2})
 	if got, err := roundTrip(t, c, "one\n"); err == nil {
-		t.Fatalf("got %q through a link that cuts after 2 bytes, want an error", got)
+		t.Fatalf("got %q through a link that resets after 2 bytes, want an error", got)
 	}
 	l, c = startEcho(t)
 	if _, err := roundTrip(t, c, "one\n"); err != nil {
--- a/internal/link/tcp.go
+++ b/internal/link/tcp.go
@@ -1,6 +1,5 @@
-// Package link simulates a network between processes on loopback addresses. It forwards TCP
-// connections and datagrams, and delays, throttles, truncates, drops or resets them under a test's
-// control.
+// Package link simulates a network between processes on loopback addresses. It forwards connections
+// and datagrams, and delays, throttles, drops or resets them under a test's control.
 package link
 
 import (
@@ -16,13 +15,13 @@
 // rateInterval is the time worth of data that a throttled connection forwards at once.
 const rateInterval = 10 * time.Millisecond
 
-// Conditions is the condition of a TCP link. The zero value forwards everything at once. Forward is
+// Conditions are the properties of a TCP link. The zero value forwards everything at once. Forward is
 // the direction from the connecting side to the target, back the opposite one.
 type Conditions struct {
 	Rate         int           // bytes per second back, shared by all connections; zero: unlimited
 	Delay        time.Duration // before each read chunk, each way
-	BlockForward bool          // nothing passes forward; what was sent is kept
-	BlockBack    bool          // nothing passes back; what was sent is kept
+	BlockForward bool          // data sent forward is held, not dropped
+	BlockBack    bool          // data sent back is held, not dropped
 	ResetAfter   int           // each connection is reset when more than this many bytes have come back; zero: never
 }
 
@@ -36,7 +35,7 @@
 	mu         sync.Mutex
 	conditions Conditions
 	changed    chan struct{}             // closed at each change of conditions
-	conns      map[net.Conn]*atomic.Bool // to whether the connection is silenced
+	conns      map[net.Conn]*atomic.Bool // both ends of each connection; true: silenced
 	closed     bool
 }
 
@@ -51,11 +50,11 @@
 	return l, nil
 }
 
-// Set changes the link's condition, for open connections too.
-func (l *TCP) Set(w Conditions) {
+// Set changes the conditions of the link, for open connections too.
+func (l *TCP) Set(c Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.conditions = w
+	l.conditions = c
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -69,8 +68,7 @@
 	}
 }
 
-// Silence silences the open connections for good: they forward nothing more and are not reset. New
-// connections are not affected.
+// Silence makes open connections forward nothing more, without a reset. New ones are unaffected.
 func (l *TCP) Silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,8 +128,7 @@
 	}
 }
 
-// register adds the two ends of a connection, or resets them and returns false if the link is
-// closed.
+// register adds the two ends of a connection. If the link is closed, it resets them.
 func (l *TCP) register(silenced *atomic.Bool, conns ...net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,7 +148,7 @@
 	forwarded := 0
 	for {
 		n, err := from.Read(buf[:l.readSize(back, len(buf))])
-		w := l.awaitOpen(back)
+		c := l.awaitOpen(back)
 		if silenced.Load() {
 			if err != nil {
 				return // the end of a silenced connection is not propagated
@@ -159,14 +156,14 @@
 			continue
 		}
 		if n > 0 {
-			time.Sleep(w.Delay)
+			time.Sleep(c.Delay)
 			forwarded += n
-			if back && w.ResetAfter > 0 && forwarded > w.ResetAfter {
+			if back && c.ResetAfter > 0 && forwarded > c.ResetAfter {
 				reset(to)
 				reset(from)
 				return
 			}
-			if l.write(to, buf[:n], w, back) != nil {
+			if l.write(to, buf[:n], c, back) != nil {
 				reset(from)
 				return
 			}
@@ -188,7 +185,6 @@
 	_ = t.CloseWrite()
 }
 
-// readSize returns how many bytes to read at once.
 func (l *TCP) readSize(back bool, limit int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -198,25 +194,24 @@
 	return min(limit, max(1, l.conditions.Rate*int(rateInterval/time.Millisecond)/1000))
 }
 
-// awaitOpen waits until the link lets a direction through, and returns its condition.
+// awaitOpen waits until a direction is not blocked, and returns the conditions.
 func (l *TCP) awaitOpen(back bool) Conditions {
 	for {
 		l.mu.Lock()
-		w, changed := l.conditions, l.changed
+		c, changed := l.conditions, l.changed
 		l.mu.Unlock()
-		if !(w.BlockForward && !back || w.BlockBack && back) {
-			return w
+		if !(c.BlockForward && !back || c.BlockBack && back) {
+			return c
 		}
 		<-changed
 	}
 }
 
-// write writes data at the link's rate.
-func (l *TCP) write(to net.Conn, data []byte, w Conditions, back bool) error {
-	if back && w.Rate > 0 {
+func (l *TCP) write(to net.Conn, data []byte, c Conditions, back bool) error {
+	if back && c.Rate > 0 {
 		l.rateMu.Lock()
 		defer l.rateMu.Unlock()
-		time.Sleep(time.Second * time.Duration(len(data)) / time.Duration(w.Rate))
+		time.Sleep(time.Second * time.Duration(len(data)) / time.Duration(c.Rate))
 	}
 	_, err := to.Write(data)
 	return err
--- a/internal/link/udp.go
+++ b/internal/link/udp.go
@@ -13,15 +13,15 @@
 // maxDatagram exceeds the size of any datagram.
 const maxDatagram = 64 << 10
 
-// DatagramConditions is the condition of datagrams from one process to another. The zero value
-// forwards them at once.
+// DatagramConditions are the properties of the path from one process to another. The zero value
+// forwards datagrams at once.
 type DatagramConditions struct {
 	Loss       float64       // fraction that is dropped
 	Duplicate  float64       // fraction that is duplicated
 	Jitter     time.Duration // each is delayed by a random time below this, which reorders them
 	Cut        bool          // all are dropped
 	Delay      time.Duration // fixed delay of each
-	Bottleneck *Bottleneck   // shared link that they pass; nil: none
+	Bottleneck *Bottleneck   // shared link that they pass; may be nil
 }
 
 // A Switch forwards datagrams between processes. Other processes know each process by its front,
@@ -49,15 +49,15 @@
 	}
 }
 
-// Set sets the function that returns the condition of datagrams between two processes, by name. It
-// is called while the Switch is locked, and must not call the Switch.
+// Set sets the function that returns the conditions between two processes, by name. It is called with
+// the Switch locked, and must not call its methods.
 func (s *Switch) Set(conditions func(from, to string) DatagramConditions) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conditions = conditions
 }
 
-// Join attaches a process with its own address and its front, each IP:port.
+// Join attaches a process with its own address and listens on its front, each IP:port.
 func (s *Switch) Join(name, own, front string) error {
 	address, err := netip.ParseAddrPort(own)
 	if err != nil {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,4 @@
-// Package logs creates the daemons' loggers. They write structured lines through a bounded queue
-// and never block the caller.
+// Package logs creates loggers that write through a bounded queue and never block the caller.
 package logs
 
 import (
@@ -21,7 +20,6 @@
 	Console Format = "console"
 )
 
-// queueCapacity is the maximum number of lines waiting to be written.
 const queueCapacity = 512
 
 // syncTimeout bounds how long Sync waits for a blocked writer.
@@ -33,8 +31,7 @@
 	written chan<- struct{} // closed when the marker is reached; nil for a line
 }
 
-// A lineQueue passes lines to one writing goroutine. Lines that find the queue full are dropped
-// and counted, so that a blocked output does not block callers.
+// A lineQueue passes lines to a writing goroutine. It drops and counts lines that find it full.
 type lineQueue struct {
 	items   chan queueItem
 	dropped *expvar.Int
@@ -85,9 +82,8 @@
 	}
 }
 
-// New returns a logger that writes lines of at least a level to out: debug, info, warn, error or
-// another level of zapcore. Lines are dropped and counted in dropped when too many wait to be
-// written.
+// New returns a logger that writes lines of at least level, a name of zapcore, to out. Lines that find
+// the queue full are counted in dropped.
 func New(level string, form Format, out io.Writer, dropped *expvar.Int) (*zap.Logger, error) {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -13,8 +13,7 @@
 	"ivyridge/internal/logs"
 )
 
-// Logging does not block on a pipe that nobody reads, and dropped lines are counted.
-func TestFullPipeDoesNotBlock(t *testing.T) {
+func TestBlockedOutputDropsLines(t *testing.T) {
 	_, w := io.Pipe()
 	dropped := new(expvar.Int)
 	log, err := logs.New("info", logs.JSON, w, dropped)
--- a/internal/mutate/mutate.go
+++ b/internal/mutate/mutate.go
@@ -1,29 +1,26 @@
-// Package mutate generates random mutations of byte strings for tests that must use the same
-// inputs on every run. Finding new inputs is left to Go's fuzzing.
+// Package mutate generates reproducible random mutations of byte strings for tests.
 package mutate
 
 import "math/rand/v2"
 
-// A Source generates mutations of its seeds. Equal numbers and seeds give equal sequences. It is
-// not safe for concurrent use.
+// A Source generates mutations of its seeds. It is not safe for concurrent use.
 type Source struct {
 	rng   *rand.Rand
 	seeds [][]byte
 }
 
-// New returns a Source of mutations of seeds, of which there must be at least one. number seeds
-// its random choices.
-func New(number uint64, seeds ...[]byte) *Source {
-	return &Source{rng: rand.New(rand.NewPCG(number, 0)), seeds: seeds}
+// New returns a Source of mutations of seeds, of which there must be at least one. Equal arguments
+// give equal sequences.
+func New(rngSeed uint64, seeds ...[]byte) *Source {
+	return &Source{rng: rand.New(rand.NewPCG(rngSeed, 0)), seeds: seeds}
 }
 
-// maxChanges bounds the mutations of one result.
-const maxChanges = 6
+const maxMutations = 6
 
-// Next returns a copy of a random seed with 1 to maxChanges mutations.
+// Next returns a copy of a random seed with 1 to maxMutations mutations.
 func (s *Source) Next() []byte {
 	out := append([]byte(nil), s.seeds[s.rng.IntN(len(s.seeds))]...)
-	for range 1 + s.rng.IntN(maxChanges) {
+	for range 1 + s.rng.IntN(maxMutations) {
 		out = s.mutateOnce(out)
 	}
 	return out
