--- a/cmd/ivyctl/blocked.go
+++ b/cmd/ivyctl/blocked.go
@@ -17,7 +17,6 @@
 	"ivyridge/inventory"
 )
 
-// blocked runs "ivyctl blocked".
 func blocked(args []string) (int, error) {
 	addr, output, release := "", "table", ""
 	p := cli.Parser("ivyctl blocked", "Shows what an instance blocks: requests that crash endpoints, teams that send such requests, endpoints that accept none, and invalid registry entries.")
@@ -53,8 +52,6 @@
 	return cli.OK, nil
 }
 
-// printBlocked prints a table of blocked requests and slowed teams, and then the endpoints and
-// entries.
 func printBlocked(b *inventory.Blocked) {
 	tw := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "STATE\tSAME AS\tTEAM\tROUTE\tENDS\tLAST\tFORGOTTEN IN\tENDPOINTS")
--- a/cmd/ivyctl/fleet.go
+++ b/cmd/ivyctl/fleet.go
@@ -25,8 +25,7 @@
 	inventoryTimeout = 2 * time.Second
 	// fleetPollInterval is the interval between the requests of --wait.
 	fleetPollInterval = 500 * time.Millisecond
-	// idleConnTimeout is how long an idle connection to the instance is kept.
-	idleConnTimeout = 5 * time.Second
+	idleConnTimeout   = 5 * time.Second
 )
 
 type fleetOptions struct {
@@ -35,7 +34,6 @@
 	client                         inventory.Client
 }
 
-// fleet runs "ivyctl fleet".
 func fleet(args []string) (int, error) {
 	o := fleetOptions{output: "table", within: 30 * time.Second}
 	o.client = inventory.Client{HTTP: fetch.NewClient(1, idleConnTimeout), Wait: inventoryTimeout}
@@ -67,7 +65,6 @@
 	return o.show()
 }
 
-// show prints the fleet.
 func (o *fleetOptions) show() (int, error) {
 	ctx := context.Background()
 	f, err := o.client.AskFleet(ctx, o.addr)
@@ -78,8 +75,8 @@
 	if o.output == "json" {
 		return printJSON(struct {
 			*inventory.Fleet
-			Groups []inventory.Group   `json:"groups"`
-			Odd    []inventory.Outlier `json:"differing"`
+			Groups    []inventory.Group   `json:"groups"`
+			Differing []inventory.Outlier `json:"differing"`
 		}{f, f.Groups(), f.Outliers()})
 	}
 	o.print(os.Stdout, f)
@@ -93,8 +90,7 @@
 	return cli.OK, out.Encode(v)
 }
 
-// print prints the groups of instances that run the same, and the instances that differ from the
-// largest group.
+// print prints the groups of instances that run the same, and those outside the largest group.
 func (o *fleetOptions) print(w io.Writer, f *inventory.Fleet) {
 	partial := ""
 	if f.Partial {
@@ -110,11 +106,11 @@
 			fmt.Fprintf(tw, "%d\t-\t-\t-\t%s\n", g.Count, byDataCentre(g.DataCentres))
 		}
 	}
-	odd := f.Outliers()
-	if len(odd) > 0 {
+	outliers := f.Outliers()
+	if len(outliers) > 0 {
 		fmt.Fprintln(tw, "\nDIFFERING\tDATA CENTRE\tIN\tSETTINGS\tCONFIGURATION\tHEARD")
 	}
-	for _, r := range odd {
+	for _, r := range outliers {
 		heard := (time.Duration(r.HeardMS) * time.Millisecond).Round(100 * time.Millisecond)
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s ago\n", r.Address, r.DataCentre, strings.Join(r.Differs, ", "), orDash(r.Settings), r.Version, heard)
 	}
@@ -140,8 +136,7 @@
 	return strings.Join(names, ", ")
 }
 
-// printDifferences prints, for each hash of settings that differs from the largest group's, which
-// settings differ.
+// printDifferences prints how each other hash of settings differs from the largest group's.
 func (o *fleetOptions) printDifferences(ctx context.Context, w io.Writer, f *inventory.Fleet) {
 	groups := f.Groups()
 	if len(groups) == 0 || !groups[0].Reported {
@@ -173,7 +168,6 @@
 	return ""
 }
 
-// printDiff prints the settings in which a and b differ.
 func printDiff(w io.Writer, a, b *inventory.Detail) {
 	for _, d := range []*inventory.Detail{a, b} {
 		if d.Error != "" {
@@ -199,7 +193,6 @@
 	}
 }
 
-// compare prints the settings in which two instances differ.
 func (o *fleetOptions) compare() (int, error) {
 	details, err := o.client.AskDetails(context.Background(), o.addr, o.diff, o.with)
 	if err == nil && len(details) != 2 {
@@ -215,7 +208,7 @@
 	return cli.OK, nil
 }
 
-// await waits until all instances run settings. At the timeout it prints those that do not.
+// await waits until all instances run settings. After the timeout it prints those that do not.
 func (o *fleetOptions) await(settings string) (int, error) {
 	end := time.Now().Add(o.within)
 	for {
--- a/cmd/ivyctl/main.go
+++ b/cmd/ivyctl/main.go
@@ -61,7 +61,6 @@
 	return issueKeys(args)
 }
 
-// checkAll checks files and prints every error.
 func checkAll(files []string) (int, error) {
 	if len(files) == 0 {
 		return cli.UsageError, errors.New("ivyctl check: no files given")
--- a/cmd/ivyctl/sets.go
+++ b/cmd/ivyctl/sets.go
@@ -15,7 +15,6 @@
 	"ivyridge/inventory"
 )
 
-// sets runs "ivyctl sets".
 func sets(args []string) (int, error) {
 	addr, output := "", "table"
 	p := cli.Parser("ivyctl sets", "Shows each service's working set: the endpoints that an instance selects among, and the reason for their number; and endpoints that report that they are slow.")
@@ -42,7 +41,6 @@
 	return cli.OK, nil
 }
 
-// printSets prints a table of working sets, and then the slow endpoints.
 func printSets(s *inventory.Sets) {
 	tw := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "SERVICE\tLISTED\tOPEN\tUSED\tNEEDED\tWHY")
--- a/cmd/ivyentry/main.go
+++ b/cmd/ivyentry/main.go
@@ -17,17 +17,14 @@
 )
 
 const (
-	// gcPercent is the heap growth between collections, in percent of the live heap. An ordinary
-	// instance has a live heap of 1.5 MB, but by default the runtime lets the heap grow to 4 MB
-	// before the first collection.
+	// gcPercent is the heap growth between collections, in percent of the live heap. The default lets
+	// the heap grow to 4 MB before the first collection; an ordinary instance has 1.5 MB live.
 	gcPercent = 50
-	// memoryLimitFraction is the fraction of the machine's memory above which the runtime collects
-	// more often instead of using more memory.
+	// Above memoryLimitFraction of the machine's memory, the runtime collects more often.
 	memoryLimitFraction = 0.75
 )
 
-// limitMemory sets the runtime's memory parameters for the machine, except those set by the
-// environment.
+// limitMemory sets the runtime's memory parameters, except those set by the environment.
 func limitMemory(s *instance.Settings) {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
--- a/cmd/ivyload/main.go
+++ b/cmd/ivyload/main.go
@@ -146,7 +146,6 @@
 	return cli.OK, load.Compare(os.Stdout, a, b)
 }
 
-// policy runs the policy experiments and prints a table of the results.
 func (o *options) policy() (int, error) {
 	users, err := experiment.Users(o.dir)
 	if err != nil {
@@ -170,24 +169,23 @@
 	return cli.OK, experiment.Write(os.Stdout, rows)
 }
 
-// A variant is a policy to measure and its name in the table.
 type variant struct {
 	name   string
 	policy home.Policy
 }
 
 func (o *options) variants() ([]variant, error) {
-	var off []string
+	var disabled []string
 	if o.without != "" {
-		off = strings.Split(o.without, ",")
+		disabled = strings.Split(o.without, ",")
 	}
 	var out []variant
 	for _, name := range strings.Split(o.policies, ",") {
-		p, err := home.ParsePolicy(name, off...)
+		p, err := home.ParsePolicy(name, disabled...)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, variant{strings.Join(append([]string{name}, off...), " -"), p})
+		out = append(out, variant{strings.Join(append([]string{name}, disabled...), " -"), p})
 	}
 	if o.ablate {
 		for _, m := range home.Mechanisms() {
--- a/cmd/ivysoak/main.go
+++ b/cmd/ivysoak/main.go
@@ -52,23 +52,23 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		cli.Exit(cli.Failed, errors.Wrap(err, "soak"))
 	}
-	result, err := play(soak.Params{
+	result, err := runSoak(soak.Params{
 		Seed: seed, Duration: duration, Instances: instances, Rate: rate, Binary: binary, Dir: dir, Subnet: net, Kinds: kinds, PreviousBuild: older,
 	})
 	if err != nil {
 		cli.Exit(cli.Failed, err)
 	}
 	result.Write(os.Stdout)
-	if err := write(result, dir); err != nil {
+	if err := writeReport(result, dir); err != nil {
 		cli.Exit(cli.Failed, err)
 	}
 	if len(result.Violations) > 0 {
-		cli.Exit(cli.Failed, errors.Errorf("%d promises were broken; logs and timeline: %s", len(result.Violations), dir))
+		cli.Exit(cli.Failed, errors.Errorf("%d rules were violated; logs and timeline: %s", len(result.Violations), dir))
 	}
 }
 
-// play runs a soak, which SIGINT or SIGTERM ends early.
-func play(p soak.Params) (*soak.Result, error) {
+// runSoak runs a soak, which SIGINT or SIGTERM ends early.
+func runSoak(p soak.Params) (*soak.Result, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	file, err := os.Create(filepath.Join(p.Dir, "soak.log"))
@@ -83,8 +83,7 @@
 	return soak.Run(ctx, p)
 }
 
-// write writes the report and the timeline into dir.
-func write(r *soak.Result, dir string) error {
+func writeReport(r *soak.Result, dir string) error {
 	report, err := os.Create(filepath.Join(dir, "report.txt"))
 	if err != nil {
 		return errors.Wrap(err, "soak")
