--- a/cmd/ivyctl/fleet.go
+++ b/cmd/ivyctl/fleet.go
@@ -29,9 +29,9 @@
 )
 
 type fleetOptions struct {
-	addr, output, wait, diff, with string
-	within                         time.Duration
-	client                         inventory.Client
+	addr, output, wait, diff, diffWith string
+	within                             time.Duration
+	client                             inventory.Client
 }
 
 func fleet(args []string) (int, error) {
@@ -43,7 +43,7 @@
 	p.String(&o.wait, "w", "wait", "settings=HASH: wait until all instances run these settings")
 	p.Duration(&o.within, "f", "for", "how long to wait")
 	p.String(&o.diff, "d", "diff", "peers' address of an instance whose settings to compare with those of INSTANCE")
-	p.AddPositionalValue(&o.with, "INSTANCE", 1, false, "peers' address of the other instance, with --diff")
+	p.AddPositionalValue(&o.diffWith, "INSTANCE", 1, false, "peers' address of the other instance, with --diff")
 	if err := p.ParseArgs(args); err != nil {
 		return cli.UsageError, err
 	}
@@ -55,7 +55,7 @@
 		return cli.UsageError, errors.Errorf("ivyctl fleet: -o %s: want table or json", o.output)
 	case o.wait != "" && (!waits || settings == ""):
 		return cli.UsageError, errors.Errorf("ivyctl fleet: --wait %s: want settings=HASH", o.wait)
-	case (o.diff == "") != (o.with == ""):
+	case (o.diff == "") != (o.diffWith == ""):
 		return cli.UsageError, errors.New("ivyctl fleet: --diff needs two instances")
 	case o.diff != "":
 		return o.compare()
@@ -194,7 +194,7 @@
 }
 
 func (o *fleetOptions) compare() (int, error) {
-	details, err := o.client.AskDetails(context.Background(), o.addr, o.diff, o.with)
+	details, err := o.client.AskDetails(context.Background(), o.addr, o.diff, o.diffWith)
 	if err == nil && len(details) != 2 {
 		err = errors.Errorf("ivyctl fleet: %s returned the settings of %d instances, want 2", o.addr, len(details))
 	}
--- a/command/command.go
+++ b/command/command.go
@@ -224,15 +224,15 @@
 	"guaranteed_share": {read: readShare, write: writeShare},
 }
 
-func durationField(at func(*decl.Class) *time.Duration) *field {
+func durationField(ptr func(*decl.Class) *time.Duration) *field {
 	return &field{
-		read: func(c *decl.Class) string { return at(c).String() },
+		read: func(c *decl.Class) string { return ptr(c).String() },
 		write: func(c *decl.Class, v string) error {
 			d, err := time.ParseDuration(v)
 			if err != nil || d < 0 {
 				return errors.Errorf("want a duration such as 250ms or 2s, got %q", v)
 			}
-			*at(c) = d
+			*ptr(c) = d
 			return nil
 		},
 	}
--- a/instance/inventory.go
+++ b/instance/inventory.go
@@ -77,13 +77,13 @@
 	f := &inventory.Fleet{Asked: i.settings.Listen.Peers, Instances: []inventory.Instance{self}, Partial: self.Role != inventory.Scheduler}
 	now := i.now()
 	for _, m := range i.gossip.Inventory() {
-		f.Instances = append(f.Instances, i.row(&m, now))
+		f.Instances = append(f.Instances, i.instanceRow(&m, now))
 	}
 	f.Sort()
 	return f
 }
 
-func (i *Instance) row(m *gossip.InstanceInfo, now time.Time) inventory.Instance {
+func (i *Instance) instanceRow(m *gossip.InstanceInfo, now time.Time) inventory.Instance {
 	r := inventory.Instance{
 		Address: i.peerAddress(m.Address), DataCentre: m.DataCentre, Role: inventory.Follower,
 		Leaving: m.Leaving, Lost: m.Lost, HeardMS: m.SinceHeard.Milliseconds(), ValidatedMS: inventory.Since(now, m.ValidatedAt),
--- a/internal/fetch/fetch.go
+++ b/internal/fetch/fetch.go
@@ -15,10 +15,10 @@
 
 // Timeouts of a response whose header has arrived, whatever its size.
 const (
-	// silenceTimeout is the longest pause between bytes. A saturated link delays packets by half this.
-	silenceTimeout = time.Second
-	// arrivalTimeout limits the transfer of the body. It suffices for 12 MB at 10 Mbit/s.
-	arrivalTimeout = 10 * time.Second
+	// readIdleTimeout is the longest pause between bytes. A saturated link delays packets by half this.
+	readIdleTimeout = time.Second
+	// bodyTimeout limits the transfer of the body. It suffices for 12 MB at 10 Mbit/s.
+	bodyTimeout = 10 * time.Second
 )
 
 // Reasons for which Do aborts a call.
@@ -95,10 +95,10 @@
 func Do(client *http.Client, req *http.Request, maxBytes int64, w HeaderWait) (*Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
 	defer cancel(nil)
-	silence := time.AfterFunc(w.Timeout, func() { cancel(ErrIdle) })
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(w.Timeout, func() { cancel(ErrIdle) })
+	defer idleTimer.Stop()
 	began := time.Now()
-	res, err := head(ctx, cancel, client, req, w.Abandon)
+	res, err := awaitHeader(ctx, cancel, client, req, w.Abandon)
 	if err != nil {
 		return nil, &TruncatedError{Elapsed: time.Since(began), Err: cause(ctx, err)}
 	}
@@ -106,10 +106,10 @@
 	if w.OnHeader != nil {
 		w.OnHeader()
 	}
-	arrival := time.AfterFunc(arrivalTimeout, func() { cancel(ErrTooSlow) })
-	defer arrival.Stop()
+	bodyTimer := time.AfterFunc(bodyTimeout, func() { cancel(ErrTooSlow) })
+	defer bodyTimer.Stop()
 	out := &Response{Status: res.StatusCode, HeaderTime: time.Since(began)}
-	out.Body, err = io.ReadAll(io.LimitReader(&idleReader{res.Body, silence}, maxBytes+1))
+	out.Body, err = io.ReadAll(io.LimitReader(&idleReader{res.Body, idleTimer}, maxBytes+1))
 	out.TotalTime = time.Since(began)
 	if err == nil && int64(len(out.Body)) > maxBytes {
 		err = ErrTooLong
@@ -120,8 +120,8 @@
 	return out, nil
 }
 
-// head returns when the response header has arrived. Until then, closing abandon aborts the call.
-func head(ctx context.Context, cancel context.CancelCauseFunc, client *http.Client, req *http.Request, abandon <-chan struct{}) (*http.Response, error) {
+// awaitHeader returns when the response header has arrived. Closing abandon first aborts the call.
+func awaitHeader(ctx context.Context, cancel context.CancelCauseFunc, client *http.Client, req *http.Request, abandon <-chan struct{}) (*http.Response, error) {
 	returned := make(chan struct{})
 	defer close(returned)
 	go func() {
@@ -142,13 +142,13 @@
 	return err
 }
 
-// An idleReader restarts the silence timer at each read.
+// An idleReader restarts the idle timer at each read.
 type idleReader struct {
 	io.Reader
-	silence *time.Timer
+	idleTimer *time.Timer
 }
 
 func (r *idleReader) Read(p []byte) (int, error) {
-	r.silence.Reset(silenceTimeout)
+	r.idleTimer.Reset(readIdleTimeout)
 	return r.Reader.Read(p)
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -84,16 +84,16 @@
 
 // New returns a logger that writes lines of at least level, a name of zapcore, to out. Lines that find
 // the queue full are counted in dropped.
-func New(level string, form Format, out io.Writer, dropped *expvar.Int) (*zap.Logger, error) {
+func New(level string, format Format, out io.Writer, dropped *expvar.Int) (*zap.Logger, error) {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, errors.Wrap(err, "log")
 	}
-	return zap.New(zapcore.NewCore(encoder(form), newLineQueue(out, dropped), parsed)), nil
+	return zap.New(zapcore.NewCore(encoder(format), newLineQueue(out, dropped), parsed)), nil
 }
 
-func encoder(form Format) zapcore.Encoder {
-	if form == Console {
+func encoder(format Format) zapcore.Encoder {
+	if format == Console {
 		return zapcore.NewConsoleEncoder(zap.NewDevelopmentEncoderConfig())
 	}
 	c := zap.NewProductionEncoderConfig()
