--- a/gossip/aggregates.go
+++ b/gossip/aggregates.go
@@ -2,9 +2,8 @@
 
 // This file sends the aggregated load of this data centre to other data centres.
 //
-// Instances send load reports to the schedulers of their own data centre. The first of these
-// sends the aggregate to one scheduler of each other data centre, which forwards it to the other
-// schedulers there. So each change crosses between two data centres once.
+// The first scheduler sends the aggregate to one scheduler of each other data centre, which
+// forwards it to the others there, so that each change crosses between two data centres once.
 
 import (
 	"time"
@@ -14,15 +13,14 @@
 	"ivyridge/balance"
 )
 
-// fullAggregateInterval is the pause between complete aggregates. It must be shorter than the
-// time after which received ones expire.
+// fullAggregateInterval must be shorter than the time after which received aggregates expire.
 const fullAggregateInterval = 2 * time.Second
 
-// publishAggregates sends the load of this data centre's ordinary instances to one scheduler of
-// each other data centre, if this instance is the first scheduler and the interval has passed.
+// publishAggregates sends the load of this data centre's ordinary instances, if this instance is
+// the first scheduler and the interval has passed.
 func (g *Gossip) publishAggregates(now time.Time, r *roles) {
 	group := &g.groups.aggregates
-	if !r.isFirst || len(r.localPeers) == 0 || len(r.regionFirsts) == 0 || now.Sub(group.lastSent) < balance.ReportInterval(g.fleetSize)-tickSlack {
+	if !r.isFirstScheduler || len(r.localPeers) == 0 || len(r.regionFirstSchedulers) == 0 || now.Sub(group.lastSent) < balance.ReportInterval(g.fleetSize)-tickSlack {
 		return
 	}
 	full := now.Sub(group.lastFull) >= fullAggregateInterval
@@ -30,30 +28,29 @@
 	for _, m := range r.localPeers {
 		ordinary[m.ID] = true
 	}
-	sums, upTo := g.Balancer.AggregateReports(func(id uint64) bool { return ordinary[id] }, full, group.sentUpTo)
+	reports, upTo := g.Balancer.AggregateReports(func(id uint64) bool { return ordinary[id] }, full, group.sentUpTo)
 	group.sentUpTo = upTo
-	if len(sums) == 0 && !full {
+	if len(reports) == 0 && !full {
 		return
 	}
 	group.lastSent = now
 	if full {
 		group.lastFull = now
 	}
-	g.sendAggregates(now, sums, g.DataCentre, full, r.regionFirsts)
+	g.sendAggregates(now, reports, g.DataCentre, full, r.regionFirstSchedulers)
 }
 
-// sendAggregates sends aggregates in as many datagrams as needed. Datagrams after the first add to
-// it.
-func (g *Gossip) sendAggregates(now time.Time, sums []balance.Report, dataCentre string, full bool, to []*Member) {
+// sendAggregates sends as many datagrams as needed. Those after the first add to it.
+func (g *Gossip) sendAggregates(now time.Time, aggregates []balance.Report, dataCentre string, full bool, to []*Member) {
 	const room = (maxDatagram - headerBytes) / aggregateBytes
 	for {
 		m := g.newMessage(now)
 		m.NextWithin = heartbeatInterval(g.fleetSize)
 		m.AggregatesOf, m.AggregatesComplete = dataCentre, full
-		n := min(room, len(sums))
-		m.Aggregates, sums = sums[:n], sums[n:]
+		n := min(room, len(aggregates))
+		m.Aggregates, aggregates = aggregates[:n], aggregates[n:]
 		g.send(m, addresses(to))
-		if len(sums) == 0 {
+		if len(aggregates) == 0 {
 			return
 		}
 		full = false
@@ -84,6 +81,5 @@
 	}
 }
 
-// aggregateKey returns the key of a data centre's aggregate, which takes the place of an instance
-// ID.
+// aggregateKey returns the key of a data centre's aggregate, in place of an instance ID.
 func aggregateKey(dataCentre string) uint64 { return xxhash.Sum64String("sums of " + dataCentre) }
--- a/gossip/aggregates_test.go
+++ b/gossip/aggregates_test.go
@@ -10,15 +10,14 @@
 	"ivyridge/discovery"
 )
 
-// requestsAt returns how many requests n believes the instances of a data centre run at an
-// endpoint, from its aggregate and the reports of its schedulers.
+// requestsAt returns how many requests n sees from a data centre's instances at an endpoint.
 func (n *node) requestsAt(dataCentre, endpoint string) int {
 	ids := map[uint64]bool{aggregateKey(dataCentre): true}
 	for _, other := range n.sim.nodes {
 		ids[other.id] = ids[other.id] || other.DataCentre == dataCentre
 	}
-	sums, _ := n.Balancer.AggregateReports(func(id uint64) bool { return ids[id] }, true, 0)
-	for _, s := range sums {
+	aggregates, _ := n.Balancer.AggregateReports(func(id uint64) bool { return ids[id] }, true, 0)
+	for _, s := range aggregates {
 		if s.Endpoint == balance.EndpointHash(endpoint) {
 			return s.Requests
 		}
@@ -26,8 +25,8 @@
 	return 0
 }
 
-// The load of a data centre reaches all schedulers of the others, each request counted once, and
-// is removed when it ends; also after the first scheduler is lost.
+// All schedulers count each request of another data centre once, until it ends, also after that
+// data centre's first scheduler is lost.
 func TestAggregatesReachOtherDataCentres(t *testing.T) {
 	t.Parallel()
 	w := newSimulation(t, 60, 3)
@@ -39,7 +38,7 @@
 	w.run(8 * time.Second)
 	var running []*balance.Placement
 	for i, n := range w.nodes {
-		if _, schedules := n.Schedulers(); n.DataCentre == "dc0" && !schedules {
+		if _, isScheduler := n.Schedulers(); n.DataCentre == "dc0" && !isScheduler {
 			for range i%3 + 1 {
 				running = append(running, n.Balancer.Place(endpoints, d))
 			}
@@ -48,8 +47,8 @@
 	check := func(what string, want int) {
 		t.Helper()
 		for i, n := range w.nodes {
-			others, schedules := n.Schedulers()
-			if n.dead || !schedules || n.DataCentre == "dc0" {
+			others, isScheduler := n.Schedulers()
+			if n.dead || !isScheduler || n.DataCentre == "dc0" {
 				continue
 			}
 			if got := n.requestsAt("dc0", "e"); got != want {
@@ -92,7 +91,7 @@
 	}
 	w.run(6 * time.Second)
 	for _, n := range w.nodes {
-		if _, schedules := n.Schedulers(); !schedules || n.DataCentre == "dc0" {
+		if _, isScheduler := n.Schedulers(); !isScheduler || n.DataCentre == "dc0" {
 			continue
 		}
 		for e := range all {
--- a/gossip/broadcast.go
+++ b/gossip/broadcast.go
@@ -8,16 +8,15 @@
 	"ivyridge/balance"
 )
 
-// tickSlack is how much earlier than its interval a send may happen, so that a tick that fires
-// slightly early doesn't postpone the send to the next tick.
+// tickSlack keeps a tick that fires slightly early from postponing a send to the next tick.
 const tickSlack = minTick / 2
 
 // A receiverGroup is a group of members that are sent the same messages.
 type receiverGroup struct {
-	lastSent    time.Time   // last message
-	lastFull    time.Time   // last complete message
-	sentUpTo    uint64      // change counter of the load reports sent so far
-	sentSummary sentSummary // last summary sent
+	lastSent    time.Time
+	lastFull    time.Time // last complete message
+	sentUpTo    uint64    // change counter of the load reports sent so far
+	sentSummary sentSummary
 }
 
 // receiverGroups are the groups that an instance sends to, depending on its role.
@@ -42,7 +41,7 @@
 	n := g.fleetSize
 	g.updateShares(now, r)
 	g.announceFirstState(now, r)
-	g.introduceSchedulers(now, r)
+	g.announceSchedulers(now, r)
 	g.announceFreshState(now, r)
 	switch {
 	case r.isScheduler:
@@ -51,7 +50,7 @@
 		g.sendTeams(now, r)
 		g.sendToGateways(now, r)
 		g.heartbeat(now, &g.crossRegion.schedulers, r.otherRegionSchedulers, remoteHeartbeatInterval, r.regionSchedulers)
-		g.heartbeat(now, &g.groups.localPeers, r.localPeers, maxQuiet, r.localContacts)
+		g.heartbeat(now, &g.groups.localPeers, r.localPeers, maxUpdateInterval, r.localContacts)
 		g.heartbeat(now, &g.groups.heartbeatOnly, r.regionPeers, heartbeatInterval(n), r.regionSchedulers)
 	default:
 		g.reportToScheduler(now, r)
@@ -63,21 +62,20 @@
 	g.logTeams(now)
 }
 
-// announceFirstState announces once that this instance has received its first state, since
-// instances that start at the same time wait for one to fetch it from. Seeds, which every
-// instance contacts first, announce it to all members.
+// announceFirstState announces this instance's first state once, since instances that start at
+// the same time wait for one to fetch it from. Seeds announce it to all members.
 func (g *Gossip) announceFirstState(now time.Time, r *roles) {
-	if g.announced || g.State.View().Revision == 0 {
+	if g.firstStateAnnounced || g.State.View().Revision == 0 {
 		return
 	}
-	g.announced = true
+	g.firstStateAnnounced = true
 	to := append(r.schedulers[:len(r.schedulers):len(r.schedulers)], r.localPeers...)
 	if g.members.isSeed() {
 		to = append(to, r.remotePeers...)
 	}
 	m := g.newMessage(now)
 	m.NextWithin = heartbeatInterval(g.fleetSize)
-	m.Peers = g.members.welcomePeers()
+	m.Peers = g.members.initialPeers()
 	g.send(m, addresses(to))
 }
 
@@ -87,9 +85,8 @@
 	stateFreshWithin = time.Second
 )
 
-// announceFreshState announces immediately that this instance's state has been confirmed again
-// after it was stale. Other instances may be refusing requests until they learn of it; heartbeats
-// would take up to maxQuiet per hop.
+// announceFreshState announces at once that stale state was confirmed again. Others may refuse
+// requests until they learn of it, and heartbeats take up to maxUpdateInterval per hop.
 func (g *Gossip) announceFreshState(now time.Time, r *roles) {
 	age, confirmed := g.State.Age()
 	if !confirmed {
@@ -107,25 +104,24 @@
 		to = r.localContacts
 	}
 	m := g.newMessage(now)
-	m.NextWithin = maxQuiet
+	m.NextWithin = maxUpdateInterval
 	g.send(m, addresses(to))
 }
 
-// introduceSchedulers sends the addresses of schedulers to all members of a seed shortly after
-// its start. When a whole fleet starts, the first instances to contact a seed learn of only a
-// few.
-func (g *Gossip) introduceSchedulers(now time.Time, r *roles) {
+// announceSchedulers sends the schedulers' addresses to all members of a seed shortly after its
+// start: when a whole fleet starts, the first instances to contact a seed learn of only a few.
+func (g *Gossip) announceSchedulers(now time.Time, r *roles) {
 	if !g.members.isSeed() || now.Sub(g.startedAt) > startupPeriod {
 		return
 	}
 	to := append(r.localPeers[:len(r.localPeers):len(r.localPeers)], r.remotePeers...)
-	if len(to) == 0 || now.Sub(g.groups.startup.lastSent) < maxQuiet {
+	if len(to) == 0 || now.Sub(g.groups.startup.lastSent) < maxUpdateInterval {
 		return
 	}
 	g.groups.startup.lastSent = now
 	m := g.newMessage(now)
 	m.NextWithin = heartbeatInterval(g.fleetSize)
-	m.Peers = g.members.welcomePeers()
+	m.Peers = g.members.initialPeers()
 	g.send(m, addresses(to))
 }
 
@@ -133,35 +129,34 @@
 func (g *Gossip) sendUpdates(now time.Time, to []*Member, r *roles, interval time.Duration) {
 	group := &g.groups.schedulers
 	if len(to) == 0 {
-		g.holdForGateways(r, g.Balancer.TakeNotices()) // no receivers in this region
+		g.queueForGateways(r, g.Balancer.TakeNotices()) // no receivers in this region
 		return
 	}
 	if now.Sub(group.lastSent) < interval-tickSlack {
 		return
 	}
-	full := now.Sub(group.lastFull) >= max(maxQuiet, fullReportTicks*interval)
+	full := now.Sub(group.lastFull) >= max(maxUpdateInterval, fullReportTicks*interval)
 	notices := g.Balancer.TakeNotices()
 	reports, upTo := g.Balancer.Reports(full, group.sentUpTo)
 	group.sentUpTo = upTo
 	starting := now.Sub(g.startedAt) < startupPeriod
-	if len(notices) == 0 && len(reports) == 0 && !full && !starting && now.Sub(group.lastSent) < maxQuiet {
+	if len(notices) == 0 && len(reports) == 0 && !full && !starting && now.Sub(group.lastSent) < maxUpdateInterval {
 		return
 	}
 	group.lastSent = now
 	m := g.newMessage(now)
-	m.NextWithin = max(maxQuiet, interval)
+	m.NextWithin = max(maxUpdateInterval, interval)
 	m.Reports, m.Complete = reports, full
 	if full {
 		group.lastFull = now
 		m.Summary = group.sentSummary.next(g.ownSummary(), now)
 		m.Peers = samplePeers(r.localContacts)
 	}
-	g.holdForGateways(r, notices)
+	g.queueForGateways(r, notices)
 	g.sendNotices(m, notices, to)
 }
 
-// sendNotices sends m with notices to members, and withholds from each region the prompt parts
-// that it may not receive.
+// sendNotices sends m with notices, without the prompt parts that a receiver's region may not get.
 func (g *Gossip) sendNotices(m *Message, notices []balance.Notice, to []*Member) {
 	if !balance.AnyRestricted(notices) {
 		g.sendNoticeDatagrams(m, notices, to)
@@ -176,7 +171,7 @@
 		part := *m
 		allowed := balance.RedactParts(notices, region)
 		if region == g.Regions[g.DataCentre] {
-			allowed = g.sendBoundNotices(&part, allowed, members)
+			allowed = g.sendRestrictedNotices(&part, allowed, members)
 		}
 		g.sendNoticeDatagrams(&part, allowed, members)
 	}
@@ -196,8 +191,7 @@
 	}
 }
 
-// reportToScheduler reports load changes at once to the scheduler that this instance sends
-// requests to, so that it learns of the end of requests it placed.
+// reportToScheduler reports load changes, such as ended requests, at once to the scheduler in use.
 func (g *Gossip) reportToScheduler(now time.Time, r *roles) {
 	address := g.nextScheduler(now)
 	group := &g.groups.ownScheduler
@@ -205,13 +199,13 @@
 		return
 	}
 	m := g.newMessage(now)
-	m.NextWithin = max(maxQuiet, balance.ReportInterval(r.dataCentreSize()))
+	m.NextWithin = max(maxUpdateInterval, balance.ReportInterval(r.dataCentreSize()))
 	m.Reports, group.sentUpTo = g.Balancer.Reports(false, group.sentUpTo)
 	g.send(m, []string{address})
 }
 
-// heartbeat announces liveness, state age and some member addresses, if the interval has passed
-// or a changed summary is urgent.
+// heartbeat sends liveness, state age and some member addresses, if the interval has passed or a
+// changed summary is urgent.
 func (g *Gossip) heartbeat(now time.Time, group *receiverGroup, to []*Member, interval time.Duration, peers []*Member) {
 	summary := g.ownSummary()
 	if len(to) == 0 || now.Sub(group.lastSent) < interval && !group.sentSummary.urgent(summary) {
@@ -225,8 +219,7 @@
 	g.send(m, addresses(to))
 }
 
-// probe contacts addresses that are known but not heard from. Seeds of other data centres are
-// skipped once schedulers there are live.
+// probe contacts candidates, and seeds while starting, as a scheduler, or if not connected.
 func (g *Gossip) probe(now time.Time, r *roles) {
 	interval := probeInterval
 	starting := now.Sub(g.startedAt) < startupPeriod
@@ -247,12 +240,12 @@
 	g.send(m, to)
 }
 
-// welcome answers a new member with the addresses of schedulers. The caller holds g.mu.
-func (g *Gossip) welcome(now time.Time, address string) {
+// sendInitialPeers sends the addresses of schedulers to a new member. The caller holds g.mu.
+func (g *Gossip) sendInitialPeers(now time.Time, address string) {
 	m := g.newMessage(now)
 	m.NextWithin = heartbeatInterval(g.fleetSize)
 	m.Summary = g.ownSummary()
-	m.Peers = g.members.welcomePeers()
+	m.Peers = g.members.initialPeers()
 	g.send(m, []string{address})
 }
 
--- a/gossip/cold_share_test.go
+++ b/gossip/cold_share_test.go
@@ -8,8 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// coldShares returns the sum of the live instances' shares of a cold endpoint's rate, and the
-// number of instances that hold one.
+// coldShares returns the sum of the live instances' cold shares, and the number of holders.
 func (w *simulation) coldShares() (sum float64, holders int) {
 	for _, n := range w.nodes {
 		if n.dead {
@@ -44,7 +43,7 @@
 	}
 }
 
-// An instance that is isolated while running, or from its start, must not hold a share.
+// An instance that is isolated while running, or from its start, holds no share.
 func TestIsolatedInstanceHasNoColdShare(t *testing.T) {
 	w := newSimulation(t, 60, 3)
 	w.run(12 * time.Second)
@@ -65,8 +64,7 @@
 	}
 }
 
-// coldSharesNeverExceed fails the test if the sum of all shares exceeds limit at any time during
-// d.
+// coldSharesNeverExceed fails the test if the shares ever exceed limit in sum during d.
 func (w *simulation) coldSharesNeverExceed(limit float64, d time.Duration) {
 	w.t.Helper()
 	for end := w.now.Add(d); w.now.Before(end); {
@@ -79,11 +77,11 @@
 
 // isolate partitions the given instances from all others and drops 2% of the datagrams.
 func (w *simulation) isolate(rng *rand.Rand, instances ...int) {
-	cut := make(map[*node]bool)
+	isolated := make(map[*node]bool)
 	for _, i := range instances {
-		cut[w.nodes[i]] = true
+		isolated[w.nodes[i]] = true
 	}
-	w.lost = func(a, b *node) bool { return cut[a] || cut[b] || rng.IntN(50) == 0 }
+	w.lost = func(a, b *node) bool { return isolated[a] || isolated[b] || rng.IntN(50) == 0 }
 }
 
 // Regression test: after a partition healed, instances that had been isolated from each other saw
@@ -138,11 +136,11 @@
 					}
 				}
 			case 2: // isolate some instances
-				cut := make(map[*node]bool)
+				isolated := make(map[*node]bool)
 				for range rapid.IntRange(1, w.size/2).Draw(rt, "cuts") {
-					cut[w.nodes[rapid.IntRange(0, w.size-1).Draw(rt, "cut off")]] = true
+					isolated[w.nodes[rapid.IntRange(0, w.size-1).Draw(rt, "cut off")]] = true
 				}
-				w.lost = func(a, b *node) bool { return cut[a] || cut[b] || rng.IntN(50) == 0 }
+				w.lost = func(a, b *node) bool { return isolated[a] || isolated[b] || rng.IntN(50) == 0 }
 			default: // partition two data centres from each other
 				w.lost = func(a, b *node) bool {
 					return a.DataCentre == "dc0" && b.DataCentre == "dc1" || a.DataCentre == "dc1" && b.DataCentre == "dc0"
--- a/gossip/endpoint_backoff_test.go
+++ b/gossip/endpoint_backoff_test.go
@@ -9,8 +9,8 @@
 	"ivyridge/balance"
 )
 
-// Endpoints that asked an instance to back off are not granted to it, first because its requests
-// name them and then because its load reports do; so it never has to reject a grant.
+// Schedulers don't grant endpoints that asked an instance to back off: at first its requests name
+// them, and then its load reports do.
 func TestSchedulersSkipBackedOffEndpoints(t *testing.T) {
 	d := newDataCentre(t)
 	var rejected atomic.Int64
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -1,13 +1,12 @@
-// Package gossip exchanges load reports, placement notices and state freshness between instances
-// in UDP datagrams.
+// Package gossip exchanges load reports, placement notices and state ages between instances in
+// UDP datagrams.
 //
 // Instances discover each other through seeds and through the addresses that messages contain.
-// There is no consensus, and a lost datagram only makes the load picture less accurate. In a
-// large fleet a few instances of each data centre, its schedulers, choose endpoints for the
-// others, with one request and one response datagram per choice: see roles.go. A message carries
-// the age of the sender's state. The receiver dates that state by the echo: it takes the time at
-// which it sent the token that came back, less the age, so that neither network delay nor a pause
-// of either process can make state look newer than it is.
+// There is no consensus, and a lost datagram only makes load estimates less accurate. In a large
+// fleet a few instances of each data centre, its schedulers, choose endpoints for the others: see
+// roles.go. A message carries the age of the sender's state. The receiver subtracts it from the
+// time at which it sent the echoed token, so that neither network delay nor a pause of either
+// process can make state look newer than it is.
 package gossip
 
 import (
@@ -27,13 +26,13 @@
 	"ivyridge/poison"
 )
 
-// Datagram sizes.
+// Sizes in bytes. Those of parts of a message are approximate.
 const (
 	maxDatagram    = 1400
 	readBufferSize = 64 << 10
-	noticeBytes    = 60 // approximate, of one notice
-	reportBytes    = 20 // approximate, of one report
-	aggregateBytes = 50 // approximate, of one report that aggregates a data centre
+	noticeBytes    = 60
+	reportBytes    = 20
+	aggregateBytes = 50 // of one data centre's aggregate
 	headerBytes    = 260
 )
 
@@ -42,34 +41,29 @@
 
 // Options configure a Gossip.
 type Options struct {
-	Address    string // IP:port to listen on
-	DataCentre string // the data centre of this instance
-	// DataCentres is the configured number of data centres; zero means the number seen.
-	DataCentres int
-	// Regions is the configured region of each data centre.
-	Regions  balance.Regions
-	Cores    float64  // of the machine of this instance
-	Seeds    []string // IP:port of the gossip sockets of other instances
-	State    *discovery.Table
-	Balancer *balance.Balancer
-	Log      *zap.Logger
-	Count    func(event string)
-	Summary  func() inventory.Summary // build and settings of this instance; nil: not announced
-	// CountCrossRegion, if set, is called with the number of bytes sent to other regions, by kind
-	// of message.
+	Address     string          // IP:port to listen on
+	DataCentre  string          // of this instance
+	DataCentres int             // configured number; zero means the number seen
+	Regions     balance.Regions // configured region of each data centre
+	Cores       float64         // of this instance's machine
+	Seeds       []string        // IP:port of the gossip sockets of other instances
+	State       *discovery.Table
+	Balancer    *balance.Balancer
+	Log         *zap.Logger
+	Count       func(event string)
+	Summary     func() inventory.Summary // build and settings of this instance; nil: not announced
+	// CountCrossRegion, if set, is called with the bytes sent to other regions, by kind of message.
 	CountCrossRegion func(kind string, bytes int)
 	Now              func() time.Time
-	// Suspects holds requests suspected of crashing endpoints; nil disables exchanging them.
-	Suspects *poison.Table
-	// OnSuspects, if set, is called with entries received from other instances that changed
-	// Suspects.
+	Suspects         *poison.Table // requests suspected of crashing endpoints; nil: not exchanged
+	// OnSuspects, if set, is called with received entries that changed Suspects.
 	OnSuspects func([]poison.Entry)
-	// FetchSuspects fetches the whole suspect table of the instance with the given gossip address,
-	// as SuspectsHandler serves it; nil disables pulling.
+	// FetchSuspects fetches the suspect table, as SuspectsHandler serves it, of the instance with
+	// the given gossip address; nil disables fetching.
 	FetchSuspects func(address string) ([]byte, error)
-	// OnFleetSize is called when the number of live instances (this one included) changes, with the
-	// time within which load reports reach all schedulers. It must be set. Like CountCrossRegion
-	// and OnSuspects, it is called with internal locks held and must not call into the Gossip.
+	// OnFleetSize is called when the number of live instances, including this one, changes, with
+	// the time within which load reports reach all schedulers. It must be set. Like
+	// CountCrossRegion and OnSuspects, it is called with locks held and must not call the Gossip.
 	OnFleetSize func(n int, delay time.Duration)
 }
 
@@ -85,7 +79,7 @@
 	token          uint32
 	sent           [tokenWindow]time.Time // send times by token
 	startedAt      time.Time
-	lastPrune      time.Time // last run of prune
+	lastPrune      time.Time
 	lastProbe      time.Time
 	directCount    int           // live instances that this one receives from, itself included
 	fleetSize      int           // live instances known directly or through another instance
@@ -104,8 +98,8 @@
 	suspectSync  suspectSync
 	background   func(func()) // runs calls that wait for another instance
 
-	announced bool // the first state has been announced
-	wasStale  bool // the state has become stale and has not been confirmed since
+	firstStateAnnounced bool
+	wasStale            bool // the state has become stale and has not been confirmed since
 }
 
 // A packetConn sends and receives datagrams. *net.UDPConn implements it.
@@ -227,15 +221,14 @@
 }
 
 // OrdinaryInstances returns the number of instances that aren't schedulers. It returns one on a
-// scheduler, and if no scheduler of this data centre has been heard from recently, since the
-// instance may then be isolated.
+// scheduler, and on an instance that may be isolated because it hears from no local scheduler.
 func (g *Gossip) OrdinaryInstances() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Now()
 	r := g.members.currentRoles(now)
 	for _, m := range r.schedulerOrder {
-		if now.Sub(m.lastHeard) < minSilence {
+		if now.Sub(m.lastHeard) < minMemberTimeout {
 			return max(1, g.fleetSize-len(r.schedulers))
 		}
 	}
@@ -245,8 +238,7 @@
 // ID returns the identifier of this instance. It is random and changes with each start.
 func (g *Gossip) ID() uint64 { return g.id }
 
-// NewerRevision returns a channel that is closed once a member reports a newer revision than this
-// instance has.
+// NewerRevision returns a channel that is closed when a member reports a newer revision.
 func (g *Gossip) NewerRevision() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -265,8 +257,8 @@
 		m.Digest = g.Suspects.Digest()
 	}
 	if confirmed {
-		// Uses the present time instead of now: now may precede the arrival of the token that is
-		// echoed, and the receiver would then date the state too late.
+		// Uses the present time instead of now, which may precede the arrival of the echoed token:
+		// the receiver would then date the state too late.
 		m.Age = g.Now().Sub(validation.At).Truncate(time.Millisecond) + time.Millisecond
 	}
 	return m
@@ -305,8 +297,7 @@
 	return to, true
 }
 
-// pruneInterval is the pause between checks for timed-out members. Member timeouts are much
-// longer.
+// pruneInterval is the pause between checks for timed-out members.
 const pruneInterval = 100 * time.Millisecond
 
 // prune drops members that have timed out and counts the rest. The caller holds g.mu.
@@ -351,22 +342,21 @@
 	}
 }
 
-// handle processes one received message.
 func (g *Gossip) handle(from netip.AddrPort, m *Message) {
 	switch {
 	case m.Sender == g.id:
 		return
 	case m.PlacementRequest != nil:
-		g.answerRequest(from, m.Sender, m.PlacementRequest)
+		g.handlePlacementRequest(from, m.Sender, m.PlacementRequest)
 		return
 	case m.PlacementResponse != nil:
-		g.deliverAnswer(m.PlacementResponse)
+		g.handlePlacementResponse(m.PlacementResponse)
 		return
 	case m.PermitRequest != nil:
-		g.answerPermitRequest(from, m.PermitRequest)
+		g.handlePermitRequest(from, m.PermitRequest)
 		return
 	case m.PermitResponse != nil:
-		g.deliverPermit(m.PermitResponse)
+		g.handlePermitResponse(m.PermitResponse)
 		return
 	}
 	now := g.Now()
@@ -381,7 +371,7 @@
 		g.newerRevision = make(chan struct{})
 	}
 	if joined {
-		g.welcome(now, address)
+		g.sendInitialPeers(now, address)
 	}
 	g.handleAggregates(now, m)
 	g.handleRegionState(now, m)
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -42,7 +42,7 @@
 		m.PlacementRequest = drawPlacementRequest(t)
 	}
 	if rapid.Bool().Draw(t, "grants") {
-		m.PlacementResponse = drawGrant(t)
+		m.PlacementResponse = drawPlacementResponse(t)
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "reports") {
 		m.Reports = append(m.Reports, drawReport(t))
@@ -50,8 +50,8 @@
 	for range rapid.IntRange(0, 3).Draw(t, "sums") {
 		m.Aggregates = append(m.Aggregates, drawReport(t))
 	}
-	m.AggregatesOf = rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "sums of")
-	m.AggregatesComplete = rapid.Bool().Draw(t, "sums complete")
+	m.AggregatesOf = rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "aggregates of")
+	m.AggregatesComplete = rapid.Bool().Draw(t, "aggregates complete")
 	for range rapid.IntRange(0, 3).Draw(t, "notices") {
 		n := balance.Notice{Endpoint: rapid.Uint32().Draw(t, "endpoint"), Uncached: rapid.IntRange(0, 1<<20).Draw(t, "uncached"),
 			Priority: rapid.IntRange(0, 9).Draw(t, "priority"), Fetched: rapid.IntRange(0, 1<<20).Draw(t, "fetched")}
@@ -70,7 +70,7 @@
 }
 
 func drawPlacementRequest(t *rapid.T) *PlacementRequest {
-	a := &PlacementRequest{
+	r := &PlacementRequest{
 		Number:      rapid.Uint64().Draw(t, "number"),
 		Service:     rapid.StringN(0, 10, 10).Draw(t, "service"),
 		Priority:    rapid.IntRange(0, 9).Draw(t, "priority"),
@@ -91,20 +91,20 @@
 		for range rapid.IntRange(0, 3).Draw(t, "homes") {
 			regions = append(regions, rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "region"))
 		}
-		a.Residency = catalog.NewResidency(regions)
+		r.Residency = catalog.NewResidency(regions)
 	}
-	for range rapid.IntRange(0, 3).Draw(t, "ask parts") {
-		a.Parts = append(a.Parts, balance.Part{ID: rapid.Uint64().Draw(t, "id"), Tokens: rapid.IntRange(0, 1<<20).Draw(t, "tokens")})
+	for range rapid.IntRange(0, 3).Draw(t, "request parts") {
+		r.Parts = append(r.Parts, balance.Part{ID: rapid.Uint64().Draw(t, "id"), Tokens: rapid.IntRange(0, 1<<20).Draw(t, "tokens")})
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "avoided") {
-		a.Avoid = append(a.Avoid, rapid.Uint32().Draw(t, "avoid"))
+		r.Avoid = append(r.Avoid, rapid.Uint32().Draw(t, "avoid"))
 	}
-	return a
+	return r
 }
 
-func drawGrant(t *rapid.T) *PlacementResponse {
+func drawPlacementResponse(t *rapid.T) *PlacementResponse {
 	times := func(name string) float64 { return float64(rapid.IntRange(0, 1<<30).Draw(t, name)) * nanosecond }
-	g := &PlacementResponse{Number: rapid.Uint64().Draw(t, "number"), Choice: balance.Choice{
+	r := &PlacementResponse{Number: rapid.Uint64().Draw(t, "number"), Choice: balance.Choice{
 		Endpoint:       rapid.Uint32().Draw(t, "endpoint"),
 		Cost:           rapid.Float64().Draw(t, "cost"),
 		Cached:         rapid.IntRange(0, 1<<20).Draw(t, "cached"),
@@ -118,18 +118,18 @@
 		RetryCharged:   rapid.Bool().Draw(t, "lent"),
 	}}
 	if rapid.Bool().Draw(t, "fetches") {
-		g.Choice.Fetched = rapid.IntRange(0, 1<<20).Draw(t, "fetched")
-		g.Choice.Donor = rapid.Uint32Min(1).Draw(t, "donor")
+		r.Choice.Fetched = rapid.IntRange(0, 1<<20).Draw(t, "fetched")
+		r.Choice.Donor = rapid.Uint32Min(1).Draw(t, "donor")
 	}
 	if rapid.Bool().Draw(t, "refuses") {
-		g.Choice.Refusal = &balance.Refusal{
+		r.Choice.Refusal = &balance.Refusal{
 			Cause:      balance.Cause(rapid.Uint8().Draw(t, "cause")),
-			Wait:       time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "wait of a refusal")) * time.Microsecond,
+			Wait:       time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "refusal wait")) * time.Microsecond,
 			Pressure:   rapid.Float64Range(0, 100).Draw(t, "pressure"),
 			RetryAfter: time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "retry after")) * time.Microsecond,
 		}
 	}
-	return g
+	return r
 }
 
 func drawReport(t *rapid.T) balance.Report {
@@ -139,8 +139,8 @@
 	r.Completed = float64(rapid.IntRange(0, 1000).Draw(t, "ended")) * outcomeUnit
 	r.Failed = float64(rapid.IntRange(0, 1000).Draw(t, "failed")) * outcomeUnit
 	for level := range r.ByLevel {
-		r.ByLevel[level] = rapid.IntRange(0, 1000).Draw(t, "of a level")
-		r.PendingPrefillByLevel[level] = rapid.IntRange(0, 1<<18).Draw(t, "unread of a level")
+		r.ByLevel[level] = rapid.IntRange(0, 1000).Draw(t, "requests of a level")
+		r.PendingPrefillByLevel[level] = rapid.IntRange(0, 1<<18).Draw(t, "pending prefill of a level")
 		r.PendingPrefill += r.PendingPrefillByLevel[level]
 	}
 	r.Gone = time.Duration(rapid.IntRange(0, 1<<20).Draw(t, "gone")) * time.Millisecond
@@ -192,8 +192,7 @@
 
 func document() *catalog.Document { return &catalog.Document{Version: 1} }
 
-// State must never look newer than it is, however messages are delayed, lost and reordered, and
-// however long either instance is paused.
+// State must never look newer than it is, despite delays, loss, reordering and pauses.
 func TestStateAgeNeverUnderestimated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { checkStateAges(t, (*Gossip).confirmationTime) })
 }
@@ -206,8 +205,7 @@
 	}
 }
 
-// findsFault plays one schedule of the property: a message in flight while its receiver is
-// paused.
+// findsFault pauses the receiver while a message is in flight.
 func findsFault(confirmationTime func(*Gossip, *Message) time.Time) bool {
 	a, b := newTestInstance(ignoreFatal{}, 0, 1), newTestInstance(ignoreFatal{}, time.Hour, 2)
 	confirmedAt := a.clock
@@ -264,8 +262,7 @@
 	}
 }
 
-// deliver removes and returns a random message in flight. The message may stay, to be delivered
-// again.
+// deliver returns a random message in flight, which may stay to be delivered again.
 func deliver(t *rapid.T, queue *[]*Message) *Message {
 	if len(*queue) == 0 {
 		return nil
@@ -286,7 +283,7 @@
 	}
 	s.observe(now, "seed", &Message{Sender: 2, Peers: []string{"third", "own"}}, time.Time{})
 	if got := s.candidates(true); !reflect.DeepEqual(got, []string{"third"}) {
-		t.Fatalf("candidates %v, want the one that the seed named", got)
+		t.Fatalf("candidates %v, want the one that the seed advertised", got)
 	}
 	if got := addresses(s.currentRoles(now).schedulers); !reflect.DeepEqual(got, []string{"seed"}) {
 		t.Fatalf("schedulers %v, want the seed", got)
@@ -296,11 +293,11 @@
 		return n
 	}
 	if count() != 1 {
-		t.Fatalf("%d live, want 1: a named instance has sent nothing yet", count())
+		t.Fatalf("%d live, want 1: an advertised address is no live instance", count())
 	}
 	now = now.Add(time.Minute)
-	if gone := s.prune(now); !reflect.DeepEqual(gone, []uint64{2}) || len(s.byAddress) != 0 {
-		t.Fatalf("pruned %v, %d left", gone, len(s.byAddress))
+	if timedOut := s.prune(now); !reflect.DeepEqual(timedOut, []uint64{2}) || len(s.byAddress) != 0 {
+		t.Fatalf("pruned %v, %d left", timedOut, len(s.byAddress))
 	}
 }
 
@@ -308,11 +305,11 @@
 	now := time.Unix(1000, 0)
 	s := newMembers(Member{ID: 1, Address: "own"}, nil)
 	for _, c := range []struct {
-		id    uint64
-		fresh bool
+		id     uint64
+		joined bool
 	}{{2, true}, {2, false}, {3, true}} {
-		if got := s.observe(now, "a", &Message{Sender: c.id}, time.Time{}); got != c.fresh {
-			t.Fatalf("sender %d new = %v, want %v", c.id, got, c.fresh)
+		if got := s.observe(now, "a", &Message{Sender: c.id}, time.Time{}); got != c.joined {
+			t.Fatalf("sender %d new = %v, want %v", c.id, got, c.joined)
 		}
 	}
 }
--- a/gossip/heap_bench_test.go
+++ b/gossip/heap_bench_test.go
@@ -12,8 +12,7 @@
 	"ivyridge/discovery"
 )
 
-// BenchmarkHeap measures the heap used per service for the endpoint list, and for the balancer's
-// state of the endpoints.
+// BenchmarkHeap measures the heap used per service by endpoint lists and by the balancer.
 func BenchmarkHeap(bench *testing.B) {
 	for _, n := range []int{690, 6000, 12000} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
@@ -23,14 +22,14 @@
 			}
 			data, _ := json.Marshal(u)
 			for bench.Loop() {
-				before := heap()
+				before := heapBytes()
 				table := discovery.NewTable(time.Now)
 				_ = table.Apply(decodeUpdate(data))
-				listed := heap()
+				listed := heapBytes()
 				b := balance.New("ams-a", time.Now)
 				service := &catalog.Service{Name: "llm", Engine: &catalog.Engine{Slots: 32, MemoryTokens: 300_000}}
 				p := b.Place(table.View().Endpoints("llm"), &balance.Demand{Service: service, Objective: time.Second, Prompt: 1000, Output: 10})
-				chosen := heap()
+				chosen := heapBytes()
 				p.Done(balance.Served)
 				bench.ReportMetric(float64(listed-before)/1e6, "listed-MB")
 				bench.ReportMetric(float64(chosen-listed)/1e6, "chosen-MB")
@@ -47,7 +46,7 @@
 	return u
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/gossip/home_regions_test.go
+++ b/gossip/home_regions_test.go
@@ -9,8 +9,8 @@
 	"ivyridge/discovery"
 )
 
-// twoRegions assigns the data centres alternately to two regions.
-func (w *simulation) twoRegions() {
+// assignTwoRegions assigns the data centres alternately to two regions.
+func (w *simulation) assignTwoRegions() {
 	regions := map[string]string{"dc0": "north", "dc1": "south", "dc2": "north", "dc3": "south"}
 	for _, n := range w.nodes {
 		n.Regions = regions
@@ -18,8 +18,8 @@
 	}
 }
 
-// boundDemand returns a request to a model that may only be served in the given regions.
-func boundDemand(homes ...string) *balance.Demand {
+// restrictedDemand returns a request that may only be served in the given regions.
+func restrictedDemand(homes ...string) *balance.Demand {
 	return &balance.Demand{
 		Service:   &catalog.Service{Name: "m", MaxConns: 1000, Engine: &catalog.Engine{Slots: 64, MemoryTokens: 300_000}},
 		Residency: catalog.NewResidency(homes),
@@ -28,11 +28,10 @@
 	}
 }
 
-// Prompt parts of a request bound to home regions are only sent to schedulers of these; its load
-// is sent to all.
-func TestBoundPartsSentToHomeRegionOnly(t *testing.T) {
+// Restricted prompt parts are only sent to schedulers of their home regions, and load to all.
+func TestRestrictedPartsSentToHomeRegionOnly(t *testing.T) {
 	w := newSimulation(t, 24, 4)
-	w.twoRegions()
+	w.assignTwoRegions()
 	w.run(8 * time.Second)
 	endpoints := []*discovery.Endpoint{
 		{Endpoint: catalog.Endpoint{ID: "e-north", DataCentre: "dc0"}},
@@ -43,11 +42,11 @@
 	w.inFlight = nil
 	var scheduler *node
 	for _, n := range w.nodes {
-		if _, schedules := n.Schedulers(); schedules && n.DataCentre == "dc0" {
+		if _, isScheduler := n.Schedulers(); isScheduler && n.DataCentre == "dc0" {
 			scheduler = n
 		}
 	}
-	if p := scheduler.Balancer.Place(endpoints, boundDemand("north")); p == nil || p.Endpoint.ID != "e-north" {
+	if p := scheduler.Balancer.Place(endpoints, restrictedDemand("north")); p == nil || p.Endpoint.ID != "e-north" {
 		t.Fatalf("placed at %+v", p)
 	}
 	scheduler.tick()
@@ -70,15 +69,14 @@
 	}
 }
 
-// A scheduler whose version doesn't support home regions must not be asked to place a bound
-// request.
-func TestOldSchedulersNotAskedForBoundRequests(t *testing.T) {
+// A scheduler whose version doesn't support home regions isn't asked to place restricted requests.
+func TestOldSchedulersNotAskedForRestrictedRequests(t *testing.T) {
 	w := newSimulation(t, 24, 4)
-	w.twoRegions()
+	w.assignTwoRegions()
 	w.run(8 * time.Second)
 	var ordinary *node
 	for _, n := range w.nodes {
-		if _, schedules := n.Schedulers(); !schedules {
+		if _, isScheduler := n.Schedulers(); !isScheduler {
 			ordinary = n
 			break
 		}
@@ -89,10 +87,10 @@
 	}
 	ordinary.mu.Unlock()
 	w.inFlight = nil
-	if _, _, ok := ordinary.askScheduler(t.Context(), boundDemand("north")); ok || len(w.inFlight) != 0 {
-		t.Fatalf("bound request: answered %t, %d datagrams, want 0", ok, len(w.inFlight))
+	if _, _, ok := ordinary.requestPlacement(t.Context(), restrictedDemand("north")); ok || len(w.inFlight) != 0 {
+		t.Fatalf("restricted request: answered %t, %d datagrams, want 0", ok, len(w.inFlight))
 	}
-	if _, _, ok := ordinary.askScheduler(t.Context(), &balance.Demand{Service: &catalog.Service{Name: "m"}}); ok || len(w.inFlight) != 1 {
-		t.Fatalf("unbound request: answered %t, %d datagrams, want 1", ok, len(w.inFlight))
+	if _, _, ok := ordinary.requestPlacement(t.Context(), &balance.Demand{Service: &catalog.Service{Name: "m"}}); ok || len(w.inFlight) != 1 {
+		t.Fatalf("unrestricted request: answered %t, %d datagrams, want 1", ok, len(w.inFlight))
 	}
 }
--- a/gossip/inventory.go
+++ b/gossip/inventory.go
@@ -1,10 +1,8 @@
 package gossip
 
-// This file announces the build and settings of this instance, and records those of others.
-//
-// An inventory.Summary is sent with heartbeats and complete reports, and only if it
-// has changed or summaryInterval has passed, to save bandwidth between data centres. Changed
-// settings and rejected settings files are announced at once.
+// This file announces the build and settings of this instance, and records those of others. To
+// save bandwidth, heartbeats and complete reports carry a summary only if it has changed or
+// summaryInterval has passed. Changed and rejected settings are announced at once.
 
 import (
 	"time"
@@ -13,13 +11,11 @@
 )
 
 const (
-	// lostTTL is how long a member that timed out stays listed as lost, for operators to see
-	// after an alert.
+	// lostTTL is how long a member that timed out stays listed as lost, for operators to see.
 	lostTTL = 2 * time.Minute
 	// maxLost bounds the number of lost members listed.
 	maxLost = 1024
-	// summaryInterval is how often an unchanged summary is sent to each receiver group again, for
-	// lost datagrams and new receivers.
+	// summaryInterval is how often a summary is repeated, for lost datagrams and new receivers.
 	summaryInterval = 15 * time.Second
 )
 
@@ -39,24 +35,23 @@
 	sentAt  time.Time // zero: none was sent
 }
 
-// urgent reports whether m should be sent before the next heartbeat: operators wait to see
-// changed settings applied. A new build is not urgent, since it reaches all instances at once,
-// and all would announce it at once.
-func (t *sentSummary) urgent(m *inventory.Summary) bool {
-	return m != nil && !t.sentAt.IsZero() &&
-		(t.summary.Settings != m.Settings || t.summary.Refused != m.Refused || t.summary.NeedsRestart != m.NeedsRestart)
+// urgent reports whether current should be sent before the next heartbeat. A new build is not: it
+// reaches all instances at once, and all would announce it at once.
+func (s *sentSummary) urgent(current *inventory.Summary) bool {
+	return current != nil && !s.sentAt.IsZero() &&
+		(s.summary.Settings != current.Settings || s.summary.Refused != current.Refused || s.summary.NeedsRestart != current.NeedsRestart)
 }
 
-// next returns m if it is due to be sent at now, and nil otherwise.
-func (t *sentSummary) next(m *inventory.Summary, now time.Time) *inventory.Summary {
-	if m == nil || !t.sentAt.IsZero() && t.summary == *m && now.Sub(t.sentAt) < summaryInterval {
+// next returns current if it is due to be sent at now, and nil otherwise.
+func (s *sentSummary) next(current *inventory.Summary, now time.Time) *inventory.Summary {
+	if current == nil || !s.sentAt.IsZero() && s.summary == *current && now.Sub(s.sentAt) < summaryInterval {
 		return nil
 	}
-	t.summary, t.sentAt = *m, now
-	return m
+	s.summary, s.sentAt = *current, now
+	return current
 }
 
-// ownSummary returns the build and settings of this instance, nil if they aren't announced.
+// ownSummary returns nil if no summary is announced.
 func (g *Gossip) ownSummary() *inventory.Summary {
 	if g.Summary == nil {
 		return nil
@@ -65,8 +60,7 @@
 	return &m
 }
 
-// recordLost records a member that timed out. If there are too many, it evicts the one that has
-// been lost for the longest.
+// recordLost records a member that timed out, and evicts the oldest one beyond maxLost.
 func (s *members) recordLost(m *Member) {
 	if s.lost == nil {
 		s.lost = make(map[string]*Member)
@@ -84,8 +78,7 @@
 	delete(s.lost, oldest.Address)
 }
 
-// Inventory returns the other instances that are live, and those that timed out within the last two
-// minutes.
+// Inventory returns the other live instances, and lost ones heard from within two minutes.
 func (g *Gossip) Inventory() []InstanceInfo {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,23 +88,23 @@
 		isScheduler[m.Address] = true
 	}
 	var out []InstanceInfo
-	g.members.eachLive(now, func(m *Member) { out = append(out, m.seen(now, isScheduler[m.Address])) })
+	g.members.eachLive(now, func(m *Member) { out = append(out, m.info(now, isScheduler[m.Address])) })
 	for address, m := range g.members.lost {
 		if now.Sub(m.lastHeard) > lostTTL {
 			delete(g.members.lost, address)
 			continue
 		}
-		seen := m.seen(now, false)
-		seen.Lost = true
-		out = append(out, seen)
+		info := m.info(now, false)
+		info.Lost = true
+		out = append(out, info)
 	}
 	return out
 }
 
-func (m *Member) seen(now time.Time, isScheduler bool) InstanceInfo {
-	s := InstanceInfo{Member: *m, IsScheduler: isScheduler, SinceHeard: now.Sub(m.lastHeard)}
+func (m *Member) info(now time.Time, isScheduler bool) InstanceInfo {
+	instance := InstanceInfo{Member: *m, IsScheduler: isScheduler, SinceHeard: now.Sub(m.lastHeard)}
 	if m.summary != nil {
-		s.Summary, s.HasSummary = *m.summary, true
+		instance.Summary, instance.HasSummary = *m.summary, true
 	}
-	return s
+	return instance
 }
--- a/gossip/inventory_test.go
+++ b/gossip/inventory_test.go
@@ -16,9 +16,8 @@
 	}
 }
 
-// markCounts counts the known instances by announced settings, those that announce none, and the
-// lost ones.
-func (n *node) markCounts() (bySettings map[uint32]int, unannounced, lost int) {
+// summaryCounts counts instances by announced settings, those without a summary, and lost ones.
+func (n *node) summaryCounts() (bySettings map[uint32]int, unannounced, lost int) {
 	bySettings = make(map[uint32]int)
 	for _, s := range n.Inventory() {
 		switch {
@@ -33,8 +32,7 @@
 	return bySettings, unannounced, lost
 }
 
-// inventoryFleetSize returns the size of a large fleet, which the environment variable
-// IVYRIDGE_FLEET overrides: 300 instances take minutes under the race detector.
+// inventoryFleetSize is the size of a large fleet; IVYRIDGE_FLEET overrides it.
 func inventoryFleetSize(t *testing.T) int {
 	text := os.Getenv("IVYRIDGE_FLEET")
 	if text == "" {
@@ -42,7 +40,7 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 50 {
-		t.Fatalf("IVYRIDGE_FLEET=%s: want a number from 50 on", text)
+		t.Fatalf("IVYRIDGE_FLEET=%s: want a number of at least 50", text)
 	}
 	return n
 }
@@ -61,7 +59,7 @@
 	}
 	w.run(12 * time.Second)
 	scheduler := w.nodes[0]
-	if got, unannounced, lost := scheduler.markCounts(); got[1] != n-2 || unannounced != 1 || lost != 0 {
+	if got, unannounced, lost := scheduler.summaryCounts(); got[1] != n-2 || unannounced != 1 || lost != 0 {
 		t.Fatalf("at start: %v, %d without a summary, %d lost, want %d, 1, 0", got, unannounced, lost, n-2)
 	}
 	for i := 20; i < 35; i++ {
@@ -74,7 +72,7 @@
 	w.start(48, 9999, w.nodes[48].DataCentre, 0.2)
 	w.nodes[48].setSummary(3)
 	w.run(missedHeartbeats*heartbeatInterval(n) + time.Second)
-	got, unannounced, lost := scheduler.markCounts()
+	got, unannounced, lost := scheduler.summaryCounts()
 	if got[1] != n-2-15-1-1 || got[2] != 15 || got[3] != 1 || unannounced != 1 || lost != 1 {
 		t.Errorf("after changes: %v, %d without a summary, %d lost, want %d of 1, 15 of 2, 1 of 3, 1 without a summary, 1 lost", got, unannounced, lost, n-2-15-1-1)
 	}
@@ -98,6 +96,6 @@
 	without, with := crossBytes(false), crossBytes(true)
 	t.Logf("between data centres in 15 s: %d bytes without summaries, %d with", without, with)
 	if float64(with) > 1.08*float64(without) {
-		t.Errorf("%d bytes with marks, %d without", with, without)
+		t.Errorf("%d bytes with summaries, %d without", with, without)
 	}
 }
--- a/gossip/late_permit_test.go
+++ b/gossip/late_permit_test.go
@@ -26,7 +26,7 @@
 		t.Fatal("no permit needed")
 	}
 	requestedAt := d.client.Now()
-	request := &PermitRequest{Endpoint: endpoint, Limit: limitAt(&rateLimit, requestedAt)}
+	request := &PermitRequest{Endpoint: endpoint, Limit: reportedLimit(&rateLimit, requestedAt)}
 	if _, answered := d.client.requestPermitFrom(context.Background(), address, request); answered {
 		t.Fatal("an allocator that doesn't receive answered")
 	}
@@ -35,8 +35,8 @@
 		t.Fatal("request placed without a permit")
 	}
 	late := &PermitResponse{Number: request.Number, Granted: true, Limit: balance.ReportedLimit{Known: true, Limited: true, Rate: 1}}
-	d.client.deliverPermit(late)
-	d.client.deliverPermit(late) // duplicate
+	d.client.handlePermitResponse(late)
+	d.client.handlePermitResponse(late) // duplicate
 	if p, refusal := d.client.Balancer.Admit(d.endpoints, d.demand); p == nil || !p.MaySend() {
 		t.Errorf("late permit not used: %+v", refusal)
 	}
--- a/gossip/limit_allocation.go
+++ b/gossip/limit_allocation.go
@@ -1,7 +1,6 @@
 package gossip
 
-// This file determines which instance allocates the rate limit of an endpoint, and which share of
-// a limit this instance allocates. It does no I/O.
+// This file determines which instance allocates an endpoint's rate limit, and with which share.
 
 import (
 	"time"
@@ -16,16 +15,15 @@
 // regions split the rest, since requests seldom leave their region.
 const homeRegionShare = 0.9
 
-// limitAllocation is the state for allocating limits and for requesting permits. It is guarded by
-// g.mu.
+// limitAllocation is the state of permit requests and limit allocation, guarded by Gossip.mu.
 type limitAllocation struct {
-	side        quota.PartitionView // cached, since counting members costs more than a tick
-	sideRolesAt time.Time           // rolesComputedAt of the roles that side was computed from
+	view        quota.PartitionView // cached, since counting members costs more than a tick
+	viewRolesAt time.Time           // rolesComputedAt of the roles that view was computed from
 	claim       quota.PartitionClaim
 	share       quota.Lease // of each limit
 	allocator   limit.Allocator
 	pending     map[uint64]chan PermitResponse // by request number
-	abandoned   map[uint64]abandonedRequest    // unanswered requests that nobody waits for any more, by request number
+	abandoned   map[uint64]abandonedRequest    // unanswered requests whose caller stopped waiting, by request number
 }
 
 // mayAllocate reports whether this instance may allocate limits according to its role.
@@ -33,17 +31,17 @@
 	return r.isScheduler && len(r.predecessors) < r.activeSchedulers()
 }
 
-// regionSide returns what this instance sees of its region, on its side of a network partition.
-func (g *Gossip) regionSide(now time.Time, r *roles) quota.PartitionView {
+// partitionView returns what this instance sees of its region, on its side of a partition.
+func (g *Gossip) partitionView(now time.Time, r *roles) quota.PartitionView {
 	s := g.members
 	direct, reported := s.count(now)
-	side := quota.PartitionView{Isolated: s.isolated(r), ConfiguredDataCentres: g.DataCentres}
+	view := quota.PartitionView{Isolated: s.isolated(r), ConfiguredDataCentres: g.DataCentres}
 	region := g.Regions[g.DataCentre]
 	if s.multiRegion {
-		direct, reported, side.ConfiguredDataCentres = s.regionSize, s.regionSize, 0
+		direct, reported, view.ConfiguredDataCentres = s.regionSize, s.regionSize, 0
 		for _, other := range g.Regions {
 			if other == region {
-				side.ConfiguredDataCentres++
+				view.ConfiguredDataCentres++
 			}
 		}
 	}
@@ -57,22 +55,22 @@
 			reported = max(reported, m.regionSize)
 		}
 	})
-	side.Heard, side.MaxPeerHeard, side.DataCentres = direct, reported, len(dataCentres)
-	return side
+	view.Heard, view.MaxPeerHeard, view.DataCentres = direct, reported, len(dataCentres)
+	return view
 }
 
 // updateLimitShare recomputes this instance's share of limits. The caller holds g.mu.
 func (g *Gossip) updateLimitShare(now time.Time, r *roles) {
-	if at := g.members.rolesComputedAt; !at.Equal(g.limits.sideRolesAt) {
-		g.limits.side, g.limits.sideRolesAt = g.regionSide(now, r), at
+	if at := g.members.rolesComputedAt; !at.Equal(g.limits.viewRolesAt) {
+		g.limits.view, g.limits.viewRolesAt = g.partitionView(now, r), at
 	}
-	share := g.limits.claim.Share(g.limits.side, now)
+	share := g.limits.claim.Share(g.limits.view, now)
 	if !r.mayAllocate() || g.members.self.Leaving {
 		share = 0
 	}
 	held := g.limits.share.Share(now)
 	if g.limits.share.Renew(share, now); share != held {
-		g.Log.Info("limit share changed", zap.Float64("part", share), zap.Float64("before", held))
+		g.Log.Info("share of endpoint rate limits changed", zap.Float64("part", share), zap.Float64("before", held))
 	}
 }
 
@@ -94,8 +92,7 @@
 }
 
 // limitAllocator returns the gossip address of the instance that allocates the limit of an
-// endpoint in dataCentre, as far as this instance knows. It is this instance's own address if it
-// is the allocator, and empty if there is none. The caller holds g.mu.
+// endpoint in dataCentre, this one included, or "" if none is known. The caller holds g.mu.
 func (g *Gossip) limitAllocator(now time.Time, endpoint uint32, dataCentre string) string {
 	var candidates []limit.Candidate
 	var addresses []string
@@ -115,9 +112,8 @@
 	return ""
 }
 
-// AllocatedShare returns the share of the limit of an endpoint in dataCentre that this instance
-// allocates, zero if it isn't the allocator, and the number of permits that it has granted for
-// it.
+// AllocatedShare returns the share of an endpoint's limit that this instance allocates, zero if it
+// isn't the allocator, and the number of permits that it has granted.
 func (g *Gossip) AllocatedShare(endpoint uint32, dataCentre string) (share float64, permits uint64) {
 	now := g.Now()
 	g.mu.Lock()
--- a/gossip/link.go
+++ b/gossip/link.go
@@ -2,12 +2,11 @@
 
 // This file measures the round trip to other regions. It does no I/O.
 //
-// The capacity and utilization of the link between regions aren't known, but queueing delay shows
-// in the round trip. Each scheduler measures it from the echoes of schedulers in other regions,
-// less the time that they held the token. Process pauses delay single datagrams, while queueing
-// delays all of them; so the minimum over a second is the present round trip, and the minimum
-// over a minute is the propagation delay. Counting bytes is not an alternative: an instance only
-// knows its own, and the capacity would have to be configured.
+// Queueing delay shows how loaded the link between regions is. Each scheduler measures the round
+// trip from the echoes of schedulers in other regions, less the time that they held the token.
+// Process pauses delay single datagrams and queueing delays all of them, so the minimum over a
+// second is the current round trip, and the minimum over a minute is the propagation delay. Bytes
+// are no measure: an instance only knows its own, and not the capacity of the link.
 
 import (
 	"time"
@@ -16,13 +15,11 @@
 )
 
 const (
-	// linkQueueWindow is the window whose minimum is the present round trip. It holds at least
-	// one sample of each remote scheduler.
+	// linkQueueWindow, whose minimum is the current round trip, has a sample per remote scheduler.
 	linkQueueWindow = time.Second
 	// linkBaseWindow is the window whose minimum is the propagation delay.
 	linkBaseWindow = time.Minute
-	// Queueing delays from which the link is logged as congested, and below which it is logged as
-	// clear again.
+	// Queueing delays at which the link is logged as congested, and below which as clear again.
 	linkCongested = 20 * time.Millisecond
 	linkClear     = 5 * time.Millisecond
 )
@@ -30,7 +27,7 @@
 // A windowedMin is the minimum of a sliding window, whose length is accurate to half the window.
 type windowedMin struct {
 	window            time.Duration
-	halfStart         time.Time // start of the current half window
+	halfStart         time.Time
 	current, previous time.Duration
 }
 
@@ -65,8 +62,7 @@
 	return propagation, max(0, l.rtt-propagation)
 }
 
-// measureLink records the round trip that a message from another region shows. The caller holds
-// g.mu.
+// measureLink records the round trip of a message from another region. The caller holds g.mu.
 func (g *Gossip) measureLink(now time.Time, m *Message) {
 	if m.TokenHeld == 0 || m.Echo == 0 || m.Echo > g.token || g.token-m.Echo >= tokenWindow || g.Regions[m.DataCentre] == g.Regions[g.DataCentre] {
 		return
--- a/gossip/members.go
+++ b/gossip/members.go
@@ -13,17 +13,16 @@
 	"ivyridge/quota"
 )
 
-// Membership timing.
 const (
-	maxQuiet             = 400 * time.Millisecond // longest pause between messages to members that need frequent updates
+	maxUpdateInterval    = 400 * time.Millisecond // longest pause between messages to members that need frequent updates
 	missedHeartbeats     = 3                      // missed before a member times out
-	minSilence           = 1500 * time.Millisecond
+	minMemberTimeout     = 1500 * time.Millisecond
 	probeInterval        = 500 * time.Millisecond // to seeds and candidate addresses
 	startupProbeInterval = 100 * time.Millisecond // the same, shortly after the start
 	startupPeriod        = 3 * time.Second
 	peersPerMessage      = 6               // addresses in a message
-	peersInWelcome       = 16              // addresses in the first message to a new member
-	candidateTTL         = 5 * time.Second // how long an address that was only named is tried
+	maxInitialPeers      = 16              // addresses in the first message to a new member
+	candidateTTL         = 5 * time.Second // how long an address advertised by others is tried
 )
 
 // A Member is another instance.
@@ -39,19 +38,19 @@
 	Revision        int64
 	ValidatedAt     time.Time // lower bound, on this instance's clock, of when its state was last current; zero: not known
 
-	lastHeard  time.Time // zero if it was only named by others
-	lastNamed  time.Time
-	token      uint32             // last one received
-	nextWithin time.Duration      // it sends again within this time
-	fleetSize  int                // live instances that it reports
-	protocol   int                // version that it supports
-	summary    *inventory.Summary // build and settings; nil: not announced
+	lastHeard      time.Time // zero if only its address was advertised by others
+	lastAdvertised time.Time
+	token          uint32             // last one received
+	nextWithin     time.Duration      // it sends again within this time
+	fleetSize      int                // live instances that it reports
+	protocol       int                // version that it supports
+	summary        *inventory.Summary // build and settings; nil: not announced
 
 	regionSize int // live instances that it reports for its region
 }
 
 // timeout returns how long m may be silent before it counts as lost.
-func (m *Member) timeout() time.Duration { return max(minSilence, missedHeartbeats*m.nextWithin) }
+func (m *Member) timeout() time.Duration { return max(minMemberTimeout, missedHeartbeats*m.nextWithin) }
 
 // members holds the other instances by address.
 type members struct {
@@ -59,14 +58,14 @@
 	seeds     []string
 	byAddress map[string]*Member
 	// sorted holds the members that were heard from, by address. It is kept sorted on insertion,
-	// since sorting at each tick dominates the cost of gossip in a large fleet.
+	// since sorting at each tick would dominate the cost in a large fleet.
 	sorted  []*Member
 	changed bool               // a member joined since the last prune
 	lost    map[string]*Member // members that timed out
 
 	regions     balance.Regions // by data centre
-	multiRegion bool            // there are several regions
-	regionSize  int             // live instances of this region, this one included; zero: there is one region
+	multiRegion bool
+	regionSize  int // live instances of this region, this one included; zero: there is one region
 
 	roles           roles
 	rolesComputedAt time.Time // zero: roles must be recomputed
@@ -100,7 +99,6 @@
 	s.sorted = slices.Insert(s.sorted, at, m)
 }
 
-// remove removes a member that was heard from.
 func (s *members) remove(m *Member) {
 	delete(s.byAddress, m.Address)
 	if at, found := s.search(m.Address); found {
@@ -113,8 +111,8 @@
 	return slices.BinarySearchFunc(s.sorted, address, func(m *Member, address string) int { return strings.Compare(m.Address, address) })
 }
 
-// count returns how many live instances this one receives from, itself included, and the largest
-// number that it or another instance reports. Only the first is announced: announcing reported
+// count returns the number of live instances that this one receives from, itself included, and
+// the largest number that any instance reports. Only the first is announced: announcing reported
 // numbers would keep lost instances in the count forever.
 func (s *members) count(now time.Time) (direct, total int) {
 	direct = 1
@@ -171,15 +169,15 @@
 	return joined
 }
 
-// addCandidate records an address that another instance named.
+// addCandidate records an address that another instance advertised.
 func (s *members) addCandidate(now time.Time, address string) {
 	if address == s.self.Address {
 		return
 	}
 	if m := s.byAddress[address]; m == nil {
-		s.byAddress[address] = &Member{Address: address, lastNamed: now}
+		s.byAddress[address] = &Member{Address: address, lastAdvertised: now}
 	} else if m.lastHeard.IsZero() {
-		m.lastNamed = now
+		m.lastAdvertised = now
 	}
 }
 
@@ -188,7 +186,7 @@
 	var timedOut []uint64
 	for address, m := range s.byAddress {
 		switch {
-		case m.lastHeard.IsZero() && now.Sub(m.lastNamed) > candidateTTL:
+		case m.lastHeard.IsZero() && now.Sub(m.lastAdvertised) > candidateTTL:
 			delete(s.byAddress, address)
 		case !m.lastHeard.IsZero() && now.Sub(m.lastHeard) > m.timeout():
 			timedOut = append(timedOut, m.ID)
@@ -200,8 +198,7 @@
 	return timedOut
 }
 
-// candidates returns the addresses that others named, or the settings if seeds is set, and that
-// haven't been heard from.
+// candidates returns advertised addresses, and the seeds if seeds is set, not yet heard from.
 func (s *members) candidates(seeds bool) []string {
 	var out []string
 	for address, m := range s.byAddress {
@@ -220,21 +217,20 @@
 	return out
 }
 
-// samplePeers returns a random sample of the members' addresses.
+// samplePeers returns up to peersPerMessage random addresses.
 func samplePeers(members []*Member) []string {
 	out := addresses(members)
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out[:min(len(out), peersPerMessage)]
 }
 
-// welcomePeers returns the addresses to send to a new member first.
-func (s *members) welcomePeers() []string {
+// initialPeers returns the addresses to send to a new member.
+func (s *members) initialPeers() []string {
 	out := addresses(s.roles.regionSchedulers)
-	return out[:min(len(out), peersInWelcome)]
+	return out[:min(len(out), maxInitialPeers)]
 }
 
-// connected reports whether a scheduler of another data centre is live, in which case seeds
-// needn't be asked for others.
+// connected reports whether the live schedulers make contacting seeds unnecessary.
 func (s *members) connected() bool {
 	if s.roles.useGateways && len(s.roles.regionRemoteSchedulers) == 0 {
 		return len(s.roles.regionSchedulers) > 0
@@ -242,5 +238,4 @@
 	return slices.ContainsFunc(s.roles.schedulers, func(m *Member) bool { return m.DataCentre != s.self.DataCentre })
 }
 
-// isSeed reports whether this instance is configured as a seed.
 func (s *members) isSeed() bool { return slices.Contains(s.seeds, s.self.Address) }
--- a/gossip/members_test.go
+++ b/gossip/members_test.go
@@ -10,8 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Members must be visited in order of their addresses, each once, without sorting or allocation
-// per visit.
+// Live members are visited in order of address, each once, without allocation.
 func TestMembersStaySorted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
--- a/gossip/message.go
+++ b/gossip/message.go
@@ -1,7 +1,6 @@
 package gossip
 
-// This file encodes gossip messages. A Message is a protobuf message that is encoded by hand,
-// field by field, so that no type registry is linked in.
+// This file encodes gossip messages as protobuf by hand, which avoids linking a type registry.
 
 import (
 	"time"
@@ -27,10 +26,9 @@
 	Reports    []balance.Report
 	Notices    []balance.Notice
 
-	// Aggregates hold the load of all ordinary instances of a data centre. They are sent once to
-	// each other data centre, and are forwarded within it.
+	// Aggregates are the load of the ordinary instances of AggregatesOf, or of all of Region.
 	Aggregates         []balance.Report
-	AggregatesOf       string // the data centre; empty: no aggregates
+	AggregatesOf       string // data centre that Aggregates cover; empty: none
 	AggregatesComplete bool   // Aggregates are complete and replace earlier ones
 
 	Cores      float64            // of the sender's machine
@@ -48,12 +46,12 @@
 
 	RegionMessage
 
-	PlacementRequest  *PlacementRequest  // a placement request; other content is ignored
-	PlacementResponse *PlacementResponse // the answer to a placement request; other content is ignored
+	PlacementRequest  *PlacementRequest  // if set, other content is ignored
+	PlacementResponse *PlacementResponse // if set, other content is ignored
 
 	AllocatesLimits bool            // the sender may allocate endpoint rate limits
-	PermitRequest   *PermitRequest  // a permit request; other content is ignored
-	PermitResponse  *PermitResponse // the answer to a permit request; other content is ignored
+	PermitRequest   *PermitRequest  // if set, other content is ignored
+	PermitResponse  *PermitResponse // if set, other content is ignored
 }
 
 // Field numbers of a Message and the messages in it.
@@ -86,14 +84,14 @@
 	fieldPermitRequest      protowire.Number = 35
 	fieldPermitResponse     protowire.Number = 36
 
-	fieldEndpoint protowire.Number = 1
-	fieldUncached protowire.Number = 5 // of a notice
-	fieldParts    protowire.Number = 6 // of a notice
-	fieldFetched  protowire.Number = 7 // of a notice
-	fieldUrgency  protowire.Number = 8 // of a notice: the priority
-	fieldSuspect  protowire.Number = 9 // of a notice
-	fieldPart     protowire.Number = 1
-	fieldTokens   protowire.Number = 2
+	fieldEndpoint       protowire.Number = 1
+	fieldUncached       protowire.Number = 5 // of a notice
+	fieldParts          protowire.Number = 6 // of a notice
+	fieldFetched        protowire.Number = 7 // of a notice
+	fieldNoticePriority protowire.Number = 8
+	fieldNoticeSuspect  protowire.Number = 9
+	fieldPartID         protowire.Number = 1
+	fieldPartTokens     protowire.Number = 2
 )
 
 // Protocol versions. Receivers skip unknown fields; content that an older version would
@@ -106,10 +104,8 @@
 	protocolCurrent   = protocolLimits
 )
 
-// shareUnit is the encoding resolution of a share.
 const shareUnit = 1e-4
 
-// coresUnit is the encoding resolution of a machine's cores.
 const coresUnit = 1e-3
 
 func appendUint(b []byte, n protowire.Number, v uint64) []byte {
@@ -130,7 +126,7 @@
 	return protowire.AppendBytes(b, v)
 }
 
-// appendEcho appends the echo, which differs between receivers.
+// appendEcho is separate from Append because the echo differs between receivers.
 func appendEcho(b []byte, echo uint32) []byte { return appendUint(b, fieldEcho, uint64(echo)) }
 
 // Append appends the encoding of m to b and returns the result.
@@ -194,21 +190,20 @@
 	b = appendFixed(b, fieldEndpoint, n.Endpoint)
 	b = appendUint(b, fieldUncached, uint64(max(0, n.Uncached)))
 	b = appendUint(b, fieldFetched, uint64(max(0, n.Fetched)))
-	b = appendUint(b, fieldUrgency, uint64(max(0, n.Priority)))
-	b = appendUint(b, fieldSuspect, protowire.EncodeBool(n.Suspect))
+	b = appendUint(b, fieldNoticePriority, uint64(max(0, n.Priority)))
+	b = appendUint(b, fieldNoticeSuspect, protowire.EncodeBool(n.Suspect))
 	return appendParts(b, n.Parts)
 }
 
 func appendParts(b []byte, parts []balance.Part) []byte {
 	for _, p := range parts {
-		part := appendUint(nil, fieldPart, p.ID)
-		part = appendUint(part, fieldTokens, uint64(max(0, p.Tokens)))
+		part := appendUint(nil, fieldPartID, p.ID)
+		part = appendUint(part, fieldPartTokens, uint64(max(0, p.Tokens)))
 		b = appendBytes(b, fieldParts, part)
 	}
 	return b
 }
 
-// A field is one decoded protobuf field.
 type field struct {
 	number protowire.Number
 	value  uint64
@@ -344,9 +339,9 @@
 			n.Uncached = boundedCount(f.value)
 		case fieldFetched:
 			n.Fetched = boundedCount(f.value)
-		case fieldUrgency:
+		case fieldNoticePriority:
 			n.Priority = boundedCount(f.value)
-		case fieldSuspect:
+		case fieldNoticeSuspect:
 			n.Suspect = f.value != 0
 		case fieldParts:
 			p, err := decodePart(f.bytes)
@@ -363,9 +358,9 @@
 	var p balance.Part
 	err := eachField(b, func(f field) error {
 		switch f.number {
-		case fieldPart:
+		case fieldPartID:
 			p.ID = f.value
-		case fieldTokens:
+		case fieldPartTokens:
 			p.Tokens = boundedCount(f.value)
 		}
 		return nil
--- a/gossip/old_builds_test.go
+++ b/gossip/old_builds_test.go
@@ -1,10 +1,8 @@
 package gossip
 
-// During a rolling upgrade, instances of an old build forward the configuration without the
-// fields that they don't know. A newer instance must not take a missing field for an empty one,
-// e.g. missing home regions for no restriction.
-//
-// The files are responses recorded from old builds, named by commit.
+// During a rolling upgrade, instances of an old build drop configuration fields that they don't
+// know. A newer instance must not take a missing field for an empty one. The test data are
+// responses recorded from old builds, named by commit.
 
 import (
 	"context"
--- a/gossip/pack.go
+++ b/gossip/pack.go
@@ -18,9 +18,8 @@
 // maxUnpacked bounds the decompressed size of a response part, in bytes.
 const maxUnpacked = 16 << 20
 
-// A packer caches a table's state in encoded form: a scheduler sends the same state to about 30
-// followers at each change, and a large configuration is 750 KB uncompressed. It is safe for
-// concurrent use.
+// A packer caches the encoded state of a table, which a scheduler sends to all its followers at
+// each change. It is safe for concurrent use.
 type packer struct {
 	table *discovery.Table
 
@@ -34,19 +33,18 @@
 
 // A packed is the encoded state of one revision.
 type packed struct {
-	revision int64
-	document *catalog.Document // nil if there is none
-	present  []byte            // compressed []discovery.Record; nil if partial
-	partial  bool
-	changed  []byte // JSON []discovery.Record
-	removed  []discovery.Deletion
-	digest   uint64
+	revision  int64
+	document  *catalog.Document // nil if there is none
+	endpoints []byte            // compressed []discovery.Record; nil if partial
+	partial   bool
+	changed   []byte // JSON []discovery.Record
+	removed   []discovery.Deletion
+	digest    uint64
 
 	evacuations []discovery.Evacuation
 }
 
-// maxPartial is the number of changed endpoints above which the full list is sent, whose
-// compressed size is then no larger.
+// maxPartial is the number of changed endpoints above which the compressed full list is no larger.
 const maxPartial = 1000
 
 // pack returns the encoded state: the changes since a revision if partial is set and they are
@@ -65,17 +63,16 @@
 	}
 	if p.full == nil {
 		u := p.table.Snapshot()
-		present, err := compress(u.Endpoints)
+		endpoints, err := compress(u.Endpoints)
 		if err != nil {
 			return packed{}, err
 		}
-		p.full = &packed{revision: u.Revision, document: u.Config, present: present, digest: u.Digest, evacuations: u.Evacuations}
+		p.full = &packed{revision: u.Revision, document: u.Config, endpoints: endpoints, digest: u.Digest, evacuations: u.Evacuations}
 	}
 	return *p.full, nil
 }
 
-// packChanges returns the changes since a revision. ok is false if they aren't known or there are
-// too many.
+// packChanges returns the changes since a revision; ok is false if they are unknown or too many.
 func (p *packer) packChanges(after int64) (part packed, ok bool, err error) {
 	if part, ok = p.partials[after]; ok {
 		return part, true, nil
@@ -94,7 +91,6 @@
 	return part, true, nil
 }
 
-// packConfig returns the encoded configuration.
 func (p *packer) packConfig(d *catalog.Document) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gossip/pack_test.go
+++ b/gossip/pack_test.go
@@ -28,7 +28,7 @@
 	return table
 }
 
-// Bounds the size of a large configuration, which a scheduler sends to all its followers at once.
+// Bounds the encoded size of a large configuration, which is sent to all followers at once.
 func TestLargeConfigurationCompressed(t *testing.T) {
 	r, _ := relayOf(t, largeTable(t), 0)
 	u, err := r.Load(context.Background())
--- a/gossip/permit_test.go
+++ b/gossip/permit_test.go
@@ -1,7 +1,6 @@
 package gossip
 
-// This file simulates fleets whose instances request permits in virtual time, and checks how many
-// are granted.
+// This file checks how many permits simulated fleets grant in virtual time.
 
 import (
 	"fmt"
@@ -54,12 +53,11 @@
 	}
 }
 
-// request has an instance request a permit from the allocator that it knows, and from the one
-// that this names.
+// request has an instance request a permit from the allocator that it knows, and follow redirects.
 func (c *permitClients) request(n *node) {
-	a := &PermitRequest{Endpoint: permitEndpoint, DataCentre: "dc1", Urgency: 2, Limit: balance.ReportedLimit{Known: true, Limited: true, Rate: c.rate}}
+	req := &PermitRequest{Endpoint: permitEndpoint, DataCentre: "dc1", Urgency: 2, Limit: balance.ReportedLimit{Known: true, Limited: true, Rate: c.rate}}
 	n.mu.Lock()
-	to := n.limitAllocator(c.w.now, a.Endpoint, a.DataCentre)
+	to := n.limitAllocator(c.w.now, req.Endpoint, req.DataCentre)
 	n.mu.Unlock()
 	answer := limit.Answer{Wait: limit.NoShareWait}
 	for range maxPermitHops {
@@ -68,7 +66,7 @@
 			break
 		}
 		c.requests++
-		answer, to = other.allocate(a)
+		answer, to = other.allocate(req)
 		if to == "" {
 			break
 		}
@@ -122,8 +120,7 @@
 	return float64(n) / (c.rate * c.w.now.Sub(since).Seconds())
 }
 
-// limitFleetSize returns the size of the largest fleet of TestLimitUtilization, which the
-// environment variable IVYRIDGE_INSTANCES overrides: 120 take minutes under the race detector.
+// limitFleetSize is the largest fleet of TestLimitUtilization; IVYRIDGE_INSTANCES overrides it.
 func limitFleetSize() int {
 	if n, err := strconv.Atoi(os.Getenv("IVYRIDGE_INSTANCES")); err == nil {
 		return n
@@ -131,8 +128,7 @@
 	return 30
 }
 
-// With enough demand at least 90% of a limit is used in small and large fleets, and at least 80%
-// if all demand is at one instance.
+// At least 90% of a limit is used if all instances have demand, and at least 80% if one does.
 func TestLimitUtilization(t *testing.T) {
 	t.Parallel()
 	all := []float64{0.5, 1.2, 50}
@@ -148,13 +144,13 @@
 				}
 				w.run(10 * time.Second)
 				clients := newPermitClients(w, rate, 1)
-				began, asks := w.now, 0
+				began, sent := w.now, 0
 				clients.run(20 * time.Second)
-				asks = clients.requests
+				sent = clients.requests
 				if used := clients.used(began); used < 0.9 || used > 1.1 {
 					t.Errorf("%.2f of the limit used", used)
 				}
-				if perSecond := float64(asks) / 20; perSecond > 1000 {
+				if perSecond := float64(sent) / 20; perSecond > 1000 {
 					t.Errorf("%.0f requests per second", perSecond)
 				}
 				for _, only := range []*node{w.nodes[0], w.nodes[c.n-1]} {
@@ -173,8 +169,7 @@
 	}
 }
 
-// After the allocator of a limit is lost, another one takes over within some seconds. A joining
-// instance doesn't reduce utilization.
+// Another instance takes over the limits of a lost allocator; a joining one reduces no utilization.
 func TestLimitUtilizationDuringChurn(t *testing.T) {
 	t.Parallel()
 	w := newSimulation(t, 24, 3)
@@ -206,8 +201,7 @@
 	}
 }
 
-// Each region allocates its own part of a limit. The sum never exceeds the limit, also during a
-// long partition between the regions.
+// The regions' parts of a limit are used but never exceed it, also during a long partition.
 func TestRegionsSplitLimits(t *testing.T) {
 	t.Parallel()
 	regions := map[string]string{"dc0": "east", "dc1": "east", "dc2": "west", "dc3": "west"}
@@ -233,9 +227,8 @@
 	}
 }
 
-// With random crashes, restarts, pauses, partitions, lost and duplicated datagrams and different
-// limits, the permits granted within any 4 s stay within the bound. Run more cases with
-// -rapid.checks=400.
+// The permits granted within any 4 s stay within the bound under random faults. Run more cases
+// with -rapid.checks=400.
 func TestLimitsUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) { checkPermitsUnderFaults(t, rt) })
@@ -284,15 +277,13 @@
 	}
 }
 
-// setDataCentres sets the configured number of data centres.
 func (w *simulation) setDataCentres(n int) {
 	for _, node := range w.nodes {
 		node.DataCentres = n
 	}
 }
 
-// Permit requests, permits and limits survive encoding and decoding; an invalid rate decodes as
-// no limit.
+// Permit messages survive encoding and decoding; an invalid rate decodes as no limit.
 func TestPermitMessageRoundTrip(t *testing.T) {
 	lim := balance.ReportedLimit{Known: true, Limited: true, Rate: 1.2, Age: 1500 * time.Millisecond}
 	m := &Message{Sender: 1, DataCentre: "a", AllocatesLimits: true,
@@ -313,8 +304,7 @@
 	}
 }
 
-// BenchmarkPermit measures receiving a permit request, answering it and sending the answer, in a
-// fleet of 120.
+// BenchmarkPermit measures decoding a permit request and sending the response in a fleet of 120.
 func BenchmarkPermit(b *testing.B) {
 	w := newSimulation(b, 120, 6)
 	w.run(10 * time.Second)
--- a/gossip/placement.go
+++ b/gossip/placement.go
@@ -1,6 +1,6 @@
 package gossip
 
-// This file sends placement requests to schedulers, and answers those of other instances.
+// This file sends placement requests to schedulers, and handles those of other instances.
 
 import (
 	"context"
@@ -16,36 +16,34 @@
 )
 
 const (
-	// requestTimeout is how long to wait for a scheduler. A request without an answer is placed
-	// by what this instance knows.
+	// requestTimeout is how long to wait for a scheduler before choosing an endpoint locally.
 	requestTimeout = 15 * time.Millisecond
-	// Backoff for a scheduler that didn't answer. It doubles with each timeout.
+	// Backoff for a scheduler that didn't respond. It doubles with each timeout.
 	minBackoff = 300 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// A backoff is the pause in requests to a scheduler that didn't answer.
+// A backoff is the pause in requests to a scheduler that didn't respond.
 type backoff struct {
 	until    time.Time
 	duration time.Duration
 }
 
-// Place chooses an endpoint for a request, or refuses it. The choice is made by a scheduler if
-// this instance uses one, and by this instance itself otherwise or if no scheduler answers in
-// time. Both results are nil if no endpoint may take the request.
+// Place chooses an endpoint for a request, or refuses it. A scheduler makes the choice if this
+// instance uses one, and this instance itself does otherwise, or if no scheduler responds in time.
+// Both results are nil if no endpoint may take the request.
 func (g *Gossip) Place(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
 	p, refusal := g.placeWithPermits(ctx, endpoints, d)
 	if refusal == nil || refusal.Cause != balance.RetryBudgetExhausted || !g.borrow(ctx, d) {
 		return p, refusal
 	}
-	paid := *d
-	paid.Retry = balance.NoRetry
-	return g.placeWithPermits(ctx, endpoints, &paid)
+	charged := *d
+	charged.Retry = balance.NoRetry
+	return g.placeWithPermits(ctx, endpoints, &charged)
 }
 
 // placeWithPermits is Place without borrowed retries. If the best endpoint is rate-limited it
-// requests a permit and chooses again; endpoints whose permit was denied are excluded for a
-// while.
+// requests a permit and chooses again, without endpoints whose permit was denied.
 func (g *Gossip) placeWithPermits(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
 	for range maxPermitRequests {
 		p, refusal, charged := g.choose(ctx, endpoints, d)
@@ -56,9 +54,9 @@
 		if charged {
 			d = withoutCharges(d)
 		}
-		offered := *d
-		offered.Counted, offered.Permit = true, permit
-		d = &offered
+		withPermit := *d
+		withPermit.Counted, withPermit.Permit = true, permit
+		d = &withPermit
 	}
 	final := *d
 	final.Permitted = true
@@ -66,10 +64,10 @@
 	return p, refusal
 }
 
-// choose has a scheduler or this instance's balancer choose an endpoint. It reports whether a
-// scheduler has already charged the request.
+// choose has a scheduler or the local balancer choose an endpoint. It reports whether a scheduler
+// has already charged the request.
 func (g *Gossip) choose(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (p *balance.Placement, refusal *balance.Refusal, charged bool) {
-	if scheduler, choice, ok := g.askScheduler(ctx, d); ok {
+	if scheduler, choice, ok := g.requestPlacement(ctx, d); ok {
 		if choice.Refusal != nil {
 			g.Count("granted-refusal")
 			choice.Refusal.Scheduler = scheduler
@@ -92,8 +90,7 @@
 	return p, refusal, charged
 }
 
-// withoutCharges returns a copy of d for a request that a scheduler has already charged to, and
-// credited to, the retry budget.
+// withoutCharges returns a copy of d that leaves the retry budget alone: a scheduler charged it.
 func withoutCharges(d *balance.Demand) *balance.Demand {
 	uncharged := *d
 	uncharged.Deposit, uncharged.Retry = quota.DepositNone, balance.NoRetry
@@ -111,9 +108,8 @@
 	return 0
 }
 
-// askScheduler sends a placement request to the first scheduler that is not in backoff, and
-// returns its address and choice.
-func (g *Gossip) askScheduler(ctx context.Context, d *balance.Demand) (string, balance.Choice, bool) {
+// requestPlacement asks the first scheduler not in backoff, and returns its address and choice.
+func (g *Gossip) requestPlacement(ctx context.Context, d *balance.Demand) (string, balance.Choice, bool) {
 	g.mu.Lock()
 	scheduler := g.nextScheduler(g.Now())
 	supported := scheduler != "" && g.members.byAddress[scheduler].protocol >= requiredProtocol(d)
@@ -124,37 +120,35 @@
 	choice, outcome := g.requestFrom(ctx, scheduler, g.newRequest(d), requestTimeout)
 	switch outcome {
 	case requestAnswered:
-		g.schedulerAnswered(scheduler)
+		g.schedulerResponded(scheduler)
 	case requestTimedOut:
 		g.schedulerTimedOut(scheduler)
 	}
 	return scheduler, choice, outcome == requestAnswered && (choice.Endpoint != 0 || choice.Refusal != nil)
 }
 
-// A requestOutcome is the outcome of a placement request.
 type requestOutcome uint8
 
 const (
 	requestNotSent  requestOutcome = iota // not sent, or the caller was cancelled
-	requestTimedOut                       // no answer in time
+	requestTimedOut                       // no response in time
 	requestAnswered
 )
 
-// requestFrom sends a placement request to an address, and waits for the answer for the given
-// time.
-func (g *Gossip) requestFrom(ctx context.Context, address string, a *PlacementRequest, timeout time.Duration) (balance.Choice, requestOutcome) {
+// requestFrom sends a placement request to an address, and waits up to timeout for the response.
+func (g *Gossip) requestFrom(ctx context.Context, address string, request *PlacementRequest, timeout time.Duration) (balance.Choice, requestOutcome) {
 	g.mu.Lock()
 	to, ok := g.resolve(address)
 	g.requestNumber++
-	a.Number = g.requestNumber
+	request.Number = g.requestNumber
 	reply := make(chan balance.Choice, 1)
-	g.pending[a.Number] = reply
+	g.pending[request.Number] = reply
 	g.mu.Unlock()
-	defer g.dropPending(a.Number)
+	defer g.dropPending(request.Number)
 	if !ok {
 		return balance.Choice{}, requestNotSent
 	}
-	m := Message{Sender: g.id, DataCentre: g.DataCentre, PlacementRequest: a}
+	m := Message{Sender: g.id, DataCentre: g.DataCentre, PlacementRequest: request}
 	if _, err := g.conn.WriteToUDPAddrPort(m.Append(make([]byte, 0, requestBytes)), to); err != nil {
 		g.Count("send-failed")
 		return balance.Choice{}, requestNotSent
@@ -172,7 +166,7 @@
 	return balance.Choice{}, requestNotSent
 }
 
-// requestBytes is the buffer size that fits most requests and answers.
+// requestBytes is the buffer size that fits most requests and responses.
 const requestBytes = 256
 
 func (g *Gossip) newRequest(d *balance.Demand) *PlacementRequest {
@@ -190,23 +184,22 @@
 	delete(g.pending, number)
 }
 
-// nextScheduler returns the address of the scheduler to send requests to, or "". The caller holds
-// g.mu.
+// nextScheduler returns the scheduler address to send requests to, or "". The caller holds g.mu.
 func (g *Gossip) nextScheduler(now time.Time) string {
 	for _, m := range g.members.currentRoles(now).schedulerOrder {
-		if s := g.backoffs[m.Address]; s == nil || !now.Before(s.until) {
+		if b := g.backoffs[m.Address]; b == nil || !now.Before(b.until) {
 			return m.Address
 		}
 	}
 	return ""
 }
 
-func (g *Gossip) schedulerAnswered(scheduler string) {
+func (g *Gossip) schedulerResponded(scheduler string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.backoffs[scheduler] != nil {
 		delete(g.backoffs, scheduler)
-		g.Log.Info("scheduler answers again", zap.String("address", scheduler))
+		g.Log.Info("scheduler responds again", zap.String("address", scheduler))
 	}
 }
 
@@ -218,7 +211,7 @@
 	if s == nil {
 		s = new(backoff)
 		g.backoffs[scheduler] = s
-		g.Log.Warn("scheduler did not answer in time", zap.String("address", scheduler))
+		g.Log.Warn("scheduler did not respond in time", zap.String("address", scheduler))
 	}
 	now := g.Now()
 	if now.Before(s.until) {
@@ -228,22 +221,21 @@
 	s.until = now.Add(s.duration)
 }
 
-// answerRequest answers a placement request of another instance.
-func (g *Gossip) answerRequest(to netip.AddrPort, instance uint64, a *PlacementRequest) {
-	m := Message{Sender: g.id, DataCentre: g.DataCentre, PlacementResponse: &PlacementResponse{Number: a.Number}}
+func (g *Gossip) handlePlacementRequest(to netip.AddrPort, instance uint64, request *PlacementRequest) {
+	m := Message{Sender: g.id, DataCentre: g.DataCentre, PlacementResponse: &PlacementResponse{Number: request.Number}}
 	view := g.State.View()
 	if view.Catalog != nil {
-		service := view.Catalog.Service(a.Service)
+		service := view.Catalog.Service(request.Service)
 		switch {
 		case service == nil:
-		case a.ChargeRetry:
-			m.PlacementResponse.Choice.RetryCharged = g.Balancer.ChargeRetry(a.Service, a.Retry)
+		case request.ChargeRetry:
+			m.PlacementResponse.Choice.RetryCharged = g.Balancer.ChargeRetry(request.Service, request.Retry)
 		default:
-			endpoints := view.Endpoints(a.Service)
+			endpoints := view.Endpoints(request.Service)
 			d := &balance.Demand{
-				Service: service, Priority: a.Priority, Objective: a.Objective, MaxGap: a.MaxGap, Deadline: a.Deadline,
-				Prompt: a.Prompt, Output: a.Output, Parts: a.Parts, Avoid: a.Avoid, Sent: a.Sent,
-				Team: a.Team, Residency: a.Residency, Bytes: a.Bytes, Retry: a.Retry, Deposit: a.Deposit, Suspect: a.Suspect,
+				Service: service, Priority: request.Priority, Objective: request.Objective, MaxGap: request.MaxGap, Deadline: request.Deadline,
+				Prompt: request.Prompt, Output: request.Output, Parts: request.Parts, Avoid: request.Avoid, Sent: request.Sent,
+				Team: request.Team, Residency: request.Residency, Bytes: request.Bytes, Retry: request.Retry, Deposit: request.Deposit, Suspect: request.Suspect,
 			}
 			m.PlacementResponse.Choice = g.Balancer.Grant(instance, endpoints, d)
 		}
@@ -255,14 +247,14 @@
 	g.Count("grants")
 }
 
-// deliverAnswer passes an answer to the request that waits for it.
-func (g *Gossip) deliverAnswer(m *PlacementResponse) {
+// handlePlacementResponse passes a response to the request that waits for it.
+func (g *Gossip) handlePlacementResponse(response *PlacementResponse) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if reply := g.pending[m.Number]; reply != nil {
+	if reply := g.pending[response.Number]; reply != nil {
 		select {
-		case reply <- m.Choice:
-		default: // duplicate answer
+		case reply <- response.Choice:
+		default: // duplicate response
 		}
 		return
 	}
--- a/gossip/placement_message.go
+++ b/gossip/placement_message.go
@@ -1,6 +1,6 @@
 package gossip
 
-// This file encodes placement requests, which instances send to schedulers, and their answers.
+// This file encodes placement requests, which instances send to schedulers, and the responses.
 
 import (
 	"math"
@@ -15,7 +15,7 @@
 
 // A PlacementRequest requests the choice of an endpoint for a request.
 type PlacementRequest struct {
-	Number      uint64 // returned in the answer
+	Number      uint64 // returned in the response
 	Service     string
 	Priority    int
 	Objective   time.Duration
@@ -32,19 +32,19 @@
 	Retry       balance.Retry     // kind of retry to charge to the fleet's budget
 	Deposit     quota.DepositKind // what the request adds to the retry budget of the receiver
 	Suspect     bool              // an endpoint crashed while it served an identical request
-	ChargeRetry bool              // only charge a retry; choose no endpoint
+	ChargeRetry bool              // charge a retry without choosing an endpoint
 }
 
-// A PlacementResponse is the answer to a placement request.
+// A PlacementResponse is the response to a placement request.
 type PlacementResponse struct {
 	Number uint64
 	Choice balance.Choice
 }
 
-// Field numbers of placement requests and answers. Durations are in microseconds unless noted.
+// Field numbers of placement requests and responses. Durations are in microseconds unless noted.
 const (
 	fieldNumber          protowire.Number = 1
-	fieldAskParts        protowire.Number = 6 // as in a notice
+	fieldRequestParts    protowire.Number = 6 // as in a notice
 	fieldService         protowire.Number = 7
 	fieldPriority        protowire.Number = 8
 	fieldObjective       protowire.Number = 9
@@ -60,10 +60,10 @@
 	fieldRetry           protowire.Number = 19
 	fieldDeposit         protowire.Number = 29
 	fieldChargeRetry     protowire.Number = 30
-	fieldAskSuspect      protowire.Number = 31
+	fieldRequestSuspect  protowire.Number = 31
 	fieldResidencyRegion protowire.Number = 1 // of the allowed regions
 
-	fieldChosen          protowire.Number = 2
+	fieldChosenEndpoint  protowire.Number = 2
 	fieldCost            protowire.Number = 3 // float64 bits, like the next two
 	fieldFailureRate     protowire.Number = 4
 	fieldExcessFailures  protowire.Number = 5
@@ -72,15 +72,15 @@
 	fieldBacklogTokens   protowire.Number = 8
 	fieldPrefillPerToken protowire.Number = 9 // nanoseconds, like the next two
 	fieldStepTime        protowire.Number = 10
-	fieldPace            protowire.Number = 11
+	fieldTokenTime       protowire.Number = 11
 
 	fieldRefusal        protowire.Number = 12
-	fieldWaits          protowire.Number = 13 // nanoseconds
-	fieldMoved          protowire.Number = 14 // tokens to transfer from the donor
+	fieldChoiceWait     protowire.Number = 13 // nanoseconds
+	fieldFetchTokens    protowire.Number = 14 // tokens to transfer from the donor
 	fieldDonor          protowire.Number = 15
 	fieldRetryAvailable protowire.Number = 29
 	fieldRetryCharged   protowire.Number = 30
-	fieldWait           protowire.Number = 1 // of a refusal
+	fieldRefusalWait    protowire.Number = 1
 	fieldPressure       protowire.Number = 2 // of a refusal, float64 bits
 	fieldRetryAfter     protowire.Number = 3 // of a refusal
 	fieldCause          protowire.Number = 4 // of a refusal
@@ -99,29 +99,29 @@
 
 func fromNanoseconds(v uint64) float64 { return float64(min(v, math.MaxInt64)) * nanosecond }
 
-func (a *PlacementRequest) append(b []byte) []byte {
-	b = appendUint(b, fieldNumber, a.Number)
-	b = appendBytes(b, fieldService, []byte(a.Service))
-	b = appendUint(b, fieldPriority, uint64(max(0, a.Priority)))
-	b = appendUint(b, fieldObjective, microseconds(a.Objective))
-	b = appendUint(b, fieldMaxGap, microseconds(a.MaxGap))
-	b = appendUint(b, fieldDeadline, microseconds(a.Deadline))
-	b = appendUint(b, fieldPrompt, uint64(max(0, a.Prompt)))
-	b = appendUint(b, fieldOutput, uint64(max(0, a.Output)))
-	b = appendUint(b, fieldSent, protowire.EncodeBool(a.Sent))
-	if a.Team != 0 {
-		b = appendFixed(b, fieldTeam, a.Team)
+func (r *PlacementRequest) append(b []byte) []byte {
+	b = appendUint(b, fieldNumber, r.Number)
+	b = appendBytes(b, fieldService, []byte(r.Service))
+	b = appendUint(b, fieldPriority, uint64(max(0, r.Priority)))
+	b = appendUint(b, fieldObjective, microseconds(r.Objective))
+	b = appendUint(b, fieldMaxGap, microseconds(r.MaxGap))
+	b = appendUint(b, fieldDeadline, microseconds(r.Deadline))
+	b = appendUint(b, fieldPrompt, uint64(max(0, r.Prompt)))
+	b = appendUint(b, fieldOutput, uint64(max(0, r.Output)))
+	b = appendUint(b, fieldSent, protowire.EncodeBool(r.Sent))
+	if r.Team != 0 {
+		b = appendFixed(b, fieldTeam, r.Team)
 	}
-	b = appendResidency(b, a.Residency)
-	b = appendUint(b, fieldBytes, uint64(max(0, a.Bytes)))
-	b = appendUint(b, fieldRetry, uint64(a.Retry))
-	b = appendUint(b, fieldDeposit, uint64(a.Deposit))
-	b = appendUint(b, fieldChargeRetry, protowire.EncodeBool(a.ChargeRetry))
-	b = appendUint(b, fieldAskSuspect, protowire.EncodeBool(a.Suspect))
-	for _, hash := range a.Avoid {
+	b = appendResidency(b, r.Residency)
+	b = appendUint(b, fieldBytes, uint64(max(0, r.Bytes)))
+	b = appendUint(b, fieldRetry, uint64(r.Retry))
+	b = appendUint(b, fieldDeposit, uint64(r.Deposit))
+	b = appendUint(b, fieldChargeRetry, protowire.EncodeBool(r.ChargeRetry))
+	b = appendUint(b, fieldRequestSuspect, protowire.EncodeBool(r.Suspect))
+	for _, hash := range r.Avoid {
 		b = appendFixed(b, fieldAvoid, hash)
 	}
-	return appendParts(b, a.Parts)
+	return appendParts(b, r.Parts)
 }
 
 func appendResidency(b []byte, residency catalog.Residency) []byte {
@@ -147,58 +147,58 @@
 	return catalog.NewResidency(regions), err
 }
 
-func (a *PlacementRequest) decode(b []byte) error {
+func (r *PlacementRequest) decode(b []byte) error {
 	return eachField(b, func(f field) error {
 		switch f.number {
 		case fieldNumber:
-			a.Number = f.value
+			r.Number = f.value
 		case fieldService:
-			a.Service = string(f.bytes)
+			r.Service = string(f.bytes)
 		case fieldPriority:
-			a.Priority = boundedCount(f.value)
+			r.Priority = boundedCount(f.value)
 		case fieldObjective:
-			a.Objective = fromMicroseconds(f.value)
+			r.Objective = fromMicroseconds(f.value)
 		case fieldMaxGap:
-			a.MaxGap = fromMicroseconds(f.value)
+			r.MaxGap = fromMicroseconds(f.value)
 		case fieldDeadline:
-			a.Deadline = fromMicroseconds(f.value)
+			r.Deadline = fromMicroseconds(f.value)
 		case fieldPrompt:
-			a.Prompt = boundedCount(f.value)
+			r.Prompt = boundedCount(f.value)
 		case fieldOutput:
-			a.Output = boundedCount(f.value)
+			r.Output = boundedCount(f.value)
 		case fieldAvoid:
-			a.Avoid = append(a.Avoid, uint32(f.value))
+			r.Avoid = append(r.Avoid, uint32(f.value))
 		case fieldSent:
-			a.Sent = f.value != 0
+			r.Sent = f.value != 0
 		case fieldTeam:
-			a.Team = uint32(f.value)
+			r.Team = uint32(f.value)
 		case fieldResidency:
 			var err error
-			a.Residency, err = decodeResidency(f.bytes)
+			r.Residency, err = decodeResidency(f.bytes)
 			return err
 		case fieldBytes:
-			a.Bytes = boundedCount(f.value)
+			r.Bytes = boundedCount(f.value)
 		case fieldRetry:
-			a.Retry = balance.Retry(min(f.value, uint64(balance.RetryInTime)))
+			r.Retry = balance.Retry(min(f.value, uint64(balance.RetryInTime)))
 		case fieldDeposit:
-			a.Deposit = quota.DepositKind(min(f.value, uint64(quota.DepositFull)))
+			r.Deposit = quota.DepositKind(min(f.value, uint64(quota.DepositFull)))
 		case fieldChargeRetry:
-			a.ChargeRetry = f.value != 0
-		case fieldAskSuspect:
-			a.Suspect = f.value != 0
-		case fieldAskParts:
+			r.ChargeRetry = f.value != 0
+		case fieldRequestSuspect:
+			r.Suspect = f.value != 0
+		case fieldRequestParts:
 			p, err := decodePart(f.bytes)
-			a.Parts = append(a.Parts, p)
+			r.Parts = append(r.Parts, p)
 			return err
 		}
 		return nil
 	})
 }
 
-func (g *PlacementResponse) append(b []byte) []byte {
-	c := &g.Choice
-	b = appendUint(b, fieldNumber, g.Number)
-	b = appendFixed(b, fieldChosen, c.Endpoint)
+func (p *PlacementResponse) append(b []byte) []byte {
+	c := &p.Choice
+	b = appendUint(b, fieldNumber, p.Number)
+	b = appendFixed(b, fieldChosenEndpoint, c.Endpoint)
 	b = appendUint(b, fieldCost, math.Float64bits(c.Cost))
 	b = appendUint(b, fieldFailureRate, math.Float64bits(c.FailureRate))
 	b = appendUint(b, fieldExcessFailures, math.Float64bits(c.ExcessFailures))
@@ -207,16 +207,16 @@
 	b = appendUint(b, fieldBacklogTokens, uint64(max(0, c.BacklogTokens)))
 	b = appendUint(b, fieldPrefillPerToken, nanoseconds(c.Pace.PrefillPerToken))
 	b = appendUint(b, fieldStepTime, nanoseconds(c.Pace.StepTime))
-	b = appendUint(b, fieldPace, nanoseconds(c.Pace.TokenTime))
-	b = appendUint(b, fieldWaits, nanoseconds(c.Wait))
+	b = appendUint(b, fieldTokenTime, nanoseconds(c.Pace.TokenTime))
+	b = appendUint(b, fieldChoiceWait, nanoseconds(c.Wait))
 	b = appendUint(b, fieldRetryAvailable, protowire.EncodeBool(c.RetryAvailable))
 	b = appendUint(b, fieldRetryCharged, protowire.EncodeBool(c.RetryCharged))
 	if c.Donor != 0 {
-		b = appendUint(b, fieldMoved, uint64(max(0, c.Fetched)))
+		b = appendUint(b, fieldFetchTokens, uint64(max(0, c.Fetched)))
 		b = appendFixed(b, fieldDonor, c.Donor)
 	}
 	if r := c.Refusal; r != nil {
-		refusal := appendUint(nil, fieldWait, microseconds(r.Wait))
+		refusal := appendUint(nil, fieldRefusalWait, microseconds(r.Wait))
 		refusal = appendUint(refusal, fieldCause, uint64(r.Cause))
 		refusal = appendUint(refusal, fieldPressure, math.Float64bits(r.Pressure))
 		refusal = appendUint(refusal, fieldRetryAfter, microseconds(r.RetryAfter))
@@ -229,7 +229,7 @@
 	r := new(balance.Refusal)
 	err := eachField(b, func(f field) error {
 		switch f.number {
-		case fieldWait:
+		case fieldRefusalWait:
 			r.Wait = fromMicroseconds(f.value)
 		case fieldCause:
 			r.Cause = balance.Cause(min(f.value, math.MaxUint8))
@@ -243,13 +243,13 @@
 	return r, err
 }
 
-func (g *PlacementResponse) decode(b []byte) error {
-	c := &g.Choice
+func (p *PlacementResponse) decode(b []byte) error {
+	c := &p.Choice
 	return eachField(b, func(f field) error {
 		switch f.number {
 		case fieldNumber:
-			g.Number = f.value
-		case fieldChosen:
+			p.Number = f.value
+		case fieldChosenEndpoint:
 			c.Endpoint = uint32(f.value)
 		case fieldCost:
 			c.Cost = math.Float64frombits(f.value)
@@ -267,11 +267,11 @@
 			c.Pace.PrefillPerToken = fromNanoseconds(f.value)
 		case fieldStepTime:
 			c.Pace.StepTime = fromNanoseconds(f.value)
-		case fieldPace:
+		case fieldTokenTime:
 			c.Pace.TokenTime = fromNanoseconds(f.value)
-		case fieldWaits:
+		case fieldChoiceWait:
 			c.Wait = fromNanoseconds(f.value)
-		case fieldMoved:
+		case fieldFetchTokens:
 			c.Fetched = boundedCount(f.value)
 		case fieldDonor:
 			c.Donor = uint32(f.value)
--- a/gossip/placement_test.go
+++ b/gossip/placement_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// A silent scheduler delays one request by a short timeout. Then the next ones are asked, and at
-// last the instance chooses by itself.
+// A silent scheduler delays one request. Then the next ones are asked, and last
+// the instance chooses an endpoint itself.
 func TestSilentSchedulerBackoff(t *testing.T) {
 	d := newDataCentre(t)
 	go d.client.receive()
@@ -99,7 +99,7 @@
 	}
 }
 
-// A scheduler without a configuration grants nothing, and the instance chooses by itself.
+// A scheduler without a configuration grants nothing, and the instance chooses an endpoint itself.
 func TestSchedulerWithoutConfiguration(t *testing.T) {
 	d := newDataCentre(t)
 	d.scheduler.State = discovery.NewTable(time.Now)
@@ -113,8 +113,7 @@
 	}
 }
 
-// A scheduler's refusal is final: the instance must not place the request by its own limited
-// knowledge.
+// A scheduler's refusal is final: the instance must not choose by its own limited knowledge.
 func TestSchedulerRefuses(t *testing.T) {
 	d := newDataCentre(t)
 	engine := &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 2, MemoryTokens: 100_000}}
--- a/gossip/region_message.go
+++ b/gossip/region_message.go
@@ -1,14 +1,11 @@
 package gossip
 
-// This file encodes the cross-region part of messages.
-
 import (
 	"time"
 
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Field numbers of the cross-region part of a Message.
 const (
 	fieldRegion     protowire.Number = 25
 	fieldRegionSize protowire.Number = 26
@@ -20,14 +17,10 @@
 type RegionMessage struct {
 	// Region is set if Aggregates and Notices cover a whole region. Older versions ignore such
 	// aggregates because they name no data centre.
-	Region string
-	// RegionSize is the number of live instances of the sender's region that it receives from,
-	// itself included.
-	RegionSize int
-	// TokenHeld is how long the sender has held the token that it echoes; zero: not sent.
-	TokenHeld time.Duration
-	// Restricted is set if prompt parts in the notices must not leave the region.
-	Restricted bool
+	Region     string
+	RegionSize int           // live instances of the sender's region that it receives from, itself included
+	TokenHeld  time.Duration // how long the sender held the token that it echoes; zero: not sent
+	Restricted bool          // prompt parts in the notices must not leave the region
 }
 
 func (m *RegionMessage) append(b []byte) []byte {
@@ -51,7 +44,7 @@
 	}
 }
 
-// appendHeld appends how long the echoed token was held, which differs between receivers.
+// appendHeld is separate from append because the duration differs between receivers.
 func appendHeld(b []byte, held time.Duration) []byte {
 	return appendUint(b, fieldTokenHeld, microseconds(held))
 }
--- a/gossip/regions.go
+++ b/gossip/regions.go
@@ -2,21 +2,16 @@
 
 // This file exchanges load reports and placement notices with other regions.
 //
-// Links between regions are narrow and also carry requests. If all schedulers sent to all others,
-// as they do within a region, each notice and each aggregate would cross a link several times. So
-// one instance of each region, its gateway, collects the notices and the aggregates of its data
-// centres and sends them to the gateway of each other region. That one forwards them to the first
-// schedulers of its data centres, and these to the other schedulers, so that everything crosses a
-// link once. The gateway is the highest-ranked of the region's first schedulers; like all roles
-// it is computed by each instance from the members it sees. A receiver forwards also if it
-// doesn't see itself as the gateway. If a gateway is lost the next first scheduler replaces it
-// once the region has noticed, and starts with complete reports.
+// One instance of each region, its gateway, sends the notices and aggregates of its region to the
+// gateway of each other region. That one forwards them to the first schedulers of its data
+// centres, and these to the other schedulers, so that each crosses the narrow link between two
+// regions once. The gateway is the highest-ranked of the region's first schedulers; each instance
+// computes it from the members it sees. A receiver forwards even if it doesn't see itself as the
+// gateway. If a gateway is lost the next first scheduler replaces it, with complete reports.
 //
-// Ordinary instances of different regions don't exchange messages. Their number is taken from
-// what schedulers report of their own region.
-//
-// If a scheduler runs a version that doesn't forward, or only one region is configured, all
-// schedulers exchange messages directly.
+// Ordinary instances of different regions don't exchange messages; their number is taken from
+// schedulers' reports. If a scheduler runs a version that doesn't forward, or only one region is
+// configured, all schedulers exchange messages directly.
 
 import (
 	"time"
@@ -28,14 +23,13 @@
 )
 
 const (
-	// minRegionInterval is the minimum pause between messages to other regions. It is longer than
-	// within a region, since requests are seldom placed by the load of another region.
+	// minRegionInterval is the minimum pause between messages to another region.
 	minRegionInterval = 200 * time.Millisecond
-	// remoteHeartbeatInterval is the pause between heartbeats of schedulers to those of other
-	// regions, which keep them known for a gateway failover and for rejoining after a partition.
+	// remoteHeartbeatInterval is the pause between heartbeats to schedulers of other regions,
+	// which keep them known for a gateway failover and for rejoining after a partition.
 	remoteHeartbeatInterval = time.Second
-	// maxHeldNotices bounds the notices that wait to be sent to other regions.
-	maxHeldNotices = 2048
+	// maxQueuedNotices bounds the notices that wait to be sent to other regions.
+	maxQueuedNotices = 2048
 )
 
 // regionRoles are the roles of instances in cross-region exchange.
@@ -45,8 +39,8 @@
 	regionGateway          *Member   // gateway of this region; nil: none is live
 	otherGateways          []*Member // gateways of the other regions
 	regionSchedulers       []*Member // schedulers of this region, without this instance
-	otherRegionSchedulers  []*Member // schedulers of other regions
-	regionFirsts           []*Member // first schedulers of the region's other data centres
+	otherRegionSchedulers  []*Member
+	regionFirstSchedulers  []*Member // first schedulers of the region's other data centres
 	regionPeers            []*Member // ordinary instances of the region's other data centres
 	regionRemoteSchedulers []*Member // schedulers of the region's other data centres
 	regionDataCentres      map[string]bool
@@ -55,7 +49,7 @@
 // assignRegionRoles computes the cross-region roles if there are several regions.
 func (s *members) assignRegionRoles(r *roles) {
 	self, regions := &s.self, s.regions
-	r.regionSchedulers, r.regionFirsts, r.regionPeers, r.regionRemoteSchedulers = r.schedulers, r.remoteFirsts, r.remotePeers, r.remoteSchedulers
+	r.regionSchedulers, r.regionFirstSchedulers, r.regionPeers, r.regionRemoteSchedulers = r.schedulers, r.remoteFirstSchedulers, r.remotePeers, r.remoteSchedulers
 	own := regions[self.DataCentre]
 	isRemote := func(m *Member) bool { return regions[m.DataCentre] != own }
 	r.useGateways = s.multiRegion
@@ -66,26 +60,26 @@
 		return
 	}
 	r.regionSchedulers, r.otherRegionSchedulers = partition(r.schedulers, isRemote)
-	r.regionFirsts, _ = partition(r.remoteFirsts, isRemote)
+	r.regionFirstSchedulers, _ = partition(r.remoteFirstSchedulers, isRemote)
 	r.regionPeers, _ = partition(r.remotePeers, isRemote)
 	r.regionRemoteSchedulers, _ = partition(r.remoteSchedulers, isRemote)
 	r.localContacts = append(r.regionSchedulers[:len(r.regionSchedulers):len(r.regionSchedulers)], r.localPeers...)
 	r.regionDataCentres = map[string]bool{self.DataCentre: true}
-	for _, m := range r.regionFirsts {
+	for _, m := range r.regionFirstSchedulers {
 		r.regionDataCentres[m.DataCentre] = true
 	}
-	firsts := r.regionFirstSchedulers(self, regions)
-	r.regionGateway = firsts[own]
-	r.isGateway = firsts[own] == self
-	for region, m := range firsts {
+	gateways := r.gatewaysByRegion(self, regions)
+	r.regionGateway = gateways[own]
+	r.isGateway = gateways[own] == self
+	for region, m := range gateways {
 		if region != own {
 			r.otherGateways = append(r.otherGateways, m)
 		}
 	}
 }
 
-// regionFirstSchedulers returns the highest-ranked first scheduler of each region.
-func (r *roles) regionFirstSchedulers(self *Member, regions balance.Regions) map[string]*Member {
+// gatewaysByRegion returns the highest-ranked first scheduler of each region.
+func (r *roles) gatewaysByRegion(self *Member, regions balance.Regions) map[string]*Member {
 	out := make(map[string]*Member)
 	consider := func(m *Member) {
 		region := regions[m.DataCentre]
@@ -94,18 +88,17 @@
 		}
 	}
 	switch {
-	case r.isFirst:
+	case r.isFirstScheduler:
 		consider(self)
 	case len(r.predecessors) > 0:
 		consider(r.predecessors[0])
 	}
-	for _, m := range r.remoteFirsts {
+	for _, m := range r.remoteFirstSchedulers {
 		consider(m)
 	}
 	return out
 }
 
-// setRegions sets the region of each data centre.
 func (s *members) setRegions(regions balance.Regions) {
 	s.regions = regions
 	for a := range regions {
@@ -123,7 +116,7 @@
 	return false
 }
 
-// partition splits members into those for which away is false and those for which it is true.
+// partition splits members by isRemote.
 func partition(all []*Member, isRemote func(*Member) bool) (local, remote []*Member) {
 	for _, m := range all {
 		if isRemote(m) {
@@ -142,18 +135,17 @@
 	ownSentUpTo uint64 // change counter of this instance's own load reports sent so far
 	schedulers  receiverGroup
 
-	loggedGateway string // address of this region's gateway, as last logged
-	loggedRegions int    // number of other regions' gateways, as last logged
+	loggedGateway      string // address of this region's gateway, as last logged
+	loggedGatewayCount int    // number of other regions' gateways, as last logged
 }
 
-// holdForGateways queues notices for other regions if this instance is the gateway. The caller
-// holds g.mu.
-func (g *Gossip) holdForGateways(r *roles, notices []balance.Notice) {
+// queueForGateways queues notices if this instance is the gateway. The caller holds g.mu.
+func (g *Gossip) queueForGateways(r *roles, notices []balance.Notice) {
 	if !r.isGateway || len(r.otherGateways) == 0 {
 		g.crossRegion.notices = nil
 		return
 	}
-	room := maxHeldNotices - len(g.crossRegion.notices)
+	room := maxQueuedNotices - len(g.crossRegion.notices)
 	if room < len(notices) {
 		g.Count("notices-beyond-dropped")
 		notices = notices[:max(0, room)]
@@ -161,9 +153,8 @@
 	g.crossRegion.notices = append(g.crossRegion.notices, notices...)
 }
 
-// collectNotices queues the notices of another instance of this region for other regions. Those
-// of older versions are skipped, since they don't mark the parts that must not leave the region.
-// The caller holds g.mu.
+// collectNotices queues the notices of another instance of this region, unless its version can't
+// mark the prompt parts that must not leave the region. The caller holds g.mu.
 func (g *Gossip) collectNotices(now time.Time, m *Message) {
 	r := g.members.currentRoles(now)
 	if !r.isGateway || m.Protocol < protocolRegions || m.Region != "" || len(m.Notices) == 0 || g.Regions[m.DataCentre] != g.Regions[g.DataCentre] {
@@ -171,13 +162,13 @@
 	}
 	notices := m.Notices
 	if m.Restricted {
-		notices = bindToRegion(notices, g.Regions[g.DataCentre])
+		notices = restrictToRegion(notices, g.Regions[g.DataCentre])
 	}
-	g.holdForGateways(r, notices)
+	g.queueForGateways(r, notices)
 }
 
-// bindToRegion returns a copy of notices whose parts may only be sent within one region.
-func bindToRegion(notices []balance.Notice, region string) []balance.Notice {
+// restrictToRegion returns a copy of notices whose prompt parts may only be sent within region.
+func restrictToRegion(notices []balance.Notice, region string) []balance.Notice {
 	out := append([]balance.Notice(nil), notices...)
 	for i := range out {
 		out[i].Residency = catalog.NewResidency([]string{region})
@@ -185,10 +176,10 @@
 	return out
 }
 
-// sendToGateways sends the load and the notices of this region to the gateways of other regions,
-// if this instance is the gateway and the interval has passed. The caller holds g.mu.
+// sendToGateways sends the load and the notices of this region to the other gateways, if this
+// instance is the gateway and the interval has passed. The caller holds g.mu.
 func (g *Gossip) sendToGateways(now time.Time, r *roles) {
-	g.logRegions(r)
+	g.logGateways(r)
 	group := &g.crossRegion.gateways
 	if !r.isGateway || len(r.otherGateways) == 0 {
 		*group, g.crossRegion.notices = receiverGroup{}, nil
@@ -198,11 +189,11 @@
 		return
 	}
 	full := now.Sub(group.lastFull) >= fullAggregateInterval
-	sums, upTo, ownUpTo := g.Balancer.AggregateReportsWithOwn(g.inRegion(r), full, group.sentUpTo, g.crossRegion.ownSentUpTo)
+	aggregates, upTo, ownUpTo := g.Balancer.AggregateReportsWithOwn(g.inRegion(r), full, group.sentUpTo, g.crossRegion.ownSentUpTo)
 	group.sentUpTo, g.crossRegion.ownSentUpTo = upTo, ownUpTo
 	notices := g.crossRegion.notices
 	g.crossRegion.notices = nil
-	if len(sums) == 0 && len(notices) == 0 && !full && now.Sub(group.lastSent) < maxQuiet {
+	if len(aggregates) == 0 && len(notices) == 0 && !full && now.Sub(group.lastSent) < maxUpdateInterval {
 		return
 	}
 	group.lastSent = now
@@ -211,20 +202,19 @@
 	}
 	for _, other := range r.otherGateways {
 		allowed := balance.RedactParts(notices, g.Regions[other.DataCentre])
-		g.sendRegionState(now, g.Regions[g.DataCentre], sums, full, allowed, []*Member{other})
+		g.sendRegionState(now, g.Regions[g.DataCentre], aggregates, full, allowed, []*Member{other})
 	}
 }
 
-// logRegions logs changes of this region's gateway and of the number of other regions. The caller
-// holds g.mu.
-func (g *Gossip) logRegions(r *roles) {
+// logGateways logs changes of the regions' gateways. The caller holds g.mu.
+func (g *Gossip) logGateways(r *roles) {
 	if !r.isScheduler || r.regionGateway == nil {
 		return
 	}
-	if r.regionGateway.Address == g.crossRegion.loggedGateway && len(r.otherGateways) == g.crossRegion.loggedRegions {
+	if r.regionGateway.Address == g.crossRegion.loggedGateway && len(r.otherGateways) == g.crossRegion.loggedGatewayCount {
 		return
 	}
-	g.crossRegion.loggedGateway, g.crossRegion.loggedRegions = r.regionGateway.Address, len(r.otherGateways)
+	g.crossRegion.loggedGateway, g.crossRegion.loggedGatewayCount = r.regionGateway.Address, len(r.otherGateways)
 	var others []string
 	for _, m := range r.otherGateways {
 		others = append(others, g.Regions[m.DataCentre]+"="+m.Address)
@@ -235,8 +225,7 @@
 // regionInterval returns the pause between messages to another region in a fleet of n instances.
 func regionInterval(n int) time.Duration { return max(minRegionInterval, balance.ReportInterval(n)) }
 
-// inRegion returns a function that reports whether an ID stands for an instance or an aggregate
-// of this region.
+// inRegion returns a predicate for the IDs of this region's instances and aggregates.
 func (g *Gossip) inRegion(r *roles) func(uint64) bool {
 	ids := make(map[uint64]bool)
 	for _, m := range r.regionSchedulers {
@@ -254,13 +243,13 @@
 }
 
 // sendRegionState sends the load and the notices of a region in as many datagrams as needed.
-func (g *Gossip) sendRegionState(now time.Time, region string, sums []balance.Report, full bool, notices []balance.Notice, to []*Member) {
-	for first := true; first || len(sums) > 0 || len(notices) > 0; first = false {
+func (g *Gossip) sendRegionState(now time.Time, region string, aggregates []balance.Report, full bool, notices []balance.Notice, to []*Member) {
+	for first := true; first || len(aggregates) > 0 || len(notices) > 0; first = false {
 		m := g.newMessage(now)
-		m.NextWithin = maxQuiet
+		m.NextWithin = maxUpdateInterval
 		m.Region, m.AggregatesComplete = region, full
-		n := min((maxDatagram-headerBytes)/aggregateBytes, len(sums))
-		m.Aggregates, sums = sums[:n], sums[n:]
+		n := min((maxDatagram-headerBytes)/aggregateBytes, len(aggregates))
+		m.Aggregates, aggregates = aggregates[:n], aggregates[n:]
 		n = min((maxDatagram-headerBytes-n*aggregateBytes)/noticeBytes, len(notices))
 		m.Notices, notices = notices[:n], notices[n:]
 		g.send(m, addresses(to))
@@ -268,10 +257,9 @@
 	}
 }
 
-// handleRegionState processes the load of a region and forwards it: from another region to the
-// other schedulers of this data centre and the first schedulers of the region's other data
-// centres, and from another data centre to the other schedulers of this one. The caller holds
-// g.mu.
+// handleRegionState processes the load of another region. It forwards it to the other schedulers
+// of this data centre and, if the sender is in another region, to the first schedulers of this
+// region's other data centres. The caller holds g.mu.
 func (g *Gossip) handleRegionState(now time.Time, m *Message) {
 	own := g.Regions[g.DataCentre]
 	if m.Region == "" || m.Region == own || !g.knownRegion(m.Region) {
@@ -284,7 +272,7 @@
 	}
 	to := r.localSchedulers[:len(r.localSchedulers):len(r.localSchedulers)]
 	if g.Regions[m.DataCentre] != own {
-		to = append(to, r.regionFirsts...)
+		to = append(to, r.regionFirstSchedulers...)
 	}
 	if len(to) > 0 {
 		g.sendRegionState(now, m.Region, m.Aggregates, m.AggregatesComplete, m.Notices, to)
@@ -294,8 +282,7 @@
 // regionKey returns the key of a region's aggregate, which takes the place of an instance ID.
 func regionKey(region string) uint64 { return aggregateKey("region " + region) }
 
-// countByRegion returns the number of live instances of this region, and the number that
-// schedulers of other regions report for theirs.
+// countByRegion counts the live instances of this region, and those that other regions report.
 func (s *members) countByRegion(now time.Time) (local, remote int) {
 	local = 1
 	own := s.regions[s.self.DataCentre]
@@ -314,21 +301,21 @@
 	return local, remote
 }
 
-// sendBoundNotices sends the notices whose prompt parts must not leave the region in datagrams
-// marked as such, and returns the others. All receivers must be in this region.
-func (g *Gossip) sendBoundNotices(m *Message, notices []balance.Notice, to []*Member) (others []balance.Notice) {
-	var bound []balance.Notice
+// sendRestrictedNotices sends the notices whose prompt parts must not leave the region, marked as
+// such, and returns the others. All receivers must be in this region.
+func (g *Gossip) sendRestrictedNotices(m *Message, notices []balance.Notice, to []*Member) (others []balance.Notice) {
+	var restricted []balance.Notice
 	for _, n := range notices {
 		if len(n.Parts) > 0 && n.Residency.Restricted() {
-			bound = append(bound, n)
+			restricted = append(restricted, n)
 		} else {
 			others = append(others, n)
 		}
 	}
-	if len(bound) > 0 {
-		boundMessage := *m
-		boundMessage.Reports, boundMessage.Complete, boundMessage.Peers, boundMessage.Restricted = nil, false, nil, true
-		g.sendNoticeDatagrams(&boundMessage, bound, to)
+	if len(restricted) > 0 {
+		restrictedMessage := *m
+		restrictedMessage.Reports, restrictedMessage.Complete, restrictedMessage.Peers, restrictedMessage.Restricted = nil, false, nil, true
+		g.sendNoticeDatagrams(&restrictedMessage, restricted, to)
 	}
 	return others
 }
--- a/gossip/regions_test.go
+++ b/gossip/regions_test.go
@@ -21,28 +21,27 @@
 	}
 }
 
-// While a scheduler of a version that doesn't forward is live, all schedulers are sent to
-// directly.
+// A live scheduler whose version doesn't forward keeps gateways from being used.
 func TestGatewaysUnusedWithOldSchedulers(t *testing.T) {
-	for _, level := range []int{protocolResidency, protocolRegions} {
+	for _, protocol := range []int{protocolResidency, protocolRegions} {
 		s := newMembers(Member{Address: "10.0.0.1:1", ID: 1, DataCentre: "dc0"}, nil)
 		s.setRegions(twoByOne)
 		now := time.Unix(1000, 0)
 		for i := range 3 {
 			m := &Message{Sender: uint64(i + 2), DataCentre: "dc1", Protocol: protocolRegions, NextWithin: time.Second}
 			if i == 1 {
-				m.Protocol = level
+				m.Protocol = protocol
 			}
 			s.observe(now, fmt.Sprint("10.0.1.", i, ":1"), m, time.Time{})
 		}
 		r := s.currentRoles(now)
-		useGateways := level >= protocolRegions
+		useGateways := protocol >= protocolRegions
 		direct := 3 // schedulers sent to directly
 		if useGateways {
 			direct = 0
 		}
 		if r.useGateways != useGateways || r.isGateway != useGateways || len(r.regionSchedulers) != direct {
-			t.Errorf("version %d: gateways used %v, is gateway %v, %d schedulers sent to directly, want %v, %v, %d", level, r.useGateways, r.isGateway, len(r.regionSchedulers), useGateways, useGateways, direct)
+			t.Errorf("protocol %d: gateways used %v, is gateway %v, %d schedulers sent to directly, want %v, %v, %d", protocol, r.useGateways, r.isGateway, len(r.regionSchedulers), useGateways, useGateways, direct)
 		}
 	}
 }
@@ -77,8 +76,8 @@
 	}{{"two regions of three", twoByThree}, {"one and three", oneAndThree}, {"three regions of two", threeByTwo}, {"two regions of one", twoByOne}}
 )
 
-// wantGatewaysAgree fails the test unless each region has one gateway, which knows those of the
-// other regions, all instances count all instances, and schedulers know all schedulers.
+// wantGatewaysAgree fails the test unless regions have one gateway each, gateways know each other,
+// instances count all instances, and schedulers know all schedulers.
 func (w *simulation) wantGatewaysAgree(when string) {
 	w.t.Helper()
 	live, schedulers := 0, 0
@@ -118,8 +117,7 @@
 	}
 }
 
-// apart reports whether two instances are in different regions.
-func (w *simulation) apart(a, b *node) bool {
+func (w *simulation) inDifferentRegions(a, b *node) bool {
 	return w.regions[a.DataCentre] != w.regions[b.DataCentre]
 }
 
@@ -138,7 +136,7 @@
 				w.run(10 * time.Second)
 				usual, usualKinds := w.takeLinkBytes()
 				w.lost = func(from, to *node) bool {
-					return w.apart(from, to) && (!oneWay || w.regions[from.DataCentre] == "a")
+					return w.inDifferentRegions(from, to) && (!oneWay || w.regions[from.DataCentre] == "a")
 				}
 				w.run(20 * time.Second)
 				w.takeLinkBytes()
@@ -169,8 +167,8 @@
 	w.wantGatewaysAgree("after the loss of both gateways")
 }
 
-// trafficGenerator generates load: at each step, some instances have a request placed by a
-// scheduler of their data centre, which ends after about a second.
+// A trafficGenerator has instances place requests through a scheduler of their data centre. Each
+// request ends after about a second.
 type trafficGenerator struct {
 	w         *simulation
 	endpoints []*discovery.Endpoint
@@ -180,54 +178,54 @@
 }
 
 func (w *simulation) newTraffic(endpoints int) *trafficGenerator {
-	q := &trafficGenerator{w: w, service: &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 64, MemoryTokens: 300_000}}}
+	traffic := &trafficGenerator{w: w, service: &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 64, MemoryTokens: 300_000}}}
 	for i := range endpoints {
-		q.endpoints = append(q.endpoints, &discovery.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprint("e", i), DataCentre: fmt.Sprint("dc", i%len(w.regions))}})
+		traffic.endpoints = append(traffic.endpoints, &discovery.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprint("e", i), DataCentre: fmt.Sprint("dc", i%len(w.regions))}})
 	}
 	for _, n := range w.nodes {
 		n.Balancer.SetRegions(n.Regions)
-		n.Balancer.Place(q.endpoints, q.demand()).Done(balance.Served) // makes the endpoints known to all instances
+		n.Balancer.Place(traffic.endpoints, traffic.demand()).Done(balance.Served) // makes the endpoints known to all instances
 		n.Balancer.TakeNotices()
 	}
-	return q
+	return traffic
 }
 
-func (q *trafficGenerator) demand() *balance.Demand {
-	q.placed++
+func (g *trafficGenerator) demand() *balance.Demand {
+	g.placed++
 	return &balance.Demand{
-		Service: q.service, Priority: q.placed % 3, Objective: 2 * time.Second, Prompt: 9000, Output: 100, Bytes: 9000,
-		Parts: []balance.Part{{ID: uint64(q.placed%200 + 1), Tokens: 6300}, {ID: uint64(q.placed) << 20, Tokens: 2700}},
+		Service: g.service, Priority: g.placed % 3, Objective: 2 * time.Second, Prompt: 9000, Output: 100, Bytes: 9000,
+		Parts: []balance.Part{{ID: uint64(g.placed%200 + 1), Tokens: 6300}, {ID: uint64(g.placed) << 20, Tokens: 2700}},
 	}
 }
 
 // run advances time with the given number of requests per second.
-func (q *trafficGenerator) run(d time.Duration, rate int) {
+func (g *trafficGenerator) run(d time.Duration, rate int) {
 	each := rate * int(simulationStep) / int(time.Second)
 	for range d / simulationStep {
 		for range each {
-			q.request(q.w.nodes[q.placed%len(q.w.nodes)])
+			g.request(g.w.nodes[g.placed%len(g.w.nodes)])
 		}
-		if most := rate; len(q.open) > most {
-			for _, p := range q.open[:len(q.open)-most] {
+		if most := rate; len(g.open) > most {
+			for _, p := range g.open[:len(g.open)-most] {
 				p.Done(balance.Served)
 			}
-			q.open = q.open[len(q.open)-most:]
+			g.open = g.open[len(g.open)-most:]
 		}
-		q.w.run(simulationStep)
+		g.w.run(simulationStep)
 	}
 }
 
-func (q *trafficGenerator) request(n *node) {
-	d := q.demand()
-	schedulers := n.members.currentRoles(q.w.now).schedulerOrder
+func (g *trafficGenerator) request(n *node) {
+	d := g.demand()
+	schedulers := n.members.currentRoles(g.w.now).schedulerOrder
 	if len(schedulers) == 0 {
-		q.open = append(q.open, n.Balancer.Place(q.endpoints, d))
+		g.open = append(g.open, n.Balancer.Place(g.endpoints, d))
 		return
 	}
-	for _, other := range q.w.nodes {
+	for _, other := range g.w.nodes {
 		if other.Address == schedulers[0].Address && !other.dead {
-			if p, _ := n.Balancer.Adopt(other.Balancer.Grant(n.id, q.endpoints, d), q.endpoints, d); p != nil {
-				q.open = append(q.open, p)
+			if p, _ := n.Balancer.Adopt(other.Balancer.Grant(n.id, g.endpoints, d), g.endpoints, d); p != nil {
+				g.open = append(g.open, p)
 			}
 			return
 		}
@@ -235,7 +233,6 @@
 }
 
 // Control traffic crosses the link between two regions once instead of once per scheduler.
-// Traffic by kind is logged.
 func TestControlTrafficCrossesRegionsOnce(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ instances, endpoints, rate int }{{70, 140, 600}, {300, 140, 600}} {
@@ -245,11 +242,11 @@
 		var sum [2]int
 		for i, useGateways := range []bool{false, true} {
 			w := newRegionSimulation(t, c.instances, 6, twoByThree, useGateways)
-			q := w.newTraffic(c.endpoints)
+			traffic := w.newTraffic(c.endpoints)
 			w.run(10 * time.Second)
-			q.run(time.Second, c.rate)
+			traffic.run(time.Second, c.rate)
 			w.takeLinkBytes()
-			q.run(2*time.Second, c.rate)
+			traffic.run(2*time.Second, c.rate)
 			var kinds string
 			sum[i], kinds = w.takeLinkBytes()
 			t.Logf("%d instances, gateways %v: %d KB/s between regions, %s", c.instances, useGateways, sum[i]/2000, kinds)
@@ -260,8 +257,7 @@
 	}
 }
 
-// The shares of a cold endpoint's rate sum to at most one while regions are partitioned in one or
-// both directions, and while they rejoin.
+// The shares of a cold endpoint's rate sum to at most one while regions are partitioned or rejoin.
 func TestColdSharesDuringRegionPartition(t *testing.T) {
 	t.Parallel()
 	for _, c := range regionLayouts {
@@ -272,7 +268,7 @@
 				t.Errorf("%s: shares sum to %.2f once settled, want 1", c.name, sum)
 			}
 			w.lost = func(from, to *node) bool {
-				return w.apart(from, to) && (!oneWay || w.regions[from.DataCentre] == "a")
+				return w.inDifferentRegions(from, to) && (!oneWay || w.regions[from.DataCentre] == "a")
 			}
 			w.coldSharesNeverExceed(1, 15*time.Second)
 			if sum, _ := w.coldShares(); sum < 0.99 {
@@ -284,25 +280,24 @@
 	}
 }
 
-// Prompt parts that are bound to a region are not forwarded to another one; others reach all its
-// schedulers.
-func TestBoundPromptPartsStayInRegion(t *testing.T) {
+// Restricted prompt parts don't leave their region; others reach the schedulers of all regions.
+func TestRestrictedPromptPartsStayInRegion(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		homes []string // nil: not bound
-		known bool
+		homeRegions []string // nil: not restricted
+		known       bool
 	}{{nil, true}, {[]string{"a"}, false}} {
 		w := newRegionSimulation(t, 36, 6, twoByThree, true)
-		q := w.newTraffic(6)
+		traffic := w.newTraffic(6)
 		w.run(10 * time.Second)
-		d := &balance.Demand{Service: q.service, Objective: time.Second, Prompt: 9000, Parts: []balance.Part{{ID: 1 << 50, Tokens: 6300}, {ID: 1 << 51, Tokens: 2700}}}
-		if c.homes != nil {
-			d.Residency = catalog.NewResidency(c.homes)
+		d := &balance.Demand{Service: traffic.service, Objective: time.Second, Prompt: 9000, Parts: []balance.Part{{ID: 1 << 50, Tokens: 6300}, {ID: 1 << 51, Tokens: 2700}}}
+		if c.homeRegions != nil {
+			d.Residency = catalog.NewResidency(c.homeRegions)
 		}
 		placed := 0
 		for _, n := range w.nodes {
 			// Place from the gateway and from another scheduler of its region.
-			if r := n.members.currentRoles(w.now); n.DataCentre == "dc0" && r.isScheduler && n.Balancer.Place(q.endpoints[:1], d) != nil {
+			if r := n.members.currentRoles(w.now); n.DataCentre == "dc0" && r.isScheduler && n.Balancer.Place(traffic.endpoints[:1], d) != nil {
 				placed++
 			}
 		}
@@ -313,17 +308,16 @@
 				continue
 			}
 			home := w.regions[n.DataCentre] == "a"
-			cached := n.Balancer.Place(q.endpoints[:1], d).Cached
+			cached := n.Balancer.Place(traffic.endpoints[:1], d).Cached
 			if want := home || c.known; (cached > 0) != want || placed != 3 {
-				t.Errorf("homes %v: scheduler %d of %s knows %d cached tokens, want some: %v", c.homes, i, n.DataCentre, cached, want)
+				t.Errorf("home regions %v: scheduler %d of %s knows %d cached tokens, want some: %v", c.homeRegions, i, n.DataCentre, cached, want)
 			}
 		}
 	}
 }
 
-// A gateway doesn't forward notices of a version that can't mark bound parts, nor parts that are
-// marked as bound.
-func TestGatewayWithholdsBoundParts(t *testing.T) {
+// A gateway doesn't forward restricted parts, nor notices of a version that can't mark them.
+func TestGatewayWithholdsRestrictedParts(t *testing.T) {
 	w := newRegionSimulation(t, 12, 2, twoByOne, true)
 	w.run(10 * time.Second)
 	for _, n := range w.nodes {
@@ -331,45 +325,45 @@
 			continue
 		}
 		for _, c := range []struct {
-			level       int
-			stays       bool
-			kept, bound int
+			protocol         int
+			restricted       bool
+			queued, redacted int
 		}{{protocolResidency, false, 0, 0}, {protocolRegions, false, 1, 0}, {protocolRegions, true, 1, 1}} {
 			n.crossRegion.notices = nil
 			n.collectNotices(w.now, &Message{
-				DataCentre: n.DataCentre, Protocol: c.level, RegionMessage: RegionMessage{Restricted: c.stays},
+				DataCentre: n.DataCentre, Protocol: c.protocol, RegionMessage: RegionMessage{Restricted: c.restricted},
 				Notices: []balance.Notice{{Endpoint: 1, Parts: []balance.Part{{ID: 2, Tokens: 3}}}},
 			})
-			bound := 0
+			redacted := 0
 			for _, notice := range balance.RedactParts(n.crossRegion.notices, "elsewhere") {
 				if notice.Parts == nil {
-					bound++
+					redacted++
 				}
 			}
-			if len(n.crossRegion.notices) != c.kept || bound != c.bound {
-				t.Errorf("version %d, bound %v: %d queued, %d without parts elsewhere, want %d and %d", c.level, c.stays, len(n.crossRegion.notices), bound, c.kept, c.bound)
+			if len(n.crossRegion.notices) != c.queued || redacted != c.redacted {
+				t.Errorf("protocol %d, restricted %v: %d queued, %d without parts elsewhere, want %d and %d", c.protocol, c.restricted, len(n.crossRegion.notices), redacted, c.queued, c.redacted)
 			}
 		}
 	}
 }
 
-// The load of the only instance of a region is known in the other region, and that it is leaving.
+// Another region knows the load of a region's only instance, and that it is leaving.
 func TestSingleInstanceRegionIsVisible(t *testing.T) {
 	t.Parallel()
 	w := newRegionSimulation(t, 4, 2, twoByOne, true)
 	w.nodes[3].dead = true
-	q := w.newTraffic(2)
+	traffic := w.newTraffic(2)
 	w.run(10 * time.Second)
 	lone, other := w.nodes[1], w.nodes[0]
-	d := q.demand()
-	lone.Balancer.Place(q.endpoints[1:], d)
+	d := traffic.demand()
+	lone.Balancer.Place(traffic.endpoints[1:], d)
 	w.run(500 * time.Millisecond)
-	if p := other.Balancer.Place(q.endpoints[1:], d); p.Cached != 9000 {
+	if p := other.Balancer.Place(traffic.endpoints[1:], d); p.Cached != 9000 {
 		t.Errorf("%d cached tokens known of a prompt that ran in the other region, want 9000", p.Cached)
 	}
-	sums, _ := other.Balancer.AggregateReports(func(id uint64) bool { return id == regionKey("b") }, true, 0)
-	if len(sums) != 1 || sums[0].Requests != 1 {
-		t.Errorf("load known of the other region: %+v, want one request", sums)
+	aggregates, _ := other.Balancer.AggregateReports(func(id uint64) bool { return id == regionKey("b") }, true, 0)
+	if len(aggregates) != 1 || aggregates[0].Requests != 1 {
+		t.Errorf("load known of the other region: %+v, want one request", aggregates)
 	}
 	lone.Leave()
 	w.run(2 * simulationStep)
@@ -380,8 +374,7 @@
 	}
 }
 
-// Schedulers measure propagation and queueing delay to other regions although receivers hold
-// tokens for up to a second.
+// Schedulers measure propagation and queueing delay although receivers hold tokens for up to 1 s.
 func TestLinkMeasurement(t *testing.T) {
 	t.Parallel()
 	w := newRegionSimulation(t, 24, 6, twoByThree, true)
@@ -398,7 +391,7 @@
 	}
 	check(0)
 	w.delay = func(from, to *node) int {
-		if w.apart(from, to) {
+		if w.inDifferentRegions(from, to) {
 			return 2
 		}
 		return 0
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -1,7 +1,6 @@
 package gossip
 
-// This file serves state to, and fetches it from, other instances over HTTP, for those that don't
-// read the store.
+// This file serves state over HTTP to instances that don't read the store, and fetches it.
 
 import (
 	"context"
@@ -33,13 +32,11 @@
 	queryPartial = "partial" // "1": the caller accepts changes since its revision instead of everything
 )
 
-// Timeouts.
 const (
 	maxWait       = 30 * time.Second       // longest wait for a change
-	answerTimeout = 400 * time.Millisecond // for a response without a wait to begin
+	headerTimeout = 400 * time.Millisecond // for a response without a wait to begin
 )
 
-// stateResponse is the response to a request for state.
 type stateResponse struct {
 	Revision  int64  `json:"revision"`
 	AgeMS     int64  `json:"age_ms"` // since the state was confirmed; negative: never confirmed
@@ -56,7 +53,7 @@
 
 	Evacuations []discovery.Evacuation `json:"evacuations,omitempty"`
 
-	Schema uint64 `json:"schema,omitempty"` // field schema hash of the sender; zero: an old build that doesn't send it
+	Schema uint64 `json:"schema,omitempty"` // hash of the sender's field names; zero: an old build that doesn't send it
 }
 
 // StateHandler serves the state in t to other instances. It responds at once, or waits for as
@@ -67,14 +64,14 @@
 		query := r.URL.Query()
 		after := queryInt(query, queryAfter)
 		waitForRevision(r.Context(), t, after, min(time.Duration(queryInt(query, queryWait))*time.Millisecond, maxWait))
-		b, err := p.respond(after, queryInt(query, queryVersion), query.Get(queryPartial) == "1")
+		response, err := p.respond(after, queryInt(query, queryVersion), query.Get(queryPartial) == "1")
 		if err != nil {
 			log.Error("encoding state for another instance failed", zap.String("error", err.Error()))
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(b)
+		_ = json.NewEncoder(w).Encode(response)
 	}
 }
 
@@ -104,31 +101,30 @@
 	}
 }
 
-// respond returns the response to a caller that has state of a revision and a configuration of a
-// version, and accepts changes if partial is set. The age is read before the state, so that it is
-// never too small for the state that is sent.
+// respond returns the response to a caller that has the given revision and configuration version.
+// The age is read before the state, so that it never understates the age of what is sent.
 func (p *packer) respond(after, version int64, partial bool) (*stateResponse, error) {
 	age, confirmed := p.table.Age()
-	b := &stateResponse{AgeMS: -1}
+	response := &stateResponse{AgeMS: -1}
 	if confirmed {
-		b.AgeMS = age.Milliseconds() + 1
+		response.AgeMS = age.Milliseconds() + 1
 	}
 	if v := p.table.View(); after > 0 && v.Revision <= after {
-		b.Revision, b.Unchanged = v.Revision, true
-		return b, nil
+		response.Revision, response.Unchanged = v.Revision, true
+		return response, nil
 	}
 	state, err := p.pack(after, partial)
 	if err != nil {
 		return nil, err
 	}
-	b.Revision, b.Digest = state.revision, state.digest
-	b.Schema = schema()
-	b.Present, b.Partial, b.Changed, b.Gone = state.present, state.partial, state.changed, state.removed
-	b.Evacuations = state.evacuations
+	response.Revision, response.Digest = state.revision, state.digest
+	response.Schema = schema()
+	response.Present, response.Partial, response.Changed, response.Gone = state.endpoints, state.partial, state.changed, state.removed
+	response.Evacuations = state.evacuations
 	if state.document != nil && state.document.Version > version {
-		b.Config, err = p.packConfig(state.document)
+		response.Config, err = p.packConfig(state.document)
 	}
-	return b, err
+	return response, err
 }
 
 // A Relay fetches the state of another instance. It implements discovery.Source.
@@ -145,7 +141,7 @@
 // Load implements discovery.Source. Before a configuration is published, the update has none;
 // failing instead would make all instances of a new fleet read the store at once.
 func (r *Relay) Load(ctx context.Context) (*discovery.Update, error) {
-	u, err := r.read(ctx, url.Values{}, fetch.HeaderWait{Timeout: answerTimeout})
+	u, err := r.read(ctx, url.Values{}, fetch.HeaderWait{Timeout: headerTimeout})
 	if err == nil && u.Revision == 0 {
 		return nil, errors.Errorf("relay: %s has no state yet", r.Address)
 	}
@@ -160,37 +156,36 @@
 		queryVersion: {strconv.FormatInt(r.Version(), 10)},
 		queryWait:    {strconv.FormatInt(q.Wait.Milliseconds(), 10)},
 		queryPartial: {"1"},
-	}, fetch.HeaderWait{Timeout: q.Wait + answerTimeout, Abandon: q.Superseded})
+	}, fetch.HeaderWait{Timeout: q.Wait + headerTimeout, Abandon: q.Superseded})
 }
 
-// read fetches state. The state is dated by the time at which the request was sent, less its age
-// in the response.
+// read fetches state and dates it by the time the request was sent, less the age in the response.
 func (r *Relay) read(ctx context.Context, query url.Values, wait fetch.HeaderWait) (*discovery.Update, error) {
 	sent := r.Now()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.Address+StatePath+"?"+query.Encode(), nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "relay")
 	}
-	a, err := fetch.Do(r.HTTP, req, maxResponse, wait)
+	result, err := fetch.Do(r.HTTP, req, maxResponse, wait)
 	if err != nil {
 		return nil, errors.Wrap(err, "relay")
 	}
-	if a.Status != http.StatusOK {
-		return nil, errors.Errorf("relay: %s answered %d", r.Address, a.Status)
+	if result.Status != http.StatusOK {
+		return nil, errors.Errorf("relay: %s responded with status %d", r.Address, result.Status)
 	}
-	var b stateResponse
-	if err := json.Unmarshal(a.Body, &b); err != nil {
+	var response stateResponse
+	if err := json.Unmarshal(result.Body, &response); err != nil {
 		return nil, errors.Wrap(err, "relay")
 	}
-	if b.AgeMS < 0 {
+	if response.AgeMS < 0 {
 		return nil, errors.Errorf("relay: %s has no confirmed state", r.Address)
 	}
 	u := &discovery.Update{
-		Revision: b.Revision, Full: !b.Unchanged && !b.Partial, Digest: b.Digest,
-		ValidatedAt: sent.Add(-time.Duration(b.AgeMS) * time.Millisecond),
-		Bytes:       len(a.Body), TransferTime: a.TotalTime - a.HeaderTime,
+		Revision: response.Revision, Full: !response.Unchanged && !response.Partial, Digest: response.Digest,
+		ValidatedAt: sent.Add(-time.Duration(response.AgeMS) * time.Millisecond),
+		Bytes:       len(result.Body), TransferTime: result.TotalTime - result.HeaderTime,
 	}
-	if err := b.unpack(u); err != nil {
+	if err := response.unpack(u); err != nil {
 		if r.Failed != nil {
 			r.Failed(err)
 		}
@@ -199,36 +194,34 @@
 	return u, nil
 }
 
-// unpack decodes the parts of b into u.
-func (b *stateResponse) unpack(u *discovery.Update) error {
-	u.Evacuations, u.Deleted = b.Evacuations, b.Gone
-	if b.Config != nil {
-		if err := b.unpackPart(b.Config, &u.Config); err != nil {
+func (r *stateResponse) unpack(u *discovery.Update) error {
+	u.Evacuations, u.Deleted = r.Evacuations, r.Gone
+	if r.Config != nil {
+		if err := r.unpackPart(r.Config, &u.Config); err != nil {
 			return err
 		}
 	}
-	if b.Changed != nil {
-		return b.decodePart(b.Changed, &u.Endpoints)
+	if r.Changed != nil {
+		return r.decodePart(r.Changed, &u.Endpoints)
 	}
-	if b.Present == nil {
+	if r.Present == nil {
 		return nil
 	}
-	return b.unpackPart(b.Present, &u.Endpoints)
+	return r.unpackPart(r.Present, &u.Endpoints)
 }
 
-// unpackPart decompresses and decodes a part into v.
-func (b *stateResponse) unpackPart(part []byte, v any) error {
+func (r *stateResponse) unpackPart(part []byte, v any) error {
 	data, err := decompress(part)
 	if err != nil {
 		return err
 	}
-	return b.decodePart(data, v)
+	return r.decodePart(data, v)
 }
 
 // decodePart decodes a JSON part into v. It returns an error if the sender doesn't know all
 // fields of v.
-func (b *stateResponse) decodePart(data []byte, v any) error {
-	if b.Schema != schema() {
+func (r *stateResponse) decodePart(data []byte, v any) error {
+	if r.Schema != schema() {
 		if err := checkComplete(data, reflect.TypeOf(v)); err != nil {
 			return err
 		}
--- a/gossip/relay_test.go
+++ b/gossip/relay_test.go
@@ -14,8 +14,7 @@
 	"ivyridge/discovery"
 )
 
-// relayTo returns a Relay to an instance with state of revision 5 and configuration version 3,
-// for a reader with the given configuration version, and the instance's table.
+// relayTo returns a Relay to an instance at revision 5 and configuration version 3, and its table.
 func relayTo(t *testing.T, version int64) (*Relay, *discovery.Table) {
 	t.Helper()
 	table := discovery.NewTable(time.Now)
@@ -28,8 +27,7 @@
 	return relayOf(t, table, version)
 }
 
-// relayOf returns a Relay to an instance with the given table, for a reader with the given
-// configuration version.
+// relayOf returns a Relay to a table, for a reader with the given configuration version.
 func relayOf(t *testing.T, table *discovery.Table, version int64) (*Relay, *discovery.Table) {
 	t.Helper()
 	server := httptest.NewServer(StateHandler(table, zap.NewNop()))
@@ -63,8 +61,7 @@
 	}
 }
 
-// An instance with an older revision than the reader must not remove anything from the reader's
-// state.
+// An instance with an older revision than the reader must not remove anything from its state.
 func TestRelayBehindReader(t *testing.T) {
 	r, _ := relayTo(t, 3)
 	u, err := r.Watch(context.Background(), discovery.Query{After: 9, Wait: 0})
@@ -84,8 +81,7 @@
 	}
 }
 
-// Before a configuration is published, an instance serves what it knows; otherwise all others
-// would read the store too.
+// Without a published configuration an instance serves its state, which saves store reads.
 func TestRelayWithoutConfiguration(t *testing.T) {
 	table := discovery.NewTable(time.Now)
 	r, _ := relayOf(t, table, 0)
--- a/gossip/remote_lender_test.go
+++ b/gossip/remote_lender_test.go
@@ -77,9 +77,9 @@
 			t.Fatal("borrowed a retry from a lender that has none")
 		}
 	}
-	elapsed.Store(int64(borrowPause))
+	elapsed.Store(int64(borrowBackoff))
 	d.client.borrow(context.Background(), d.demand)
 	if n := asked.Load(); n != 2 {
-		t.Errorf("lender asked %d times, want once and again after %v", n, borrowPause)
+		t.Errorf("lender asked %d times, want once and again after %v", n, borrowBackoff)
 	}
 }
--- a/gossip/report.go
+++ b/gossip/report.go
@@ -1,7 +1,6 @@
 package gossip
 
-// This file encodes load reports: what an instance runs at an endpoint and the outcomes that it
-// saw there.
+// This file encodes load reports: the requests and outcomes of an instance at an endpoint.
 
 import (
 	"math"
@@ -24,7 +23,7 @@
 	fieldPrefillSamples        protowire.Number = 9
 	fieldStepSamples           protowire.Number = 10
 	fieldPendingPrefill        protowire.Number = 11
-	fieldLevels                protowire.Number = 12 // a byte string of varints
+	fieldRequestsByLevel       protowire.Number = 12 // a byte string of varints
 	fieldGone                  protowire.Number = 13 // milliseconds
 	fieldDown                  protowire.Number = 14
 	fieldBackoff               protowire.Number = 16 // milliseconds
@@ -32,17 +31,14 @@
 	fieldLimit                 protowire.Number = 18
 	fieldPendingPrefillByLevel protowire.Number = 15 // byte string of varints, without the most urgent level
 
-	fieldWeight protowire.Number = 1 // of samples, in units of outcomeUnit
-	fieldMean   protowire.Number = 2 // of samples: mean logarithm in units of logUnit, zigzag
+	fieldWeight  protowire.Number = 1 // of samples, in units of outcomeUnit
+	fieldLogMean protowire.Number = 2 // of samples: mean logarithm in units of logUnit, zigzag
 )
 
-// exposureUnit is the encoding resolution of exposures.
 const exposureUnit = 1e-15
 
-// outcomeUnit is the encoding resolution of outcome counts.
 const outcomeUnit = 1.0 / 16
 
-// logUnit is the encoding resolution of logarithms of times.
 const logUnit = 1.0 / 256
 
 func appendReport(b []byte, r *balance.Report) []byte {
@@ -75,10 +71,10 @@
 	if !nonZero {
 		return b
 	}
-	return appendBytes(b, fieldLevels, counts)
+	return appendBytes(b, fieldRequestsByLevel, counts)
 }
 
-// decodeLevels decodes request counts by priority level and ignores unknown levels.
+// decodeLevels ignores priority levels that this build doesn't know.
 func decodeLevels(b []byte, r *balance.Report) error {
 	for level := range r.ByLevel {
 		if len(b) == 0 {
@@ -94,8 +90,7 @@
 	return nil
 }
 
-// appendPendingPrefillByLevel appends the unread tokens of all levels but the most urgent, unless
-// all are zero.
+// appendPendingPrefillByLevel omits the most urgent level, and the field if all others are zero.
 func appendPendingPrefillByLevel(b []byte, r *balance.Report) []byte {
 	var tokens []byte
 	nonZero := false
@@ -109,9 +104,8 @@
 	return appendBytes(b, fieldPendingPrefillByLevel, tokens)
 }
 
-// decodePendingPrefillByLevel decodes unread tokens by priority level. Tokens that no level
-// accounts for are attributed to the most urgent one, the conservative choice: no request is placed
-// ahead of them.
+// decodePendingPrefillByLevel attributes tokens that no level accounts for to the most urgent
+// one, so that no request is placed ahead of them.
 func decodePendingPrefillByLevel(b []byte, r *balance.Report) error {
 	remaining := r.PendingPrefill
 	for level := 1; level < len(r.PendingPrefillByLevel) && len(b) > 0; level++ {
@@ -133,7 +127,7 @@
 		return b
 	}
 	samples := appendUint(nil, fieldWeight, weight)
-	samples = appendUint(samples, fieldMean, protowire.EncodeZigZag(int64(math.Round(s.Log/s.Weight/logUnit))))
+	samples = appendUint(samples, fieldLogMean, protowire.EncodeZigZag(int64(math.Round(s.Log/s.Weight/logUnit))))
 	return appendBytes(b, n, samples)
 }
 
@@ -143,7 +137,7 @@
 		switch f.number {
 		case fieldWeight:
 			weight = float64(boundedCount(f.value)) * outcomeUnit
-		case fieldMean:
+		case fieldLogMean:
 			mean = float64(protowire.DecodeZigZag(f.value)) * logUnit
 		}
 		return nil
@@ -153,7 +147,7 @@
 
 func decodeReport(b []byte, reports *[]balance.Report) error {
 	var r balance.Report
-	var unreadBy []byte
+	var pendingByLevel []byte
 	err := eachField(b, func(f field) error {
 		switch f.number {
 		case fieldEndpoint:
@@ -183,8 +177,8 @@
 		case fieldDown:
 			r.Down = f.value != 0
 		case fieldPendingPrefillByLevel:
-			unreadBy = f.bytes
-		case fieldLevels:
+			pendingByLevel = f.bytes
+		case fieldRequestsByLevel:
 			return decodeLevels(f.bytes, &r)
 		case fieldPrefillSamples:
 			var err error
@@ -198,7 +192,7 @@
 		return nil
 	})
 	if err == nil {
-		err = decodePendingPrefillByLevel(unreadBy, &r)
+		err = decodePendingPrefillByLevel(pendingByLevel, &r)
 	}
 	*reports = append(*reports, r)
 	return err
--- a/gossip/retries_test.go
+++ b/gossip/retries_test.go
@@ -1,7 +1,6 @@
 package gossip
 
-// This file simulates fleets that retry as often as they may, and checks that the retries of a
-// service within any window stay within the bound.
+// This file checks the bound on the retries of simulated fleets that retry as often as they may.
 
 import (
 	"context"
@@ -61,8 +60,8 @@
 	s.ownBuckets[n] = new(quota.RetryBudget)
 }
 
-// chooser returns the instance that places a request of n, or nil if it is unreachable.
-func (s *retryFleet) chooser(n *node) *node {
+// placingNode returns the instance that places a request of n, or nil if it is unreachable.
+func (s *retryFleet) placingNode(n *node) *node {
 	n.mu.Lock()
 	address := n.nextScheduler(s.now)
 	n.mu.Unlock()
@@ -81,8 +80,8 @@
 	return nil
 }
 
-// ownBucket returns what a request adds to n's own retry bucket, and the capacity of that.
-func (s *retryFleet) ownBucket(n *node) (earns, most float64) {
+// ownBucket returns what a request adds to n's own retry bucket, and the bucket's capacity.
+func (s *retryFleet) ownBucket(n *node) (deposit, capacity float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.fleetSize > 1 {
@@ -91,24 +90,23 @@
 	return retryBound.InstanceBudget(s.maxSeen[n])
 }
 
-// spend processes requests at an instance, and if retriesAllowed is set, sends all retries that
-// it may.
-func (s *retryFleet) spend(n *node, requests int, retriesAllowed bool) {
-	now := &s.counts[len(s.counts)-1]
+// serve processes requests at an instance and, if retriesAllowed is set, sends all retries it may.
+func (s *retryFleet) serve(n *node, requests int, retriesAllowed bool) {
+	step := &s.counts[len(s.counts)-1]
 	deposit, capacity := s.ownBucket(n)
-	chooser := s.chooser(n)
+	placingNode := s.placingNode(n)
 	place := func(d *balance.Demand) bool {
-		if chooser == nil {
+		if placingNode == nil {
 			return false
 		}
-		p, _ := chooser.Balancer.Admit(s.endpoints, d)
+		p, _ := placingNode.Balancer.Admit(s.endpoints, d)
 		if p != nil {
 			p.Done(balance.Served)
 		}
 		return p != nil
 	}
 	for range requests {
-		now.requests++
+		step.requests++
 		d := &balance.Demand{Service: s.service, Deposit: quota.DepositFull}
 		if capacity > 0 {
 			s.ownBuckets[n].Deposit(deposit, capacity, s.now)
@@ -118,29 +116,29 @@
 	}
 	for retriesAllowed && s.ownBuckets[n].CanSpend(capacity, 0, s.now) {
 		s.ownBuckets[n].Spend(capacity, s.now)
-		now.retries++
+		step.retries++
 	}
 	for retriesAllowed && place(&balance.Demand{Service: s.service, Retry: balance.RetryInTime}) {
-		now.retries++
+		step.retries++
 		s.granted++
 	}
 	for _, lender := range s.nodes { // all live share holders that n reaches
 		for retriesAllowed && !lender.dead && !s.paused[lender] && (s.lost == nil || !s.lost(n, lender)) && lender.Balancer.ChargeRetry("s", balance.RetryInTime) {
-			now.retries++
+			step.retries++
 			s.granted++
 		}
 	}
 }
 
-// play advances time, with the given number of requests per instance in each step.
-func (s *retryFleet) play(d time.Duration, requests int, retriesAllowed func() bool) {
+// advance advances time, with the given number of requests per instance in each step.
+func (s *retryFleet) advance(d time.Duration, requests int, retriesAllowed func() bool) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.run(retryStep)
 		s.counts = append(s.counts, stepCounts{})
-		spends := retriesAllowed()
+		allowed := retriesAllowed()
 		for _, n := range s.nodes {
 			if !n.dead && !s.paused[n] {
-				s.spend(n, requests, spends)
+				s.serve(n, requests, allowed)
 			}
 		}
 	}
@@ -165,8 +163,7 @@
 	return worst
 }
 
-// With random crashes, restarts, partitions and pauses, the retries within any window stay within
-// the bound. Run more cases with -rapid.checks=400.
+// Retries stay within the bound under random faults. Run more cases with -rapid.checks=400.
 func TestRetryBoundUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -176,7 +173,7 @@
 		randomNode := func(what string) *node { return s.nodes[rapid.IntRange(0, s.size-1).Draw(rt, what)] }
 		requests := rapid.IntRange(1, 12).Draw(rt, "requests")
 		retries := func() bool { return rng.IntN(40) == 0 }
-		s.play(9*time.Second, requests, retries)
+		s.advance(9*time.Second, requests, retries)
 		for range 3 {
 			switch rapid.IntRange(0, 5).Draw(rt, "trouble") {
 			case 0:
@@ -186,11 +183,11 @@
 			case 1:
 				s.restart(rng.Uint64, dataCentres)
 			case 2:
-				cut := map[*node]bool{}
+				isolated := map[*node]bool{}
 				for range rapid.IntRange(1, s.size/2).Draw(rt, "cuts") {
-					cut[randomNode("cut off")] = true
+					isolated[randomNode("cut off")] = true
 				}
-				s.lost = func(a, b *node) bool { return cut[a] || cut[b] || rng.IntN(50) == 0 }
+				s.lost = func(a, b *node) bool { return isolated[a] || isolated[b] || rng.IntN(50) == 0 }
 			case 3:
 				half := rapid.Uint64().Draw(rt, "half")
 				s.lost = func(a, b *node) bool { return half>>(a.id%64)&1 != half>>(b.id%64)&1 }
@@ -203,7 +200,7 @@
 				n := randomNode("pauses")
 				n.dead, s.paused[n] = true, true
 			}
-			s.play(time.Duration(rapid.IntRange(1, 6).Draw(rt, "s"))*time.Second, requests, retries)
+			s.advance(time.Duration(rapid.IntRange(1, 6).Draw(rt, "s"))*time.Second, requests, retries)
 			for n := range s.paused { // resume paused instances
 				n.dead = false
 				delete(s.paused, n)
@@ -215,7 +212,6 @@
 	})
 }
 
-// restart restarts crashed instances.
 func (s *retryFleet) restart(id func() uint64, dataCentres int) {
 	for i, n := range s.nodes {
 		if n.dead && !s.paused[n] {
@@ -229,11 +225,11 @@
 func TestRetriesAvailableWhereNeeded(t *testing.T) {
 	t.Parallel()
 	s := newRetryFleet(t, 70, 6)
-	s.play(30*time.Second, 2, func() bool { return false })
+	s.advance(30*time.Second, 2, func() bool { return false })
 	s.counts = append(s.counts, stepCounts{})
 	for _, n := range s.nodes {
 		if n.DataCentre == "dc3" {
-			s.spend(n, 0, true)
+			s.serve(n, 0, true)
 		}
 	}
 	if got := s.counts[len(s.counts)-1].retries; got < 90 {
@@ -256,28 +252,27 @@
 
 func grantedRetries(g *Gossip) int64 { return g.Balancer.QuotaShares().Retries["s"].Granted }
 
-// A retryChargeCase describes who has retries and who is expected to pay.
+// A retryChargeCase describes who has retries and where one is expected to be charged.
 type retryChargeCase struct {
 	name                            string
-	level                           int // of the scheduler
+	schedulerProtocol               int // of the scheduler
 	schedulerEarned, lenderEarned   int
 	unknownEndpoint                 bool  // the scheduler doesn't know the endpoint
 	chargedLocally, chargedAtLender int64 // expected retries charged
 }
 
-// A retry is requested together with its placement and charged exactly once: by a scheduler whose
-// version supports it, also if its choice can't be used, or by a scheduler of another data centre
-// if there is none left locally.
+// A retry is charged exactly once: by a scheduler whose version supports it, even if its choice
+// can't be used, or by a scheduler of another data centre if the local one has none.
 func TestRetryChargedOnce(t *testing.T) {
 	for _, c := range []retryChargeCase{
-		{name: "scheduler without retry support", level: protocolResidency, schedulerEarned: 20},
-		{name: "scheduler with retries", level: protocolRetries, schedulerEarned: 20, chargedLocally: 1},
-		{name: "unusable choice", level: protocolRetries, schedulerEarned: 20, unknownEndpoint: true, chargedLocally: 1},
-		{name: "scheduler without retries", level: protocolRetries},
-		{name: "other data centre with retries", level: protocolRetries, lenderEarned: 20, chargedAtLender: 1},
-		{name: "scheduler without retry support, other data centre with retries", level: protocolResidency, schedulerEarned: 20, lenderEarned: 20, chargedAtLender: 1},
+		{name: "scheduler without retry support", schedulerProtocol: protocolResidency, schedulerEarned: 20},
+		{name: "scheduler with retries", schedulerProtocol: protocolRetries, schedulerEarned: 20, chargedLocally: 1},
+		{name: "unusable choice", schedulerProtocol: protocolRetries, schedulerEarned: 20, unknownEndpoint: true, chargedLocally: 1},
+		{name: "scheduler without retries", schedulerProtocol: protocolRetries},
+		{name: "other data centre with retries", schedulerProtocol: protocolRetries, lenderEarned: 20, chargedAtLender: 1},
+		{name: "scheduler without retry support, other data centre with retries", schedulerProtocol: protocolResidency, schedulerEarned: 20, lenderEarned: 20, chargedAtLender: 1},
 	} {
-		// A late answer costs the retry. Repeat until the answers are in time.
+		// A late response costs the retry. Repeat until the responses are in time.
 		late := true
 		for range 5 {
 			if late = c.run(t); !late {
@@ -285,12 +280,12 @@
 			}
 		}
 		if late {
-			t.Errorf("%s: no answer in time in five attempts", c.name)
+			t.Errorf("%s: no response in time in five attempts", c.name)
 		}
 	}
 }
 
-// run places a request that asks for a retry, and reports whether an answer was late.
+// run places a request that asks for a retry, and reports whether a response was late.
 func (c *retryChargeCase) run(t *testing.T) (late bool) {
 	d := newDataCentre(t)
 	var unanswered atomic.Int64
@@ -300,7 +295,7 @@
 		}
 	}
 	d.client.Count = count
-	d.client.members.byAddress[d.scheduler.conn.(*net.UDPConn).LocalAddr().String()].protocol = c.level
+	d.client.members.byAddress[d.scheduler.conn.(*net.UDPConn).LocalAddr().String()].protocol = c.schedulerProtocol
 	lender := listen(t, 77)
 	m := &Message{Sender: 77, DataCentre: "y", NextWithin: time.Minute, Protocol: protocolRetries, RetryShare: 1}
 	d.client.members.observe(time.Now(), lender.conn.(*net.UDPConn).LocalAddr().String(), m, time.Time{})
--- a/gossip/retry_borrowing.go
+++ b/gossip/retry_borrowing.go
@@ -3,11 +3,10 @@
 // This file borrows retries from other data centres.
 //
 // Each data centre has an equal share of the retry budget, but all requests of a failed endpoint
-// may have come through one of them, and a data centre that lost its first scheduler has no share
-// for some seconds. If the local share is used up, the instance asks holders of other shares to
-// pay for a retry; the endpoint is still chosen locally. A retry whose answer is lost is paid for
-// but not used. Shares are not moved between schedulers by demand: a share in transit would
-// belong to nobody, and demand changes within a second.
+// may have come through one of them, and one that lost its first scheduler has no share for some
+// seconds. If the local share is used up, the instance asks holders of other shares to charge a
+// retry to theirs; the endpoint is still chosen locally. If the response is lost, the retry is
+// charged but not used. Moving shares by demand instead would leave them unused in transit.
 
 import (
 	"context"
@@ -20,22 +19,21 @@
 const (
 	// maxLenders is how many other share holders are asked for a retry.
 	maxLenders = 6
-	// maxSilentLenders is after how many unanswered requests borrowing gives up. Each costs the
-	// caller a timeout.
-	maxSilentLenders = 2
-	// defaultRemoteRTT is the assumed round trip to another region until it is measured.
+	// maxLenderTimeouts is how many unanswered requests end an attempt to borrow.
+	maxLenderTimeouts = 2
+	// defaultRemoteRTT is the assumed round trip to another region until one is measured.
 	defaultRemoteRTT = 50 * time.Millisecond
-	// borrowPause is how long lenders are not asked again after none of them had a retry.
-	borrowPause = 100 * time.Millisecond
+	// borrowBackoff is the pause in borrowing after no lender had a retry.
+	borrowBackoff = 100 * time.Millisecond
 )
 
-// A lender is an instance that may be asked to pay for a retry.
+// A lender is an instance that may be asked to charge a retry to its share.
 type lender struct {
 	address string
-	timeout time.Duration // to wait for its answer
+	timeout time.Duration // to wait for its response
 }
 
-// borrow asks other instances to pay for a retry, and reports whether one did.
+// borrow asks other instances to charge a retry to their share, and reports whether one did.
 func (g *Gossip) borrow(ctx context.Context, d *balance.Demand) bool {
 	if d.Retry == balance.NoRetry {
 		return false
@@ -45,7 +43,7 @@
 		g.Count("retry-not-borrowed")
 		return false
 	}
-	silent := 0
+	unanswered := 0
 	for _, l := range g.lenders(now) {
 		choice, outcome := g.requestFrom(ctx, l.address, &PlacementRequest{Service: d.Service.Name, Retry: d.Retry, ChargeRetry: true}, l.timeout)
 		if choice.RetryCharged {
@@ -53,9 +51,9 @@
 			return true
 		}
 		if outcome != requestAnswered {
-			silent++
+			unanswered++
 		}
-		if silent >= maxSilentLenders {
+		if unanswered >= maxLenderTimeouts {
 			break
 		}
 	}
@@ -66,23 +64,21 @@
 	return false
 }
 
-// mayBorrow reports whether lenders may be asked for a retry of a service. After a failed attempt
-// they are left alone for borrowPause; otherwise each request of a failing service would ask all
-// of them.
+// mayBorrow reports whether lenders may be asked for a retry of a service. The pause after a
+// failure keeps each request of a failing service from asking all of them.
 func (g *Gossip) mayBorrow(service string, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	at, ok := g.borrowFailedAt[service]
-	if ok && now.Sub(at) < borrowPause {
+	if ok && now.Sub(at) < borrowBackoff {
 		return false
 	}
 	delete(g.borrowFailedAt, service)
 	return true
 }
 
-// lenders returns other share holders, those of this region first and otherwise in random order.
-// The timeout for lenders of other regions includes the round trip, since a retry is charged even
-// if the borrower no longer waits for the answer.
+// lenders returns other share holders in random order, those of this region first. The timeout of
+// remote ones includes the round trip: a retry is charged even if the borrower stopped waiting.
 func (g *Gossip) lenders(now time.Time) []lender {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gossip/roles.go
+++ b/gossip/roles.go
@@ -3,13 +3,12 @@
 // This file determines which instances choose endpoints for others. It does no I/O.
 //
 // The first few instances of each data centre are its schedulers. All instances of the data
-// centre send them load reports, and schedulers frequently exchange placement notices. The other
-// instances of the data centre send a placement request to one of the schedulers for each
-// request. Schedulers receive from all instances of their region; the others only receive from
-// their data centre and from all schedulers, since heartbeats between all pairs would dominate
-// the traffic between data centres. There is no consensus: each instance computes the roles from
-// the members it sees. While two instances disagree, or a scheduler doesn't answer, a request is
-// placed by what its own instance knows. A small fleet consists of schedulers only.
+// centre send them load reports, and the others send them a placement request for each request.
+// Schedulers receive from all instances of their region; the others only from their data centre
+// and from all schedulers, since heartbeats between all pairs would dominate the traffic between
+// data centres. There is no consensus: each instance computes the roles from the members it sees,
+// and chooses locally if roles disagree or a scheduler doesn't respond. A small fleet consists of
+// schedulers only.
 
 import (
 	"sort"
@@ -19,13 +18,11 @@
 )
 
 const (
-	// schedulersPerDataCentre is the number of schedulers of a data centre: one that others send
-	// requests to, and spares with the same knowledge.
+	// schedulersPerDataCentre includes spares that receive the same reports as the ones in use.
 	schedulersPerDataCentre = 3
 	// instancesPerScheduler is the size of a data centre for which one active scheduler suffices.
 	instancesPerScheduler = 48
-	// warmupPeriod is how long a scheduler receives all load reports before it ranks ahead of
-	// others.
+	// warmupPeriod is how long a scheduler receives load reports before it outranks others.
 	warmupPeriod = 5 * time.Second
 	rolesTTL     = 200 * time.Millisecond
 )
@@ -36,30 +33,29 @@
 	minTick              = 40 * time.Millisecond
 	maxTick              = time.Second
 	tickPerScheduler     = 6 * time.Millisecond
-	heartbeatPerInstance = 18 * time.Millisecond // per instance of the fleet
+	heartbeatPerInstance = 18 * time.Millisecond
 	maxHeartbeat         = 8 * time.Second
-	fullReportTicks      = 4 // ticks between complete reports, which are at least maxQuiet apart
+	fullReportTicks      = 4 // ticks between complete reports, which are at least maxUpdateInterval apart
 )
 
 // roles are the roles of the instances as seen by this one.
 type roles struct {
-	isScheduler      bool      // this instance is a scheduler
-	schedulers       []*Member // without this instance
-	isFirst          bool      // this instance is the first scheduler of its data centre
-	localSchedulers  []*Member // schedulers of this data centre, without this instance
-	remoteSchedulers []*Member // schedulers of other data centres
-	remoteFirsts     []*Member // first schedulers of other data centres
-	schedulerOrder   []*Member // schedulers of this data centre in the order in which to send requests
-	predecessors     []*Member // schedulers of this data centre that rank ahead of this one
-	storeReaders     int       // instances that read the store: the first scheduler of each data centre
-	localPeers       []*Member // ordinary instances of this data centre, without this one
-	remotePeers      []*Member // ordinary instances of other data centres
-	localContacts    []*Member // schedulers and localPeers, whose addresses are shared within the data centre
+	isScheduler           bool      // this instance is a scheduler
+	schedulers            []*Member // without this instance
+	isFirstScheduler      bool      // this instance is the first scheduler of its data centre
+	localSchedulers       []*Member // schedulers of this data centre, without this instance
+	remoteSchedulers      []*Member // schedulers of other data centres
+	remoteFirstSchedulers []*Member // first schedulers of other data centres
+	schedulerOrder        []*Member // schedulers of this data centre in the order in which to send requests
+	predecessors          []*Member // schedulers of this data centre that rank ahead of this one
+	storeReaders          int       // instances that read the store: the first scheduler of each data centre
+	localPeers            []*Member // ordinary instances of this data centre, without this one
+	remotePeers           []*Member // ordinary instances of other data centres
+	localContacts         []*Member // schedulers and localPeers, whose addresses are shared within the data centre
 	regionRoles
 }
 
-// outranks orders the instances of a data centre: warmed-up schedulers first, then larger
-// machines.
+// outranks orders by warm-up, then by cores, then by ID.
 func outranks(a, b *Member) bool {
 	if a.WarmedUp != b.WarmedUp {
 		return a.WarmedUp
@@ -95,7 +91,6 @@
 	return &s.roles
 }
 
-// computeRoles computes the roles from the members that are live at now.
 func (s *members) computeRoles(now time.Time) roles {
 	dataCentres := map[string][]*Member{s.self.DataCentre: {&s.self}}
 	s.eachLive(now, func(m *Member) { dataCentres[m.DataCentre] = append(dataCentres[m.DataCentre], m) })
@@ -108,7 +103,7 @@
 			switch {
 			case i < schedulerCount && m == &s.self:
 				r.isScheduler = true
-				r.isFirst = i == 0
+				r.isFirstScheduler = i == 0
 				r.predecessors = all[:i:i]
 			case i < schedulerCount:
 				r.addScheduler(m, dataCentre == s.self.DataCentre, i == 0)
@@ -136,15 +131,14 @@
 	}
 	r.remoteSchedulers = append(r.remoteSchedulers, m)
 	if isFirst {
-		r.remoteFirsts = append(r.remoteFirsts, m)
+		r.remoteFirstSchedulers = append(r.remoteFirstSchedulers, m)
 	}
 }
 
 // dataCentreSize returns the number of live instances of this data centre, this one included.
 func (r *roles) dataCentreSize() int { return 1 + len(r.localPeers) + len(r.localSchedulers) }
 
-// propagationDelay returns the time within which load changes reach all schedulers in a fleet of
-// n instances.
+// propagationDelay returns how long load changes take to reach all schedulers of n instances.
 func (r *roles) propagationDelay(n int) time.Duration {
 	delay := balance.ReportInterval(n)
 	if len(r.localPeers) > 0 {
@@ -156,19 +150,16 @@
 	return delay
 }
 
-// activeSchedulerCount returns how many schedulers of a data centre of n instances receive
-// requests.
+// activeSchedulerCount returns how many schedulers of a data centre of n instances are in use.
 func activeSchedulerCount(n int) int { return 1 + n/instancesPerScheduler }
 
-// orderSchedulers returns schedulers in the order in which the instance with the given ID sends
-// requests to them, in a data centre of n instances.
+// orderSchedulers rotates schedulers, so that n instances spread requests over the active ones.
 func orderSchedulers(schedulers []*Member, id uint64, n int) []*Member {
 	first := int(id % uint64(min(activeSchedulerCount(n), len(schedulers))))
 	out := append([]*Member(nil), schedulers[first:]...)
 	return append(out, schedulers[:first]...)
 }
 
-// tickInterval returns the pause between ticks of this instance.
 func (r *roles) tickInterval() time.Duration {
 	if !r.isScheduler {
 		return minTick
@@ -176,10 +167,9 @@
 	return clamp(time.Duration(len(r.schedulers)+1)*tickPerScheduler, minTick, maxTick)
 }
 
-// heartbeatInterval returns the pause between messages to members that only need heartbeats, in a
-// fleet of n instances.
+// heartbeatInterval returns the pause between heartbeats in a fleet of n instances.
 func heartbeatInterval(n int) time.Duration {
-	return clamp(time.Duration(n)*heartbeatPerInstance, maxQuiet, maxHeartbeat)
+	return clamp(time.Duration(n)*heartbeatPerInstance, maxUpdateInterval, maxHeartbeat)
 }
 
 func clamp(d, lo, hi time.Duration) time.Duration { return min(max(d, lo), hi) }
--- a/gossip/roles_test.go
+++ b/gossip/roles_test.go
@@ -8,8 +8,7 @@
 	"ivyridge/balance"
 )
 
-// newFleetViews returns the member tables of n instances in the given number of data centres,
-// each of which has received from all others.
+// newFleetViews returns the member tables of n instances, each of which received from all others.
 func newFleetViews(now time.Time, n, dataCentres int, change func(i int, m *Message)) []*members {
 	all := make([]*members, n)
 	for i := range all {
@@ -20,7 +19,7 @@
 			if i == j {
 				continue
 			}
-			m := &Message{Sender: uint64(j + 1), DataCentre: fmt.Sprint(j % dataCentres), Cores: 0.2, NextWithin: maxQuiet, FleetSize: n}
+			m := &Message{Sender: uint64(j + 1), DataCentre: fmt.Sprint(j % dataCentres), Cores: 0.2, NextWithin: maxUpdateInterval, FleetSize: n}
 			change(j, m)
 			s.observe(now, fmt.Sprint(j), m, time.Time{})
 		}
@@ -43,8 +42,7 @@
 	}
 }
 
-// Instances with the same members compute the same roles, and send requests to a scheduler of
-// their own data centre.
+// Instances with the same members compute the same roles, and use a scheduler of their data centre.
 func TestRolesAgree(t *testing.T) {
 	now := time.Unix(1000, 0)
 	large := func(i int, m *Message) {
--- a/gossip/rolling_release_test.go
+++ b/gossip/rolling_release_test.go
@@ -44,9 +44,9 @@
 }
 
 // update has the selected followers fetch changes, or everything if they have nothing yet.
-func (c *followerChain) update(t *testing.T, which func(i int) bool) {
+func (c *followerChain) update(t *testing.T, selected func(i int) bool) {
 	for i, table := range c.followers {
-		if !which(i) {
+		if !selected(i) {
 			continue
 		}
 		var u *discovery.Update
@@ -64,8 +64,8 @@
 	}
 }
 
-// During a rolling release the bandwidth per follower stays bounded, whatever the number of
-// endpoints. A follower that misses more changes than are remembered gets everything once.
+// A rolling release takes bounded bandwidth per follower, whatever the number of endpoints. A
+// follower that misses more changes than are remembered gets everything once.
 func TestRollingReleaseTraffic(t *testing.T) {
 	const (
 		perSecond      = 53
--- a/gossip/schema.go
+++ b/gossip/schema.go
@@ -2,9 +2,9 @@
 
 // This file detects state from an instance whose build lacks fields that this build knows.
 //
-// Instances forward state as their build decodes it, and drop unknown fields. A dropped field
-// differs from an empty one: a route without home regions may be served anywhere. Since the JSON
-// encoding writes empty fields too, a missing name shows that the sender doesn't know the field.
+// Instances drop unknown fields from the state that they forward, and a dropped field differs from
+// an empty one: a route without home regions may be served anywhere. The JSON encoding writes
+// empty fields too, so a missing name shows that the sender doesn't know the field.
 
 import (
 	"bytes"
@@ -25,8 +25,7 @@
 // knows. Such state must not be used.
 var ErrOldBuild = errors.New("sender runs an older build")
 
-// schema returns a hash of the field names that this build knows. State of a sender with the same
-// hash needs no check.
+// schema returns a hash of the field names of this build. State with the same hash needs no check.
 var schema = sync.OnceValue(func() uint64 {
 	var names []string
 	listFields(reflect.TypeFor[catalog.Document](), "", &names)
@@ -83,8 +82,7 @@
 	return nil
 }
 
-// firstElement returns the first element of a JSON array, nil if it is empty, and data itself if
-// it isn't an array.
+// firstElement returns the first element of a JSON array, if any, or data if it isn't an array.
 func firstElement(data []byte) []byte {
 	data = bytes.TrimSpace(data)
 	if len(data) == 0 {
--- a/gossip/shares.go
+++ b/gossip/shares.go
@@ -1,7 +1,6 @@
 package gossip
 
-// This file computes this instance's share of budgets that are divided among the active
-// schedulers of the fleet. It does no I/O.
+// This file computes this instance's share of budgets divided among the active schedulers.
 
 import (
 	"time"
@@ -11,17 +10,15 @@
 	"ivyridge/quota"
 )
 
-// coldShare returns the share of a cold endpoint's request rate that this instance may send,
-// given the configured number of data centres.
+// coldShare returns the share of a cold endpoint's request rate that this instance may send.
 func (s *members) coldShare(now time.Time, r *roles, dataCentres int) float64 {
 	view := s.quotaView(r, dataCentres)
 	view.IsScheduler = view.IsScheduler && s.self.WarmedUp
 	return s.coldClaim.Share(view, now)
 }
 
-// retryShare returns the share of the retry budget that this instance may grant. No warm-up is
-// required: an instance grants only what was earned by requests that it placed itself, and the
-// share is available sooner after a restart of the whole fleet.
+// retryShare returns the share of the retry budget that this instance may grant. It needs no
+// warm-up: an instance grants only what was earned by requests that it placed itself.
 func (s *members) retryShare(now time.Time, r *roles, dataCentres int) float64 {
 	return s.retryClaim.Share(s.quotaView(r, dataCentres), now)
 }
@@ -37,8 +34,7 @@
 	}
 }
 
-// quotaDataCentres returns the number of data centres that divide a budget, given the configured
-// number.
+// quotaDataCentres returns the number of data centres that divide a budget.
 func (r *roles) quotaDataCentres(dataCentres int) int { return max(dataCentres, r.storeReaders, 1) }
 
 // updateShares passes the current shares of this instance to the balancer. The caller holds g.mu.
@@ -46,7 +42,7 @@
 	g.Balancer.SetColdShare(g.members.coldShare(now, r, g.DataCentres))
 	share := g.members.retryShare(now, r, g.DataCentres)
 	if (share > 0) != (g.retryShare > 0) {
-		g.Log.Info("retry share gained or lost", zap.Float64("part", share), zap.Int("data_centres", r.quotaDataCentres(g.DataCentres)), zap.Int("choosers", r.activeSchedulers()))
+		g.Log.Info("share of the retry budget gained or lost", zap.Float64("part", share), zap.Int("data_centres", r.quotaDataCentres(g.DataCentres)), zap.Int("choosers", r.activeSchedulers()))
 	}
 	g.retryShare = share
 	g.updateLimitShare(now, r)
@@ -66,8 +62,8 @@
 	return false
 }
 
-// activeSchedulers returns how many instances of this data centre normally choose endpoints: the
-// schedulers that others send requests to, or all if there are no others.
+// activeSchedulers returns how many instances of this data centre choose endpoints: the schedulers
+// that others send requests to, or all if there are no others.
 func (r *roles) activeSchedulers() int {
 	schedulers := 1 + len(r.localSchedulers)
 	if len(r.localPeers) == 0 {
--- a/gossip/simulation_test.go
+++ b/gossip/simulation_test.go
@@ -227,8 +227,7 @@
 	}
 }
 
-// After a simultaneous start all instances agree on the schedulers within some seconds, also in
-// data centres without a seed.
+// Instances that start at once agree on the schedulers, also in data centres without a seed.
 func TestFleetConvergesAfterStart(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{7, 30, 100} {
@@ -246,15 +245,14 @@
 	}
 }
 
-// The fleet recovers if all schedulers, which are the only instances that receive from all, are
-// lost at once.
+// The fleet recovers from losing all schedulers, the only instances that receive from all.
 func TestFleetSurvivesLossOfSchedulers(t *testing.T) {
 	t.Parallel()
 	w := newSimulation(t, 80, 5)
 	w.run(20 * time.Second)
 	for _, n := range w.nodes {
-		_, schedules := n.Schedulers()
-		n.dead = schedules
+		_, isScheduler := n.Schedulers()
+		n.dead = isScheduler
 	}
 	w.run(15 * time.Second)
 	w.wantSchedulersAgree(5)
@@ -287,14 +285,14 @@
 	}
 }
 
-// After a period without confirmations, the first confirmation that any instance has reaches all
-// others at once, and is not dated too late.
+// After a period without confirmations, the first one reaches all instances at once, and is not
+// dated too late.
 func TestRenewedConfirmationReachesAll(t *testing.T) {
 	t.Parallel()
 	w := newSimulation(t, 60, 5)
 	w.run(10*time.Second + 3*simulationStep) // heartbeats were just sent
 	ordinary := w.nodes[40]
-	if _, schedules := ordinary.Schedulers(); schedules {
+	if _, isScheduler := ordinary.Schedulers(); isScheduler {
 		t.Fatal("instance 40 is a scheduler, want an ordinary instance")
 	}
 	confirmedAt := w.now
--- a/gossip/suspects.go
+++ b/gossip/suspects.go
@@ -2,14 +2,12 @@
 
 // This file exchanges the requests suspected of crashing endpoints.
 //
-// New entries are sent at once: an instance sends them to the schedulers of its data centre. A
-// scheduler to which they are new forwards them to its data centre, the other schedulers of its
-// region and the gateways of other regions. Since datagrams get lost, regions may be partitioned
-// and instances restart, each message also carries a digest of the sender's suspect table. An
-// instance that sees a different digest for some time fetches the whole table of that sender over
-// TCP. Tables can be merged in any order (package poison), so both sides of a healed partition
-// end up with the union. Digests alone are not enough: heartbeats between ordinary instances are
-// seconds apart, in which another endpoint may crash.
+// An instance sends new entries at once to the schedulers of its data centre. A scheduler forwards
+// entries that are new to it to its data centre, the other schedulers of its region and the
+// gateways of other regions. Since datagrams get lost and instances restart, each message also
+// carries a digest of the sender's suspect table. An instance that sees a different digest for
+// some time fetches that table over TCP. Tables can be merged in any order (package poison).
+// Digests alone would be too slow: heartbeats between ordinary instances are seconds apart.
 
 import (
 	"encoding/binary"
@@ -27,9 +25,8 @@
 const SuspectsPath = "/v2/suspects"
 
 const (
-	// digestGrace is how long a digest must differ before the table is fetched, so that news in
-	// flight can arrive.
-	digestGrace = 400 * time.Millisecond
+	// digestGracePeriod leaves entries in flight time to arrive before a table is fetched.
+	digestGracePeriod = 400 * time.Millisecond
 	// pullInterval is the minimum pause between fetches.
 	pullInterval = time.Second
 	// MaxSuspects bounds the size of an encoded table, in bytes.
@@ -44,7 +41,7 @@
 	fieldDigest          protowire.Number = 33 // of a Message
 	fieldSuspectID       protowire.Number = 1
 	fieldOutline         protowire.Number = 2
-	fieldSuspectService  protowire.Number = 3 // the service
+	fieldSuspectService  protowire.Number = 3
 	fieldSuspectRoute    protowire.Number = 4
 	fieldSuspectTeam     protowire.Number = 5
 	fieldStrikes         protowire.Number = 6
@@ -130,7 +127,7 @@
 }
 
 func decodeStrike(now time.Time, b []byte) (s poison.Strike, err error) {
-	var inFlight uint64
+	var delay uint64
 	s.CrashedAt = now
 	err = eachField(b, func(f field) error {
 		switch f.number {
@@ -139,7 +136,7 @@
 		case fieldStrikeAge:
 			s.CrashedAt = timeBefore(now, f.value)
 		case fieldStrikeDelay:
-			inFlight = f.value
+			delay = f.value
 		case fieldVoid:
 			s.Void = f.value != 0
 		case fieldListedEndpoints:
@@ -151,7 +148,7 @@
 		}
 		return nil
 	})
-	s.SentAt = timeBefore(s.CrashedAt, inFlight)
+	s.SentAt = timeBefore(s.CrashedAt, delay)
 	return s, err
 }
 
@@ -165,8 +162,8 @@
 	g.forwardSuspects(g.Now(), entries, "")
 }
 
-// forwardSuspects sends suspects to their receivers, except the one at an address, in as many
-// datagrams as needed. The caller holds g.mu.
+// forwardSuspects sends suspects to the instances that this one forwards to, without the address
+// except. The caller holds g.mu.
 func (g *Gossip) forwardSuspects(now time.Time, entries []poison.Entry, except string) {
 	r := g.members.currentRoles(now)
 	to := r.localSchedulers
@@ -186,7 +183,7 @@
 	room := maxDatagram - headerBytes
 	send := func() {
 		m := g.newMessage(now)
-		m.NextWithin = maxQuiet
+		m.NextWithin = maxUpdateInterval
 		m.Suspects = packed
 		g.send(m, receivers)
 		packed, room = nil, maxDatagram-headerBytes
@@ -221,27 +218,26 @@
 	g.compareSuspects(now, from, m.Digest)
 }
 
-// mergeSuspects merges suspects of another instance, and forwards what is new. The caller holds
-// g.mu.
+// mergeSuspects merges received suspects and forwards the new ones. The caller holds g.mu.
 func (g *Gossip) mergeSuspects(now time.Time, from string, received []poison.Entry) {
-	news := g.Suspects.Merge(now, received)
-	if len(news) == 0 {
+	changed := g.Suspects.Merge(now, received)
+	if len(changed) == 0 {
 		return
 	}
 	if g.OnSuspects != nil {
-		g.OnSuspects(news)
+		g.OnSuspects(changed)
 	}
 	if g.members.currentRoles(now).isScheduler {
-		g.forwardSuspects(now, news, from)
+		g.forwardSuspects(now, changed, from)
 	}
 }
 
 // A suspectSync tracks digests that differ from the local one.
 type suspectSync struct {
-	localDigest uint64               // the other fields are valid while the local digest is this one
-	firstSeen   map[uint64]time.Time // when each digest was first seen
-	lastPull    time.Time            // time of the last fetch
-	busy        bool
+	localDigest uint64 // the other fields are valid while the local digest is this one
+	firstSeen   map[uint64]time.Time
+	lastPull    time.Time
+	fetching    bool
 	redundant   map[uint64]bool // digests whose table had nothing new
 }
 
@@ -249,33 +245,32 @@
 const maxDigests = 256
 
 // seenFor returns for how long a digest has been seen while the local one was unchanged.
-func (p *suspectSync) seenFor(now time.Time, localDigest, digest uint64) time.Duration {
-	if localDigest != p.localDigest || p.firstSeen == nil || len(p.firstSeen) >= maxDigests {
-		p.localDigest, p.firstSeen, p.redundant = localDigest, make(map[uint64]time.Time), make(map[uint64]bool)
+func (s *suspectSync) seenFor(now time.Time, localDigest, digest uint64) time.Duration {
+	if localDigest != s.localDigest || s.firstSeen == nil || len(s.firstSeen) >= maxDigests {
+		s.localDigest, s.firstSeen, s.redundant = localDigest, make(map[uint64]time.Time), make(map[uint64]bool)
 	}
-	if _, ok := p.firstSeen[digest]; !ok {
-		p.firstSeen[digest] = now
+	if _, ok := s.firstSeen[digest]; !ok {
+		s.firstSeen[digest] = now
 	}
-	return now.Sub(p.firstSeen[digest])
+	return now.Sub(s.firstSeen[digest])
 }
 
 // compareSuspects fetches the table of an instance whose digest has differed for some time. An
 // instance that has just started, with an empty table, fetches at once. The caller holds g.mu.
 func (g *Gossip) compareSuspects(now time.Time, from string, digest uint64) {
-	p, localDigest := &g.suspectSync, g.Suspects.Digest()
+	s, localDigest := &g.suspectSync, g.Suspects.Digest()
 	if digest == localDigest || digest == 0 || g.FetchSuspects == nil {
 		return
 	}
-	differsFor := p.seenFor(now, localDigest, digest)
+	differsFor := s.seenFor(now, localDigest, digest)
 	justStarted := localDigest == 0 && now.Sub(g.startedAt) < startupPeriod
-	if p.busy || p.redundant[digest] || !justStarted && (differsFor < digestGrace || now.Sub(p.lastPull) < pullInterval) {
+	if s.fetching || s.redundant[digest] || !justStarted && (differsFor < digestGracePeriod || now.Sub(s.lastPull) < pullInterval) {
 		return
 	}
-	p.busy, p.lastPull = true, now
+	s.fetching, s.lastPull = true, now
 	g.background(func() { g.pullSuspects(from, digest) })
 }
 
-// pullSuspects fetches and merges the suspect table of another instance.
 func (g *Gossip) pullSuspects(from string, digest uint64) {
 	requestedAt := g.Now()
 	data, err := g.FetchSuspects(from)
@@ -285,10 +280,10 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.suspectSync.busy = false
+	g.suspectSync.fetching = false
 	if err != nil {
 		g.Count("suspects-not-told")
-		g.Log.Info("fetching suspects failed", zap.String("by", from), zap.String("error", err.Error()))
+		g.Log.Info("fetching the suspect table failed", zap.String("by", from), zap.String("error", err.Error()))
 		return
 	}
 	g.Count("suspects-asked")
@@ -308,8 +303,7 @@
 	return out
 }
 
-// DecodeSuspects decodes the output of EncodeSuspects. It returns at most poison.MostSuspects
-// entries.
+// DecodeSuspects decodes at most poison.MostSuspects entries from the output of EncodeSuspects.
 func DecodeSuspects(now time.Time, data []byte) (out []poison.Entry, err error) {
 	err = eachField(data, func(f field) error {
 		if f.number != fieldSuspects || len(out) >= poison.MostSuspects {
--- a/gossip/suspects_test.go
+++ b/gossip/suspects_test.go
@@ -15,7 +15,7 @@
 	"ivyridge/poison"
 )
 
-// pull answers an instance that fetches the suspect table of another one.
+// pull serves the suspect table of the instance at an address.
 func (w *simulation) pull(from *node, address string) ([]byte, error) {
 	for _, n := range w.nodes {
 		if n.address.String() != address {
@@ -29,7 +29,7 @@
 		w.pullBytes += len(data)
 		return data, nil
 	}
-	return nil, errors.New("no answer")
+	return nil, errors.New("instance did not respond")
 }
 
 // suspectID returns the ID of the n-th request.
@@ -38,8 +38,7 @@
 	return id
 }
 
-// reportEndpointFailure has an instance report that an endpoint crashed while it served a request
-// and the given number of others.
+// reportEndpointFailure reports a crash of an endpoint that served a request and some others.
 func (w *simulation) reportEndpointFailure(instance, endpoint, request, others int) {
 	n := w.nodes[instance]
 	entries := []poison.Entry{{ID: suspectID(request), Outline: poison.Outline(request), Service: "m", Route: "chat", Team: "team"}}
@@ -74,8 +73,7 @@
 	}
 }
 
-// suspectFleetSize returns the size of the largest fleet in these tests, which the environment
-// variable IVYRIDGE_INSTANCES overrides: 390 take minutes under the race detector.
+// suspectFleetSize is the size of the largest fleet; IVYRIDGE_INSTANCES overrides it.
 func suspectFleetSize() int {
 	if n, err := strconv.Atoi(os.Getenv("IVYRIDGE_INSTANCES")); err == nil {
 		return n
@@ -83,9 +81,8 @@
 	return 120
 }
 
-// Three crashes reported by three instances are known everywhere a second after the third, in
-// small and large fleets, with 5% datagram loss, a lost first scheduler and an instance that
-// restarts afterwards.
+// Three crashes are known everywhere a second after the third, despite 5% datagram loss, a lost
+// first scheduler and an instance that restarts afterwards.
 func TestSuspectsReachAllInstances(t *testing.T) {
 	for _, c := range []struct{ instances, dataCentres int }{{6, 3}, {suspectFleetSize(), 6}} {
 		t.Run(fmt.Sprint(c.instances), func(t *testing.T) {
@@ -111,13 +108,13 @@
 			w.run(4 * time.Second)
 			for i, n := range w.nodes {
 				if n.Suspects.Digest() != digest {
-					t.Errorf("instance %d has another suspect table than the first one", i)
+					t.Errorf("instance %d has a different suspect table than instance 0", i)
 				}
 			}
 			sent, pulls := w.suspectBytes, w.pulls
 			w.run(8 * time.Second)
 			if w.suspectBytes != sent || w.pulls != pulls {
-				t.Errorf("%d bytes sent and %d tables fetched in 8 s without news", w.suspectBytes-sent, w.pulls-pulls)
+				t.Errorf("%d bytes sent and %d tables fetched in 8 s without new suspects", w.suspectBytes-sent, w.pulls-pulls)
 			}
 			t.Logf("3 crashes with 41 requests each: %d bytes sent per instance, %d tables of %d bytes fetched in total",
 				sent/c.instances, pulls, w.pullBytes/max(1, pulls))
@@ -129,7 +126,7 @@
 func TestSuspectsMergeAfterRegionPartition(t *testing.T) {
 	w := newRegionSimulation(t, 36, 4, map[string]string{"dc0": "north", "dc1": "south", "dc2": "north", "dc3": "south"}, true)
 	w.run(12 * time.Second)
-	w.lost = w.apart
+	w.lost = w.inDifferentRegions
 	w.run(8 * time.Second)
 	w.reportEndpointFailure(0, 1, 1, 5) // the north
 	w.run(time.Second)
@@ -211,8 +208,7 @@
 	})
 }
 
-// Arbitrary input decodes to a bounded entry that encodes and decodes to itself, and that a table
-// can merge.
+// Arbitrary input decodes to a bounded entry that encodes to itself and that a table can merge.
 func FuzzSuspects(f *testing.F) {
 	now := time.Unix(1_000_000, 0)
 	e := poison.Entry{ID: suspectID(1), Service: "m", Strikes: []poison.Strike{{Endpoint: 7, CrashedAt: now.Add(-time.Second), SentAt: now.Add(-2 * time.Second)}}}
@@ -237,9 +233,9 @@
 		t.Fatalf("%+v decodes again to %+v, %v", e, again, err)
 	}
 	table := poison.NewTable()
-	news := table.Merge(now, []poison.Entry{e})
-	if len(table.Merge(now, news)) > 0 {
-		t.Fatalf("merged entries reported as new again: %+v", news)
+	changed := table.Merge(now, []poison.Entry{e})
+	if len(table.Merge(now, changed)) > 0 {
+		t.Fatalf("merged entries reported as new again: %+v", changed)
 	}
 	table.Slowed(now, e.Service, e.Team)
 }
--- a/gossip/teams.go
+++ b/gossip/teams.go
@@ -2,10 +2,9 @@
 
 // This file exchanges the teams' use of scarce services between schedulers.
 //
-// While a service is at or near its capacity, each scheduler sends the other schedulers of its
-// region the use of the teams that it placed requests for, in separate datagrams. The number of
-// teams is bounded, so the size of a message doesn't depend on the size of the fleet. A lost
-// message makes a team's use look smaller for a moment.
+// While a service is at or near its capacity, each scheduler sends the use of the teams that it
+// placed requests for to the other schedulers of its region. The number of teams is bounded, so
+// message sizes don't depend on the fleet. A lost message understates a team's use for a moment.
 
 import (
 	"fmt"
@@ -21,9 +20,8 @@
 )
 
 const (
-	// minTeamsInterval is the minimum pause between team messages, a fifth of the window over
-	// which use is counted. teamsIntervalPerScheduler is added per scheduler to bound the receive
-	// rate.
+	// The pause between team messages is teamsIntervalPerScheduler times the number of schedulers,
+	// to bound the receive rate, and at least minTeamsInterval.
 	minTeamsInterval          = 200 * time.Millisecond
 	teamsIntervalPerScheduler = 25 * time.Millisecond
 	// teamsLogInterval is the pause between checks for teams that start or stop being limited.
@@ -43,11 +41,9 @@
 	fieldTeamRates   protowire.Number = 3 // hash of each team, followed by its rate as a varint
 )
 
-// hashBytes is the encoded size of a team's hash.
 const hashBytes = 4
 
-// sendTeams sends the teams' use to the other schedulers, if the interval has passed. The caller
-// holds g.mu.
+// sendTeams sends the teams' use, if the interval has passed. The caller holds g.mu.
 func (g *Gossip) sendTeams(now time.Time, r *roles) {
 	group := &g.groups.teams
 	interval := max(minTeamsInterval, time.Duration(len(r.regionSchedulers)+1)*teamsIntervalPerScheduler)
@@ -61,7 +57,7 @@
 	}
 	for len(uses) > 0 {
 		m := g.newMessage(now)
-		m.NextWithin = max(maxQuiet, r.tickInterval())
+		m.NextWithin = max(maxUpdateInterval, r.tickInterval())
 		m.Teams, uses = splitTeams(uses)
 		g.send(m, addresses(r.regionSchedulers))
 		g.Count("teams-told")
--- a/gossip/teams_test.go
+++ b/gossip/teams_test.go
@@ -35,8 +35,8 @@
 		level uint64
 		fails bool
 	}{
-		{"a hash cut off", []byte{1, 2}, 1, true},
-		{"a rate cut off", []byte{1, 2, 3, 4, 0x80}, 1, true},
+		{"a truncated hash", []byte{1, 2}, 1, true},
+		{"a truncated rate", []byte{1, 2, 3, 4, 0x80}, 1, true},
 		{"an unknown level", []byte{1, 2, 3, 4, 5}, fair.Levels, false},
 	} {
 		group := appendUint(nil, fieldTeamLevel, c.level)
@@ -47,8 +47,7 @@
 	}
 }
 
-// A team message replaces what was sent for a service before, so the uses of a service must be in
-// one message.
+// The uses of a service stay in one message, since a message replaces earlier ones of the service.
 func TestTeamUsesSplitByService(t *testing.T) {
 	var uses []balance.TeamUse
 	for service := range uint32(7) {
@@ -69,8 +68,7 @@
 	}
 }
 
-// While a service is short of capacity, its schedulers know the demand of teams at the others.
-// Nothing is sent once the rush is over.
+// While a service is short of capacity, and only then, its schedulers exchange the teams' demand.
 func TestTeamUsesReachOtherSchedulers(t *testing.T) {
 	t.Parallel()
 	w := newSimulation(t, 30, 2)
@@ -108,12 +106,12 @@
 		}
 	}
 	if messages == 0 {
-		t.Error("no team messages sent during the rush")
+		t.Error("no team messages sent while capacity was short")
 	}
 	w.run(5 * time.Second)
 	messages = 0
 	w.run(5 * time.Second)
 	if messages > 0 {
-		t.Errorf("%d team messages sent after the rush", messages)
+		t.Errorf("%d team messages sent after demand ended", messages)
 	}
 }
