--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		e := verdict.Of(err)
 		if errors.Is(context.Cause(attemptCtx), errResponseTimeout) && ctx.Err() == nil {
-			e = verdict.Fail(e.Verdict, verdict.EndpointSilent, "%s: no response within %s", f.placement.Endpoint.ID, timeout)
+			e = verdict.Fail(e.Verdict, verdict.EndpointSilent, "%s: no answer in %s", f.placement.Endpoint.ID, timeout)
 		}
 		switch e.Reason {
 		case verdict.EndpointInBackoff:
@@ -147,20 +147,20 @@
 	}
 	switch refusal.Cause {
 	case balance.EndpointsInBackoff:
-		return verdict.Refuse(reason, "service %s: all endpoints asked this instance to back off, the first for %s more", service, refusal.Wait.Round(time.Millisecond)).WithRetryAfter(retryAfter)
+		return verdict.Refuse(reason, "service %s: all endpoints rest, the first for %s more", service, refusal.Wait.Round(time.Millisecond)).WithRetryAfter(retryAfter)
 	case balance.EndpointsLimited:
-		return verdict.Refuse(reason, "service %s: all endpoints have reached their rate limits, next permit in %s", service, refusal.Wait.Round(time.Millisecond)).WithRetryAfter(retryAfter)
+		return verdict.Refuse(reason, "service %s: no endpoint has a permit left within its limit, the first is asked in %s", service, refusal.Wait.Round(time.Millisecond)).WithRetryAfter(retryAfter)
 	case balance.TeamOverShare:
-		return verdict.Refuse(reason, "service %s: the team's usage is %.1f times its share", service, refusal.Pressure).WithRetryAfter(retryAfter)
+		return verdict.Refuse(reason, "service %s: the team uses %.1f times its share", service, refusal.Pressure).WithRetryAfter(retryAfter)
 	}
-	return verdict.Refuse(reason, "service %s: over capacity: shortest wait %s, pressure %.2f", service,
+	return verdict.Refuse(reason, "service %s: %s to wait at best, pressure %.2f", service,
 		refusal.Wait.Round(time.Millisecond), refusal.Pressure).WithRetryAfter(retryAfter)
 }
 
 // noEndpointError returns the error of a request that no endpoint may serve.
 func noEndpointError(demand *balance.Demand) *verdict.Error {
 	if demand.Residency.Restricted() {
-		return verdict.Refuse(verdict.NoHomeEndpoint, "service %s has no endpoint in the allowed regions %v",
+		return verdict.Refuse(verdict.NoHomeEndpoint, "service %s has no endpoint in %v, where the request may be served",
 			demand.Service.Name, demand.Residency.Regions()).WithRetryAfter(retryAfterLong)
 	}
 	return verdict.Refuse(verdict.NoEndpoint, "service %s has no endpoint", demand.Service.Name).WithRetryAfter(retryAfterLong)
@@ -192,7 +192,7 @@
 }
 
 // errResponseTimeout is the cancellation cause of an attempt that timed out.
-var errResponseTimeout = errors.New("endpoint response timeout")
+var errResponseTimeout = errors.New("the endpoint keeps silent")
 
 // withResponseTimeout returns a context for one attempt. If the request can
 // be rerouted and a retry is available, the context is cancelled once the
--- a/entry/body.go
+++ b/entry/body.go
@@ -31,7 +31,7 @@
 	limits := f.entry.State.View().Catalog.Limits()
 	length, limit := f.r.ContentLength, int64(limits.MaxBodyBytes)
 	if limit > 0 && length > limit {
-		return verdict.Refuse(verdict.TooLarge, "body of %d bytes exceeds the limit of %d", length, limit)
+		return verdict.Refuse(verdict.TooLarge, "the body has %d bytes, %d are allowed", length, limit)
 	}
 	if length == 0 {
 		return nil
@@ -45,19 +45,19 @@
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		f.w.Header().Set("Connection", "close")
-		return verdict.Refuse(verdict.BodySlow, "body stalled: %d bytes received, the last %s ago", body.bytesRead, f.entry.Now().Sub(body.lastRead).Round(time.Millisecond))
+		return verdict.Refuse(verdict.BodySlow, "%d bytes of the body came, the last %s ago", body.bytesRead, f.entry.Now().Sub(body.lastRead).Round(time.Millisecond))
 	case err == errBodyMemory:
-		return f.noMemory("request body")
+		return f.noMemory("the body")
 	case err != nil:
-		return verdict.Refuse(verdict.BodyCut, "body incomplete: connection closed")
+		return verdict.Refuse(verdict.BodyCut, "the body broke off")
 	case limit > 0 && int64(len(data)) > limit:
-		return verdict.Refuse(verdict.TooLarge, "body exceeds the limit of %d bytes", limit)
+		return verdict.Refuse(verdict.TooLarge, "the body has more than %d bytes", limit)
 	}
 	f.call.Body = data
 	return nil
 }
 
-var errBodyMemory = errors.New("no memory for the request body")
+var errBodyMemory = errors.New("no room for the body")
 
 // readLimited reads a body of the given length (negative: unknown), at most limit+1 bytes
 // (zero: no limit).
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -181,7 +181,7 @@
 
 // overloaded returns the error of a request rejected because of MaxRunning.
 func (e *Proxy) overloaded() *verdict.Error {
-	return verdict.Refuse(verdict.Overloaded, "%d requests in progress", e.Open()).WithRetryAfter(retryAfterLong)
+	return verdict.Refuse(verdict.Overloaded, "%d requests in hand", e.Open()).WithRetryAfter(retryAfterLong)
 }
 
 // stallTimeout returns how long a caller may read nothing of its response.
@@ -210,7 +210,7 @@
 	case err != nil:
 		f.refuse(verdict.Of(err))
 	case stopped:
-		f.refuse(verdict.Refuse(verdict.Leaving, "this instance is shutting down").WithRetryAfter(retryAfterShort))
+		f.refuse(verdict.Refuse(verdict.Leaving, "this instance stops").WithRetryAfter(retryAfterShort))
 	case e.atLimit():
 		f.refuse(e.overloaded())
 	default:
--- a/entry/events.go
+++ b/entry/events.go
@@ -36,7 +36,7 @@
 	return &eventReader{r: bufio.NewReaderSize(r, eventBuffer)}
 }
 
-var errEventMemory = errors.New("no memory for a long event")
+var errEventMemory = errors.New("no memory for an event of this length")
 
 // grow makes room for an event of n bytes. It returns false if there is no memory. Only long
 // events are charged; the reservation of every request covers the others.
@@ -69,7 +69,7 @@
 		}
 		e.data = append(e.data, fragment...)
 		if len(e.data) > maxEvent {
-			return event{}, errors.New("event exceeds the size limit")
+			return event{}, errors.New("an event without end")
 		}
 		switch {
 		case err == bufio.ErrBufferFull:
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -147,19 +147,19 @@
 	view := e.State.View()
 	age, validated := e.State.Age()
 	if view.Catalog == nil || !validated {
-		return verdict.Refuse(verdict.NoConfiguration, "no configuration received yet").WithRetryAfter(retryAfterLong)
+		return verdict.Refuse(verdict.NoConfiguration, "no configuration is known yet").WithRetryAfter(retryAfterLong)
 	}
 	f.version, f.configAge = view.Catalog.Version(), age
 	f.route = view.Catalog.Route(f.call.Host, f.call.Path)
 	if f.route == nil {
-		return f.weakenIfStale(verdict.Refuse(verdict.UnknownRoute, "no route matches host and path"))
+		return f.weakenIfStale(verdict.Refuse(verdict.UnknownRoute, "no route"))
 	}
 	f.team = view.Catalog.Team(f.call.Key)
 	if f.team == nil && view.Catalog.NeedsKey(f.route) {
-		return f.weakenIfStale(verdict.Refuse(verdict.Unauthenticated, "unknown API key"))
+		return f.weakenIfStale(verdict.Refuse(verdict.Unauthenticated, "the key is not known"))
 	}
 	if f.team != nil && !e.fresh() {
-		return verdict.Refuse(verdict.StaleState, "API keys were last confirmed %s ago", age).WithRetryAfter(retryAfterLong)
+		return verdict.Refuse(verdict.StaleState, "keys were proved %s ago", age).WithRetryAfter(retryAfterLong)
 	}
 	f.service = view.Catalog.Service(f.route.Target(xxhash.Sum64String(f.call.ID)))
 	return nil
@@ -171,7 +171,7 @@
 	if f.configAge <= f.entry.bounds.Load().Propagation {
 		return refusal
 	}
-	return verdict.Refuse(verdict.StaleState, "%s in a configuration that is %s old", refusal.Detail, f.configAge).WithRetryAfter(retryAfterLong)
+	return verdict.Refuse(verdict.StaleState, "%s, as of %s ago", refusal.Detail, f.configAge).WithRetryAfter(retryAfterLong)
 }
 
 func (f *exchange) setDeadline() {
--- a/entry/memory.go
+++ b/entry/memory.go
@@ -37,13 +37,13 @@
 // noMemory returns the error of a request for which there is no memory.
 func (f *exchange) noMemory(cause string) *verdict.Error {
 	s := f.entry.Memory.Stats()
-	return verdict.Refuse(verdict.MemoryFull, "no memory (%s): %d of %d bytes in use", cause, s.Used, s.Limit).WithRetryAfter(retryAfterLong)
+	return verdict.Refuse(verdict.MemoryFull, "%s: %d of %d bytes held", cause, s.Used, s.Limit).WithRetryAfter(retryAfterLong)
 }
 
 // reserveExchangeMemory reserves the memory of a running request.
 func (f *exchange) reserveExchangeMemory() *verdict.Error {
 	if !f.mem.Grow(memory.Requests, exchangeBytes) {
-		return f.noMemory("connection to the endpoint")
+		return f.noMemory("the exchange")
 	}
 	return nil
 }
--- a/entry/poison.go
+++ b/entry/poison.go
@@ -51,7 +51,7 @@
 	}
 	f.entry.publishPoison(f.entry.Poison.Seen(f.entry.Now(), id))
 	known, _ := f.entry.Poison.Entry(id)
-	return verdict.Refuse(verdict.CrashesEndpoints, "the request has crashed %d endpoints (%s)", known.CountedStrikes(), id)
+	return verdict.Refuse(verdict.CrashesEndpoints, "%d endpoints ended that ran this request, %s", known.CountedStrikes(), id)
 }
 
 // The rate at which all instances together admit a throttled team's requests: if each crashes
@@ -79,7 +79,7 @@
 	if wait <= 0 {
 		return nil
 	}
-	return verdict.Refuse(verdict.TeamLimit, "service %s: the team is throttled because its requests crash endpoints", f.service.Name).WithRetryAfter(wait)
+	return verdict.Refuse(verdict.TeamLimit, "service %s: requests of the team end endpoints", f.service.Name).WithRetryAfter(wait)
 }
 
 // teamThrottles holds when each throttled team may send its next request, by service and team.
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -313,7 +313,7 @@
 	if r.stalled {
 		return verdict.Fail(verdict.Ran, verdict.CallerSlow, "%s", r.stall.detail)
 	}
-	return verdict.Fail(verdict.Ran, verdict.CallerGone, "caller disconnected during the response")
+	return verdict.Fail(verdict.Ran, verdict.CallerGone, "while the answer was passed on")
 }
 
 // handleDeadline aborts the relay when the caller has disconnected or the deadline has
--- a/entry/response.go
+++ b/entry/response.go
@@ -39,14 +39,14 @@
 	case !head.Sealed || x.Header.Get("Content-Encoding") != "":
 		x.Close(false, 0)
 		f.placement.Done(balance.Failed)
-		return verdict.Fail(verdict.MayHaveRun, verdict.EndpointError, "%s: response without the endpoint's seal or with a content encoding (status %d)", f.placement.Endpoint.ID, x.Status)
+		return verdict.Fail(verdict.MayHaveRun, verdict.EndpointError, "%s sent what is no answer of its own (%d)", f.placement.Endpoint.ID, x.Status)
 	case f.route.Kind == catalog.Stream && x.Status == http.StatusOK:
 		return f.forwardStream(ctx, x, head)
 	case f.headSent:
 		// The stream begun by an earlier endpoint cannot continue with this response.
 		x.Close(false, 0)
 		f.placement.Done(balance.Failed)
-		return verdict.Fail(verdict.Ran, verdict.EndpointError, "%s answered %d to a request to resume a stream", f.placement.Endpoint.ID, x.Status)
+		return verdict.Fail(verdict.Ran, verdict.EndpointError, "%s answered %d in the middle of a stream", f.placement.Endpoint.ID, x.Status)
 	}
 	return f.forwardPlain(ctx, x, head)
 }
@@ -98,7 +98,7 @@
 func (f *exchange) writeResponse(x *upstream.Exchange, data []byte) *verdict.Error {
 	f.sendHead(x)
 	if _, err := f.w.Write(data); err != nil {
-		return verdict.Fail(verdict.Ran, verdict.CallerGone, "caller disconnected during the response")
+		return verdict.Fail(verdict.Ran, verdict.CallerGone, "while the answer was passed on")
 	}
 	return nil
 }
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -56,7 +56,7 @@
 	}
 	if r.stall.exceeded(now, r.progress(), r.writing, allowed) {
 		r.stalled = true
-		r.stall.detail = fmt.Sprintf("%d bytes buffered, no progress for %s", r.buffer.size+len(r.direct),
+		r.stall.detail = fmt.Sprintf("%d bytes waited, nothing was taken for %s", r.buffer.size+len(r.direct),
 			now.Sub(r.stall.since).Round(time.Millisecond))
 		r.abortWrite()
 	}
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -72,13 +72,13 @@
 	x.stopCancel = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if ctx.Err() != nil {
 		x.Close(false, 0)
-		return nil, verdict.Fail(verdict.NotRun, verdict.CallerGone, "%s: request not sent", r.Endpoint)
+		return nil, verdict.Fail(verdict.NotRun, verdict.CallerGone, "%s: nothing was sent", r.Endpoint)
 	}
 	if r.MaySend != nil && !r.MaySend() {
 		x.written.Store(true) // nothing to write, so that the connection is reusable
 		x.reusable = true
 		x.Close(true, 0)
-		return nil, verdict.Refuse(verdict.EndpointInBackoff, "%s: request not sent", r.Endpoint)
+		return nil, verdict.Refuse(verdict.EndpointInBackoff, "%s: nothing was sent", r.Endpoint)
 	}
 	if err := x.send(r); err != nil {
 		x.Close(false, 0)
@@ -135,16 +135,16 @@
 	for {
 		res, err := http.ReadResponse(x.conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
-			return errors.Wrap(err, "no response")
+			return errors.Wrap(err, "no answer")
 		}
 		switch {
 		case res.StatusCode < http.StatusOK:
 			if interim++; interim > maxInformational || res.StatusCode == http.StatusSwitchingProtocols {
-				return errors.Errorf("unexpected response %s", res.Status)
+				return errors.Errorf("answered %s", res.Status)
 			}
 		case mismatched(res.Header):
 			if skipped++; skipped > maxMismatched {
-				return errors.New("too many responses to other requests")
+				return errors.New("answers to other requests")
 			}
 			if err := discardMismatched(res); err != nil {
 				return err
@@ -159,14 +159,14 @@
 // discardMismatched reads the body of a response to another request.
 func discardMismatched(res *http.Response) error {
 	if res.Close {
-		return errors.New("connection closed after a response to another request")
+		return errors.New("a last answer to another request")
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxMismatchedBody))
 	if err != nil {
-		return errors.Wrap(err, "response to another request")
+		return errors.Wrap(err, "an answer to another request")
 	}
 	if n == maxMismatchedBody {
-		return errors.New("oversized response to another request")
+		return errors.New("a long answer to another request")
 	}
 	return nil
 }
