--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -1,7 +1,6 @@
 package entry
 
-// This file sends a request to one endpoint and decides whether it may be
-// retried on another.
+// This file makes one attempt at an endpoint and decides whether a retry is allowed.
 
 import (
 	"context"
@@ -18,8 +17,7 @@
 	"ivyridge/verdict"
 )
 
-// mayRetry reports whether the request may be retried after err, given that
-// the retry budget allows it.
+// mayRetry reports whether a retry after err is allowed, apart from the retry budget.
 func (f *exchange) mayRetry(err *verdict.Error) bool {
 	switch err.Reason {
 	case verdict.NoEndpoint, verdict.NoHomeEndpoint, verdict.EndpointsInBackoff, verdict.EndpointsLimited, verdict.OverCapacity, verdict.TeamLimit, verdict.RetryBudget, verdict.ResponseNoMemory, verdict.CallerGone, verdict.CallerSlow:
@@ -35,24 +33,22 @@
 	case verdict.EndpointConnect, verdict.EndpointGone:
 		return f.attempts < maxConnectAttempts
 	case verdict.EndpointInBackoff:
-		return f.attempts < maxUnsentChoices
+		return f.attempts < maxUnsentAttempts
 	}
 	return len(f.tried) < f.route.MaxAttempts
 }
 
-// maxConnectAttempts bounds the attempts that end before the request is sent,
-// because the endpoint is unreachable or its address belongs to another.
+// maxConnectAttempts bounds attempts at endpoints that are unreachable or whose address was reused.
 const maxConnectAttempts = 4
 
-// maxUnsentChoices bounds the choices of a request whose chosen endpoints ask for a
-// back-off just before it is sent. Such an endpoint is excluded from the next choice.
-const maxUnsentChoices = 16
+// maxUnsentAttempts bounds attempts that are not sent as the endpoint just asked for a back-off.
+const maxUnsentAttempts = 16
 
-// attempt sends the request to one endpoint and relays the response. It
-// returns nil if the caller has received a complete response.
+// attempt sends the request to one endpoint and relays the response. It returns nil if the
+// response was relayed completely.
 func (f *exchange) attempt(ctx context.Context) *verdict.Error {
 	f.attempts++
-	view := f.entry.State.View()
+	view := f.proxy.State.View()
 	d := f.demand()
 	placement, refusal := f.place(ctx, view.Endpoints(f.service.Name), d)
 	if refusal != nil && refusal.Cause == balance.RetryBudgetExhausted && f.retry.cause != nil {
@@ -68,15 +64,15 @@
 	}
 	f.retryGranted()
 	f.scheduler = f.placement.Scheduler
-	f.entry.Counters.placed(f.placement)
-	f.placedAt = f.entry.Now()
-	f.inFlight.location.Store(f.currentLocation())
+	f.proxy.Counters.placed(f.placement)
+	f.placedAt = f.proxy.Now()
+	f.inFlight.assignment.Store(f.currentAssignment())
 	timeout := f.responseTimeout()
 	overdueTimer := time.AfterFunc(timeout, f.placement.RecordOverdue)
 	defer overdueTimer.Stop()
 	attemptCtx, cancel := f.withResponseTimeout(ctx, timeout)
 	defer cancel()
-	x, err := f.entry.Pool.Do(attemptCtx, f.upstreamRequest(f.placement.Endpoint), f.mismatched)
+	x, err := f.proxy.Pool.Do(attemptCtx, f.upstreamRequest(f.placement.Endpoint), f.mismatched)
 	overdueTimer.Stop()
 	if err != nil {
 		e := verdict.Of(err)
@@ -85,7 +81,7 @@
 		}
 		switch e.Reason {
 		case verdict.EndpointInBackoff:
-			f.entry.Counters.feedback(feedbackNotSent, f.service.Name)
+			f.proxy.Counters.feedback(feedbackNotSent, f.service.Name)
 			f.placement.Done(balance.Unknown)
 			return e.WithRetryAfter(retryAfterShort)
 		case verdict.EndpointConnect:
@@ -102,28 +98,25 @@
 	return f.handleResponse(ctx, x)
 }
 
-// currentLocation returns the endpoint that the request is sent to.
-func (f *exchange) currentLocation() *location {
-	p := &location{service: f.service.Name, endpoint: f.placement.Endpoint.ID}
+func (f *exchange) currentAssignment() *assignment {
+	p := &assignment{service: f.service.Name, endpoint: f.placement.Endpoint.ID}
 	if f.team != nil {
 		p.team = f.team.Name
 	}
 	return p
 }
 
-// markSent records that the request was sent to the chosen endpoint.
 func (f *exchange) markSent() {
 	f.tried = append(f.tried, f.placement.Endpoint.ID)
 	f.avoid = append(f.avoid, balance.EndpointHash(f.placement.Endpoint.Incarnation()))
 }
 
-// unmarkSent reverts markSent: a different endpoint received the request and did not run it.
+// unmarkSent reverts markSent if a different endpoint received the request and did not run it.
 func (f *exchange) unmarkSent() {
 	f.tried = f.tried[:len(f.tried)-1]
 	f.avoid = f.avoid[:len(f.avoid)-1]
 }
 
-// refusalReasons maps the cause of a refused placement to the reason sent to callers.
 var refusalReasons = map[balance.Cause]verdict.Reason{
 	balance.OverCapacity:         verdict.OverCapacity,
 	balance.TeamOverShare:        verdict.TeamLimit,
@@ -133,9 +126,8 @@
 	balance.EndpointsLimited:   verdict.EndpointsLimited,
 }
 
-// placementError returns the error of a request that was refused an endpoint. Causes that
-// this build does not know, from a newer instance, map to OverCapacity. A refusal without
-// RetryAfter gets a default.
+// placementError converts a refusal to an error. Unknown causes, which newer instances may
+// send, become OverCapacity.
 func placementError(service string, refusal *balance.Refusal) *verdict.Error {
 	reason, ok := refusalReasons[refusal.Cause]
 	if !ok {
@@ -157,7 +149,6 @@
 		refusal.Wait.Round(time.Millisecond), refusal.Pressure).WithRetryAfter(retryAfter)
 }
 
-// noEndpointError returns the error of a request that no endpoint may serve.
 func noEndpointError(demand *balance.Demand) *verdict.Error {
 	if demand.Residency.Restricted() {
 		return verdict.Refuse(verdict.NoHomeEndpoint, "service %s has no endpoint in %v, where the request may be served",
@@ -168,25 +159,23 @@
 
 // Response timeouts, as factors of the route's objective.
 const (
-	timeoutRepeatable    = 0.9
-	timeoutNonRepeatable = 1.0
-	timeoutDefault       = 2 * time.Second // for routes without an objective
+	reroutableTimeoutFactor = 0.9
+	timeoutFactor           = 1.0
+	defaultResponseTimeout  = 2 * time.Second // for routes without an objective
 )
 
-// responseTimeout returns how long the endpoint may take to begin its response
-// before that counts as a failure.
+// responseTimeout returns how long the endpoint may take to send the response head.
 func (f *exchange) responseTimeout() time.Duration {
 	if f.route.Objective == 0 {
-		return timeoutDefault
+		return defaultResponseTimeout
 	}
 	if f.canReroute() && f.service.Engine == nil {
-		return time.Duration(timeoutRepeatable * float64(f.route.Objective))
+		return time.Duration(reroutableTimeoutFactor * float64(f.route.Objective))
 	}
-	return time.Duration(timeoutNonRepeatable * float64(f.route.Objective))
+	return time.Duration(timeoutFactor * float64(f.route.Objective))
 }
 
-// canReroute reports whether the request may be retried elsewhere if its
-// endpoint does not respond.
+// canReroute reports whether the request may be sent to another endpoint after this one.
 func (f *exchange) canReroute() bool {
 	return f.route.Retryable() && !f.headSent && len(f.tried)+1 < f.route.MaxAttempts
 }
@@ -194,18 +183,14 @@
 // errResponseTimeout is the cancellation cause of an attempt that timed out.
 var errResponseTimeout = errors.New("the endpoint keeps silent")
 
-// withResponseTimeout returns a context for one attempt. If the request can
-// be rerouted and a retry is available, the context is cancelled once the
-// endpoint has not responded within timeout; f.responseStarted stops the timer.
-//
-// A model request is rerouted only away from an endpoint that fails other
-// requests too: rerouting discards the prompt processing done so far, and
-// engines are slowest to respond when the whole fleet is busy.
+// withResponseTimeout returns a context that is cancelled if the endpoint does not respond within
+// timeout and the request can be retried elsewhere. A model request is cancelled only if the
+// endpoint fails other requests too, since a retry discards the prompt processing done so far.
 func (f *exchange) withResponseTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	stop := func() { cancel(nil) }
 	f.responseStarted = func() {}
-	if !f.canReroute() || !f.placement.RetryAvailable && !f.entry.retryBudgets.available(f.service.Name) {
+	if !f.canReroute() || !f.placement.RetryAvailable && !f.proxy.retryBudgets.available(f.service.Name) {
 		return attemptCtx, stop
 	}
 	placement, isModel := f.placement, f.service.Engine != nil
@@ -232,15 +217,13 @@
 	return attemptCtx, stop
 }
 
-// suspectCheckInterval is how often an endpoint that timed out on a model
-// request is checked for other failures.
+// suspectCheckInterval is how often a late endpoint is checked for failures of other requests.
 const suspectCheckInterval = 100 * time.Millisecond
 
-// outcome returns the outcome to record for an endpoint whose attempt failed:
-// unknown if the caller disconnected before the endpoint was late, failed
-// otherwise.
+// outcome returns the outcome of a failed attempt: Unknown if the caller disconnected before the
+// endpoint was late, Failed otherwise.
 func (f *exchange) outcome(ctx context.Context) balance.Outcome {
-	waited := f.entry.Now().Sub(f.placedAt)
+	waited := f.proxy.Now().Sub(f.placedAt)
 	if errors.Is(ctx.Err(), context.Canceled) && (f.headSent || waited < f.route.Objective) {
 		return balance.Unknown
 	}
@@ -249,14 +232,14 @@
 
 // mismatched reports whether a response belongs to another request.
 func (f *exchange) mismatched(h http.Header) bool {
-	id := f.entry.Codec.DecodeResponse(http.StatusOK, h).RequestID
+	id := f.proxy.Codec.DecodeResponse(http.StatusOK, h).RequestID
 	return id != "" && id != f.call.ID
 }
 
 func (f *exchange) upstreamRequest(endpoint *discovery.Endpoint) *upstream.Request {
 	forward := Forward{
 		Endpoint:    endpoint.ID,
-		Remaining:   f.deadline.Sub(f.entry.Now()),
+		Remaining:   f.deadline.Sub(f.proxy.Now()),
 		Rank:        catalog.Rank(f.route, f.team),
 		LastEventID: f.call.LastEventID,
 	}
@@ -272,7 +255,7 @@
 		Method:   f.call.Method,
 		Host:     f.call.Host,
 		Target:   f.call.Target,
-		Header:   f.entry.Codec.Encode(f.call, forward),
+		Header:   f.proxy.Codec.Encode(f.call, forward),
 		Body:     f.call.Body,
 		MaySend:  f.placement.MaySend,
 	}
@@ -288,7 +271,7 @@
 		Sent:      f.headSent || len(f.tried) > 0 || f.call.LastEventID != "",
 		Objective: f.route.Objective,
 		MaxGap:    f.route.PauseObjective,
-		Deadline:  f.deadline.Sub(f.entry.Now()),
+		Deadline:  f.deadline.Sub(f.proxy.Now()),
 		Bytes:     len(f.call.Body),
 		Suspect:   f.suspected,
 	}
--- a/entry/body.go
+++ b/entry/body.go
@@ -1,9 +1,7 @@
 package entry
 
-// This file reads request bodies.
-//
-// A body that makes no progress for the operator's header timeout, or is not complete at the
-// request's deadline, is rejected. Memory is reserved before it is allocated.
+// This file reads request bodies. A body is rejected if it makes no progress for the header
+// timeout or is incomplete at the request's deadline.
 
 import (
 	"io"
@@ -21,14 +19,12 @@
 const (
 	// defaultBodyStall applies if the operator sets no header timeout.
 	defaultBodyStall = 5 * time.Second
-	// initialBodyBytes is the initial buffer size for a body of unknown length. It doubles
-	// as the body grows.
+	// initialBodyBytes is the initial buffer size for a body of unknown length.
 	initialBodyBytes = 4 << 10
 )
 
-// readBody reads the request body within the configured limits.
 func (f *exchange) readBody() *verdict.Error {
-	limits := f.entry.State.View().Catalog.Limits()
+	limits := f.proxy.State.View().Catalog.Limits()
 	length, limit := f.r.ContentLength, int64(limits.MaxBodyBytes)
 	if limit > 0 && length > limit {
 		return verdict.Refuse(verdict.TooLarge, "the body has %d bytes, %d are allowed", length, limit)
@@ -36,7 +32,7 @@
 	if length == 0 {
 		return nil
 	}
-	body := &callerBody{r: f.r.Body, control: http.NewResponseController(f.w), stallTimeout: limits.HeaderTimeout, deadline: f.deadline, now: f.entry.Now}
+	body := &callerBody{r: f.r.Body, control: http.NewResponseController(f.w), stallTimeout: limits.HeaderTimeout, deadline: f.deadline, now: f.proxy.Now}
 	if body.stallTimeout <= 0 {
 		body.stallTimeout = defaultBodyStall
 	}
@@ -45,7 +41,7 @@
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		f.w.Header().Set("Connection", "close")
-		return verdict.Refuse(verdict.BodySlow, "%d bytes of the body came, the last %s ago", body.bytesRead, f.entry.Now().Sub(body.lastRead).Round(time.Millisecond))
+		return verdict.Refuse(verdict.BodySlow, "%d bytes of the body came, the last %s ago", body.bytesRead, f.proxy.Now().Sub(body.lastRead).Round(time.Millisecond))
 	case err == errBodyMemory:
 		return f.noMemory("the body")
 	case err != nil:
@@ -103,7 +99,7 @@
 	deadline     time.Time
 	now          func() time.Time
 
-	bytesRead int       // so far
+	bytesRead int
 	lastRead  time.Time // time of the last read that returned data
 }
 
@@ -124,6 +120,5 @@
 	return n, err
 }
 
-// clearDeadline removes the read deadline: after the body, the server reads on in the
-// background to notice a disconnect.
+// clearDeadline removes the read deadline, as the server goes on reading to detect a disconnect.
 func (b *callerBody) clearDeadline() { _ = b.control.SetReadDeadline(time.Time{}) }
--- a/entry/chunk_source.go
+++ b/entry/chunk_source.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s.timing.recordEvent(s.f.entry.Now())
+		s.timing.recordEvent(s.f.proxy.Now())
 		if alreadySent(event.id, s.f.call.LastEventID) {
 			continue
 		}
@@ -63,11 +63,11 @@
 
 func newBodySource(r io.Reader) *bodySource { return &bodySource{r, make([]byte, bodyChunkSize)} }
 
-func (c *bodySource) next() ([]byte, error) {
+func (s *bodySource) next() ([]byte, error) {
 	for {
-		n, err := c.r.Read(c.buffer)
+		n, err := s.r.Read(s.buffer)
 		if n > 0 {
-			return c.buffer[:n], nil // the error, if any, is returned by the next Read
+			return s.buffer[:n], nil // the error, if any, is returned by the next Read
 		}
 		if err != nil {
 			return nil, err
@@ -75,4 +75,4 @@
 	}
 }
 
-func (c *bodySource) detach() { c.buffer = make([]byte, len(c.buffer)) }
+func (s *bodySource) detach() { s.buffer = make([]byte, len(s.buffer)) }
--- a/entry/codec.go
+++ b/entry/codec.go
@@ -10,8 +10,7 @@
 	"ivyridge/verdict"
 )
 
-// A Part is a piece of a prompt that several requests may share, such as a
-// common prefix.
+// A Part is a piece of a prompt that several requests may share, such as a common prefix.
 type Part struct {
 	ID     uint64
 	Tokens int
@@ -69,7 +68,7 @@
 type Rate float64
 
 // A Codec translates between a wire protocol and the types of this package.
-// It is safe for concurrent use.
+// Implementations must be safe for concurrent use.
 type Codec interface {
 	// Decode decodes the head of a caller's request. The error's verdict and
 	// reason decide how the request is rejected.
@@ -78,8 +77,7 @@
 	Encode(c *Call, f Forward) http.Header
 	// DecodeResponse decodes the head of an endpoint's response.
 	DecodeResponse(status int, h http.Header) ResponseHead
-	// CopyResponseHeaders copies those headers of an endpoint's response that are meant for
-	// the caller.
+	// CopyResponseHeaders copies the response headers that are meant for the caller.
 	CopyResponseHeaders(to, from http.Header)
 	// WriteError writes the response to a request that failed or was rejected.
 	WriteError(w http.ResponseWriter, id string, e *verdict.Error)
--- a/entry/counters.go
+++ b/entry/counters.go
@@ -14,7 +14,6 @@
 	"ivyridge/verdict"
 )
 
-// Limits of the latency histograms.
 const (
 	maxLatencyMillis         = 60_000
 	latencySignificantDigits = 2
@@ -26,7 +25,7 @@
 	requests         *expvar.Map
 	refusals         *expvar.Map
 	retries          *expvar.Map
-	retryBudget      *expvar.Map // retries by payer (see retry.go) and service
+	retryBudget      *expvar.Map // retries by budget (see retry.go) and service
 	placements       *expvar.Map // cold: at cold endpoints; fetched: with parts of the prompt fetched from another endpoint
 	poison           *expvar.Map // ended: crashes of endpoints; suspected: requests in progress there; known, cleared: suspects confirmed or cleared
 	endpointFeedback *expvar.Map // feedback by kind (see feedback.go) and service
@@ -66,10 +65,9 @@
 func (c *Counters) refused(r verdict.Reason) { c.refusals.Add(string(r), 1) }
 func (c *Counters) retried(r verdict.Reason) { c.retries.Add(string(r), 1) }
 
-// retryPaid counts a retry by the budget that paid for it, or as denied.
-func (c *Counters) retryPaid(payer, service string) { c.retryBudget.Add(payer+"/"+service, 1) }
+// retryCharged counts a retry by the budget that paid for it, or as denied.
+func (c *Counters) retryCharged(budget, service string) { c.retryBudget.Add(budget+"/"+service, 1) }
 
-// feedback counts feedback from an endpoint.
 func (c *Counters) feedback(kind, service string) { c.endpointFeedback.Add(kind+"/"+service, 1) }
 
 // placed counts cold placements and fetches.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,11 +1,9 @@
-// Package entry is the HTTP front of the router. It admits callers' requests,
-// has an endpoint chosen for each, forwards it and relays the response.
+// Package entry is the HTTP front end of the router. It admits callers' requests, obtains an
+// endpoint for each from a Placer, forwards the request and relays the response.
 //
-// A request stays on the instance that accepted it. How a failed request may
-// be answered follows from its verdict: a response that says "not run" is given
-// only if no endpoint can have run the request, and a request that must run at
-// most once is retried only in that case. Configuration and endpoint state are
-// read again, and their age checked, before every attempt.
+// A response says "not run" only if no endpoint can have run the request, and a request that must
+// run at most once is retried only in that case. The configuration and the endpoints are read
+// again before every attempt.
 package entry
 
 import (
@@ -42,9 +40,8 @@
 
 // A Placer chooses endpoints. It is safe for concurrent use.
 type Placer interface {
-	// Place chooses an endpoint and counts the request as running there, or
-	// returns a refusal. It returns neither if no endpoint may serve the
-	// request.
+	// Place chooses an endpoint and counts the request as running there, or returns a
+	// refusal. It returns nil for both if no endpoint may serve the request.
 	Place(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal)
 }
 
@@ -64,8 +61,7 @@
 	Poison   *poison.Table   // nil: an empty table
 	// PublishPoison, if set, sends new findings about poison requests to the other instances.
 	PublishPoison func([]poison.Entry)
-	// OnConfigurationWait, if set, is called for each request that waits for the first
-	// configuration.
+	// OnConfigurationWait, if set, is called for each request that waits for a configuration.
 	OnConfigurationWait func()
 }
 
@@ -106,19 +102,16 @@
 	e.retryBudgets.setBounds(b.RetryRatio, b.RetryExtra)
 }
 
-// SetInstances sets how many instances, this one included, share the retry
-// budget. Zero means unknown.
+// SetInstances sets how many instances share the retry budget, with this one; zero means unknown.
 func (e *Proxy) SetInstances(n int) { e.retryBudgets.setInstances(n) }
 
-// drainDelay is how long a leaving instance still accepts requests: the load
-// balancer in front needs that long to notice that it is not ready.
+// drainDelay is how long a leaving instance accepts requests, until its load balancer has noticed.
 const drainDelay = 2600 * time.Millisecond
 
 // Leave makes Ready return false. Requests are accepted for drainDelay more.
 func (e *Proxy) Leave() { e.leaving.CompareAndSwap(0, int64(e.Now().Sub(e.origin))) }
 
-// Leaving reports whether Leave was called, and whether new requests are
-// rejected by now.
+// Leaving reports whether Leave was called, and whether new requests are rejected by now.
 func (e *Proxy) Leaving() (leaving, stopped bool) {
 	at := e.leaving.Load()
 	if at == 0 {
@@ -132,11 +125,11 @@
 	if leaving, _ := e.Leaving(); leaving {
 		return false
 	}
-	return e.State.View().Catalog != nil && e.fresh()
+	return e.State.View().Catalog != nil && e.configFresh()
 }
 
-// fresh reports whether the configuration is recent enough to authenticate callers.
-func (e *Proxy) fresh() bool {
+// configFresh reports whether the configuration is recent enough to authenticate callers.
+func (e *Proxy) configFresh() bool {
 	age, ok := e.State.Age()
 	b := e.bounds.Load()
 	return ok && (!b.StrictRevoke || age < b.Revoke-revokeMargin)
@@ -158,16 +151,15 @@
 	}
 }
 
-// atLimit reports whether MaxRunning requests are running. Requests whose bodies
-// are still being read are limited by the number of connections instead.
+// atLimit reports whether MaxRunning is reached. Requests whose bodies are still being read do
+// not count; the connection limit bounds them.
 func (e *Proxy) atLimit() bool {
 	limit := e.bounds.Load().MaxRunning
 	return limit > 0 && int(e.running.Load()) >= limit
 }
 
-// acquireRunning counts a request whose body has been read as running. It
-// returns false if MaxRunning is exceeded, which atLimit cannot rule out: several
-// bodies may be complete at once. Pair with releaseRunning.
+// acquireRunning counts a request as running until releaseRunning. It returns false if MaxRunning
+// is exceeded, since several bodies may have been completed after atLimit was checked.
 func (e *Proxy) acquireRunning() bool {
 	n, limit := int(e.running.Add(1)), e.bounds.Load().MaxRunning
 	if limit > 0 && n > limit {
@@ -179,7 +171,6 @@
 
 func (e *Proxy) releaseRunning() { e.running.Add(-1) }
 
-// overloaded returns the error of a request rejected because of MaxRunning.
 func (e *Proxy) overloaded() *verdict.Error {
 	return verdict.Refuse(verdict.Overloaded, "%d requests in hand", e.Open()).WithRetryAfter(retryAfterLong)
 }
@@ -192,8 +183,8 @@
 	return defaultStallTimeout
 }
 
-// ServeHTTP handles a caller's request. It panics with http.ErrAbortHandler
-// to break the connection if a response was truncated.
+// ServeHTTP handles a caller's request. It panics with http.ErrAbortHandler to close the
+// connection if the response was truncated, so that the caller notices.
 func (e *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.handlers.Add(1)
 	defer e.handlers.Done()
@@ -203,7 +194,7 @@
 	if leaving {
 		w.Header().Set("Connection", "close")
 	}
-	f := &exchange{entry: e, w: w, r: r, arrived: e.Now()}
+	f := &exchange{proxy: e, w: w, r: r, arrived: e.Now()}
 	call, err := e.Codec.Decode(r)
 	f.call = call
 	switch {
@@ -218,7 +209,6 @@
 	}
 	f.logRequest()
 	if f.truncated {
-		// Makes the truncation visible to the caller.
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/entry/events.go
+++ b/entry/events.go
@@ -38,8 +38,8 @@
 
 var errEventMemory = errors.New("no memory for an event of this length")
 
-// grow makes room for an event of n bytes. It returns false if there is no memory. Only long
-// events are charged; the reservation of every request covers the others.
+// grow makes room for an event of n bytes, and returns false if there is no memory. Only long
+// events are charged; the memory of every request covers the others.
 func (e *eventReader) grow(n int) bool {
 	if n <= cap(e.data) {
 		return true
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -31,7 +31,7 @@
 
 // An exchange is one request and its response.
 type exchange struct {
-	entry    *Proxy
+	proxy    *Proxy
 	w        http.ResponseWriter
 	r        *http.Request
 	call     *Call
@@ -61,13 +61,13 @@
 	backoff         time.Duration // requested by the last endpoint; zero: none
 	rateLimit       *Rate         // stated by the last endpoint; nil: none
 
-	deposit    quota.DepositKind // what the first attempt adds to the shared retry budget
-	retry      retryState
-	retryPayer string // budget that paid for the last retry; empty: no retry
+	deposit       quota.DepositKind // what the first attempt adds to the shared retry budget
+	retry         retryState
+	chargedBudget string // budget that paid for the last retry; empty: no retry
 
 	mayHaveRun bool // on an endpoint of an earlier attempt
 
-	inFlight  *inFlightRequest // entry in Proxy.inFlight
+	inFlight  *inFlightRequest // element of Proxy.inFlight
 	poisonID  poison.ID        // see requestPoisonID; zero: not computed yet
 	suspected bool             // an endpoint crashed while it was running the same request
 
@@ -78,14 +78,13 @@
 	err            *verdict.Error
 }
 
-// serve handles the request and sends the response.
 func (f *exchange) serve() {
 	f.awaitConfiguration()
 	if err := f.admit(); err != nil {
 		f.refuse(err)
 		return
 	}
-	f.deposit = f.entry.retryBudgets.deposit(f.service.Name)
+	f.deposit = f.proxy.retryBudgets.deposit(f.service.Name)
 	f.setDeadline()
 	ctx, cancel := f.register()
 	defer cancel()
@@ -98,11 +97,11 @@
 		f.refuse(err)
 		return
 	}
-	if !f.entry.acquireRunning() {
-		f.refuse(f.entry.overloaded())
+	if !f.proxy.acquireRunning() {
+		f.refuse(f.proxy.overloaded())
 		return
 	}
-	defer f.entry.releaseRunning()
+	defer f.proxy.releaseRunning()
 	if err := f.reserveExchangeMemory(); err != nil {
 		f.refuse(err)
 		return
@@ -113,20 +112,18 @@
 // configurationWait is how long a request waits for the first configuration.
 const configurationWait = 150 * time.Millisecond
 
-// awaitConfiguration waits for the first configuration of a starting
-// instance, for configurationWait at most.
 func (f *exchange) awaitConfiguration() {
-	if f.entry.State.View().Catalog != nil {
+	if f.proxy.State.View().Catalog != nil {
 		return
 	}
-	if f.entry.OnConfigurationWait != nil {
-		f.entry.OnConfigurationWait()
+	if f.proxy.OnConfigurationWait != nil {
+		f.proxy.OnConfigurationWait()
 	}
 	timer := time.NewTimer(configurationWait)
 	defer timer.Stop()
-	for f.entry.State.View().Catalog == nil {
-		changed := f.entry.State.Changed()
-		if f.entry.State.View().Catalog != nil {
+	for f.proxy.State.View().Catalog == nil {
+		changed := f.proxy.State.Changed()
+		if f.proxy.State.View().Catalog != nil {
 			return
 		}
 		select {
@@ -139,11 +136,10 @@
 	}
 }
 
-// admit resolves the route, team and service of the request in the current
-// configuration, or returns why the request is rejected. It is called again
-// before every retry, as the configuration may have changed.
+// admit resolves the request's route, team and service, or returns why it is rejected. It is
+// called again before every retry, as the configuration may have changed.
 func (f *exchange) admit() *verdict.Error {
-	e := f.entry
+	e := f.proxy
 	view := e.State.View()
 	age, validated := e.State.Age()
 	if view.Catalog == nil || !validated {
@@ -152,23 +148,23 @@
 	f.version, f.configAge = view.Catalog.Version(), age
 	f.route = view.Catalog.Route(f.call.Host, f.call.Path)
 	if f.route == nil {
-		return f.weakenIfStale(verdict.Refuse(verdict.UnknownRoute, "no route"))
+		return f.retryableIfStale(verdict.Refuse(verdict.UnknownRoute, "no route"))
 	}
 	f.team = view.Catalog.Team(f.call.Key)
 	if f.team == nil && view.Catalog.NeedsKey(f.route) {
-		return f.weakenIfStale(verdict.Refuse(verdict.Unauthenticated, "the key is not known"))
+		return f.retryableIfStale(verdict.Refuse(verdict.Unauthenticated, "the key is not known"))
 	}
-	if f.team != nil && !e.fresh() {
+	if f.team != nil && !e.configFresh() {
 		return verdict.Refuse(verdict.StaleState, "keys were proved %s ago", age).WithRetryAfter(retryAfterLong)
 	}
 	f.service = view.Catalog.Service(f.route.Target(xxhash.Sum64String(f.call.ID)))
 	return nil
 }
 
-// weakenIfStale returns refusal, or a retryable error in its place if the
-// configuration is so old that a newer one may decide otherwise.
-func (f *exchange) weakenIfStale(refusal *verdict.Error) *verdict.Error {
-	if f.configAge <= f.entry.bounds.Load().Propagation {
+// retryableIfStale returns refusal, or a retryable error if the configuration is so old that a newer
+// one may differ.
+func (f *exchange) retryableIfStale(refusal *verdict.Error) *verdict.Error {
+	if f.configAge <= f.proxy.bounds.Load().Propagation {
 		return refusal
 	}
 	return verdict.Refuse(verdict.StaleState, "%s, as of %s ago", refusal.Detail, f.configAge).WithRetryAfter(retryAfterLong)
@@ -186,20 +182,18 @@
 	f.setWriteDeadline(f.arrived)
 }
 
-// setWriteDeadline sets the deadline for writing to the caller, so that a
-// caller which does not read cannot block the handler. It allows stallTimeout
-// after the request's deadline, or after now if that is later, so that a
-// response which is complete is still delivered.
+// setWriteDeadline bounds writes, so that a caller that does not read cannot block the handler. It
+// allows stallTimeout after the request's deadline, or after now if that is later, so that a
+// complete response can still be delivered.
 func (f *exchange) setWriteDeadline(now time.Time) {
 	deadline := f.deadline
 	if now.After(deadline) {
 		deadline = now
 	}
-	_ = http.NewResponseController(f.w).SetWriteDeadline(clock.Deadline(f.entry.Now, deadline.Add(f.entry.stallTimeout())))
+	_ = http.NewResponseController(f.w).SetWriteDeadline(clock.Deadline(f.proxy.Now, deadline.Add(f.proxy.stallTimeout())))
 }
 
-// run sends the request to endpoints until one has answered it or no retry is
-// allowed.
+// run makes attempts until one succeeds or no retry is allowed.
 func (f *exchange) run(ctx context.Context) {
 	if refusal := f.checkPoison(); refusal != nil {
 		f.fail(refusal)
@@ -238,8 +232,7 @@
 	}
 }
 
-// finish fails the request with the last attempt's error, or with that of its
-// context if that is done.
+// finish fails the request with the last attempt's error, or the context's if that is done.
 func (f *exchange) finish(ctx context.Context, err *verdict.Error) {
 	if ctx.Err() != nil {
 		err = f.contextError(err)
@@ -247,8 +240,8 @@
 	f.fail(err)
 }
 
-// contextError returns the error of a request whose deadline has passed or
-// whose caller has disconnected. It keeps the verdict of err.
+// contextError returns err with the reason that the deadline has passed or the caller has
+// disconnected.
 func (f *exchange) contextError(err *verdict.Error) *verdict.Error {
 	if err.Reason == verdict.CallerSlow {
 		return err
@@ -262,8 +255,7 @@
 	return verdict.Fail(err.Verdict, reason, "%s", err.Detail)
 }
 
-// fail sends the error response of a request, or truncates the response if
-// it was begun.
+// fail sends an error response, or truncates the response if it was begun.
 func (f *exchange) fail(err *verdict.Error) {
 	if f.mayHaveRun && err.Verdict == verdict.NotRun {
 		// The last endpoint did not run the request; an earlier one may have.
@@ -276,18 +268,17 @@
 	if f.headSent {
 		f.err = err
 		f.truncated = true
-		f.entry.Counters.refused(err.Reason)
+		f.proxy.Counters.refused(err.Reason)
 		return
 	}
 	if err.Reason == verdict.CallerGone {
 		f.err = err
 		f.truncated = true // nobody reads a response
-		f.entry.Counters.refused(err.Reason)
+		f.proxy.Counters.refused(err.Reason)
 		return
 	}
 	if err.Verdict == verdict.NotRun && err.Reason == verdict.EndpointConnect {
-		// Nothing was sent to any endpoint. A 502 would not tell the caller
-		// that a retry is safe.
+		// A 502 would not tell the caller that a retry is safe.
 		err = verdict.Refuse(verdict.NoEndpoint, "%s", err.Detail).WithRetryAfter(retryAfterShort)
 	}
 	f.refuse(err)
@@ -297,48 +288,45 @@
 func (f *exchange) refuse(err *verdict.Error) {
 	f.err = err
 	f.status = err.Reason.Status()
-	f.entry.Counters.refused(err.Reason)
+	f.proxy.Counters.refused(err.Reason)
 	id := ""
 	if f.call != nil {
 		id = f.call.ID
 	}
 	f.drain()
-	f.entry.Codec.WriteError(f.w, id, err)
+	f.proxy.Codec.WriteError(f.w, id, err)
 }
 
-// maxDrainBytes is how much of an unread body is read before an error
-// response, as much as net/http reads on connections that it keeps alive.
+// maxDrainBytes is how much of an unread body is read before an error response, as in net/http.
 const maxDrainBytes = 256 << 10
 
-// drain reads the rest of a short body if the connection closes after the
-// response. net/http does not, and a caller that is still writing would see a
-// connection reset instead of the response.
+// drain reads the rest of a short body if the connection closes after the response. net/http does
+// not, and a caller that is still writing would get a connection reset instead of the response.
 func (f *exchange) drain() {
 	if f.r.Close || f.leaving() {
 		_, _ = io.CopyN(io.Discard, f.r.Body, maxDrainBytes)
 	}
 }
 
-// leaving reports whether the instance is shutting down, in which case
-// connections close after the response.
+// leaving reports whether the instance is shutting down and closes connections after a response.
 func (f *exchange) leaving() bool {
-	leaving, _ := f.entry.Leaving()
+	leaving, _ := f.proxy.Leaving()
 	return leaving
 }
 
 // logRequest logs the request and counts it if it was answered.
 func (f *exchange) logRequest() {
-	took := f.entry.Now().Sub(f.arrived)
+	took := f.proxy.Now().Sub(f.arrived)
 	if f.err == nil {
-		f.entry.Counters.responded(f.status)
-		f.entry.Counters.firstByte.record(f.firstByteAfter)
-		f.entry.Counters.total.record(took)
+		f.proxy.Counters.responded(f.status)
+		f.proxy.Counters.firstByte.record(f.firstByteAfter)
+		f.proxy.Counters.total.record(took)
 	}
 	fields := make([]zap.Field, 0, 28)
 	fields = append(fields, zap.String("id", f.call.ID), zap.Int("status", f.status),
 		zap.Duration("took", took), zap.Int64("version", f.version), zap.Duration("belief_age", f.configAge))
-	if f.entry.Settings != nil {
-		fields = append(fields, zap.String("settings", f.entry.Settings()))
+	if f.proxy.Settings != nil {
+		fields = append(fields, zap.String("settings", f.proxy.Settings()))
 	}
 	if f.route != nil {
 		fields = append(fields, zap.String("route", f.route.Name))
@@ -356,8 +344,8 @@
 		fields = append(fields, zap.String("endpoint", p.Endpoint.ID), zap.Bool("granted", p.Granted), zap.Float64("cost", p.Cost), zap.Int("cached", p.Cached), zap.Int("fetched", p.Fetched),
 			zap.Duration("backlog", p.Backlog), zap.Duration("first", f.firstByteAfter), zap.Duration("expected", p.Expected()), zap.Duration("heard_after", f.firstEventAfter), zap.Duration("pause", f.longestPause), zap.Float64("read_us", 1e3*p.Pace.PrefillPerToken))
 	}
-	if f.retryPayer != "" {
-		fields = append(fields, zap.String("retry", f.retryPayer))
+	if f.chargedBudget != "" {
+		fields = append(fields, zap.String("retry", f.chargedBudget))
 	}
 	if p := f.placement; p != nil && p.Distance == balance.OtherRegion {
 		fields = append(fields, zap.Stringer("distance", p.Distance), zap.Float64("crossing", p.CrossRegionCost), zap.Int("body", len(f.call.Body)))
@@ -389,5 +377,5 @@
 		fields = append(fields, zap.String("reason", string(f.err.Reason)), zap.Stringer("verdict", f.err.Verdict),
 			zap.String("detail", f.err.Detail), zap.Bool("cut", f.truncated))
 	}
-	f.entry.Log.Info("request", fields...)
+	f.proxy.Log.Info("request", fields...)
 }
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -1,8 +1,7 @@
 package entry
 
-// This file keeps the set of requests in progress. It is used to cancel requests whose
-// deadlines passed while the machine was suspended, which the runtime's timers do not count,
-// and to find the endpoints at which a team has requests.
+// This file keeps the set of requests in progress. It serves to cancel requests whose deadlines
+// passed while the machine was suspended, and to find the endpoints that run a team's requests.
 
 import (
 	"context"
@@ -18,21 +17,21 @@
 }
 
 type inFlightRequest struct {
-	deadline time.Time
-	cancel   context.CancelFunc
-	location atomic.Pointer[location] // nil: not placed yet
+	deadline   time.Time
+	cancel     context.CancelFunc
+	assignment atomic.Pointer[assignment] // nil: not placed yet
 }
 
-// A location is the endpoint that a request was sent to.
-type location struct {
+// A assignment identifies the endpoint that a request was sent to, and the request's team.
+type assignment struct {
 	service, team, endpoint string
 }
 
 // register adds the request to the set. The returned context is done when the caller
 // disconnects or the deadline passes; the returned function removes the request.
 func (f *exchange) register() (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(f.r.Context(), f.deadline.Sub(f.entry.Now()))
-	t := &f.entry.inFlight
+	ctx, cancel := context.WithTimeout(f.r.Context(), f.deadline.Sub(f.proxy.Now()))
+	t := &f.proxy.inFlight
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.requests == nil {
@@ -48,8 +47,8 @@
 	}
 }
 
-// HandleResume must be called after the machine was suspended. It cancels requests whose deadlines
-// have passed, and the others at their deadlines.
+// HandleResume must be called after the machine was suspended. It cancels requests at their
+// deadlines, since the runtime's timers do not count the suspension.
 func (e *Proxy) HandleResume() {
 	now := e.Now()
 	e.inFlight.mu.Lock()
@@ -59,15 +58,14 @@
 	}
 }
 
-// endpointsByTeam returns at how many endpoints of a service, except one, each team has
-// requests in progress.
+// endpointsByTeam counts the endpoints of a service, except one, that run requests of each team.
 func (t *inFlightRequests) endpointsByTeam(service, except string) map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	seen := make(map[location]bool)
+	seen := make(map[assignment]bool)
 	teams := make(map[string]int)
 	for h := range t.requests {
-		p := h.location.Load()
+		p := h.assignment.Load()
 		if p == nil || p.service != service || p.endpoint == except || seen[*p] {
 			continue
 		}
--- a/entry/memory.go
+++ b/entry/memory.go
@@ -8,25 +8,22 @@
 	"ivyridge/verdict"
 )
 
-// Estimated memory of a request in addition to its body and its response, with what the
-// garbage collector lets grow beyond what is in use.
+// Estimated memory of a request besides its body and response, with garbage not yet collected.
 const (
 	// ConnectionBytes is the memory of a caller's connection, with or without a request.
 	ConnectionBytes = 8 << 10
 	// requestBytes is the memory of a request that is being read: headers and a goroutine stack.
 	requestBytes = 8 << 10
-	// exchangeBytes is the additional memory of a request that is running: the connection to
-	// its endpoint, copies of headers, and goroutines.
+	// exchangeBytes is added while the request runs: its endpoint connection, headers, goroutines.
 	exchangeBytes = 20 << 10
 )
 
-// reserveMemory reserves the memory that every request needs, or returns an error if there is none.
 func (f *exchange) reserveMemory() *verdict.Error {
 	team := uint64(0)
 	if f.team != nil {
 		team = uint64(balance.TeamHash(f.team.Name))
 	}
-	mem, cause := f.entry.Memory.Admit(team, f.route.Priority, requestBytes)
+	mem, cause := f.proxy.Memory.Admit(team, f.route.Priority, requestBytes)
 	if mem == nil {
 		return f.noMemory(string(cause))
 	}
@@ -34,13 +31,11 @@
 	return nil
 }
 
-// noMemory returns the error of a request for which there is no memory.
 func (f *exchange) noMemory(cause string) *verdict.Error {
-	s := f.entry.Memory.Stats()
+	s := f.proxy.Memory.Stats()
 	return verdict.Refuse(verdict.MemoryFull, "%s: %d of %d bytes held", cause, s.Used, s.Limit).WithRetryAfter(retryAfterLong)
 }
 
-// reserveExchangeMemory reserves the memory of a running request.
 func (f *exchange) reserveExchangeMemory() *verdict.Error {
 	if !f.mem.Grow(memory.Requests, exchangeBytes) {
 		return f.noMemory("the exchange")
@@ -48,7 +43,6 @@
 	return nil
 }
 
-// releaseMemory releases all memory reserved for the request.
 func (f *exchange) releaseMemory() {
 	if f.mem != nil {
 		f.mem.Close()
--- a/entry/poison.go
+++ b/entry/poison.go
@@ -13,8 +13,7 @@
 	"ivyridge/verdict"
 )
 
-// poisonRequest returns the parts of the request by which its repetitions are recognised.
-// The body must have been read and the team resolved.
+// poisonRequest returns what identifies repetitions of the request. The body must have been read.
 func (f *exchange) poisonRequest() poison.Request {
 	r := poison.Request{Method: f.call.Method, Host: f.call.Host, Target: f.call.Target, Body: f.call.Body}
 	if f.team != nil {
@@ -32,45 +31,43 @@
 	return f.poisonID
 }
 
-// checkPoison returns an error if the request is known to crash endpoints, or if its team is
-// throttled. The former is final and has no RetryAfter.
+// checkPoison returns an error if the request is known to crash endpoints or its team is
+// throttled. The former error has no RetryAfter, as a retry is pointless.
 func (f *exchange) checkPoison() *verdict.Error {
 	if refusal := f.checkTeamThrottle(); refusal != nil {
 		return refusal
 	}
 	r := f.poisonRequest()
-	if !f.entry.Poison.MayContain(&r) {
+	if !f.proxy.Poison.MayContain(&r) {
 		f.suspected = false
 		return nil
 	}
 	id := f.requestPoisonID()
-	standing := f.entry.Poison.Standing(id)
+	standing := f.proxy.Poison.Standing(id)
 	f.suspected = standing == poison.Suspected
 	if standing != poison.Confirmed {
 		return nil
 	}
-	f.entry.publishPoison(f.entry.Poison.Seen(f.entry.Now(), id))
-	known, _ := f.entry.Poison.Entry(id)
+	f.proxy.publishPoison(f.proxy.Poison.Seen(f.proxy.Now(), id))
+	known, _ := f.proxy.Poison.Entry(id)
 	return verdict.Refuse(verdict.CrashesEndpoints, "%d endpoints ended that ran this request, %s", known.CountedStrikes(), id)
 }
 
-// The rate at which all instances together admit a throttled team's requests: if each crashes
-// an endpoint that takes endpointRecoveryTime to return, at most throttleLossShare of the
-// service's endpoints are down at a time.
+// A throttled team is admitted at a rate at which at most throttleLossShare of the service's
+// endpoints are down if each request crashes one for endpointRecoveryTime.
 const (
 	throttleLossShare    = 0.1
 	endpointRecoveryTime = 3 * time.Second
 )
 
-// throttleInterval returns the time between two requests of a throttled team at one of so
-// many instances, for a service with so many endpoints.
+// throttleInterval returns the time between requests of a throttled team at one instance.
 func throttleInterval(instances, endpoints int) time.Duration {
 	return time.Duration(float64(instances) * float64(endpointRecoveryTime) / max(1, throttleLossShare*float64(endpoints)))
 }
 
 // checkTeamThrottle returns an error if the request's team is throttled and has used up its rate.
 func (f *exchange) checkTeamThrottle() *verdict.Error {
-	e := f.entry
+	e := f.proxy
 	if f.team == nil || f.mayHaveRun || !e.Poison.Slowed(e.Now(), f.service.Name, f.team.Name) {
 		return nil
 	}
@@ -89,29 +86,28 @@
 }
 
 // acquire admits a request, or returns how long to wait until the next one is admitted.
-func (s *teamThrottles) acquire(key string, now time.Time, interval time.Duration) (wait time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if next, ok := s.next[key]; ok && now.Before(next) {
+func (t *teamThrottles) acquire(key string, now time.Time, interval time.Duration) (wait time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if next, ok := t.next[key]; ok && now.Before(next) {
 		return next.Sub(now)
 	}
-	if s.next == nil {
-		s.next = make(map[string]time.Time)
+	if t.next == nil {
+		t.next = make(map[string]time.Time)
 	}
-	s.next[key] = now.Add(interval)
+	t.next[key] = now.Add(interval)
 	return 0
 }
 
-// clearSuspect records that an endpoint answered the request, which proves that it is not
-// a poison request.
+// clearSuspect clears a suspect that an endpoint has answered and thus does not crash endpoints.
 func (f *exchange) clearSuspect() {
 	r := f.poisonRequest()
-	if !f.entry.Poison.MayContain(&r) {
+	if !f.proxy.Poison.MayContain(&r) {
 		return
 	}
-	if changed := f.entry.Poison.Clear(f.requestPoisonID()); len(changed) > 0 {
-		f.entry.logPoison(changed)
-		f.entry.publishPoison(changed)
+	if changed := f.proxy.Poison.Clear(f.requestPoisonID()); len(changed) > 0 {
+		f.proxy.logPoison(changed)
+		f.proxy.publishPoison(changed)
 	}
 }
 
@@ -128,7 +124,7 @@
 	if len(changed) == 0 {
 		return false
 	}
-	e.Log.Warn("poison request suspect released by an operator", zap.Stringer("same_as", id))
+	e.Log.Warn("poison suspect released by an operator", zap.Stringer("same_as", id))
 	e.publishPoison(changed)
 	return true
 }
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -2,15 +2,11 @@
 
 // This file relays a response so that a slow caller does not keep the endpoint busy.
 //
-// At first one goroutine reads a chunk and writes it to the caller, in turn. If a write
-// takes longer than a check of the monitor (relay_monitor.go), a second goroutine takes
-// over the reading and queues chunks in a bounded buffer, while the first one goes on
-// writing. The endpoint's slot is freed when its response ends. When the buffer is full,
-// reading stops until the caller reads more; a caller that reads nothing for StallTimeout is
-// disconnected.
-//
-// Reading and writing in turn avoids a goroutine switch for each event, and checking from
-// the monitor avoids a timer or a system call for each write.
+// At first one goroutine reads and writes chunks in turn, which avoids a goroutine switch for each
+// event. If the monitor (relay_monitor.go) finds a write blocked, a second goroutine reads on and
+// queues chunks in a bounded buffer; checks by the monitor save a timer for each write. The
+// endpoint is released when its response ends. A full buffer stops the reading; a caller that
+// reads nothing for StallTimeout is disconnected.
 
 import (
 	"context"
@@ -25,17 +21,15 @@
 	"ivyridge/verdict"
 )
 
-// How long a caller may read nothing of the data that waits for it.
+// How long a caller may read nothing of its response.
 const (
-	// defaultStallTimeout applies if the operator sets no StallTimeout. It should exceed
-	// short outages of the caller's link.
+	// defaultStallTimeout applies if the operator sets none. It should exceed short network outages.
 	defaultStallTimeout = 8 * time.Second
 	// lateStallTimeout applies instead once the request's deadline has passed.
 	lateStallTimeout = time.Second
 )
 
-// A relay forwards the response of one endpoint to the caller. Of a resumed stream it
-// forwards the part that this endpoint sends.
+// A relay forwards the response of one endpoint, which may be a part of a resumed stream.
 type relay struct {
 	f              *exchange
 	ctx            context.Context
@@ -46,14 +40,13 @@
 	flush          *http.ResponseController
 	releaseOnce    sync.Once // see releaseEndpoint
 
-	// currentWrite is the number of the write in progress while one goroutine reads and
-	// writes; zero between writes; readerSplit once a second goroutine reads. The writer
-	// ends a write by swapping its number for zero, which fails if the reading was taken
-	// over during the write.
+	// currentWrite is the number of the write in progress, zero between writes, and
+	// readerStarted once a second goroutine reads. The writer ends a write by swapping its
+	// number for zero, which fails if the second goroutine was started meanwhile.
 	currentWrite atomic.Int64
 	lastWrite    int64 // number of the latest write
 	checkedWrite int64 // currentWrite at the last check; used by the monitor only
-	checks       int   // by the monitor since the reader was split
+	checks       int   // by the monitor since the concurrent reader was started
 
 	mu           sync.Mutex // guards the fields below
 	changed      sync.Cond
@@ -74,9 +67,9 @@
 func (f *exchange) relay(ctx context.Context, x *upstream.Exchange, head ResponseHead, src chunkSource, successOutcome balance.Outcome) *verdict.Error {
 	r := &relay{f: f, ctx: ctx, x: x, head: head, src: src, successOutcome: successOutcome, flush: http.NewResponseController(f.w), buffer: relayBuffer{mem: f.mem}}
 	r.changed.L = &r.mu
-	f.entry.monitor.add(r)
+	f.proxy.monitor.add(r)
 	err := r.run()
-	f.entry.monitor.remove(r)
+	f.proxy.monitor.remove(r)
 	r.close()
 	return err
 }
@@ -93,16 +86,15 @@
 		r.currentWrite.Store(r.lastWrite)
 		err = r.writeChunk(chunk, true)
 		if !r.currentWrite.CompareAndSwap(r.lastWrite, 0) {
-			r.splitWriteDone()
+			r.blockedWriteDone()
 			return r.writeQueued(err)
 		}
 		if err != nil {
-			return r.abandon()
+			return r.endWrite()
 		}
 	}
 }
 
-// writeChunk writes a chunk to the caller, and flushes if flush is set.
 func (r *relay) writeChunk(chunk []byte, flush bool) error {
 	_, err := r.f.w.Write(chunk)
 	if err == nil && flush {
@@ -126,18 +118,17 @@
 	}
 }
 
-// readerSplit is the value of currentWrite once a second goroutine reads.
-const readerSplit = -1
+// readerStarted is the value of currentWrite once a second goroutine reads.
+const readerStarted = -1
 
-// check splits off the reader if the write seen by the last check is still in progress.
-// The monitor calls it at time now.
+// check starts the concurrent reader if the write that the last check saw is still in progress.
 func (r *relay) check(now time.Time) {
 	n := r.currentWrite.Load()
-	if n > 0 && n == r.checkedWrite && r.currentWrite.CompareAndSwap(n, readerSplit) {
-		r.splitReader(now)
+	if n > 0 && n == r.checkedWrite && r.currentWrite.CompareAndSwap(n, readerStarted) {
+		r.startReader(now)
 	}
 	r.checkedWrite = n
-	if n != readerSplit {
+	if n != readerStarted {
 		return
 	}
 	if r.checks++; r.checks%stallCheckEvery == 0 {
@@ -145,12 +136,11 @@
 	}
 }
 
-// splitReader starts the concurrent reader. The write in progress is still blocked, so the
-// handler cannot return meanwhile.
-func (r *relay) splitReader(now time.Time) {
+// startReader starts the concurrent reader. The blocked write keeps the handler from returning.
+func (r *relay) startReader(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.f.entry.Counters.slowCallers.Add("read-beside", 1)
+	r.f.proxy.Counters.slowCallers.Add("read-beside", 1)
 	r.concurrent, r.writing = true, true
 	r.src.detach()
 	// From here on checkStall decides when the caller is disconnected, not the deadline.
@@ -160,8 +150,8 @@
 	go r.readConcurrently()
 }
 
-// enqueue queues a chunk for the writer, and waits while there is no room. It returns false
-// if the relay is aborted.
+// enqueue queues a chunk, and waits while there is no room. It returns false if the relay is
+// aborted.
 func (r *relay) enqueue(chunk []byte) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,9 +168,8 @@
 	return false
 }
 
-// enqueueDirect has the writer send the reader's own chunk, without a copy, and waits
-// until that is done. It is for chunks that do not fit into an empty buffer. The caller
-// holds r.mu.
+// enqueueDirect passes a chunk that does not fit into the empty buffer to the writer without a
+// copy, and waits until it is written. The caller holds r.mu.
 func (r *relay) enqueueDirect(chunk []byte) bool {
 	r.direct = chunk
 	r.changed.Broadcast()
@@ -190,8 +179,8 @@
 	return !r.aborted
 }
 
-// writeQueued writes queued chunks until the reader has returned. Err is the result of the
-// write during which the reader was split off.
+// writeQueued writes queued chunks until the reader has returned; err is the result of the write
+// during which the reader was started.
 func (r *relay) writeQueued(err error) *verdict.Error {
 	for err == nil {
 		chunk, last := r.next()
@@ -201,25 +190,25 @@
 		err = r.writeChunk(chunk, last)
 		r.chunkWritten(chunk)
 	}
-	reason := r.abandon()
+	reason := r.endWrite()
 	r.awaitReader()
 	return reason // takes precedence over the reader's error, as a retry would have no caller
 }
 
-// finalResult returns the result once the queue is empty. If the relay was aborted, the
-// reader may have dropped a chunk, so that the response is incomplete.
+// finalResult returns the result once the queue is empty. After an abort the response counts as
+// incomplete, since the reader may have dropped a chunk.
 func (r *relay) finalResult() *verdict.Error {
 	r.mu.Lock()
 	aborted, result := r.aborted, r.readerResult
 	r.mu.Unlock()
 	if aborted {
-		return r.abandon()
+		return r.endWrite()
 	}
 	return result
 }
 
-// next waits for a chunk, and reports whether no further one is queued. It returns nil
-// once the reader has returned and all chunks are written.
+// next waits for a chunk, and reports whether it is the last in the queue. It returns nil once the
+// reader has returned and all chunks are written.
 func (r *relay) next() (chunk []byte, last bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -254,15 +243,14 @@
 	r.changed.Broadcast()
 }
 
-// splitWriteDone records the end of the write during which the reader was split off.
-func (r *relay) splitWriteDone() {
+// blockedWriteDone records the end of the write during which the reader was started.
+func (r *relay) blockedWriteDone() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.writing = false
 	r.stall.chunks++
 }
 
-// finishReader passes the reader's result to the writer.
 func (r *relay) finishReader(result *verdict.Error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -278,8 +266,7 @@
 	}
 }
 
-// releaseEndpoint closes the exchange with the endpoint and records the outcome. Only the
-// first call has an effect.
+// releaseEndpoint closes the exchange and records its outcome. Only the first call has an effect.
 func (r *relay) releaseEndpoint(complete bool, o balance.Outcome) {
 	r.releaseOnce.Do(func() {
 		r.x.Close(complete, r.head.KeepAlive)
@@ -287,7 +274,7 @@
 	})
 }
 
-// endRead releases the endpoint at the end of its response, err being what the read returned.
+// endRead releases the endpoint after a read failed with err, which is io.EOF at the end.
 func (r *relay) endRead(err error) *verdict.Error {
 	switch err {
 	case io.EOF:
@@ -302,9 +289,8 @@
 	return verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "%s: %s", r.f.placement.Endpoint.ID, err)
 }
 
-// abandon releases the endpoint when nothing more can be written to the caller, and
-// returns the reason.
-func (r *relay) abandon() *verdict.Error {
+// endWrite releases the endpoint after a write to the caller failed, and returns the error.
+func (r *relay) endWrite() *verdict.Error {
 	r.releaseEndpoint(false, balance.Unknown)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -347,7 +333,7 @@
 	if r.concurrent {
 		r.stopDeadline()
 		if !r.aborted {
-			r.f.setWriteDeadline(r.f.entry.Now())
+			r.f.setWriteDeadline(r.f.proxy.Now())
 		}
 	}
 }
--- a/entry/relay_buffer.go
+++ b/entry/relay_buffer.go
@@ -15,16 +15,16 @@
 	peak   int // largest size so far, in bytes
 }
 
-func (a *relayBuffer) empty() bool { return len(a.chunks) == 0 }
+func (b *relayBuffer) empty() bool { return len(b.chunks) == 0 }
 
 // add copies a chunk into the queue. It returns false if there is no room.
-func (a *relayBuffer) add(chunk []byte) bool {
-	if a.size+len(chunk) > maxRelayBuffer || !a.mem.Grow(memory.Buffered, chunkMemory(len(chunk))) {
+func (b *relayBuffer) add(chunk []byte) bool {
+	if b.size+len(chunk) > maxRelayBuffer || !b.mem.Grow(memory.Buffered, chunkMemory(len(chunk))) {
 		return false
 	}
-	a.chunks = append(a.chunks, append(make([]byte, 0, len(chunk)), chunk...))
-	a.size += len(chunk)
-	a.peak = max(a.peak, a.size)
+	b.chunks = append(b.chunks, append(make([]byte, 0, len(chunk)), chunk...))
+	b.size += len(chunk)
+	b.peak = max(b.peak, b.size)
 	return true
 }
 
@@ -34,19 +34,19 @@
 func chunkMemory(n int) int64 { return int64(n + chunkOverheadBytes) }
 
 // first returns the oldest chunk. The buffer must not be empty.
-func (a *relayBuffer) first() []byte { return a.chunks[0] }
+func (b *relayBuffer) first() []byte { return b.chunks[0] }
 
 // removeFirst removes the oldest chunk and releases its memory.
-func (a *relayBuffer) removeFirst() {
-	n := len(a.chunks[0])
-	a.chunks[0] = nil
-	a.chunks = a.chunks[1:]
-	a.size -= n
-	a.mem.Shrink(memory.Buffered, chunkMemory(n))
+func (b *relayBuffer) removeFirst() {
+	n := len(b.chunks[0])
+	b.chunks[0] = nil
+	b.chunks = b.chunks[1:]
+	b.size -= n
+	b.mem.Shrink(memory.Buffered, chunkMemory(n))
 }
 
-func (a *relayBuffer) clear() {
-	for !a.empty() {
-		a.removeFirst()
+func (b *relayBuffer) clear() {
+	for !b.empty() {
+		b.removeFirst()
 	}
 }
--- a/entry/relay_monitor.go
+++ b/entry/relay_monitor.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// monitorInterval is the time between checks. A caller that does not read is noticed after
-// one or two; endpoints close unread responses only after seconds.
+// monitorInterval is the time between checks. A blocked write is noticed after one or two.
 const monitorInterval = 250 * time.Millisecond
 
 // A relayMonitor checks relays. Its goroutine runs only while there are any.
@@ -24,42 +23,40 @@
 	return &relayMonitor{now: now, relays: make(map[*relay]struct{})}
 }
 
-// add registers r for checks.
-func (w *relayMonitor) add(r *relay) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.relays[r] = struct{}{}
-	if !w.running {
-		w.running = true
-		go w.run()
+func (m *relayMonitor) add(r *relay) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.relays[r] = struct{}{}
+	if !m.running {
+		m.running = true
+		go m.run()
 	}
 }
 
 // remove unregisters r. No check of r is running or will run when it returns.
-func (w *relayMonitor) remove(r *relay) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.relays, r)
+func (m *relayMonitor) remove(r *relay) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.relays, r)
 }
 
-// run checks all relays periodically until there are none.
-func (w *relayMonitor) run() {
+func (m *relayMonitor) run() {
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	for range tick.C {
-		if !w.checkAll(w.now()) {
+		if !m.checkAll(m.now()) {
 			return
 		}
 	}
 }
 
 // checkAll checks all relays, and reports whether there are any.
-func (w *relayMonitor) checkAll(now time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for r := range w.relays {
+func (m *relayMonitor) checkAll(now time.Time) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for r := range m.relays {
 		r.check(now)
 	}
-	w.running = len(w.relays) > 0
-	return w.running
+	m.running = len(m.relays) > 0
+	return m.running
 }
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -10,15 +10,15 @@
 // A singleChunk is a response body of one chunk.
 type singleChunk struct{ read bool }
 
-func (o *singleChunk) next() ([]byte, error) {
-	if o.read {
+func (c *singleChunk) next() ([]byte, error) {
+	if c.read {
 		return nil, io.EOF
 	}
-	o.read = true
+	c.read = true
 	return []byte("data: 1\n\n"), nil
 }
 
-func (o *singleChunk) detach() {}
+func (c *singleChunk) detach() {}
 
 // Guards against reporting a complete response when the relay was aborted after the reader
 // had read one more chunk, which it drops.
--- a/entry/response.go
+++ b/entry/response.go
@@ -16,13 +16,13 @@
 	"ivyridge/verdict"
 )
 
-// maxBuffered is the size in bytes below which a non-streamed response is read
-// completely before it is forwarded. One that fails until then can be retried.
+// maxBuffered is the size in bytes below which a response that is not a stream is read completely
+// before it is forwarded, so that the request can be retried if the response fails.
 const maxBuffered = 64 << 10
 
 // handleResponse forwards a response, or returns an error if it is not final.
 func (f *exchange) handleResponse(ctx context.Context, x *upstream.Exchange) *verdict.Error {
-	head := f.entry.Codec.DecodeResponse(x.Status, x.Header)
+	head := f.proxy.Codec.DecodeResponse(x.Status, x.Header)
 	f.applyFeedback(&head)
 	switch {
 	case head.Misdirected:
@@ -51,9 +51,7 @@
 	return f.forwardPlain(ctx, x, head)
 }
 
-// forwardPlain forwards a response that is not a stream. A response of up to
-// maxBuffered bytes is read completely first, which frees the endpoint before
-// the caller has read it.
+// forwardPlain forwards a response that is not a stream.
 func (f *exchange) forwardPlain(ctx context.Context, x *upstream.Exchange, head ResponseHead) *verdict.Error {
 	data, complete, err := f.readPrefix(x)
 	if err != nil {
@@ -81,9 +79,8 @@
 	return f.writeResponse(x, data)
 }
 
-// retryFailedResponse retries a request that an endpoint answered with a server error. If it
-// returns false, the request was not sent again, and the caller should get the
-// response at hand.
+// retryFailedResponse retries a request after a server error. If it returns false, nothing was
+// sent, and the caller should get the error response.
 func (f *exchange) retryFailedResponse(ctx context.Context) (sent bool, err *verdict.Error) {
 	f.mayHaveRun = true
 	if err := f.admit(); err != nil {
@@ -94,7 +91,6 @@
 	return err == nil || len(f.tried) > sentBefore, err
 }
 
-// writeResponse sends the head of the response and data to the caller.
 func (f *exchange) writeResponse(x *upstream.Exchange, data []byte) *verdict.Error {
 	f.sendHead(x)
 	if _, err := f.w.Write(data); err != nil {
@@ -103,8 +99,8 @@
 	return nil
 }
 
-// readPrefix reads up to maxBuffered bytes of the body, and reports whether that is all
-// of it. It reads nothing if there is no memory for a buffer.
+// readPrefix reads up to maxBuffered bytes of the body, and reports whether that is all of it. It
+// reads nothing if there is no memory.
 func (f *exchange) readPrefix(x *upstream.Exchange) (data []byte, complete bool, err error) {
 	size := maxBuffered
 	if length, err := strconv.Atoi(x.Header.Get("Content-Length")); err == nil && 0 <= length && length < maxBuffered {
@@ -141,17 +137,16 @@
 	}
 	f.headSent = true
 	f.status = x.Status
-	f.firstByteAfter = f.entry.Now().Sub(f.arrived)
-	f.entry.Codec.CopyResponseHeaders(f.w.Header(), x.Header)
+	f.firstByteAfter = f.proxy.Now().Sub(f.arrived)
+	f.proxy.Codec.CopyResponseHeaders(f.w.Header(), x.Header)
 	if f.leaving() {
 		f.w.Header().Set("Connection", "close")
 	}
 	f.w.WriteHeader(x.Status)
 }
 
-// alreadySent reports whether the event with this ID is not after the last one that the
-// caller has, as when an endpoint restarts a stream instead of resuming it. IDs
-// that are not numbers are never considered sent.
+// alreadySent reports whether the caller has the event already, as when an endpoint restarts a
+// stream instead of resuming it. It returns false for IDs that are not numbers.
 func alreadySent(id, last string) bool {
 	n, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
@@ -161,7 +156,6 @@
 	return err == nil && n <= m
 }
 
-// forwardStream forwards a stream, event by event.
 func (f *exchange) forwardStream(ctx context.Context, x *upstream.Exchange, head ResponseHead) *verdict.Error {
 	// The stream may be made of complete events from several endpoints.
 	delete(x.Header, "Content-Length")
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -1,11 +1,8 @@
 package entry
 
-// This file charges retries to budgets.
-//
-// A retry is charged to the instance's own budget. If that is exhausted, the next placement
-// asks for one from the fleet's budget, and succeeds only if that grants it. A request whose
-// retry is denied fails with the error of its last attempt, so that its verdict does not
-// claim less than what endpoints may have done.
+// This file charges retries to the instance's own budget or, if that is exhausted, to the fleet's
+// with the next placement. If both deny it, the request fails with the error of its last attempt,
+// whose verdict covers what endpoints may have run.
 
 import (
 	"go.uber.org/zap"
@@ -17,24 +14,23 @@
 
 // Budgets that pay for retries, as counted and logged.
 const (
-	payerInstance = "own"
-	payerFleet    = "fleet"
-	payerNone     = "denied"
+	budgetInstance = "own"
+	budgetFleet    = "fleet"
+	budgetDenied   = "denied"
 )
 
 // A retryState describes the next attempt if it is a retry.
 type retryState struct {
-	cause *verdict.Error // error of the attempt before; nil: not a retry
-	payer string         // empty: no charge, since the request did not reach an endpoint
-	kind  balance.Retry  // requested from the fleet's budget
+	cause  *verdict.Error // error of the attempt before; nil: not a retry
+	budget string         // empty: no charge, since the request did not reach an endpoint
+	kind   balance.Retry  // requested from the fleet's budget
 }
 
-// reserveRetry charges the retry after err to the instance's own budget, or has the next
-// placement request it from the fleet's.
+// reserveRetry charges the instance's budget, or has the next placement charge the fleet's.
 func (f *exchange) reserveRetry(err *verdict.Error) {
-	f.retry = retryState{cause: err, payer: payerInstance}
-	if !f.entry.retryBudgets.spend(f.service.Name) {
-		f.retry.payer, f.retry.kind = payerFleet, f.retryKind()
+	f.retry = retryState{cause: err, budget: budgetInstance}
+	if !f.proxy.retryBudgets.spend(f.service.Name) {
+		f.retry.budget, f.retry.kind = budgetFleet, f.retryKind()
 	}
 }
 
@@ -51,7 +47,7 @@
 	switch {
 	case f.headSent:
 		return balance.RetryStream
-	case f.route.Objective == 0 || f.entry.Now().Sub(f.arrived) < f.route.Objective:
+	case f.route.Objective == 0 || f.proxy.Now().Sub(f.arrived) < f.route.Objective:
 		return balance.RetryInTime
 	}
 	return balance.RetryLate
@@ -64,26 +60,25 @@
 	if r.cause == nil {
 		return
 	}
-	f.entry.Counters.retried(r.cause.Reason)
-	if r.payer == "" {
+	f.proxy.Counters.retried(r.cause.Reason)
+	if r.budget == "" {
 		return
 	}
-	f.retryPayer = r.payer
-	f.entry.Counters.retryPaid(r.payer, f.service.Name)
-	if f.entry.retryBudgets.noteGranted(f.service.Name) {
-		f.entry.Log.Info("retry budget available again", zap.String("service", f.service.Name))
+	f.chargedBudget = r.budget
+	f.proxy.Counters.retryCharged(r.budget, f.service.Name)
+	if f.proxy.retryBudgets.recordGranted(f.service.Name) {
+		f.proxy.Log.Info("retry budget available again", zap.String("service", f.service.Name))
 	}
 }
 
-// retryDenied records that the fleet's budget denied the retry, and returns the error of the
-// refused placement.
+// retryDenied counts a retry that the fleet's budget denied, and returns the placement error.
 func (f *exchange) retryDenied(refusal *balance.Refusal) *verdict.Error {
 	f.attempts--
-	f.retryPayer = payerNone
+	f.chargedBudget = budgetDenied
 	f.scheduler = refusal.Scheduler
-	f.entry.Counters.retryPaid(payerNone, f.service.Name)
-	if f.entry.retryBudgets.noteDenied(f.service.Name) {
-		f.entry.Log.Warn("retry budget exhausted", zap.String("service", f.service.Name), zap.String("scheduler", refusal.Scheduler))
+	f.proxy.Counters.retryCharged(budgetDenied, f.service.Name)
+	if f.proxy.retryBudgets.recordDenied(f.service.Name) {
+		f.proxy.Log.Warn("retry budget exhausted", zap.String("service", f.service.Name), zap.String("scheduler", refusal.Scheduler))
 	}
 	return placementError(f.service.Name, refusal)
 }
--- a/entry/retry_budget.go
+++ b/entry/retry_budget.go
@@ -7,9 +7,8 @@
 	"ivyridge/quota"
 )
 
-// retryBudgets holds an instance's own retry budgets, one per service: the retries that it
-// may send without asking a scheduler. Package quota divides the bound among all instances;
-// most of it is held by schedulers, see package balance.
+// retryBudgets holds the retries of each service that an instance may send without asking a
+// scheduler. Package quota divides the bound; schedulers hold most of it, see package balance.
 type retryBudgets struct {
 	now func() time.Time
 
@@ -19,11 +18,10 @@
 	byService map[string]*serviceBudget
 }
 
-// A serviceBudget is the retry budget of one service.
 type serviceBudget struct {
 	quota.RetryBudget
-	exhausted  bool      // retries were denied lately; for logging
-	lastDenied time.Time // time of the last denial
+	exhausted  bool // retries were denied lately; for logging
+	lastDenied time.Time
 }
 
 func newRetryBudgets(ratio float64, extra int, now func() time.Time) *retryBudgets {
@@ -38,8 +36,8 @@
 	b.bound = quota.RetryLimit{Ratio: ratio, Extra: float64(extra)}
 }
 
-// setInstances sets how many instances share the bound, this one included. The number
-// never decreases, as an instance that is cut off from others must not spend their part.
+// setInstances sets how many instances share the bound, with this one. The number never decreases,
+// as an instance that cannot reach the others must not spend their share.
 func (b *retryBudgets) setInstances(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -63,8 +61,8 @@
 	return budget
 }
 
-// deposit adds one request's share to the budget of its service, and returns which part of what
-// the request deposits goes to the fleet's budget.
+// deposit adds a request's share to the budget of its service, and returns which part of the
+// deposit is left for the fleet's budget.
 func (b *retryBudgets) deposit(service string) quota.DepositKind {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -100,9 +98,8 @@
 // recoveryTime is how long after the last denial retries count as available again.
 const recoveryTime = time.Second
 
-// noteDenied records that a retry was denied, and reports whether retries were available
-// before.
-func (b *retryBudgets) noteDenied(service string) (first bool) {
+// recordDenied records a denied retry, and reports whether it is the first since the last recovery.
+func (b *retryBudgets) recordDenied(service string) (first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	budget := b.service(service)
@@ -111,9 +108,8 @@
 	return first
 }
 
-// noteGranted records that a retry was granted, and reports whether retries were exhausted
-// before and have recovered.
-func (b *retryBudgets) noteGranted(service string) (recovered bool) {
+// recordGranted records a granted retry, and reports whether it ends a period of denials.
+func (b *retryBudgets) recordGranted(service string) (recovered bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	budget := b.service(service)
--- a/entry/retry_budget_test.go
+++ b/entry/retry_budget_test.go
@@ -7,9 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against retries beyond ratio and extra over all instances, however requests fall and
-// however the fleet is partitioned. Buckets that start full would exceed the bound with 100
-// instances that do not see each other.
+// Guards against retries beyond the bound over all instances, in any distribution of requests and
+// with any partition of the fleet.
 func TestFleetRetriesStayWithinBound(t *testing.T) {
 	for _, c := range []struct {
 		instances, groups int // of those that hear each other
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -1,11 +1,8 @@
 package entry
 
-// This file decides when a caller that does not read its response is disconnected.
-//
-// Completed writes alone do not measure progress: the kernel reports a socket as
-// writable again only when a third of its send buffer is free, which can take many
-// seconds with a caller that reads slowly but steadily. So bytes acknowledged by the peer
-// (TCP_INFO) count as well, where available.
+// This file decides when a caller that does not read its response is disconnected. Besides writes,
+// bytes that the peer acknowledged (TCP_INFO) count as progress: the kernel reports a socket as
+// writable only when a third of its send buffer is free, which takes slow readers many seconds.
 
 import (
 	"context"
@@ -50,7 +47,7 @@
 	if r.closed || r.aborted {
 		return
 	}
-	allowed := r.f.entry.stallTimeout()
+	allowed := r.f.proxy.stallTimeout()
 	if now.After(r.f.deadline) {
 		allowed = min(allowed, lateStallTimeout)
 	}
@@ -83,8 +80,7 @@
 	return context.WithValue(ctx, connKey{}, raw)
 }
 
-// acked returns how many bytes the caller's TCP has acknowledged on its connection; zero if
-// unknown.
+// acked returns how many bytes the peer has acknowledged on its connection; zero if unknown.
 func acked(ctx context.Context) (n uint64) {
 	raw, ok := ctx.Value(connKey{}).(syscall.RawConn)
 	if !ok {
--- a/entry/stream_timing.go
+++ b/entry/stream_timing.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// A streamTiming records when the events of a stream arrive. A stream that was resumed is
-// not comparable and is not reported to the placement.
+// A streamTiming records when the events of a stream arrive. It reports only streams that were not
+// resumed, as others are not comparable.
 type streamTiming struct {
 	f         *exchange
 	fromStart bool // the stream was not resumed
@@ -18,25 +18,24 @@
 	return &streamTiming{f: f, fromStart: f.call.LastEventID == ""}
 }
 
-// recordEvent records the arrival of an event.
-func (p *streamTiming) recordEvent(now time.Time) {
-	p.events++
-	if p.events > 1 {
-		p.f.longestPause = max(p.f.longestPause, now.Sub(p.last))
-		p.last = now
+func (t *streamTiming) recordEvent(now time.Time) {
+	t.events++
+	if t.events > 1 {
+		t.f.longestPause = max(t.f.longestPause, now.Sub(t.last))
+		t.last = now
 		return
 	}
-	p.last = now
-	p.first = now
-	p.f.firstEventAfter = now.Sub(p.f.placedAt)
-	if p.fromStart {
-		p.f.placement.RecordFirstEvent(p.f.firstEventAfter)
+	t.last = now
+	t.first = now
+	t.f.firstEventAfter = now.Sub(t.f.placedAt)
+	if t.fromStart {
+		t.f.placement.RecordFirstEvent(t.f.firstEventAfter)
 	}
 }
 
 // recordEnd reports the timing of a stream that is complete.
-func (p *streamTiming) recordEnd() {
-	if p.fromStart {
-		p.f.placement.RecordStreamEnd(p.events, p.last.Sub(p.first))
+func (t *streamTiming) recordEnd() {
+	if t.fromStart {
+		t.f.placement.RecordStreamEnd(t.events, t.last.Sub(t.first))
 	}
 }
