--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// concurrentWriteBytes is the body size from which the request is written
-	// concurrently, since an endpoint may respond before it has read the body.
+	// concurrentWriteBytes is the body size from which the response is read while the request
+	// is still written, since an endpoint may respond early.
 	concurrentWriteBytes = 8 << 10
 	// maxMismatched is how many responses to other requests are skipped.
 	maxMismatched = 2
@@ -40,9 +40,8 @@
 	MaySend  func() bool // called before the first byte is written; nil: always true
 }
 
-// An Exchange is a request that was sent, and the head of its response. The
-// caller of Do must read Body as far as needed and call Close once. Calling
-// Close with complete unset while Body is being read makes that read fail.
+// An Exchange is a request that was sent and its response. The caller of Do must call Close once.
+// Calling Close with complete unset while Body is being read makes that read fail.
 type Exchange struct {
 	Status int
 	Header http.Header
@@ -56,10 +55,9 @@
 	stopCancel func() bool
 }
 
-// Do sends r and returns once the head of the response has been read. When ctx
-// is done, also later, the connection is closed. The function mismatched
-// reports whether a response with the given headers belongs to another request;
-// such responses are skipped. Errors are of type *verdict.Error.
+// Do sends r and returns once the response head has been read. The connection is closed when ctx
+// is done, also after Do has returned. Responses for whose headers mismatched returns true belong
+// to other requests and are skipped. Errors are of type *verdict.Error.
 func (p *Pool) Do(ctx context.Context, r *Request, mismatched func(http.Header) bool) (*Exchange, error) {
 	c := p.getIdle(r.Endpoint)
 	if c == nil {
@@ -129,7 +127,6 @@
 	return nil
 }
 
-// readHead reads the head of the response to r.
 func (x *Exchange) readHead(r *Request, mismatched func(http.Header) bool) error {
 	skipped, interim := 0, 0
 	for {
@@ -178,9 +175,9 @@
 	x.reusable = !res.Close
 }
 
-// Close ends the exchange. If the response was read completely, the connection
-// is kept for reuse where possible, for idleTimeout (zero: a default).
-// Otherwise it is closed, which tells the endpoint to abort the request.
+// Close ends the exchange. If the response is complete, the connection is kept for reuse where
+// possible, for idleTimeout (zero: a default). Otherwise it is closed, which tells the endpoint to
+// abort the request.
 func (x *Exchange) Close(complete bool, idleTimeout time.Duration) {
 	alive := x.stopCancel()
 	if complete && alive && x.reusable && x.written.Load() && x.conn.reader.Buffered() == 0 {
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -1,11 +1,9 @@
 // Package upstream sends requests to endpoints over persistent HTTP/1.1 connections.
 //
-// An Exchange is one request and its response on one connection. The package
-// never retries a request, follows redirects or decompresses, and never takes
-// surplus bytes after a response for the next response. It uses the parser and
-// the writer of net/http, but not its client, which retries some requests on
-// persistent connections by itself. A failure before the first byte is written
-// has the verdict NotRun; any later one MayHaveRun.
+// The package never retries a request, follows redirects or decompresses, and never takes surplus
+// bytes after a response for the next response. It does not use net/http's client, which retries
+// some requests on persistent connections. A failure before the first byte is written has the
+// verdict NotRun, any later one MayHaveRun.
 package upstream
 
 import (
@@ -42,8 +40,8 @@
 	expires time.Time
 }
 
-// usable reports whether an idle connection is still open and has no unread
-// data. Such data belongs to no request.
+// usable reports whether an idle connection is open and has no unread data, which would belong to
+// no request.
 func (c *conn) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -144,8 +142,8 @@
 	ProbeRefused                         // the machine refuses connections: no process listens
 )
 
-// Probe opens a connection to an endpoint to check whether its process is running. The
-// connection is kept for the next request.
+// Probe opens a connection to check whether an endpoint's process is running. The connection is
+// kept for the next request.
 func (p *Pool) Probe(ctx context.Context, endpoint, address string) ProbeResult {
 	c, err := p.dial(ctx, address)
 	switch {
@@ -158,8 +156,8 @@
 	return ProbeListening
 }
 
-// putIdle keeps a connection for another request, for idleTimeout less idleMargin; zero
-// means defaultIdleTimeout. It closes the connection if there are too many.
+// putIdle keeps a connection for idleTimeout (zero: defaultIdleTimeout) less idleMargin. It closes
+// the connection if there are too many.
 func (p *Pool) putIdle(endpoint string, c *conn, idleTimeout time.Duration) {
 	if idleTimeout <= 0 {
 		idleTimeout = defaultIdleTimeout
@@ -197,8 +195,7 @@
 	}
 }
 
-// Close closes all idle connections. Connections in use are closed when their
-// exchanges end.
+// Close closes all idle connections. Connections in use are closed when their exchanges end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -15,8 +15,7 @@
 	"ivyridge/verdict"
 )
 
-// startEndpoint runs a server that calls serve with the number of each connection, from 1,
-// and returns its address.
+// startEndpoint runs a server that calls serve with each connection and its number, from 1.
 func startEndpoint(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -96,8 +95,8 @@
 	}
 }
 
-// Guards against a transparent retry, as net/http's client does for a GET if a persistent
-// connection closes before the response. No retry budget would count it.
+// Guards against a retry that no budget counts, as net/http's client makes for a GET if a
+// persistent connection closes before the response.
 func TestRequestsAreNotRetried(t *testing.T) {
 	requests := make(chan string, 10)
 	addr := startEndpoint(t, func(n int, c net.Conn, r *bufio.Reader) {
