--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,13 +1,9 @@
 // Package verdict classifies failed requests by whether they may have run.
 //
-// Every response of the router other than a success carries a Verdict and a
-// Reason. The Verdict tells the caller whether a retry is safe: NotRun means
-// that no endpoint has run the request, so that it can be sent again even if it
-// is not idempotent. The Reason is a stable code for metrics, operators and
-// callers.
-//
-// An Error carries both through the code, also when it is wrapped. An error
-// chain without an Error counts as MayHaveRun.
+// Every error response of the router has a Verdict and a Reason. The Verdict tells the caller
+// whether a retry is safe: NotRun means that no endpoint has run the request, so that it can be
+// sent again even if it is not idempotent. The Reason is a stable code for metrics, operators and
+// callers. An error chain without an Error counts as MayHaveRun.
 package verdict
 
 import (
@@ -32,7 +28,7 @@
 
 var verdictNames = [...]string{MayHaveRun: "may-have-run", NotRun: "not-run", Ran: "ran"}
 
-// String returns the name used in responses, logs and reports.
+// String returns the name that responses, logs and reports use.
 func (v Verdict) String() string { return verdictNames[v] }
 
 // Parse returns the verdict named s. The result is false if there is none.
@@ -101,7 +97,6 @@
 	Internal         Reason = "internal"
 )
 
-// statusOf maps each reason to the HTTP status of the response.
 var statusOf = map[Reason]int{
 	BadRequest:         http.StatusBadRequest,
 	Unauthenticated:    http.StatusUnauthorized,
@@ -164,8 +159,7 @@
 	return ok
 }
 
-// An Error describes a failed request. It must not be modified once it is
-// returned; see WithRetryAfter.
+// An Error describes a failed request. It must not be modified once it is returned.
 type Error struct {
 	Verdict    Verdict
 	Reason     Reason
@@ -181,14 +175,12 @@
 	return fmt.Sprintf("%s: %s (%s)", e.Reason, e.Detail, e.Verdict)
 }
 
-// Refuse returns an Error with verdict NotRun. The remaining arguments format
-// the detail, as in fmt.Sprintf.
+// Refuse returns an Error with verdict NotRun and a detail formatted as by fmt.Sprintf.
 func Refuse(r Reason, format string, args ...any) *Error {
 	return &Error{Verdict: NotRun, Reason: r, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Fail returns an Error with verdict v. The remaining arguments format the
-// detail, as in fmt.Sprintf.
+// Fail returns an Error with verdict v and a detail formatted as by fmt.Sprintf.
 func Fail(v Verdict, r Reason, format string, args ...any) *Error {
 	return &Error{Verdict: v, Reason: r, Detail: fmt.Sprintf(format, args...)}
 }
@@ -200,8 +192,8 @@
 	return &c
 }
 
-// Of returns the first Error in err's chain. If there is none, it returns one
-// with verdict MayHaveRun and reason Internal; for a nil err it returns nil.
+// Of returns the first Error in err's chain. If there is none, it returns one with verdict
+// MayHaveRun and reason Internal. It returns nil for a nil err.
 func Of(err error) *Error {
 	if err == nil {
 		return nil
