--- a/entry/entry.go
+++ b/entry/entry.go
@@ -38,7 +38,7 @@
 // revokeMargin is how much earlier than Bounds.Revoke a configuration counts as too old.
 const revokeMargin = 600 * time.Millisecond
 
-// A Placer chooses endpoints. It is safe for concurrent use.
+// A Placer chooses endpoints. Implementations must be safe for concurrent use.
 type Placer interface {
 	// Place chooses an endpoint and counts the request as running there, or returns a
 	// refusal. It returns nil for both if no endpoint may serve the request.
@@ -102,7 +102,7 @@
 	e.retryBudgets.setBounds(b.RetryRatio, b.RetryExtra)
 }
 
-// SetInstances sets how many instances share the retry budget, with this one; zero means unknown.
+// SetInstances sets how many instances, including this one, share the retry budget; zero: unknown.
 func (e *Proxy) SetInstances(n int) { e.retryBudgets.setInstances(n) }
 
 // drainDelay is how long a leaving instance accepts requests, until its load balancer has noticed.
--- a/entry/retry_budget.go
+++ b/entry/retry_budget.go
@@ -36,8 +36,8 @@
 	b.bound = quota.RetryLimit{Ratio: ratio, Extra: float64(extra)}
 }
 
-// setInstances sets how many instances share the bound, with this one. The number never decreases,
-// as an instance that cannot reach the others must not spend their share.
+// setInstances sets how many instances, including this one, share the bound. The number never
+// decreases, as an instance that cannot reach the others must not spend their share.
 func (b *retryBudgets) setInstances(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
