--- a/soak/balancer.go
+++ b/soak/balancer.go
@@ -1,7 +1,5 @@
 package soak
 
-// This file simulates the load balancer between callers and instances.
-
 import (
 	"context"
 	"math/rand/v2"
@@ -9,14 +7,13 @@
 	"time"
 )
 
-// Parameters of the readiness probes.
 const (
 	probeInterval = time.Second // of each instance
 	maxMisses     = 1           // consecutive failed probes of an instance that still receives requests
 )
 
-// A balancer selects instances that pass their readiness probes, or among all instances if fewer
-// than half of them pass.
+// A balancer simulates the load balancer in front of the instances. It selects instances that pass
+// their readiness probes, or any instance if fewer than half pass.
 type balancer struct {
 	fleet *fleet
 
@@ -28,7 +25,6 @@
 	return &balancer{fleet: f, misses: make(map[*instance]int)}
 }
 
-// run probes the instances until ctx is done.
 func (b *balancer) run(ctx context.Context) {
 	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
@@ -55,7 +51,6 @@
 	}
 }
 
-// choose returns a random eligible instance.
 func (b *balancer) choose(rng *rand.Rand) *instance {
 	all := b.fleet.live()
 	b.mu.Lock()
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -1,8 +1,5 @@
 package soak
 
-// This file simulates the callers: an open-loop load in which some callers cancel early, retry
-// failures, or reuse connections.
-
 import (
 	"context"
 	"fmt"
@@ -14,17 +11,17 @@
 	"ivyridge/platform/standin"
 )
 
-// Parameters of callers.
 const (
 	callDeadline = 4 * time.Second
-	callGrace    = time.Second // after the deadline, before a caller gives up
-	abandonShare = 25          // one in so many callers cancels early
-	abandonAfter = 120 * time.Millisecond
+	callGrace    = time.Second // from the deadline until a caller gives up
+	cancelShare  = 25          // one in cancelShare callers cancels early
+	cancelAfter  = 120 * time.Millisecond
 	maxRetries   = 2
-	revokedShare = 15 // one in so many may use a revoked key
+	revokedShare = 15 // one in revokedShare callers may use a revoked key
 )
 
-// callers generate the requests to the instances.
+// callers generate an open-loop load: requests are sent without waiting for earlier responses. Some
+// callers cancel early, retry failures or reuse connections.
 type callers struct {
 	fleet    *fleet
 	site     *site
@@ -47,7 +44,7 @@
 	}
 }
 
-// run sends requests until ctx is done, and returns when all have finished.
+// run sends requests until ctx is done, and waits for their responses.
 func (c *callers) run(ctx context.Context) {
 	go c.balancer.run(ctx)
 	for ctx.Err() == nil {
@@ -63,18 +60,17 @@
 	c.inFlight.Wait()
 }
 
-// setRate changes the request rate.
 func (c *callers) setRate(rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rate = rate
 }
 
-// call sends a request, and retries it after failures that allow that.
+// call sends a request, and retries it up to maxRetries times if its failure allows that.
 func (c *callers) call() {
-	q, k, abandons, client := c.randomRequest()
+	q, k, cancels, client := c.randomRequest()
 	for try := 0; ; try++ {
-		c.send(q, client, abandons)
+		c.send(q, client, cancels)
 		retryable := q.Status != http.StatusOK && !q.Cancelled && (k.repeatable && !k.stream || q.Status == http.StatusServiceUnavailable || q.Status == http.StatusTooManyRequests)
 		if !retryable || try == maxRetries {
 			return
@@ -84,8 +80,7 @@
 	}
 }
 
-// randomRequest returns a random request, and how to send it.
-func (c *callers) randomRequest() (q *Request, k *callKind, abandons bool, client *http.Client) {
+func (c *callers) randomRequest() (q *Request, k *callKind, cancels bool, client *http.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k = c.randomKind()
@@ -98,10 +93,10 @@
 	if c.rng.IntN(2) == 0 {
 		client = c.unpooled
 	}
-	return q, k, c.rng.IntN(abandonShare) == 0, client
+	return q, k, c.rng.IntN(cancelShare) == 0, client
 }
 
-// request returns a request of a kind with a key, for a random instance. The caller holds c.mu.
+// request returns a request to a random instance. The caller holds c.mu.
 func (c *callers) request(k *callKind, key, team string) *Request {
 	c.lastID++
 	q := &Request{Request: standin.Request{
@@ -123,7 +118,7 @@
 	return &callKinds[0]
 }
 
-// retry returns a copy of a request with a new ID, for a random instance.
+// retry returns a copy of a request with a new ID and a random instance.
 func (c *callers) retry(q *Request) *Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,24 +130,23 @@
 	return &out
 }
 
-// send sends q through its instance's link and records the response.
-func (c *callers) send(q *Request, client *http.Client, abandons bool) {
+// send sends q over the link of its instance and records the response.
+func (c *callers) send(q *Request, client *http.Client, cancels bool) {
 	timeout := q.Deadline + callGrace
-	if abandons {
-		timeout = abandonAfter
+	if cancels {
+		timeout = cancelAfter
 	}
-	c.sendTo(c.fleet.callersAddress(q.Instance), q, client, timeout, abandons)
+	c.sendTo(c.fleet.callersAddress(q.Instance), q, client, timeout, cancels)
 }
 
-// sendTo sends q to an address, waits at most for timeout, and records the response.
-func (c *callers) sendTo(address string, q *Request, client *http.Client, timeout time.Duration, abandons bool) {
+func (c *callers) sendTo(address string, q *Request, client *http.Client, timeout time.Duration, cancels bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	q.Sent = time.Now()
 	response := standin.Call(ctx, client, address, &q.Request)
 	q.Done = time.Now()
 	q.Response = *response
-	q.Cancelled = abandons && !response.Complete && ctx.Err() != nil
+	q.Cancelled = cancels && !response.Complete && ctx.Err() != nil
 	if q.Cancelled {
 		q.Truncated = false
 	}
--- a/soak/check.go
+++ b/soak/check.go
@@ -1,7 +1,5 @@
 package soak
 
-// This file checks the observations of a run against the rules.
-
 import (
 	"fmt"
 	"net/http"
@@ -12,7 +10,7 @@
 	"ivyridge/platform/standin"
 )
 
-// A Violation is a violation of a rule.
+// A Violation describes how a rule was violated.
 type Violation struct {
 	Rule string
 	What string
@@ -86,8 +84,8 @@
 	deniedEach        = 500
 	attemptsTolerance = 3 // requests sent to more endpoints than their route allows
 	goneGrace         = 500 * time.Millisecond
-	goneShare         = 4 // at most one in goneShare runs may outlast its caller by goneGrace
-	goneMinRuns       = 20
+	goneShare         = 4 // at most one in goneShare executions may outlast its caller by goneGrace
+	goneMinExecutions = 20
 	heldGrace         = 500 * time.Millisecond // after the route's timeout
 	heldMinLate       = 8
 	heldShare         = 4
@@ -109,7 +107,7 @@
 	maxMemoryMB    = 256
 )
 
-// each calls f for all requests in order of their IDs.
+// each calls f for all requests, in order of their IDs.
 func (b *Record) each(f func(*Request)) {
 	ids := make([]string, 0, len(b.Requests))
 	for id := range b.Requests {
@@ -121,7 +119,6 @@
 	}
 }
 
-// executions returns how many times endpoints executed a request.
 func (b *Record) executions(id string) (n int) {
 	for _, r := range b.Deliveries[id] {
 		if r.Ran {
@@ -131,8 +128,8 @@
 	return n
 }
 
-// checkMixed: a successful response is the complete response of an endpoint that executed the
-// request; an error response has an endpoint's seal only with a status that endpoints send.
+// checkMixed: a successful response is the complete one of an endpoint that executed the request;
+// an error response carries an endpoint's seal only with a status that endpoints send.
 func (b *Record) checkMixed() (out []string) {
 	b.each(func(q *Request) {
 		switch {
@@ -147,7 +144,6 @@
 	return out
 }
 
-// hasEndpointAnswer reports whether q's response is that of an endpoint that executed q.
 func (b *Record) hasEndpointAnswer(q *Request) bool {
 	for _, r := range b.Deliveries[q.ID] {
 		if r.Ran && q.Text == standin.Answer(r.Endpoint, q.ID) {
@@ -157,12 +153,11 @@
 	return false
 }
 
-// checkUnasked: endpoints receive only requests that callers sent, for the team that owns the key,
-// and never see keys.
+// checkUnasked: endpoints receive only what callers sent, for the owner of the key, and never a key.
 func (b *Record) checkUnasked() (out []string) {
-	for id, runs := range b.Deliveries {
+	for id, deliveries := range b.Deliveries {
 		q := b.Requests[id]
-		for _, r := range runs {
+		for _, r := range deliveries {
 			switch {
 			case q == nil:
 				out = append(out, fmt.Sprintf("%s: received by an endpoint but sent by no caller", id))
@@ -188,7 +183,7 @@
 	return out
 }
 
-// checkRefused: a status that means "not executed" is true.
+// checkRefused: a request whose status means "not executed" was not executed.
 func (b *Record) checkRefused() (out []string) {
 	b.each(func(q *Request) {
 		if meansNotExecuted(q.Status) && !q.Repeatable && b.executions(q.ID) > 0 {
@@ -198,7 +193,7 @@
 	return out
 }
 
-// meansNotExecuted reports whether a status promises that the request was not executed.
+// meansNotExecuted reports whether a status says that the request was not executed.
 func meansNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -207,7 +202,7 @@
 	return false
 }
 
-// checkDenied: valid requests are not rejected with a final status, apart from a small tolerance.
+// checkDenied: at most a few valid requests are rejected with a final status.
 func (b *Record) checkDenied() []string {
 	var ids []string
 	b.each(func(q *Request) {
@@ -234,8 +229,7 @@
 	return len(possible) > 0
 }
 
-// checkBudget: a request is sent to no more endpoints than its route allows, and the ratio of
-// repeats per service stays bounded.
+// checkBudget: requests reach no more endpoints than their routes allow, and repeats are bounded.
 func (b *Record) checkBudget() (out []string) {
 	overLimit := 0
 	b.each(func(q *Request) {
@@ -253,12 +247,11 @@
 	return append(out, b.checkRepeats()...)
 }
 
-// checkRepeats compares, for each service and window, the number of repeats with the number of
-// first attempts.
+// checkRepeats bounds the repeats of each service by its first attempts, in every RetryWindow.
 func (b *Record) checkRepeats() (out []string) {
 	firsts, repeats := make(map[string][]time.Time), make(map[string][]time.Time)
-	for _, runs := range b.Deliveries {
-		for i, r := range runs {
+	for _, deliveries := range b.Deliveries {
+		for i, r := range deliveries {
 			if i == 0 {
 				firsts[r.Service] = append(firsts[r.Service], r.At)
 			} else {
@@ -305,7 +298,7 @@
 			}
 		}
 	})
-	if all >= goneMinRuns && late*goneShare > all {
+	if all >= goneMinExecutions && late*goneShare > all {
 		return []string{fmt.Sprintf("%d of %d requests were still being executed %v after their callers had cancelled", late, all, goneGrace)}
 	}
 	return nil
@@ -338,7 +331,7 @@
 }
 
 // everAllowed reports whether some version mapped q's route to service, and some version, not
-// necessarily the same, had q's key.
+// necessarily the same, had its key.
 func (b *Record) everAllowed(q *Request, service string) bool {
 	route, key := false, false
 	for i := range b.Versions {
@@ -350,8 +343,7 @@
 	return route && key
 }
 
-// checkDrain: an endpoint that announced that it leaves receives no new requests after
-// Bounds.Drain.
+// checkDrain: no new request reaches an endpoint later than Bounds.Drain after its leaving notice.
 func (b *Record) checkDrain() (out []string) {
 	leftAt := make(map[string]time.Time)
 	for _, d := range b.Departures {
@@ -368,8 +360,8 @@
 	return out
 }
 
-// checkConfig: an acknowledged version is in force at all instances in contact after
-// Bounds.Propagation.
+// checkConfig: instances in contact apply a version within Bounds.Propagation of its
+// acknowledgement.
 func (b *Record) checkConfig() (out []string) {
 	b.each(func(q *Request) {
 		for _, r := range b.Deliveries[q.ID] {
@@ -436,7 +428,6 @@
 	return nil
 }
 
-// maxTimeout returns the longest timeout among the versions that may apply to q.
 func (b *Record) maxTimeout(q *Request) (longest time.Duration) {
 	for _, v := range b.possibleVersions(q.Sent, q.Done) {
 		longest = max(longest, v.Routes[q.Route].Timeout)
@@ -444,8 +435,7 @@
 	return longest
 }
 
-// checkOrder: a stream's events arrive once and in order, and a truncated stream does not look
-// complete.
+// checkOrder: events arrive once and in order, and no truncated stream looks complete.
 func (b *Record) checkOrder() (out []string) {
 	b.each(func(q *Request) {
 		if q.OutOfOrder || q.Truncated {
@@ -455,8 +445,8 @@
 	return out
 }
 
-// checkTier: while no endpoint is faulty, requests of an urgent route are not rejected while
-// larger, less urgent ones are executed at the same service.
+// checkTier: while no endpoint is faulty, urgent requests are not rejected while larger, less urgent
+// ones are executed at the same service.
 func (b *Record) checkTier() (out []string) {
 	from, to := b.sendSpan()
 	for at := from; at.Before(to); at = at.Add(tierStep) {
@@ -476,10 +466,9 @@
 	priority         int
 	tokens           int
 	requests, failed int
-	executed         bool // at least one request reached an endpoint
+	executed         bool // at least one request was executed
 }
 
-// checkTierAt checks the window that starts at at.
 func (b *Record) checkTierAt(at time.Time) string {
 	tiers := make(map[string]*tier)
 	b.each(func(q *Request) {
@@ -514,7 +503,6 @@
 	return ""
 }
 
-// sendSpan returns when the first and the last request were sent.
 func (b *Record) sendSpan() (from, to time.Time) {
 	for _, q := range b.Requests {
 		if from.IsZero() || q.Sent.Before(from) {
@@ -527,28 +515,26 @@
 	return from, to
 }
 
-// anyEndpointFaulted reports whether a fault affected an endpoint between from and to.
 func (b *Record) anyEndpointFaulted(from, to time.Time) bool {
-	return slices.ContainsFunc(b.Faults, func(t Fault) bool { return t.Endpoint != "" && t.during(from, to) })
+	return slices.ContainsFunc(b.Faults, func(f Fault) bool { return f.Endpoint != "" && f.during(from, to) })
 }
 
 // checkRecover: requests are served again within Bounds.Recover of a loss of all instances.
 func (b *Record) checkRecover() (out []string) {
-	for _, t := range b.Faults {
-		if !t.AllInstances {
+	for _, f := range b.Faults {
+		if !f.AllInstances {
 			continue
 		}
-		from := t.To.Add(b.Bounds.Recover)
+		from := f.To.Add(b.Bounds.Recover)
 		served, all := b.served(from, from.Add(recoverWindow))
 		if all >= servedMinRequests && served*servedShare < all {
-			out = append(out, fmt.Sprintf("%s: %d of %d requests were served %v after it", t.Kind, served, all, b.Bounds.Recover))
+			out = append(out, fmt.Sprintf("%s: %d of %d requests were served %v after it", f.Kind, served, all, b.Bounds.Recover))
 		}
 	}
 	return out
 }
 
-// served counts the valid requests sent between from and to, and those of them answered with
-// status 200.
+// served counts the valid requests sent between from and to, and those with status 200.
 func (b *Record) served(from, to time.Time) (served, all int) {
 	b.each(func(q *Request) {
 		if q.Sent.Before(from) || q.Sent.After(to) || q.Cancelled || !b.allowed(q) {
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -57,7 +57,6 @@
 
 func requestID(n int) string { return "q-" + string(rune('a'+n/26)) + string(rune('a'+n%26)) }
 
-// addRequest records a request that an endpoint served.
 func addRequest(b *Record, id string, sent float64, endpoint, service string) *Request {
 	q := &Request{
 		Request:  standin.Request{ID: id, Key: "key-1", Path: "/a/x", Body: "question", Deadline: 3 * time.Second},
@@ -66,11 +65,11 @@
 		Sent: at(sent), Done: at(sent + 0.1),
 	}
 	b.Requests[id] = q
-	b.Deliveries[id] = []Delivery{receivedRun(endpoint, service, sent+0.01)}
+	b.Deliveries[id] = []Delivery{newDelivery(endpoint, service, sent+0.01)}
 	return q
 }
 
-func receivedRun(endpoint, service string, arrived float64) Delivery {
+func newDelivery(endpoint, service string, arrived float64) Delivery {
 	return Delivery{Endpoint: endpoint, Service: service, ReceivedRequest: standin.ReceivedRequest{
 		Method: http.MethodPost, Target: "/a/x", Body: "question", Ran: true, At: at(arrived), Ended: at(arrived + 0.05),
 		Team: "one",
@@ -83,8 +82,7 @@
 	}
 }
 
-// Each violation is reported under its rule, and under no other rule except those that it also
-// breaks.
+// Each violation is reported under its rule and the other rules that it breaks, and no more.
 func TestEachRuleDetectsItsViolation(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -94,12 +92,12 @@
 		{"status 200 without a seal", []string{"MIXED"}, func(b *Record) { b.Requests[requestID(5)].Sealed = false }},
 		{"the response to another request", []string{"MIXED"}, func(b *Record) { b.Requests[requestID(5)].Text = standin.Answer("e-1", requestID(6)) }},
 		{"a seal on an error of the router", []string{"MIXED"}, func(b *Record) { b.Requests[requestID(5)].Status = http.StatusBadGateway }},
-		{"a request that no caller sent", []string{"UNASKED"}, func(b *Record) { b.Deliveries["q-none"] = []Delivery{receivedRun("e-1", "app", 5)} }},
+		{"a request that no caller sent", []string{"UNASKED"}, func(b *Record) { b.Deliveries["q-none"] = []Delivery{newDelivery("e-1", "app", 5)} }},
 		{"a changed body", []string{"UNASKED"}, func(b *Record) { b.Deliveries[requestID(5)][0].Body = "other" }},
 		{"another team's name", []string{"UNASKED"}, func(b *Record) { b.Deliveries[requestID(5)][0].Team = "two" }},
 		{"the key reaches an endpoint", []string{"UNASKED"}, func(b *Record) { b.Deliveries[requestID(5)][0].KeyForwarded = true }},
 		{"two executions", []string{"TWICE"}, func(b *Record) {
-			b.Deliveries[requestID(5)] = append(b.Deliveries[requestID(5)], receivedRun("e-2", "app", 5.6))
+			b.Deliveries[requestID(5)] = append(b.Deliveries[requestID(5)], newDelivery("e-2", "app", 5.6))
 		}},
 		{"rejected as not executed after an execution", []string{"REFUSED"}, func(b *Record) {
 			q := b.Requests[requestID(5)]
@@ -116,7 +114,7 @@
 				q := b.Requests[requestID(n)]
 				q.Repeatable = true
 				for _, e := range []string{"e-2", "e-3"} {
-					b.Deliveries[q.ID] = append(b.Deliveries[q.ID], receivedRun(e, "app", float64(n)+0.6))
+					b.Deliveries[q.ID] = append(b.Deliveries[q.ID], newDelivery(e, "app", float64(n)+0.6))
 				}
 			}
 		}},
@@ -124,14 +122,14 @@
 			for n := range 10 {
 				q := b.Requests[requestID(n)]
 				q.Repeatable = true
-				b.Deliveries[q.ID] = append(b.Deliveries[q.ID], receivedRun("e-1", "app", float64(n)+0.6))
+				b.Deliveries[q.ID] = append(b.Deliveries[q.ID], newDelivery("e-1", "app", float64(n)+0.6))
 			}
 		}},
 		{"too many repeats by all instances together", []string{"BUDGET"}, func(b *Record) {
 			for n := range 10 {
 				q := b.Requests[requestID(n)]
 				q.Repeatable, q.Instance = true, []string{"router-1", "router-2", "router-3", "router-4", "router-5"}[n%5]
-				b.Deliveries[q.ID] = append(b.Deliveries[q.ID], receivedRun("e-2", "app", float64(n)+0.6))
+				b.Deliveries[q.ID] = append(b.Deliveries[q.ID], newDelivery("e-2", "app", float64(n)+0.6))
 			}
 		}},
 		{"execution continues after callers cancelled", []string{"GONE"}, func(b *Record) {
@@ -152,9 +150,9 @@
 			b.Deliveries[requestID(5)][0].RetryAfter = 5 * time.Second
 			b.Deliveries[requestID(50)][0].RetryAfter = 2900 * time.Millisecond // two requests fall within it
 		}},
-		{"above an endpoint's limit, from two instances together", []string{"LIMIT"}, func(b *Record) { nameLimits(b, 14, "1.2") }},
+		{"above an endpoint's limit, from two instances together", []string{"LIMIT"}, func(b *Record) { addLimitedRequests(b, 14, "1.2") }},
 		{"above an endpoint's limit, while the store is down", []string{"LIMIT"}, func(b *Record) {
-			nameLimits(b, 14, "1.2")
+			addLimitedRequests(b, 14, "1.2")
 			b.Faults = append(b.Faults, Fault{Kind: "store silent", From: at(59), To: at(70)})
 		}},
 		{"requests after a response that announces leaving", []string{"LEAVING"}, func(b *Record) {
@@ -176,7 +174,7 @@
 		}},
 		{"a rejected request outside its team's home regions", []string{"HOME"}, func(b *Record) {
 			b.Versions[0].TeamHomes = map[string][]string{"one": {south}}
-			b.Deliveries[requestID(5)] = append([]Delivery{receivedRun("e-0", "app", 5.5)}, b.Deliveries[requestID(5)]...)
+			b.Deliveries[requestID(5)] = append([]Delivery{newDelivery("e-0", "app", 5.5)}, b.Deliveries[requestID(5)]...)
 			b.Deliveries[requestID(5)][0].Ran, b.Deliveries[requestID(5)][0].DataCentre = false, "hall-b"
 			b.Deliveries[requestID(5)][1].DataCentre = "hall-c"
 		}},
@@ -214,8 +212,8 @@
 		{"a steady reader's response is truncated", []string{"STEADY"}, func(b *Record) {
 			q := b.Requests[requestID(5)]
 			q.Steady, q.Complete, q.Err = true, false, errors.New("reset")
-			left := b.Requests[requestID(6)] // not steady, so not checked
-			left.Complete, left.Err = false, errors.New("reset")
+			unsteady := b.Requests[requestID(6)] // not steady, so not checked
+			unsteady.Complete, unsteady.Err = false, errors.New("reset")
 		}},
 		{"a stalled reader's truncated response looks complete", []string{"ORDER"}, func(b *Record) {
 			q := b.Requests[requestID(5)]
@@ -330,34 +328,34 @@
 	}
 }
 
-// nameLimits adds requests to an endpoint that announces a limit: one from each of two instances,
-// and then, over a second later, the given number from both within three seconds.
-func nameLimits(b *Record, requests int, limit string) {
-	name := func(id string, second float64, instance string) {
+// addLimitedRequests adds requests to an endpoint that announces a limit: one from each of two
+// instances, and then, over a second later, the given number within three seconds.
+func addLimitedRequests(b *Record, requests int, limit string) {
+	add := func(id string, second float64, instance string) {
 		q := addRequest(b, id, second, "o-9", "other")
 		q.Instance = instance
 		b.Deliveries[id][0].Limit = limit
 	}
 	instances := []string{"router-1", "router-2"}
 	for n, instance := range instances {
-		name("told-"+instance, 61+float64(n)/10, instance)
+		add("told-"+instance, 61+float64(n)/10, instance)
 	}
 	for n := range requests {
-		name("limited-"+requestID(n), 62.5+3*float64(n)/float64(requests), instances[n%2])
+		add("limited-"+requestID(n), 62.5+3*float64(n)/float64(requests), instances[n%2])
 	}
 }
 
-// Endpoints may receive requests up to their limit, any number of requests from an instance that
-// was paused since it learned the limit, and any number after an invalid limit.
+// Requests up to the limit are allowed, and any number from an instance that was paused since it
+// learned the limit, or after an invalid limit.
 func TestLimitWithinBoundsIsNoViolation(t *testing.T) {
 	for name, change := range map[string]func(*Record){
-		"up to the limit": func(b *Record) { nameLimits(b, 12, "1.2") },
+		"up to the limit": func(b *Record) { addLimitedRequests(b, 12, "1.2") },
 		"an instance was paused": func(b *Record) {
-			nameLimits(b, 13, "1.2")
+			addLimitedRequests(b, 13, "1.2")
 			b.Faults = append(b.Faults, Fault{Kind: "paused", Instance: "router-2", From: at(61.8), To: at(62)})
 		},
-		"invalid limit":       func(b *Record) { nameLimits(b, 40, "-3") },
-		"far below the limit": func(b *Record) { nameLimits(b, 40, "50") },
+		"invalid limit":       func(b *Record) { addLimitedRequests(b, 40, "-3") },
+		"far below the limit": func(b *Record) { addLimitedRequests(b, 40, "50") },
 	} {
 		b := faultlessRecord()
 		change(b)
--- a/soak/crash_requests.go
+++ b/soak/crash_requests.go
@@ -1,8 +1,5 @@
 package soak
 
-// This file sends a request that crashes the endpoints that execute it, restarts endpoints for
-// other reasons, and writes invalid registry entries; and checks which requests are blocked.
-
 import (
 	"fmt"
 	"slices"
@@ -12,21 +9,20 @@
 	"ivyridge/verdict"
 )
 
-// Parameters of a request that crashes endpoints.
 const (
 	crashMarker           = "deadly" // substring of its body
 	crashRequestInterval  = 400 * time.Millisecond
 	crashRequestDuration  = 12 * time.Second
 	crashRequestTolerance = 3 // executions later than Bounds.Contact after the third crash
 	endpointRestartDelay  = 1200 * time.Millisecond
-	minEndpoints          = 3 // of a service; none is restarted unless there are more
+	minEndpoints          = 3 // of a service; faults need one more
 )
 
 // A CrashRequest is a request that crashes endpoints and was sent repeatedly.
 type CrashRequest struct{ Body string }
 
-// configureRestart has an endpoint publish itself after each restart, and crash when it executes a
-// request with crashMarker.
+// configureRestart has e publish itself after each restart, and crash when it executes a request
+// with crashMarker.
 func (s *site) configureRestart(e *endpoint) {
 	e.server.OnRestart(func() {
 		s.mu.Lock()
@@ -41,7 +37,7 @@
 	})
 }
 
-// restartEndpoint ends an endpoint's process, which restarts under the same ID.
+// restartEndpoint crashes an endpoint, which restarts under the same ID.
 func (s *injection) restartEndpoint() {
 	e := s.site.randomEndpoint(s.rng, minEndpoints)
 	if e == nil {
@@ -50,8 +46,8 @@
 	s.apply(Fault{Kind: "endpoint ends and returns", Endpoint: e.server.ID}, func() { e.server.Crash(endpointRestartDelay) }, endpointRestartDelay, func() {})
 }
 
-// sendCrashRequest sends one crashing request repeatedly to random instances. The endpoints that
-// it crashes count as faulty, the instances do not.
+// sendCrashRequest sends one crashing request repeatedly. The endpoints that it crashes count as
+// faulty, the instances do not.
 func (s *injection) sendCrashRequest() {
 	if !s.run.crashRequestActive.CompareAndSwap(false, true) {
 		return
@@ -68,7 +64,7 @@
 	s.record.CrashRequests = append(s.record.CrashRequests, CrashRequest{Body: body})
 }
 
-// sendCrashRequests sends a request repeatedly, each time under a new ID and to a random instance.
+// sendCrashRequests sends a request repeatedly, under new IDs and to random instances.
 func (c *callers) sendCrashRequests(body string) {
 	for end := time.Now().Add(crashRequestDuration); time.Now().Before(end); time.Sleep(crashRequestInterval) {
 		c.inFlight.Go(func() {
@@ -81,21 +77,19 @@
 	}
 }
 
-// foreignEntries are invalid registry entries.
-var foreignEntries = []string{"{", `{"service":"app","address":"not an address","state":"ready","slots":-4}`, `[]`, `{"service":"app","state":"warming"}`}
+var invalidEntries = []string{"{", `{"service":"app","address":"not an address","state":"ready","slots":-4}`, `[]`, `{"service":"app","state":"warming"}`}
 
-// corruptEntries adds invalid entries to the registry, and overwrites one endpoint's entry, which
-// the endpoint restores later.
+// corruptEntries adds invalid registry entries, and overwrites the entry of an endpoint for a while.
 func (s *injection) corruptEntries() {
 	e := s.site.randomEndpoint(s.rng, minEndpoints)
 	if e == nil {
 		return
 	}
 	s.apply(Fault{Kind: "entries of another writer", Endpoint: e.server.ID}, func() {
-		for n, text := range foreignEntries {
+		for n, text := range invalidEntries {
 			s.site.store.PutRaw(fmt.Sprintf("servers/x-%d", n), []byte(text))
 		}
-		s.site.store.PutRaw("servers/"+e.server.ID, []byte(foreignEntries[s.rng.IntN(len(foreignEntries))]))
+		s.site.store.PutRaw("servers/"+e.server.ID, []byte(invalidEntries[s.rng.IntN(len(invalidEntries))]))
 	}, s.duration, func() {
 		s.site.mu.Lock()
 		defer s.site.mu.Unlock()
@@ -105,8 +99,7 @@
 	})
 }
 
-// checkBlamed: a request that crashes endpoints is blocked, and no other request is blocked for
-// it.
+// checkBlamed: requests that crash endpoints are blocked, and no others are blocked for that reason.
 func (b *Record) checkBlamed() (out []string) {
 	for _, d := range b.CrashRequests {
 		out = append(out, b.checkCrashRequest(&d)...)
@@ -128,8 +121,8 @@
 	return false
 }
 
-// checkCrashRequest counts the executions of a crashing request by instances in contact later than
-// Bounds.Contact after its third execution.
+// checkCrashRequest bounds the executions of a crashing request by instances in contact later than
+// Bounds.Contact after the third execution.
 func (b *Record) checkCrashRequest(d *CrashRequest) []string {
 	type sent struct {
 		at      time.Time
--- a/soak/endpoint_hints.go
+++ b/soak/endpoint_hints.go
@@ -1,8 +1,5 @@
 package soak
 
-// This file has endpoints ask for rest and announce their leaving in responses, and checks that
-// instances honour both.
-
 import (
 	"fmt"
 	"slices"
@@ -12,29 +9,24 @@
 )
 
 const (
-	// restRequested is the rest that endpoints ask for. It is longer than most faults, so that it
-	// continues after them.
-	restRequested = 3 * time.Second
-	// restInFlightGrace is how long after the response requests in flight may still arrive.
-	restInFlightGrace = 500 * time.Millisecond
-	// restTolerance is how many later requests an endpoint may receive in each rest.
-	restTolerance = 2
+	retryAfter          = 3 * time.Second        // longer than most faults, so that it is in force after them
+	retryAfterGrace     = 500 * time.Millisecond // after the rejection, for requests already in flight
+	retryAfterTolerance = 2                      // requests that may arrive within each Retry-After
 )
 
-// askForRest has an endpoint reject all requests and ask for rest.
-func (s *injection) askForRest() {
-	s.changeBehaviour("endpoint asks for rest", func(b *standin.Behaviour) { b.Shed, b.RetryAfter = true, restRequested })
+func (s *injection) rejectWithRetryAfter() {
+	s.changeBehaviour("endpoint asks for rest", func(b *standin.Behaviour) { b.Shed, b.RetryAfter = true, retryAfter })
 }
 
-// allAskForRest has all endpoints of a service reject all requests and ask for rest.
-func (s *injection) allAskForRest() {
+// rejectAllWithRetryAfter has all endpoints of a random service reject requests with Retry-After.
+func (s *injection) rejectAllWithRetryAfter() {
 	e := s.site.randomEndpoint(s.rng, 0)
 	if e == nil {
 		return
 	}
 	service := e.server.Service
 	b := normalBehaviour[service]
-	b.Shed, b.RetryAfter = true, restRequested
+	b.Shed, b.RetryAfter = true, retryAfter
 	const kind = "all endpoints of a service ask for rest"
 	all := s.site.endpointsOf(service)
 	s.apply(Fault{Kind: kind, Endpoint: e.server.ID}, func() {
@@ -45,11 +37,10 @@
 		for _, e := range all {
 			e.server.SetBehaviour(normalBehaviour[service])
 		}
-		s.run.wait(restRequested)
+		s.run.wait(retryAfter)
 	})
 }
 
-// endpointsOf returns the published endpoints of a service.
 func (s *site) endpointsOf(service string) (out []*endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,9 +52,8 @@
 	return out
 }
 
-// leaveByAnswers has an endpoint announce in its responses alone that it leaves, before its entry
-// is withdrawn.
-func (s *injection) leaveByAnswers() {
+// announceLeavingInResponses has an endpoint announce its leaving in responses, not in its entry.
+func (s *injection) announceLeavingInResponses() {
 	e := s.replaceEndpoint()
 	if e == nil {
 		return
@@ -76,7 +66,6 @@
 	s.run.wait(drainPeriod)
 }
 
-// excludeFromFaults makes an endpoint unavailable to other faults.
 func (s *site) excludeFromFaults(e *endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,14 +75,14 @@
 // A pair is an endpoint and an instance that sends to it.
 type pair struct{ endpoint, instance string }
 
-// An arrival is a run together with its request.
+// An arrival is a delivery with its request.
 type arrival struct {
 	Delivery
 	request *Request
 }
 
-// runsByPair returns what endpoints received from each instance, in order of arrival.
-func (b *Record) runsByPair() map[pair][]arrival {
+// deliveriesByPair returns the deliveries from each instance to each endpoint, in order of arrival.
+func (b *Record) deliveriesByPair() map[pair][]arrival {
 	out := make(map[pair][]arrival)
 	b.each(func(q *Request) {
 		for _, r := range b.Deliveries[q.ID] {
@@ -107,22 +96,22 @@
 	return out
 }
 
-// checkRest: an instance that was asked for rest sends the endpoint no requests for that time.
+// checkRest: an instance sends an endpoint no requests within the Retry-After of a rejection.
 func (b *Record) checkRest() (out []string) {
-	for p, runs := range b.runsByPair() {
-		for _, asked := range runs {
-			from, to := asked.Ended.Add(restInFlightGrace), asked.Ended.Add(asked.RetryAfter)
-			if asked.RetryAfter == 0 || b.instanceFaulted(p.instance, asked.Ended, to) {
+	for p, deliveries := range b.deliveriesByPair() {
+		for _, rejected := range deliveries {
+			from, to := rejected.Ended.Add(retryAfterGrace), rejected.Ended.Add(rejected.RetryAfter)
+			if rejected.RetryAfter == 0 || b.instanceFaulted(p.instance, rejected.Ended, to) {
 				continue
 			}
 			n := 0
-			for _, r := range runs {
+			for _, r := range deliveries {
 				if r.At.After(from) && r.At.Before(to) {
 					n++
 				}
 			}
-			if n > restTolerance {
-				out = append(out, fmt.Sprintf("endpoint %s asked %s for %s of rest, and received %d requests within it", p.endpoint, p.instance, asked.RetryAfter, n))
+			if n > retryAfterTolerance {
+				out = append(out, fmt.Sprintf("endpoint %s sent %s a Retry-After of %s, and received %d requests within it", p.endpoint, p.instance, rejected.RetryAfter, n))
 			}
 		}
 	}
@@ -133,26 +122,26 @@
 // Unlike inContact, it ignores earlier faults.
 func (b *Record) instanceFaulted(instance string, from, to time.Time) bool {
 	for i := range b.Faults {
-		t := &b.Faults[i]
-		if !t.KeepsContact && t.Endpoint == "" && (t.Instance == "" || t.Instance == instance) && t.during(from, to) {
+		f := &b.Faults[i]
+		if !f.KeepsContact && f.Endpoint == "" && (f.Instance == "" || f.Instance == instance) && f.during(from, to) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkLeaving: an endpoint that announced in a response that it leaves receives no requests sent
-// after Bounds.Drain from the instance that got the response, whether in contact or not.
+// checkLeaving: an instance sends an endpoint no requests later than Bounds.Drain after a response
+// that announced its leaving. The instance need not be in contact.
 func (b *Record) checkLeaving() (out []string) {
-	for p, runs := range b.runsByPair() {
-		var said time.Time
-		for _, r := range runs {
-			late := !said.IsZero() && r.request.Sent.After(said.Add(b.Bounds.Drain))
-			if late && !b.instanceFaulted(p.instance, said, r.At) {
-				out = append(out, fmt.Sprintf("%s: reached endpoint %s from %s %v after it announced in a response that it leaves", r.request.ID, p.endpoint, p.instance, r.At.Sub(said).Round(time.Millisecond)))
+	for p, deliveries := range b.deliveriesByPair() {
+		var announcedAt time.Time
+		for _, r := range deliveries {
+			late := !announcedAt.IsZero() && r.request.Sent.After(announcedAt.Add(b.Bounds.Drain))
+			if late && !b.instanceFaulted(p.instance, announcedAt, r.At) {
+				out = append(out, fmt.Sprintf("%s: reached endpoint %s from %s %v after it announced in a response that it leaves", r.request.ID, p.endpoint, p.instance, r.At.Sub(announcedAt).Round(time.Millisecond)))
 			}
-			if said.IsZero() && r.Draining {
-				said = r.Ended
+			if announcedAt.IsZero() && r.Draining {
+				announcedAt = r.Ended
 			}
 		}
 	}
--- a/soak/engine_loss.go
+++ b/soak/engine_loss.go
@@ -1,22 +1,19 @@
 package soak
 
-// This file cuts the streams of several engines at once, repeatedly.
-
 import (
 	"time"
 
 	"ivyridge/internal/link"
 )
 
-// Parameters of simultaneous engine losses.
 const (
 	maxLosses    = 4 // in succession
 	lossInterval = 600 * time.Millisecond
-	lossCutBytes = 400 // of response per connection, a few events of a stream
+	lossCutBytes = 400 // response bytes per connection, a few events of a stream
 )
 
-// cutEngines cuts the connections of half of the engines a few times in succession. Many instances
-// then retry at once, so only a retry limit that they share bounds the retries.
+// cutEngines repeatedly cuts the connections of half of the engines. Many instances then retry at
+// once, and only a retry limit that they share bounds the retries.
 func (s *injection) cutEngines() {
 	engines := s.site.engines()
 	s.rng.Shuffle(len(engines), func(i, j int) { engines[i], engines[j] = engines[j], engines[i] })
@@ -36,7 +33,6 @@
 	}
 }
 
-// engines returns the published endpoints of service "llm".
 func (s *site) engines() (out []*endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/soak/evacuate.go
+++ b/soak/evacuate.go
@@ -1,25 +1,21 @@
 package soak
 
-// This file evacuates data centres and starts cold endpoints, and checks the load on both.
-
 import (
 	"fmt"
 	"slices"
 	"time"
 )
 
-// Parameters of cold endpoints. The rate is below an endpoint's usual load, so that a violation
-// shows.
 const (
 	coldPeriod = 3 * time.Second
-	coldRate   = 4.0 // requests per second
+	coldRate   = 4.0 // requests per second; below an endpoint's usual load, so that violations show
 )
 
-// An Evacuation is a period in which a data centre was to be empty.
+// An Evacuation is a period in which a data centre must receive no new requests.
 type Evacuation struct {
 	DataCentre string
 	Acked      time.Time
-	Over       time.Time // when its end was ordered; zero: still in force
+	Over       time.Time // when its end was ordered; zero if it is in force
 }
 
 // A ColdPeriod is a period in which an endpoint was cold.
@@ -31,11 +27,10 @@
 // evacuate has a data centre evacuated for a while. Its endpoints are cold at the end.
 func (s *injection) evacuate() {
 	dataCentre := dataCentres[s.rng.IntN(len(dataCentres))]
-	t := Fault{Kind: "data centre evacuated", Planned: true, KeepsContact: true}
-	s.apply(t, func() { s.site.evacuate(dataCentre) }, deploymentBounds.Evacuate+s.duration, func() { s.site.endEvacuation(dataCentre) })
+	f := Fault{Kind: "data centre evacuated", Planned: true, KeepsContact: true}
+	s.apply(f, func() { s.site.evacuate(dataCentre) }, deploymentBounds.Evacuate+s.duration, func() { s.site.endEvacuation(dataCentre) })
 }
 
-// evacuate orders a data centre's evacuation.
 func (s *site) evacuate(dataCentre string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +38,6 @@
 	s.record.Evacuations = append(s.record.Evacuations, Evacuation{DataCentre: dataCentre, Acked: time.Now()})
 }
 
-// endEvacuation ends a data centre's evacuation and marks its endpoints cold.
 func (s *site) endEvacuation(dataCentre string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,8 +55,7 @@
 	}
 }
 
-// markCold records that an endpoint is cold from a time on, and publishes it. The caller holds
-// s.mu.
+// markCold publishes e as cold and records that it is from a time on. The caller holds s.mu.
 func (s *site) markCold(e *endpoint, from time.Time) {
 	s.record.ColdPeriods = append(s.record.ColdPeriods, ColdPeriod{Endpoint: e.server.ID, From: from, To: from.Add(coldPeriod)})
 	entry := e.registryEntry(false)
@@ -70,7 +63,6 @@
 	s.store.List(entry)
 }
 
-// addCold starts an endpoint that is cold.
 func (s *injection) addCold() {
 	e := s.site.randomEndpoint(s.rng, 0)
 	if e == nil {
@@ -98,12 +90,11 @@
 	return out
 }
 
-// checkFailback: a cold endpoint receives no more requests in any second than its rate allows,
-// from all instances together, in contact or not.
+// checkFailback: in any second all instances together keep to the rate of a cold endpoint.
 func (b *Record) checkFailback() (out []string) {
 	arrived := make(map[string][]time.Time)
-	for _, runs := range b.Deliveries {
-		for _, r := range runs {
+	for _, deliveries := range b.Deliveries {
+		for _, r := range deliveries {
 			arrived[r.Endpoint] = append(arrived[r.Endpoint], r.At)
 		}
 	}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -1,7 +1,5 @@
 package soak
 
-// This file defines the kinds of faults and injects them.
-
 import (
 	"fmt"
 	"math/rand/v2"
@@ -15,20 +13,19 @@
 	"ivyridge/platform/standin"
 )
 
-// Durations and magnitudes of faults.
 const (
 	meanFaultInterval = 1500 * time.Millisecond // between the starts of faults
 	minFaultDuration  = 300 * time.Millisecond
 	maxFaultDuration  = 4 * time.Second
 	maxPause          = 7 * time.Second // longer than the bound on revocations
 	restartDelay      = 300 * time.Millisecond
-	drainPeriod       = 2500 * time.Millisecond // an endpoint keeps serving after its leaving notice
-	growthRoutes      = 800
-	rapidVersions     = 6
-	burstFactor       = 8 // on the request rate
+	drainPeriod       = 2500 * time.Millisecond // from the leaving notice of an endpoint until it is withdrawn
+	growthRoutes      = 800                     // added by one configuration growth
+	rapidVersions     = 6                       // published in quick succession
+	burstFactor       = 8                       // on the request rate
 )
 
-// An injection is one fault as drawn: its random source, its duration and the site it affects.
+// An injection is one drawn fault: its random source, its duration and the site it affects.
 type injection struct {
 	rng      *rand.Rand
 	duration time.Duration
@@ -36,21 +33,20 @@
 	run      *run
 }
 
-// A faultKind is a kind of fault. inject starts it, waits for its duration, undoes it, and records
-// it.
+// A faultKind is a kind of fault. inject starts it, waits, undoes it and records it.
 type faultKind struct {
 	name   string
 	inject func(*injection)
 }
 
-// allFaultKinds are the kinds that need one build only.
+// allFaultKinds are the kinds that need no older build.
 var allFaultKinds = []faultKind{
 	{"instance killed", func(s *injection) { s.withInstance(s.kill) }},
 	{"data centre killed", func(s *injection) { s.killDataCentre() }},
 	{"all killed", func(s *injection) { s.killAll() }},
 	{"instance replaced at another address", func(s *injection) { s.withInstance(s.replace) }},
 	{"instance paused", func(s *injection) { s.withInstance(s.pause) }},
-	{"instance stopped", func(s *injection) { s.withInstance(s.stop) }},
+	{"instance stopped", func(s *injection) { s.withInstance(s.restart) }},
 	{"all stopped in turn", func(s *injection) { s.rollingRestart() }},
 	{"settings reloaded", func(s *injection) { s.withInstance(func(r *instance) { s.reload(r, false) }) }},
 	{"faulty settings", func(s *injection) { s.withInstance(func(r *instance) { s.reload(r, true) }) }},
@@ -119,12 +115,12 @@
 	{"endpoint refuses", func(s *injection) {
 		s.changeBehaviour("endpoint refuses", func(b *standin.Behaviour) { b.Shed = true })
 	}},
-	{"endpoint asks for rest", func(s *injection) { s.askForRest() }},
-	{"all endpoints of a service ask for rest", func(s *injection) { s.allAskForRest() }},
-	{"endpoint names its limit", func(s *injection) { s.nameLimit() }},
-	{"all endpoints of a service name limits", func(s *injection) { s.nameAllLimits() }},
-	{"endpoint names odd limits", func(s *injection) { s.nameOddLimits() }},
-	{"endpoint leaves, as its answers say", func(s *injection) { s.leaveByAnswers() }},
+	{"endpoint asks for rest", func(s *injection) { s.rejectWithRetryAfter() }},
+	{"all endpoints of a service ask for rest", func(s *injection) { s.rejectAllWithRetryAfter() }},
+	{"endpoint names its limit", func(s *injection) { s.announceLimit() }},
+	{"all endpoints of a service name limits", func(s *injection) { s.announceAllLimits() }},
+	{"endpoint names odd limits", func(s *injection) { s.announceInvalidLimits() }},
+	{"endpoint leaves, as its answers say", func(s *injection) { s.announceLeavingInResponses() }},
 	{"endpoint breaks off", func(s *injection) {
 		s.changeBehaviour("endpoint breaks off", func(b *standin.Behaviour) { b.Cut, b.CutAfter, b.CutMidEvent = true, 3, true })
 	}},
@@ -161,8 +157,8 @@
 	return out
 }
 
-// selectFaultKinds returns the kinds with the given names, or all applicable ones if no name is
-// given. The kinds that need an older build apply if mixed is set.
+// selectFaultKinds returns the named kinds, or all if none is named. Kinds that need an older build
+// are available only if mixed is set.
 func selectFaultKinds(kinds []string, mixed bool) ([]faultKind, error) {
 	all := allFaultKinds
 	if mixed {
@@ -182,13 +178,11 @@
 	return out, nil
 }
 
-// randomDuration returns a random duration of at least minFaultDuration and less than longest.
 func randomDuration(rng *rand.Rand, longest time.Duration) time.Duration {
 	return minFaultDuration + time.Duration(rng.Int64N(int64(longest-minFaultDuration)))
 }
 
-// withInstance acquires a random instance and calls do with it. It does nothing if no instance is
-// free.
+// withInstance acquires a random instance and calls do with it. It does nothing if none is free.
 func (s *injection) withInstance(do func(*instance)) {
 	if r := s.run.acquire(s.rng); r != nil {
 		defer s.run.release(r)
@@ -197,14 +191,14 @@
 }
 
 // apply starts a fault, waits for its duration, ends it and records it.
-func (s *injection) apply(t Fault, begin func(), duration time.Duration, end func()) {
-	t.From = time.Now()
-	s.run.logFault(t)
+func (s *injection) apply(f Fault, begin func(), duration time.Duration, end func()) {
+	f.From = time.Now()
+	s.run.logFault(f)
 	begin()
 	s.run.wait(duration)
 	end()
-	t.To = time.Now()
-	s.site.recordFault(t)
+	f.To = time.Now()
+	s.site.recordFault(f)
 }
 
 func (s *injection) kill(r *instance) {
@@ -220,8 +214,8 @@
 	s.killMany("all killed", true, func(*instance) bool { return true })
 }
 
-// killMany kills the instances that selects accepts at the same time, and restarts them. With all
-// set, it is a loss of all instances.
+// killMany kills the selected instances at the same time and restarts them. all says that these are
+// all instances, and records the time of recovery.
 func (s *injection) killMany(kind string, all bool, selects func(*instance) bool) {
 	instances := s.run.acquireAll()
 	if instances == nil {
@@ -234,8 +228,8 @@
 			affected = append(affected, r)
 		}
 	}
-	t := Fault{Kind: kind, AllInstances: all}
-	s.apply(t, func() {
+	f := Fault{Kind: kind, AllInstances: all}
+	s.apply(f, func() {
 		for _, r := range affected {
 			r.signal(syscall.SIGKILL)
 		}
@@ -252,7 +246,6 @@
 	}
 }
 
-// replace retires an instance, starts another one at a new address, and updates the seeds of all.
 func (s *injection) replace(r *instance) {
 	s.apply(Fault{Kind: "instance replaced at another address", Instance: r.name}, func() {
 		r.kill()
@@ -265,8 +258,7 @@
 		randomDuration(s.rng, maxPause), func() { r.signal(syscall.SIGCONT) })
 }
 
-// stop shuts an instance down and starts it again.
-func (s *injection) stop(r *instance) {
+func (s *injection) restart(r *instance) {
 	s.apply(Fault{Kind: "instance stopped", Instance: r.name, Planned: true}, func() {
 		if !r.stop() {
 			s.run.note(fmt.Sprintf("%s did not exit within the grace period", r.name))
@@ -281,11 +273,10 @@
 	}
 	defer s.run.release(instances...)
 	for _, r := range instances {
-		s.stop(r)
+		s.restart(r)
 	}
 }
 
-// reload rewrites the settings of an instance and signals it to reload them.
 func (s *injection) reload(r *instance, faulty bool) {
 	s.apply(Fault{Kind: "settings reloaded", Instance: r.name, Planned: true, KeepsContact: true}, func() {
 		s.run.writeSettings(r, faulty)
@@ -300,7 +291,7 @@
 	s.apply(Fault{Kind: "callers' connections reset", Instance: r.name}, r.callers.Reset, 0, func() {})
 }
 
-// degradeLink changes the conditions of one of a random instance's links.
+// degradeLink changes the conditions of a link of a random instance for a while.
 func (s *injection) degradeLink(kind string, which func(*instance) *link.TCP, w link.Conditions) {
 	s.withInstance(func(r *instance) {
 		l, normal := which(r), link.Conditions{}
@@ -314,7 +305,7 @@
 	})
 }
 
-// silenceConnections silences the open connections of one of a random instance's links for good.
+// silenceConnections silences the open connections of a link of a random instance for good.
 func (s *injection) silenceConnections(kind string, which func(*instance) *link.TCP) {
 	s.withInstance(func(r *instance) { s.apply(Fault{Kind: kind, Instance: r.name}, which(r).Silence, 0, func() {}) })
 }
@@ -340,8 +331,8 @@
 	})
 }
 
-func (s *injection) failStore(kind string, t standin.Fault) {
-	s.apply(Fault{Kind: kind}, func() { s.site.store.SetFault(t) }, s.duration, func() { s.site.store.SetFault(standin.None) })
+func (s *injection) failStore(kind string, f standin.Fault) {
+	s.apply(Fault{Kind: kind}, func() { s.site.store.SetFault(f) }, s.duration, func() { s.site.store.SetFault(standin.None) })
 }
 
 func (s *injection) slowStore() {
@@ -355,7 +346,6 @@
 	s.apply(Fault{Kind: kind, Planned: true, KeepsContact: true}, do, 0, func() {})
 }
 
-// moveRoute switches the route "moved" to the other plain service.
 func (s *injection) moveRoute() {
 	s.site.publish(func() {
 		if s.site.routes["moved"] == "app" {
@@ -373,7 +363,6 @@
 	}
 }
 
-// revoke removes the second key of a team for good.
 func (s *injection) revoke() {
 	s.site.publish(func() {
 		for _, team := range sortedKeys(s.site.keys) {
@@ -385,8 +374,8 @@
 	})
 }
 
-// replaceEndpoint starts a replacement for a random endpoint and returns the endpoint that is to
-// leave, or nil if too few are left.
+// replaceEndpoint starts a replacement for a random endpoint and returns the old one, which the
+// caller withdraws; nil if too few are left.
 func (s *injection) replaceEndpoint() *endpoint {
 	e := s.site.randomEndpoint(s.rng, 2)
 	if e == nil {
@@ -399,8 +388,7 @@
 	return e
 }
 
-// removeEndpoint withdraws an endpoint after starting a replacement. With announce set, the
-// endpoint first announces that it leaves.
+// removeEndpoint replaces an endpoint. With announce set, it publishes a leaving notice first.
 func (s *injection) removeEndpoint(announce bool) {
 	e := s.replaceEndpoint()
 	if e == nil {
@@ -419,7 +407,6 @@
 	s.run.wait(drainPeriod)
 }
 
-// degradeEndpointLink changes the conditions of a random endpoint's link.
 func (s *injection) degradeEndpointLink(kind string, w link.Conditions) {
 	e := s.site.randomEndpoint(s.rng, 1)
 	if e == nil {
@@ -443,7 +430,6 @@
 	}
 }
 
-// changeBehaviour changes how a random endpoint responds.
 func (s *injection) changeBehaviour(kind string, change func(*standin.Behaviour)) {
 	e := s.site.randomEndpoint(s.rng, 1)
 	if e == nil {
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -1,7 +1,5 @@
 package soak
 
-// This file runs instances as processes, each behind network links of its own.
-
 import (
 	"encoding/json"
 	"fmt"
@@ -22,7 +20,7 @@
 	"ivyridge/platform"
 )
 
-// Ports, the same at all instances. They lie below the usual ephemeral port range.
+// Ports, the same at all instances and below the usual ephemeral range.
 const (
 	portCallers = 18101
 	portReady   = 18102
@@ -40,7 +38,7 @@
 	octetStore   = 4 // the link from the instance to the store
 )
 
-// maxSeeds is how many instances the settings list as seeds.
+// maxSeeds is the number of seeds in the settings of an instance.
 const maxSeeds = 3
 
 // An instance is one daemon with its addresses, links and process.
@@ -56,12 +54,11 @@
 	mu         sync.Mutex
 	cmd        *exec.Cmd
 	done       chan struct{} // closed when the process has exited
-	expectedUp bool          // an exit of the process is unexpected
+	expectedUp bool          // an exit of the process would be unexpected
 	older      bool          // its next process runs the older build
 	retired    bool          // stopped for good and replaced
 }
 
-// A fleet manages the instances.
 type fleet struct {
 	binary    string
 	older     Build
@@ -71,10 +68,10 @@
 	gossip    *link.Switch
 	datagrams *datagramFaults
 	onExit    func(Exit)
-	spawn     chan func() // run on one OS thread that lives as long as the fleet
+	spawn     chan func() // run on one locked OS thread
 
 	mu        sync.Mutex
-	created   int // instances so far, retired ones too
+	created   int // including retired instances
 	instances []*instance
 }
 
@@ -84,8 +81,8 @@
 		onExit: exits, spawn: make(chan func()),
 	}
 	f.gossip.Set(f.datagramConditions)
-	// Pdeathsig is sent when the thread that started the process exits. A locked thread that
-	// lives as long as the fleet ensures that no instance outlives a soak that is killed.
+	// Pdeathsig is sent when the thread that started the process exits. A locked thread that lives as
+	// long as the fleet ends the instances if the soak is killed.
 	go func() {
 		runtime.LockOSThread()
 		for run := range f.spawn {
@@ -99,7 +96,6 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", f.net, octet, n, port)
 }
 
-// add creates an instance with its links and starts it.
 func (f *fleet) add(dataCentre string) (*instance, error) {
 	f.mu.Lock()
 	f.created++
@@ -131,10 +127,9 @@
 	if err := f.write(r, false); err != nil {
 		return nil, err
 	}
-	return r, f.run(r)
+	return r, f.startProcess(r)
 }
 
-// live returns the instances that are not retired.
 func (f *fleet) live() []*instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,7 +142,6 @@
 	return out
 }
 
-// seeds returns the peer addresses of the first live instances.
 func (f *fleet) seeds() []string {
 	var out []string
 	for _, r := range f.live() {
@@ -158,15 +152,13 @@
 
 func (r *instance) file(f *fleet) string { return filepath.Join(f.dir, r.name+".yaml") }
 
-// retire removes r from the live instances.
 func (f *fleet) retire(r *instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r.retired = true
 }
 
-// namedDataCentres returns the data centres and their regions in the form that settings use.
-func namedDataCentres() string {
+func dataCentresYAML() string {
 	var out []string
 	for _, name := range dataCentres {
 		out = append(out, "{name: "+name+", region: "+regionOf[name]+"}")
@@ -174,8 +166,7 @@
 	return strings.Join(out, ", ")
 }
 
-// write writes the settings of r. With faulty set they are invalid, and the instance must reject
-// them.
+// write writes the settings of r. With faulty set, the instance must reject them.
 func (f *fleet) write(r *instance, faulty bool) error {
 	seeds, err := json.Marshal(f.seeds())
 	if err != nil {
@@ -197,7 +188,7 @@
   retry_extra: %d
   cold_over: %g
   cold_slack: %g
-`, r.name, r.dataCentre, namedDataCentres(), f.address(octetListen, r.number, portCallers), f.address(octetListen, r.number, portReady),
+`, r.name, r.dataCentre, dataCentresYAML(), f.address(octetListen, r.number, portCallers), f.address(octetListen, r.number, portReady),
 		f.address(octetListen, r.number, portPeers), portGossip, portMetrics, seeds, r.store.Address, maxMemoryMB,
 		deploymentBounds.Propagation.Milliseconds(), deploymentBounds.Revoke.Milliseconds(), stopGrace.Seconds(),
 		deploymentBounds.RetryRatio, deploymentBounds.RetryExtra, deploymentBounds.ColdOver, deploymentBounds.ColdSlack)
@@ -210,8 +201,7 @@
 	return errors.Wrap(os.WriteFile(r.file(f), []byte(text), 0o600), "soak")
 }
 
-// run starts the process of r.
-func (f *fleet) run(r *instance) error {
+func (f *fleet) startProcess(r *instance) error {
 	log, err := os.OpenFile(filepath.Join(f.dir, r.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return errors.Wrap(err, "soak")
@@ -255,22 +245,19 @@
 	}
 }
 
-// exited returns a channel that is closed when the process of r has exited; nil if it was never
-// started.
+// exited returns a channel that is closed when the process has exited; nil if none was started.
 func (r *instance) exited() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.done
 }
 
-// kill kills the process of r and waits until it has exited.
 func (r *instance) kill() {
 	r.signal(syscall.SIGKILL)
 	<-r.exited()
 }
 
-// stop shuts the process of r down, and kills it after stopGrace. It reports whether the process
-// exited by itself.
+// stop sends SIGTERM, and SIGKILL after stopGrace. It reports whether SIGTERM was sufficient.
 func (r *instance) stop() (graceful bool) {
 	r.signal(syscall.SIGTERM)
 	select {
@@ -282,7 +269,6 @@
 	}
 }
 
-// close kills all processes and closes all links.
 func (f *fleet) close() {
 	f.mu.Lock()
 	instances := append([]*instance(nil), f.instances...)
@@ -303,7 +289,6 @@
 	close(f.spawn)
 }
 
-// footprint measures the resource use of r.
 func (f *fleet) footprint(r *instance) Footprint {
 	out := Footprint{Instance: r.name, Ready: f.ready(r)}
 	r.mu.Lock()
@@ -336,7 +321,6 @@
 // probe queries instances directly, bypassing their links.
 var probe = &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// ready reports whether r answers its readiness probe with status 200.
 func (f *fleet) ready(r *instance) bool {
 	res, err := probe.Get("http://" + f.address(octetListen, r.number, portReady) + platform.ReadyPath)
 	if err != nil {
@@ -346,8 +330,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// listenAddress returns the address of an instance's own listener for callers, bypassing its link;
-// empty if there is no such instance.
+// listenAddress returns the address of an instance's listener for callers, or "".
 func (f *fleet) listenAddress(name string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -357,8 +340,7 @@
 	return ""
 }
 
-// callersAddress returns the address of an instance's link for callers; empty if there is no such
-// instance.
+// callersAddress returns the address of the link from callers to an instance, or "".
 func (f *fleet) callersAddress(name string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -1,8 +1,5 @@
 package soak
 
-// This file has endpoints announce limits on their request rate from all instances together, and
-// checks that they are kept.
-
 import (
 	"fmt"
 	"math"
@@ -13,40 +10,32 @@
 )
 
 const (
-	// limitSpan is the window in which an endpoint's requests are counted. Within it the endpoint
-	// may receive limitOver times its limit, plus limitSlack requests.
-	limitSpan  = 4 * time.Second
-	limitOver  = 1.5
-	limitSlack = 5
-	// limitKnownDelay is how long after forwarding a response that announces a limit an instance
-	// must keep the limit.
-	limitKnownDelay = 500 * time.Millisecond
-	// limitsDuration is how long endpoints announce limits. It covers several windows.
-	limitsDuration = 10 * time.Second
+	limitWindow     = 4 * time.Second        // in which an endpoint's requests are counted
+	limitOver       = 1.5                    // factor on the limit that a window may reach
+	limitSlack      = 5                      // requests allowed on top
+	limitKnownDelay = 500 * time.Millisecond // from a response that announces a limit until its instance must keep it
+	limitsDuration  = 10 * time.Second       // of announcements; covers several windows
 )
 
-// limits are valid announcements, in requests per second; oddLimits are invalid ones.
+// Announced limits, in requests per second.
 var (
-	limits    = []string{"0", "0.5", "1.2", "6", "40"}
-	oddLimits = []string{"-3", "NaN", "many", "+Inf", "1e999"}
+	limits        = []string{"0", "0.5", "1.2", "6", "40"}
+	invalidLimits = []string{"-3", "NaN", "many", "+Inf", "1e999"}
 )
 
-// nameLimit has an endpoint announce a limit, and later another one.
-func (s *injection) nameLimit() { s.nameLimits("endpoint names its limit", limits, limits, 1) }
+func (s *injection) announceLimit() { s.announceLimits("endpoint names its limit", limits, limits, 1) }
 
-// nameAllLimits has all endpoints of a service announce limits.
-func (s *injection) nameAllLimits() {
-	s.nameLimits("all endpoints of a service name limits", limits[3:], limits[1:], math.MaxInt)
+func (s *injection) announceAllLimits() {
+	s.announceLimits("all endpoints of a service name limits", limits[3:], limits[1:], math.MaxInt)
 }
 
-// nameOddLimits has an endpoint announce invalid limits.
-func (s *injection) nameOddLimits() {
-	s.nameLimits("endpoint names odd limits", oddLimits, oddLimits, 1)
+func (s *injection) announceInvalidLimits() {
+	s.announceLimits("endpoint names odd limits", invalidLimits, invalidLimits, 1)
 }
 
-// nameLimits has a random endpoint, or all endpoints of its service if maxEndpoints is above 1,
+// announceLimits has a random endpoint, or all endpoints of its service if maxEndpoints is above 1,
 // announce a limit out of first, and later one out of second.
-func (s *injection) nameLimits(kind string, first, second []string, maxEndpoints int) {
+func (s *injection) announceLimits(kind string, first, second []string, maxEndpoints int) {
 	e := s.site.randomEndpoint(s.rng, min(1, math.MaxInt-maxEndpoints))
 	if e == nil {
 		return
@@ -75,22 +64,21 @@
 	})
 }
 
-// A limitedRun is a run whose response announced a limit.
-type limitedRun struct {
+// A limitedDelivery is a delivery whose response announced a limit.
+type limitedDelivery struct {
 	arrival
 	limit float64
 }
 
-// checkLimit: an endpoint that announces a limit receives no more requests than it allows from the
-// instances that know the limit.
+// checkLimit: the instances that know the limit of an endpoint together keep to it.
 func (b *Record) checkLimit() (out []string) {
 	byEndpoint := make(map[string][]arrival)
-	for p, runs := range b.runsByPair() {
-		byEndpoint[p.endpoint] = append(byEndpoint[p.endpoint], runs...)
+	for p, deliveries := range b.deliveriesByPair() {
+		byEndpoint[p.endpoint] = append(byEndpoint[p.endpoint], deliveries...)
 	}
-	for endpoint, runs := range byEndpoint {
-		slices.SortFunc(runs, func(x, y arrival) int { return x.At.Compare(y.At) })
-		for _, announced := range limitSpans(runs) {
+	for endpoint, deliveries := range byEndpoint {
+		slices.SortFunc(deliveries, func(x, y arrival) int { return x.At.Compare(y.At) })
+		for _, announced := range limitSequences(deliveries) {
 			if what := b.limitExceeded(endpoint, announced); what != "" {
 				out = append(out, what)
 			}
@@ -99,62 +87,61 @@
 	return out
 }
 
-// limitSpans splits the runs at an endpoint into sequences in which every response announced a
-// valid limit.
-func limitSpans(runs []arrival) (out [][]limitedRun) {
-	var announced []limitedRun
-	for _, r := range runs {
+// limitSequences splits deliveries into sequences in which every response announced a valid limit.
+func limitSequences(deliveries []arrival) (out [][]limitedDelivery) {
+	var announced []limitedDelivery
+	for _, r := range deliveries {
 		limit, err := strconv.ParseFloat(r.Limit, 64)
 		if err != nil || math.IsNaN(limit) || math.IsInf(limit, 0) || limit < 0 {
 			out, announced = append(out, announced), nil
 			continue
 		}
-		announced = append(announced, limitedRun{r, limit})
+		announced = append(announced, limitedDelivery{r, limit})
 	}
 	return append(out, announced)
 }
 
-// limitExceeded describes the first window in which an endpoint received too many requests; empty
-// if there is none. The highest limit announced since Bounds.Contact before the window applies.
-func (b *Record) limitExceeded(endpoint string, announced []limitedRun) string {
-	counted := slices.DeleteFunc(slices.Clone(announced), func(r limitedRun) bool { return !b.knewLimit(announced, r.arrival) })
+// limitExceeded describes the first window with too many requests, if there is one. The highest
+// limit announced since Bounds.Contact before the window applies.
+func (b *Record) limitExceeded(endpoint string, announced []limitedDelivery) string {
+	counted := slices.DeleteFunc(slices.Clone(announced), func(r limitedDelivery) bool { return !b.knewLimit(announced, r.arrival) })
 	for i, first := range counted {
 		n, limit := 0, 0.0
 		for _, r := range counted[i:] {
-			if r.At.Sub(first.At) < limitSpan {
+			if r.At.Sub(first.At) < limitWindow {
 				n++
 			}
 		}
 		for _, r := range announced {
-			if r.At.After(first.At.Add(-b.Bounds.Contact)) && r.At.Before(first.At.Add(limitSpan)) {
+			if r.At.After(first.At.Add(-b.Bounds.Contact)) && r.At.Before(first.At.Add(limitWindow)) {
 				limit = max(limit, r.limit)
 			}
 		}
-		if allowed := limitOver*limit*limitSpan.Seconds() + limitSlack; float64(n) > allowed {
-			return fmt.Sprintf("endpoint %s announced a limit of %v requests/s, and received %d requests in %v from instances that knew it; %.0f allowed", endpoint, limit, n, limitSpan, allowed)
+		if allowed := limitOver*limit*limitWindow.Seconds() + limitSlack; float64(n) > allowed {
+			return fmt.Sprintf("endpoint %s announced a limit of %v requests/s, and received %d requests in %v from instances that knew it; %.0f allowed", endpoint, limit, n, limitWindow, allowed)
 		}
 	}
 	return ""
 }
 
-// knewLimit reports whether a run's instance had forwarded a response that announced the limit,
-// and was not disturbed since.
-func (b *Record) knewLimit(announced []limitedRun, run arrival) bool {
+// knewLimit reports whether a delivery's instance had forwarded a response with a limit at least
+// limitKnownDelay earlier, and no fault has affected it since.
+func (b *Record) knewLimit(announced []limitedDelivery, delivery arrival) bool {
 	for _, r := range slices.Backward(announced) {
-		if r.request.Instance == run.request.Instance && !r.Ended.IsZero() && !r.Ended.Add(limitKnownDelay).After(run.At) {
-			return !b.limitExcused(run.request.Instance, r.Ended, run.At)
+		if r.request.Instance == delivery.request.Instance && !r.Ended.IsZero() && !r.Ended.Add(limitKnownDelay).After(delivery.At) {
+			return !b.limitExcused(delivery.request.Instance, r.Ended, delivery.At)
 		}
 	}
 	return false
 }
 
 // limitExcused reports whether an instance was stopped, paused or cut off between from and to.
-// Faults of the store and planned operations on the whole site are no excuse.
+// Faults of the store and planned operations on all instances do not count.
 func (b *Record) limitExcused(instance string, from, to time.Time) bool {
 	for i := range b.Faults {
-		t := &b.Faults[i]
-		ofAll := t.Instance == "" && !t.Planned && !strings.HasPrefix(t.Kind, "store")
-		if !t.KeepsContact && t.Endpoint == "" && (ofAll || t.Instance == instance) && t.during(from, to) {
+		f := &b.Faults[i]
+		ofAll := f.Instance == "" && !f.Planned && !strings.HasPrefix(f.Kind, "store")
+		if !f.KeepsContact && f.Endpoint == "" && (ofAll || f.Instance == instance) && f.during(from, to) {
 			return true
 		}
 	}
--- a/soak/mixed_builds.go
+++ b/soak/mixed_builds.go
@@ -1,8 +1,5 @@
 package soak
 
-// This file runs instances of an older build beside the current one, and upgrades them in a
-// rolling fashion.
-
 import (
 	"slices"
 	"strings"
@@ -11,17 +8,16 @@
 
 // Build describes an earlier build of the daemon, which every second instance runs at first.
 type Build struct {
-	Binary          string   // path; empty: none
+	Binary          string   // path; empty if there is no older build
 	UnknownSettings []string // settings that the build does not know
-	UnknownRules    []string // rules that the build does not fulfil; they are checked for newer instances only
+	UnknownRules    []string // rules that the build violates; checked for newer instances only
 }
 
-// removeUnknownSettings removes the lines of settings that the build does not know.
-func (o *Build) removeUnknownSettings(text string) string {
+func (b *Build) removeUnknownSettings(text string) string {
 	lines := strings.SplitAfter(text, "\n")
 	lines = slices.DeleteFunc(lines, func(line string) bool {
 		name, _, _ := strings.Cut(strings.TrimSpace(line), ":")
-		return slices.Contains(o.UnknownSettings, name)
+		return slices.Contains(b.UnknownSettings, name)
 	})
 	return strings.Join(lines, "")
 }
@@ -44,7 +40,6 @@
 	r.older = older
 }
 
-// binaryOf returns the path of the binary that the next process of r runs.
 func (f *fleet) binaryOf(r *instance) string {
 	if r.isOlder() {
 		return f.older.Binary
@@ -52,24 +47,23 @@
 	return f.binary
 }
 
-// recordBuild records which build r runs from now on.
 func (s *site) recordBuild(r *instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	spans := s.record.OlderBuildPeriods
-	for i := range spans {
-		if spans[i].Instance == r.name && spans[i].To.IsZero() {
-			spans[i].To = now
+	periods := s.record.OlderBuildPeriods
+	for i := range periods {
+		if periods[i].Instance == r.name && periods[i].To.IsZero() {
+			periods[i].To = now
 		}
 	}
 	if r.isOlder() {
-		s.record.OlderBuildPeriods = append(spans, OlderBuildPeriod{Instance: r.name, From: now})
+		s.record.OlderBuildPeriods = append(periods, OlderBuildPeriod{Instance: r.name, From: now})
 	}
 }
 
-// upgrade upgrades all instances of the older build in turn by planned stops. With rollBack set,
-// it stops halfway and downgrades all. The fleet is mixed again afterwards.
+// upgrade restarts all instances of the older build in turn with the newer one. With rollBack set, it
+// stops halfway and downgrades all. At the end every second instance runs the older build again.
 func (s *injection) upgrade(rollBack bool) {
 	instances := s.run.acquireAll()
 	if instances == nil {
@@ -87,7 +81,7 @@
 	s.rebuild(instances, func(n int) bool { return n%2 == 1 })
 }
 
-// rebuild stops the instances in turn and starts each with the build that older selects.
+// rebuild restarts the instances in turn, each with the build that older selects.
 func (s *injection) rebuild(instances []*instance, older func(n int) bool) {
 	for n, r := range instances {
 		if r.isOlder() == older(n) {
@@ -111,7 +105,6 @@
 	})
 }
 
-// orFarFuture returns t, or a time in the future if t is zero.
 func orFarFuture(t time.Time) time.Time {
 	if t.IsZero() {
 		return time.Now().Add(time.Hour)
@@ -119,7 +112,7 @@
 	return t
 }
 
-// withoutOlder returns the observations without the requests to instances of the older build.
+// withoutOlder returns a Record without the requests to instances of the older build.
 func (b *Record) withoutOlder() *Record {
 	if len(b.OlderBuildPeriods) == 0 {
 		return b
--- a/soak/record.go
+++ b/soak/record.go
@@ -1,11 +1,8 @@
 // Package soak runs router daemons as processes on loopback addresses under injected faults, and
-// checks invariants from outside. The platform's store, the endpoints and the callers are
-// stand-ins, and the links between them fail as a seeded random plan says.
+// checks the rules of docs/promises.md on what callers, endpoints and the store observe. The store,
+// the endpoints, the callers and the links are simulated.
 //
-// Only what callers, endpoints and the store observe on their sockets is checked. It is collected
-// in Record, and Check evaluates the rules of docs/promises.md on it.
-//
-// A run is determined by its seed, duration and size. Scheduling and the machine's speed still
+// Seed, duration and size determine the injected faults. Scheduling and the speed of the machine
 // vary, so a failed run can be analysed from its logs but not replayed exactly.
 package soak
 
@@ -17,16 +14,16 @@
 
 // Bounds are the limits that a deployment guarantees and the rules check.
 type Bounds struct {
-	Contact     time.Duration // fault-free time before an instance counts as in contact
+	Contact     time.Duration // without faults, until an instance counts as in contact
 	Propagation time.Duration // from the acknowledgement of a configuration until it is in force everywhere
 	Revoke      time.Duration // from the removal of a key until it is rejected everywhere
 	Drain       time.Duration // from an endpoint's leaving notice until it receives no new requests
 	Recover     time.Duration // from the end of a loss of all instances until requests are served
 	RetryWindow time.Duration
-	RetryRatio  float64
-	RetryExtra  int
+	RetryRatio  float64       // maximum ratio of repeats to first attempts in each RetryWindow
+	RetryExtra  int           // repeats allowed on top
 	Evacuate    time.Duration // from an evacuation order until the data centre receives no new requests
-	ColdOver    float64       // factor on coldRate that a cold endpoint may receive in any second
+	ColdOver    float64       // factor on the rate of a cold endpoint that it may receive in any second
 	ColdSlack   float64       // requests allowed on top
 }
 
@@ -48,7 +45,7 @@
 	TeamHomes  map[string][]string // regions allowed to a team; likewise
 }
 
-// A Request is one attempt by a caller and its response. A caller's retry is a Request of its own.
+// A Request is one attempt by a caller and its response. A retry is a Request of its own.
 type Request struct {
 	standin.Request
 	standin.Response
@@ -74,15 +71,14 @@
 	DataCentre string // of the endpoint
 }
 
-// A Fault is an injected fault or a planned operation that affected an instance, an endpoint or
-// the whole site.
+// A Fault is an injected fault or a planned operation. It affects an instance, an endpoint or all.
 type Fault struct {
 	Kind         string
 	Instance     string // empty: all instances, unless Endpoint is set
 	Endpoint     string // empty: not of an endpoint
 	From         time.Time
 	To           time.Time
-	Planned      bool // a stop, reload or configuration change, which must not lose requests
+	Planned      bool // an operation that must not lose requests, such as a stop
 	KeepsContact bool // instances stay in contact during it
 	AllInstances bool // all instances were lost
 }
@@ -131,35 +127,35 @@
 	RecoveredAt time.Time // when the site has recovered from the last fault; zero: not reached
 }
 
-// during reports whether t overlaps the interval from from to to.
-func (t *Fault) during(from, to time.Time) bool { return t.From.Before(to) && t.To.After(from) }
+// during reports whether f overlaps the interval between from and to.
+func (f *Fault) during(from, to time.Time) bool { return f.From.Before(to) && f.To.After(from) }
 
-// inContact reports whether no fault affected an instance between Bounds.Contact before from and
-// to.
+// inContact reports whether no fault that breaks contact affected an instance between
+// Bounds.Contact before from, and to.
 func (b *Record) inContact(instance string, from, to time.Time) bool {
 	for i := range b.Faults {
-		t := &b.Faults[i]
-		if !t.KeepsContact && t.Endpoint == "" && (t.Instance == "" || t.Instance == instance) && t.during(from.Add(-b.Bounds.Contact), to) {
+		f := &b.Faults[i]
+		if !f.KeepsContact && f.Endpoint == "" && (f.Instance == "" || f.Instance == instance) && f.during(from.Add(-b.Bounds.Contact), to) {
 			return false
 		}
 	}
 	return true
 }
 
-// onlyPlannedFaults reports whether the instance and the endpoints of q were affected by at least
-// one planned operation and by no other fault.
+// onlyPlannedFaults reports whether planned operations, and no other faults, affected the instance
+// and the endpoints of q.
 func (b *Record) onlyPlannedFaults(q *Request) bool {
 	planned := false
 	for i := range b.Faults {
-		t := &b.Faults[i]
-		if !t.during(q.Sent.Add(-b.Bounds.Contact), q.Done) {
+		f := &b.Faults[i]
+		if !f.during(q.Sent.Add(-b.Bounds.Contact), q.Done) {
 			continue
 		}
-		relevant := t.Endpoint == "" && (t.Instance == "" || t.Instance == q.Instance)
+		relevant := f.Endpoint == "" && (f.Instance == "" || f.Instance == q.Instance)
 		for _, r := range b.Deliveries[q.ID] {
-			relevant = relevant || r.Endpoint == t.Endpoint
+			relevant = relevant || r.Endpoint == f.Endpoint
 		}
-		if relevant && !t.Planned {
+		if relevant && !f.Planned {
 			return false
 		}
 		planned = planned || relevant
@@ -167,9 +163,8 @@
 	return planned
 }
 
-// possibleVersions returns the versions that may apply to a request that was sent at sent and done
-// at done: the newest one acknowledged at least Bounds.Propagation before sent, and every later
-// one published by done.
+// possibleVersions returns the versions that may apply to a request: the newest one acknowledged at
+// least Bounds.Propagation before sent, and every later one published by done.
 func (b *Record) possibleVersions(sent, done time.Time) []*Version {
 	first := 0
 	for i := range b.Versions {
--- a/soak/regions.go
+++ b/soak/regions.go
@@ -1,26 +1,20 @@
 package soak
 
-// This file connects the instances of two regions over a shared narrow link, and partitions the
-// regions.
-//
-// Datagrams are classified by sender and receiver. TCP connections are classified by destination
-// only, so the instances of the south also reach each other with the delay and rate of the link
-// between regions.
-
 import (
 	"time"
 
 	"ivyridge/internal/link"
 )
 
-// Conditions of the link between regions.
+// Conditions of the link between regions. TCP connections are classified by destination only, so
+// they also apply between instances of the south.
 const (
 	regionDelay      = 12 * time.Millisecond // each way
 	regionRate       = 250_000               // bytes per second, each way
 	regionQueueDelay = 400 * time.Millisecond
 )
 
-// A datagramFault returns the conditions that a fault imposes on datagrams between two instances.
+// A datagramFault returns the conditions of datagrams between two instances during a fault.
 type datagramFault func(from, to *instance) link.DatagramConditions
 
 // datagramFaults combines the link between regions with the active datagram faults.
@@ -36,25 +30,24 @@
 	}
 }
 
-// between returns the conditions of datagrams between two instances: the worst of all active
-// faults.
-func (k *datagramFaults) between(from, to *instance) link.DatagramConditions {
+// between combines the link between regions with the worst values of the active faults.
+func (d *datagramFaults) between(from, to *instance) link.DatagramConditions {
 	out := link.DatagramConditions{}
 	if regionOf[from.dataCentre] != regionOf[to.dataCentre] {
-		out.Delay, out.Bottleneck = regionDelay, k.north
+		out.Delay, out.Bottleneck = regionDelay, d.north
 		if regionOf[to.dataCentre] == south {
-			out.Bottleneck = k.south
+			out.Bottleneck = d.south
 		}
 	}
-	for _, fault := range k.faults {
-		s := fault(from, to)
-		out.Cut = out.Cut || s.Cut
-		out.Loss, out.Duplicate, out.Jitter = max(out.Loss, s.Loss), max(out.Duplicate, s.Duplicate), max(out.Jitter, s.Jitter)
+	for _, fault := range d.faults {
+		c := fault(from, to)
+		out.Cut = out.Cut || c.Cut
+		out.Loss, out.Duplicate, out.Jitter = max(out.Loss, c.Loss), max(out.Duplicate, c.Duplicate), max(out.Jitter, c.Jitter)
 	}
 	return out
 }
 
-// setDatagramFault sets the datagram fault of an injection; nil removes it.
+// setDatagramFault sets the datagram fault of s; nil removes it.
 func (f *fleet) setDatagramFault(s *injection, fault datagramFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,7 +58,6 @@
 	}
 }
 
-// datagramConditions returns the conditions of datagrams between two instances, by name.
 func (f *fleet) datagramConditions(from, to string) link.DatagramConditions {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,7 +68,7 @@
 	return f.datagrams.between(a, b)
 }
 
-// lookup returns the instance called name, or nil. The caller holds f.mu.
+// lookup returns nil if no instance has the name. The caller holds f.mu.
 func (f *fleet) lookup(name string) *instance {
 	for _, r := range f.instances {
 		if r.name == name {
@@ -86,7 +78,7 @@
 	return nil
 }
 
-// peersConditions returns the conditions of r's link for peers while no fault affects it.
+// peersConditions returns the conditions of the link from peers to r without faults.
 func (r *instance) peersConditions() link.Conditions {
 	if regionOf[r.dataCentre] == south {
 		return link.Conditions{Delay: regionDelay, Rate: regionRate}
@@ -94,8 +86,8 @@
 	return link.Conditions{}
 }
 
-// cutRegions partitions the regions, or blocks only the direction from the south to the north. All
-// instances stay connected to the store and to their own region, so no rule is excused.
+// cutRegions partitions the regions, or blocks only the direction from south to north. Instances
+// stay connected to the store and to their own region, so no rule is excused.
 func (s *injection) cutRegions(kind string, both bool) {
 	conditions := link.Conditions{BlockForward: both, BlockBack: true}
 	var affected []*instance
@@ -118,5 +110,5 @@
 	})
 }
 
-// minRegionCut is longer than instances remember the schedulers of other regions.
+// minRegionCut exceeds the time for which instances remember schedulers of other regions.
 const minRegionCut = 4 * time.Second
--- a/soak/report.go
+++ b/soak/report.go
@@ -1,7 +1,5 @@
 package soak
 
-// This file writes a soak's results as a text table and as an SVG timeline.
-
 import (
 	"fmt"
 	"io"
@@ -45,7 +43,7 @@
 	return c
 }
 
-// inContact returns the number of requests sent to instances in contact, which most rules require.
+// inContact returns the number of requests to instances in contact; most rules check only these.
 func (r *Result) inContact() (n int) {
 	for _, q := range r.Record.Requests {
 		if r.Record.inContact(q.Instance, q.Sent, q.Done) {
@@ -55,9 +53,9 @@
 	return n
 }
 
-func (r *Result) runs() (n int) {
-	for _, runs := range r.Record.Deliveries {
-		n += len(runs)
+func (r *Result) deliveries() (n int) {
+	for _, deliveries := range r.Record.Deliveries {
+		n += len(deliveries)
 	}
 	return n
 }
@@ -66,12 +64,12 @@
 func (r *Result) Write(w io.Writer) {
 	c := r.Count()
 	fmt.Fprintf(w, "seed %d: %d instances, faults for %v, ready %v after the start\n", r.Seed, r.Instances, r.Duration, r.StartupTime.Round(time.Millisecond))
-	fmt.Fprintf(w, "requests %d: served %d, broken off %d, refused %d, failed %d, without an answer %d, left by their callers %d\n",
+	fmt.Fprintf(w, "requests %d: served %d, truncated %d, rejected %d, failed %d, unanswered %d, cancelled %d\n",
 		c.Requests, c.Served, c.Truncated, c.Refused, c.Failed, c.Unanswered, c.Cancelled)
-	fmt.Fprintf(w, "from instances in touch %d, runs at endpoints %d, troubles %d, versions %d, endpoints that left %d\n",
-		r.inContact(), r.runs(), len(r.Record.Faults), len(r.Record.Versions), len(r.Record.Departures))
+	fmt.Fprintf(w, "requests to instances in contact %d, deliveries to endpoints %d, faults %d, versions %d, leaving notices %d\n",
+		r.inContact(), r.deliveries(), len(r.Record.Faults), len(r.Record.Versions), len(r.Record.Departures))
 	for _, d := range r.RecoveryTimes {
-		fmt.Fprintf(w, "after a loss of all, ready again in %v\n", d.Round(time.Millisecond))
+		fmt.Fprintf(w, "first instance ready %v after a restart of all\n", d.Round(time.Millisecond))
 	}
 	for _, kind := range sortedKeys(r.Faults) {
 		fmt.Fprintf(w, "  %3d x %s\n", r.Faults[kind], kind)
@@ -82,12 +80,12 @@
 	for _, note := range r.Notes {
 		fmt.Fprintf(w, "note: %s\n", note)
 	}
-	fmt.Fprintf(w, "promises checked: %s\n", strings.Join(Rules(), " "))
+	fmt.Fprintf(w, "rules checked: %s\n", strings.Join(Rules(), " "))
 	for _, b := range r.Violations {
-		fmt.Fprintf(w, "BROKEN %s: %s\n", b.Rule, b.What)
+		fmt.Fprintf(w, "VIOLATED %s: %s\n", b.Rule, b.What)
 	}
 	if len(r.Violations) == 0 {
-		fmt.Fprintln(w, "no promise was broken")
+		fmt.Fprintln(w, "no rule was violated")
 	}
 }
 
@@ -99,8 +97,7 @@
 	barsHeight  = 120
 )
 
-// WriteTimeline writes an SVG with a bar of served and unserved requests per second, and the
-// faults below.
+// WriteTimeline writes an SVG of the served and unserved requests per second and of the faults.
 func (r *Result) WriteTimeline(w io.Writer) {
 	served, other := r.seconds()
 	highest := 1
@@ -111,25 +108,25 @@
 	slices.SortFunc(faults, func(a, b Fault) int { return a.From.Compare(b.From) })
 	width, height := leftMargin+len(served)*secondWidth, barsHeight+lineHeight*(len(faults)+2)
 	fmt.Fprintf(w, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="10">`+"\n", width, height)
-	fmt.Fprintf(w, `<text x="4" y="12">seed %d: requests a second (at most %d), served dark, not served red</text>`+"\n", r.Seed, highest)
+	fmt.Fprintf(w, `<text x="4" y="12">seed %d: requests per second (at most %d), served dark, others red</text>`+"\n", r.Seed, highest)
 	for s := range served {
 		x := leftMargin + s*secondWidth
 		up, bad := served[s]*(barsHeight-20)/highest, other[s]*(barsHeight-20)/highest
 		fmt.Fprintf(w, `<rect x="%d" y="%d" width="%d" height="%d" fill="#456"/>`, x, barsHeight-up, secondWidth-1, up)
 		fmt.Fprintf(w, `<rect x="%d" y="%d" width="%d" height="%d" fill="#c33"/>`+"\n", x, barsHeight-up-bad, secondWidth-1, bad)
 	}
-	for i, t := range faults {
+	for i, f := range faults {
 		y := barsHeight + lineHeight*(i+1)
-		from, to := t.From.Sub(r.Began).Seconds(), t.To.Sub(r.Began).Seconds()
-		fmt.Fprintf(w, `<text x="4" y="%d">%s %s%s</text>`, y, escape(t.Kind), t.Instance, t.Endpoint)
+		from, to := f.From.Sub(r.Began).Seconds(), f.To.Sub(r.Began).Seconds()
+		fmt.Fprintf(w, `<text x="4" y="%d">%s %s%s</text>`, y, escape(f.Kind), f.Instance, f.Endpoint)
 		fmt.Fprintf(w, `<rect x="%.0f" y="%d" width="%.0f" height="8" fill="%s"/>`+"\n",
-			leftMargin+from*secondWidth, y-8, max(2, (to-from)*secondWidth), colour(&t))
+			leftMargin+from*secondWidth, y-8, max(2, (to-from)*secondWidth), colour(&f))
 	}
 	fmt.Fprintln(w, "</svg>")
 }
 
-func colour(t *Fault) string {
-	if t.Planned {
+func colour(f *Fault) string {
+	if f.Planned {
 		return "#69c"
 	}
 	return "#c93"
@@ -139,8 +136,7 @@
 	return strings.NewReplacer("&", "&amp;", "<", "&lt;", "'", "&#39;").Replace(s)
 }
 
-// seconds returns the numbers of served and unserved requests per second of the run. Cancelled
-// requests are not counted.
+// seconds returns the served and unserved requests per second of the run, without cancelled ones.
 func (r *Result) seconds() (served, other []int) {
 	last := 0
 	for _, q := range r.Record.Requests {
--- a/soak/residence.go
+++ b/soak/residence.go
@@ -1,8 +1,5 @@
 package soak
 
-// This file restricts routes and a team to home regions, changes these lists at run time, and
-// checks that no request leaves its regions.
-
 import (
 	"fmt"
 	"maps"
@@ -10,14 +7,12 @@
 	"time"
 )
 
-// Regions, as named in settings and in lists of home regions.
 const (
 	north = "north"
 	south = "south"
 )
 
-// regionOf is the region of each data centre. The regions differ in size: the south has one
-// endpoint of each plain service.
+// regionOf maps data centres to regions. The south has one endpoint of each plain service.
 var regionOf = map[string]string{"hall-a": north, "hall-b": north, "hall-c": south}
 
 // The initial lists of home regions. Routes and teams without a list may be served anywhere.
@@ -29,8 +24,7 @@
 // homeRegionLists are the lists that a change draws from; nil removes the list.
 var homeRegionLists = [][]string{nil, {}, {north}, {south}, {north, south}, {"nowhere"}}
 
-// allowsRegion reports whether v allows q in a region: the lists of both its route and its team
-// must.
+// allowsRegion reports whether the lists of q's route and of its team both allow a region.
 func (v *Version) allowsRegion(q *Request, region string) bool {
 	return listAllows(v.RouteHomes, q.Route, region) && listAllows(v.TeamHomes, q.Team, region)
 }
@@ -40,7 +34,6 @@
 	return !named || slices.Contains(list, region)
 }
 
-// servedNowhere reports whether v allows q in no region.
 func (v *Version) servedNowhere(q *Request) bool {
 	return !v.allowsRegion(q, north) && !v.allowsRegion(q, south)
 }
@@ -50,8 +43,7 @@
 	return slices.ContainsFunc(b.possibleVersions(q.Sent, q.Done), func(v *Version) bool { return !v.allowsRegion(q, north) || !v.allowsRegion(q, south) })
 }
 
-// checkHomeRegions: no request is sent to an endpoint outside its home regions, whether executed
-// there or not.
+// checkHomeRegions: no endpoint outside the home regions of a request receives it.
 func (b *Record) checkHomeRegions() (out []string) {
 	b.each(func(q *Request) {
 		for _, r := range b.Deliveries[q.ID] {
@@ -68,31 +60,29 @@
 	return out
 }
 
-// earliestSend returns the earliest time at which r may have been sent. Instances evaluate the home
-// regions at each send, so this is the arrival, unless a fault may have delayed the endpoint's
-// link.
+// earliestSend returns the earliest time at which r may have been sent. Instances check regions at
+// each send, so this is the arrival, unless a fault may have delayed it.
 func (b *Record) earliestSend(q *Request, r *Delivery) time.Time {
 	for i := range b.Faults {
-		if t := &b.Faults[i]; t.Endpoint == r.Endpoint && t.during(q.Sent, r.At) {
+		if f := &b.Faults[i]; f.Endpoint == r.Endpoint && f.during(q.Sent, r.At) {
 			return q.Sent
 		}
 	}
 	return r.At
 }
 
-// changeHomeRegions changes the home regions of a route or of the team for a while.
 func (s *injection) changeHomeRegions() {
-	lists, first, name := &s.site.teamRegions, initialTeamRegions, "oost"
+	lists, initial, name := &s.site.teamRegions, initialTeamRegions, "oost"
 	if s.rng.IntN(2) == 0 {
-		lists, first = &s.site.routeRegions, initialRouteRegions
-		name = sortedKeys(first)[s.rng.IntN(len(first))]
+		lists, initial = &s.site.routeRegions, initialRouteRegions
+		name = sortedKeys(initial)[s.rng.IntN(len(initial))]
 	}
 	list := homeRegionLists[s.rng.IntN(len(homeRegionLists))]
-	t := Fault{Kind: "homes changed", Planned: true, KeepsContact: true}
-	s.apply(t, func() { s.site.setHomeRegions(lists, name, list) }, deploymentBounds.Propagation+s.duration, func() { s.site.setHomeRegions(lists, name, first[name]) })
+	f := Fault{Kind: "homes changed", Planned: true, KeepsContact: true}
+	s.apply(f, func() { s.site.setHomeRegions(lists, name, list) }, deploymentBounds.Propagation+s.duration, func() { s.site.setHomeRegions(lists, name, initial[name]) })
 }
 
-// setHomeRegions publishes a list of home regions for a name; nil removes it.
+// setHomeRegions publishes a list of home regions; nil removes it.
 func (s *site) setHomeRegions(lists *map[string][]string, name string, list []string) {
 	s.publish(func() {
 		changed := maps.Clone(*lists) // recorded versions share the old map
--- a/soak/run.go
+++ b/soak/run.go
@@ -1,8 +1,5 @@
 package soak
 
-// This file runs a soak: it starts the site and the instances, injects faults, waits for recovery
-// and collects the observations.
-
 import (
 	"context"
 	"math/rand/v2"
@@ -32,19 +29,16 @@
 // dataCentres are assigned to instances and endpoints in rotation.
 var dataCentres = []string{"hall-a", "hall-b", "hall-c"}
 
-// stopGrace bounds a planned stop.
-const stopGrace = 8 * time.Second
+const stopGrace = 8 * time.Second // from SIGTERM to SIGKILL
 
-// Durations of a soak's phases, and its fault concurrency.
 const (
 	readyTimeout        = 20 * time.Second
 	warmUp              = 2 * time.Second
 	maxConcurrentFaults = 3
-	calmDuration        = 4 * time.Second
+	faultFreeDuration   = 4 * time.Second
 )
 
-// deploymentBounds are the bounds of the small deployments, which the settings of all instances
-// carry and the rules check.
+// deploymentBounds are set on all instances and checked by the rules.
 var deploymentBounds = Bounds{
 	Contact: 3 * time.Second, Propagation: 2 * time.Second, Revoke: 5 * time.Second, Drain: 2 * time.Second,
 	Recover: 12 * time.Second, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetryExtra: 54,
@@ -60,7 +54,7 @@
 	Notes         []string
 	Began         time.Time
 	StartupTime   time.Duration   // from the start of the processes until all were ready
-	RecoveryTimes []time.Duration // from the restart after each loss of all instances until one was ready
+	RecoveryTimes []time.Duration // from each restart of all instances until one was ready
 }
 
 // A run is the state of a soak in progress.
@@ -78,11 +72,11 @@
 	failed   error
 
 	crashRequestActive atomic.Bool // a request that crashes endpoints is being sent
-	rushActive         atomic.Bool // a rush is active, or ended less than its comparison period ago
+	rushActive         atomic.Bool // a rush is active, or the baseline of the next one has not passed
 }
 
-// Run runs a soak and checks the rules. A violation is reported in the Result; the error, which
-// may come together with a Result, says that the soak itself could not be run as planned.
+// Run runs a soak and checks the rules. Violations are in the Result. The error, which may come with
+// a Result, is one of the soak itself.
 func Run(ctx context.Context, p Params) (*Result, error) {
 	if err := os.MkdirAll(p.Dir, 0o700); err != nil {
 		return nil, errors.Wrap(err, "soak")
@@ -106,12 +100,12 @@
 		return nil, err
 	}
 	r.execute()
-	r.site.collectRuns()
+	r.site.collectDeliveries()
 	r.result.Violations = Check(record)
 	return r.result, r.failed
 }
 
-// recordExit records a process that ended unexpectedly. It is not restarted.
+// recordExit records an unexpected exit of a process, which is not restarted.
 func (r *run) recordExit(e Exit) {
 	r.site.mu.Lock()
 	r.site.record.Exits = append(r.site.record.Exits, e)
@@ -119,7 +113,6 @@
 	r.Log.Error("instance process ended unexpectedly", zap.String("instance", e.Instance), zap.String("error", e.Error))
 }
 
-// startInstances starts all instances and waits until they are ready.
 func (r *run) startInstances() error {
 	began := time.Now()
 	for n := range r.Instances {
@@ -136,8 +129,7 @@
 	return nil
 }
 
-// awaitReady waits until all instances are ready, and reports whether they are within
-// readyTimeout.
+// awaitReady reports whether all instances become ready within readyTimeout.
 func (r *run) awaitReady() bool {
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
 		ready := true
@@ -152,7 +144,6 @@
 	return false
 }
 
-// execute sends requests, injects faults, waits for recovery, and then measures the footprints.
 func (r *run) execute() {
 	r.callers = newCallers(r.fleet, r.site, r.Seed, r.Rate)
 	sending, stop := context.WithCancel(r.ctx)
@@ -169,8 +160,8 @@
 	}
 }
 
-// injectFaults injects random faults, up to maxConcurrentFaults at once, until r.Duration has passed,
-// and returns when all have ended.
+// injectFaults injects random faults for r.Duration, up to maxConcurrentFaults at once, and waits for
+// their end.
 func (r *run) injectFaults() {
 	rng := rand.New(rand.NewPCG(r.Seed, 3))
 	semaphore := make(chan struct{}, maxConcurrentFaults)
@@ -190,14 +181,14 @@
 	active.Wait()
 }
 
-// awaitRecovery waits until the site must have recovered, marks that time, and lets traffic go on
-// for calmDuration.
+// awaitRecovery waits for Bounds.Recover, records that time, and lets traffic continue without
+// faults.
 func (r *run) awaitRecovery() {
 	r.wait(deploymentBounds.Recover)
 	r.site.mu.Lock()
 	r.site.record.RecoveredAt = time.Now()
 	r.site.mu.Unlock()
-	r.wait(calmDuration)
+	r.wait(faultFreeDuration)
 }
 
 // wait waits for d, or until the soak is cancelled.
@@ -250,15 +241,13 @@
 	}
 }
 
-// start starts the process of x again.
 func (r *run) start(x *instance) {
-	if err := r.fleet.run(x); err != nil {
+	if err := r.fleet.startProcess(x); err != nil {
 		r.fail(err)
 	}
 }
 
-// replace starts an instance at a new address and updates the seeds in the settings of all
-// instances.
+// replace adds an instance at a new address and updates the seeds in all settings.
 func (r *run) replace(dataCentre string) {
 	x, err := r.fleet.add(dataCentre)
 	if err != nil {
@@ -273,7 +262,6 @@
 	}
 }
 
-// writeSettings writes the settings of x, invalid ones if faulty is set.
 func (r *run) writeSettings(x *instance, faulty bool) {
 	if err := r.fleet.write(x, faulty); err != nil {
 		r.fail(err)
@@ -310,10 +298,9 @@
 	r.Log.Warn("note", zap.String("what", text))
 }
 
-// logFault logs and counts a fault.
-func (r *run) logFault(t Fault) {
+func (r *run) logFault(f Fault) {
 	r.mu.Lock()
-	r.result.Faults[t.Kind]++
+	r.result.Faults[f.Kind]++
 	r.mu.Unlock()
-	r.Log.Info("trouble", zap.String("kind", t.Kind), zap.String("instance", t.Instance), zap.Bool("planned", t.Planned))
+	r.Log.Info("trouble", zap.String("kind", f.Kind), zap.String("instance", f.Instance), zap.Bool("planned", f.Planned))
 }
--- a/soak/rush.go
+++ b/soak/rush.go
@@ -1,24 +1,20 @@
 package soak
 
-// This file overloads a route with one team's requests and checks that other teams are not
-// starved.
-
 import (
 	"fmt"
 	"net/http"
 	"time"
 )
 
-// Parameters of a rush and of its check.
 const (
 	rushRoute       = "chat"
-	rushInterval    = 7 * time.Millisecond // between its requests; exceeds the capacity of all engines together
+	rushInterval    = 7 * time.Millisecond // between requests; the rate exceeds the capacity of all engines
 	rushDuration    = 5 * time.Second
 	rushSettleTime  = 1200 * time.Millisecond // for the fair shares to adapt
-	rushBaseline    = 5 * time.Second         // period before the rush to compare with
-	rushMinRequests = 20                      // of other teams, for a verdict
-	rushMinRatio    = 0.95                    // of the other teams' earlier success ratio, the target of fair shares
-	rushTolerance   = 3                       // requests, for variance in small samples
+	rushBaseline    = 5 * time.Second         // period before the rush that it is compared with
+	rushMinRequests = 20                      // of other teams in each period; with fewer, a rush is not checked
+	rushMinRatio    = 0.95                    // between the other teams' success ratios during and before the rush
+	rushTolerance   = 3                       // requests, for random variation in small samples
 )
 
 // A Rush is a period in which a team requests more of a route than its endpoints can serve.
@@ -28,8 +24,8 @@
 	From, To time.Time
 }
 
-// rush has a team without home regions overload one route. Rushes do not overlap, also not with
-// the comparison period of the next one.
+// rush overloads a route with requests of a team that has no home regions. Rushes overlap neither
+// each other nor the baseline of the next one.
 func (s *injection) rush() {
 	team := []string{"noord", "west", "zuid"}[s.rng.IntN(3)]
 	if !s.run.rushActive.CompareAndSwap(false, true) {
@@ -48,8 +44,7 @@
 	s.record.Rushes = append(s.record.Rushes, r)
 }
 
-// rush sends requests of a team on top of all other traffic, and returns when the last one is
-// sent.
+// rush sends requests of a team in addition to other traffic, and returns after sending the last.
 func (c *callers) rush(team string) {
 	for end := time.Now().Add(rushDuration); time.Now().Before(end); time.Sleep(rushInterval) {
 		c.inFlight.Go(func() {
@@ -61,7 +56,7 @@
 	}
 }
 
-// checkShare: during one team's rush the other teams' success ratio stays close to that before it.
+// checkShare: during a team's rush the other teams' success ratio stays close to that before it.
 func (b *Record) checkShare() (out []string) {
 	for _, r := range b.Rushes {
 		if b.anyEndpointFaulted(r.From.Add(-rushBaseline), r.To) {
@@ -79,8 +74,8 @@
 	return out
 }
 
-// othersServed counts the requests for the rush's route by other teams, and those of them served.
-// Requests bound to a region are excluded, since fewer endpoints are available to them.
+// othersServed counts other teams' requests for the rush's route, and those served. Requests bound
+// to a region are excluded, since fewer endpoints are available to them.
 func (b *Record) othersServed(r *Rush, from, to time.Time) (served, all int) {
 	b.each(func(q *Request) {
 		if q.Team == r.Team || q.Route != r.Route || q.Sent.Before(from) || !q.Sent.Before(to) {
--- a/soak/site.go
+++ b/soak/site.go
@@ -1,8 +1,5 @@
 package soak
 
-// This file holds the site around the instances: the published configuration, the endpoints, and
-// the observations made of them.
-
 import (
 	"fmt"
 	"maps"
@@ -15,39 +12,37 @@
 	"ivyridge/platform/standin"
 )
 
-// An endpoint is a server stand-in behind a link of its own.
+// An endpoint is a server stand-in behind its own link.
 type endpoint struct {
 	server    *standin.Server
 	link      *link.TCP
-	withdrawn bool // unlisted, or no longer available to faults
+	withdrawn bool // unlisted, or excluded from faults
 }
 
-// registryEntry returns the entry that e publishes, with its link's address.
+// registryEntry returns the registry entry of e, with the address of its link.
 func (e *endpoint) registryEntry(leaving bool) standin.Entry {
 	out := e.server.Entry()
 	out.Address, out.Draining = e.link.Address, leaving
 	return out
 }
 
-// objective is the latency objective of all routes, also between the events of streams.
+// objective is the latency objective of all routes, and also applies between events of a stream.
 const objective = 500 * time.Millisecond
 
-// normalBehaviour is how the healthy endpoints of each service respond.
+// normalBehaviour is the behaviour of healthy endpoints, by service.
 var normalBehaviour = map[string]standin.Behaviour{
 	"app":   {Echo: true, Delay: 15 * time.Millisecond, MaxInFlight: 40},
 	"other": {Echo: true, Delay: 15 * time.Millisecond, MaxInFlight: 40},
 	"llm":   {Echo: true, Delay: 40 * time.Millisecond, Events: 12, Pause: 25 * time.Millisecond, Slots: 6, MaxInFlight: 30},
 }
 
-// services lists the services with the number of endpoints that each starts with.
 var services = []struct {
 	service string
-	count   int
+	count   int // of endpoints at the start
 	slots   int // of each engine
 	memory  int // of each engine, in tokens
 }{{"app", 4, 0, 0}, {"other", 3, 0, 0}, {"llm", 6, 6, 60_000}}
 
-// A callKind is a kind of request.
 type callKind struct {
 	route      string
 	service    string
@@ -62,8 +57,7 @@
 	priority   int // 0 is the most urgent
 }
 
-// callKinds are the kinds of requests, one per route. The service of route "moved" changes at run
-// time.
+// callKinds has one kind per route. Faults change the service of route "moved".
 var callKinds = []callKind{
 	{route: "safe", service: "app", kind: standin.Safe, share: 25, attempts: 2, timeout: 8 * time.Second, repeatable: true},
 	{route: "once", service: "app", kind: standin.Unsafe, share: 25, attempts: 2, timeout: 8 * time.Second},
@@ -73,12 +67,13 @@
 	{route: "letter", service: "llm", kind: standin.Stream, share: 10, attempts: 2, timeout: 12 * time.Second, stream: true, resumable: true, repeatable: true, tokens: 2000, priority: 2},
 }
 
-// teams are the callers' teams with their keys. Each team's second key may be revoked.
+// teams maps each team to its keys. Faults may revoke the second one.
 var teams = map[string][]string{"noord": {"key-n1", "key-n2"}, "zuid": {"key-z1", "key-z2"}, "west": {"key-w1", "key-w2"}, "oost": {"key-o1", "key-o2"}}
 
 const host = "site.example"
 
-// A site is the environment of the instances.
+// A site is the instances' environment: the store with the published configuration, the endpoints,
+// and the record of what they observe.
 type site struct {
 	store *standin.Store
 
@@ -94,8 +89,8 @@
 	version      int
 }
 
-func newSite(b *Record) *site {
-	s := &site{store: standin.NewStore(), record: b, routes: make(map[string]string), keys: make(map[string][]string), routeRegions: initialRouteRegions, teamRegions: initialTeamRegions}
+func newSite(r *Record) *site {
+	s := &site{store: standin.NewStore(), record: r, routes: make(map[string]string), keys: make(map[string][]string), routeRegions: initialRouteRegions, teamRegions: initialTeamRegions}
 	for _, k := range callKinds {
 		s.routes[k.route] = k.service
 	}
@@ -137,13 +132,13 @@
 	c := &standin.Config{Version: s.version, Teams: s.keys, HomeRegions: s.teamRegions}
 	v := Version{Number: s.version, Routes: make(map[string]Route), Keys: make(map[string]string), RouteHomes: s.routeRegions, TeamHomes: s.teamRegions, Sent: time.Now()}
 	for _, k := range callKinds {
-		route := k.published(k.route, s.routes[k.route])
+		route := k.declaration(k.route, s.routes[k.route])
 		route.HomeRegions = s.routeRegions[k.route]
 		c.Routes = append(c.Routes, route)
 		v.Routes[k.route] = Route{Service: s.routes[k.route], Timeout: k.timeout}
 	}
 	for n := range s.extraRoutes {
-		c.Routes = append(c.Routes, callKinds[0].published(fmt.Sprintf("extra-%d", n), callKinds[0].service))
+		c.Routes = append(c.Routes, callKinds[0].declaration(fmt.Sprintf("extra-%d", n), callKinds[0].service))
 	}
 	for team, keys := range s.keys {
 		for _, key := range keys {
@@ -158,8 +153,7 @@
 	s.record.Versions = append(s.record.Versions, v)
 }
 
-// published returns the declaration of a route of kind k.
-func (k *callKind) published(name, service string) standin.Route {
+func (k *callKind) declaration(name, service string) standin.Route {
 	return standin.Route{
 		Name: name, Host: host, Kind: k.kind, Service: service, Timeout: k.timeout,
 		Objective: objective, Pause: objective, Attempts: k.attempts, Resumable: k.resumable,
@@ -167,7 +161,7 @@
 	}
 }
 
-// addEndpoint starts an endpoint of a service in a data centre and publishes it.
+// addEndpoint starts and publishes an endpoint.
 func (s *site) addEndpoint(service, dataCentre string) (*endpoint, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,7 +173,6 @@
 	return e, nil
 }
 
-// addColdEndpoint starts an endpoint and publishes it as cold.
 func (s *site) addColdEndpoint(service, dataCentre string) (*endpoint, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,7 +184,7 @@
 	return e, nil
 }
 
-// startEndpoint starts an endpoint of a service. The caller holds s.mu.
+// startEndpoint starts an endpoint without publishing it. The caller holds s.mu.
 func (s *site) startEndpoint(service, dataCentre string) (*endpoint, error) {
 	s.created++
 	server := standin.NewServer(fmt.Sprintf("e-%d", s.created), service, dataCentre)
@@ -206,7 +199,6 @@
 	return e, nil
 }
 
-// announceLeaving publishes that e leaves.
 func (s *site) announceLeaving(e *endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,7 +206,6 @@
 	s.record.Departures = append(s.record.Departures, Departure{Endpoint: e.server.ID, Acked: time.Now()})
 }
 
-// withdraw removes the entry of e.
 func (s *site) withdraw(e *endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,8 +213,7 @@
 	s.store.Unlist(e.server.ID)
 }
 
-// randomEndpoint returns a random published endpoint of a service that has more than minRemaining
-// of them, or nil if there is none.
+// randomEndpoint returns a published endpoint of a service that has more than minRemaining, or nil.
 func (s *site) randomEndpoint(rng *rand.Rand, minRemaining int) *endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -244,8 +234,7 @@
 	return nil
 }
 
-// collectRuns records what the endpoints received.
-func (s *site) collectRuns() {
+func (s *site) collectDeliveries() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.endpoints {
@@ -258,7 +247,7 @@
 	}
 }
 
-// randomKey returns a random valid key and its team.
+// randomKey returns a valid key and its team.
 func (s *site) randomKey(rng *rand.Rand) (key, team string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -268,7 +257,6 @@
 	return keys[rng.IntN(len(keys))], team
 }
 
-// randomKeyEverIssued is like randomKey, but includes revoked keys.
 func (s *site) randomKeyEverIssued(rng *rand.Rand) (key, team string) {
 	names := sortedKeys(teams)
 	team = names[rng.IntN(len(names))]
@@ -276,22 +264,20 @@
 	return keys[rng.IntN(len(keys))], team
 }
 
-// recordRequest records a finished request.
 func (s *site) recordRequest(q *Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.record.Requests[q.ID] = q
 }
 
-// recordFault records a fault.
-func (s *site) recordFault(t Fault) {
+func (s *site) recordFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.record.Faults = append(s.record.Faults, t)
+	s.record.Faults = append(s.record.Faults, f)
 }
 
-func sortByArrival(runs []Delivery) {
-	slices.SortFunc(runs, func(a, b Delivery) int { return a.At.Compare(b.At) })
+func sortByArrival(deliveries []Delivery) {
+	slices.SortFunc(deliveries, func(a, b Delivery) int { return a.At.Compare(b.At) })
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/soak/slow_callers.go
+++ b/soak/slow_callers.go
@@ -1,8 +1,5 @@
 package soak
 
-// This file simulates callers that stop reading, read slowly, send slowly or stop sending, and
-// checks that steady callers get complete responses.
-
 import (
 	"fmt"
 	"net/http"
@@ -11,7 +8,6 @@
 	"ivyridge/platform/standin"
 )
 
-// Parameters of slow callers.
 const (
 	slowCallers        = 16     // started at once
 	slowEventBytes     = 30_000 // per event, so that socket buffers cannot hold the response
@@ -25,11 +21,10 @@
 	slowDeadline       = 2 * callDeadline
 )
 
-// A slowCallerKind is a way in which callers are slow.
 type slowCallerKind struct {
 	kind   string
 	route  string
-	steady bool // it never stops, and must get a complete response
+	steady bool // never stops, so its response must be complete
 	pace   standin.Pace
 }
 
@@ -40,14 +35,13 @@
 	{"callers stop sending", "once", false, standin.Pace{SendDelay: sendPause, AbortAfter: sendStopAfterBytes, PauseFor: sendStopDuration}},
 }
 
-// startSlowCallers starts slow callers of a kind.
 func (s *injection) startSlowCallers(k slowCallerKind) {
-	t := Fault{Kind: k.kind, KeepsContact: true}
-	s.apply(t, func() { s.run.callers.startSlow(&k) }, s.duration, func() {})
+	f := Fault{Kind: k.kind, KeepsContact: true}
+	s.apply(f, func() { s.run.callers.startSlow(&k) }, s.duration, func() {})
 }
 
-// startSlow starts slow callers, each on its own connection directly to the instance: the buffers
-// of a link in between would read for them.
+// startSlow starts slow callers, each on its own connection directly to the instance: the buffers of
+// a link would absorb the response.
 func (c *callers) startSlow(k *slowCallerKind) {
 	for range slowCallers {
 		c.inFlight.Go(func() {
@@ -59,7 +53,6 @@
 	}
 }
 
-// slowRequest returns a slow caller's request.
 func (c *callers) slowRequest(k *slowCallerKind) *Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +65,7 @@
 	return q
 }
 
-// kindOf returns the kind of a route's requests, or nil.
+// kindOf returns the kind of requests of a route, or nil.
 func kindOf(route string) *callKind {
 	for i := range callKinds {
 		if callKinds[i].route == route {
@@ -82,8 +75,8 @@
 	return nil
 }
 
-// checkSteady: a response to a steady caller is not truncated once it has begun, unless a fault
-// affected its instance or endpoints.
+// checkSteady: a response to a steady caller is not truncated, unless a fault affected the instance
+// or the endpoints.
 func (b *Record) checkSteady() (out []string) {
 	b.each(func(q *Request) {
 		truncated := q.Status == http.StatusOK && !q.Complete
@@ -102,7 +95,7 @@
 	}
 	for _, r := range b.Deliveries[q.ID] {
 		for i := range b.Faults {
-			if t := &b.Faults[i]; t.Endpoint == r.Endpoint && t.during(q.Sent.Add(-b.Bounds.Contact), q.Done) {
+			if f := &b.Faults[i]; f.Endpoint == r.Endpoint && f.during(q.Sent.Add(-b.Bounds.Contact), q.Done) {
 				return false
 			}
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -11,7 +11,6 @@
 	"go.uber.org/zap"
 )
 
-// Parameters of the short soak. It draws the same faults on every run.
 const (
 	shortSeed      = 4
 	shortFor       = 12 * time.Second
@@ -20,8 +19,7 @@
 	shortNet       = 16
 )
 
-// TestShortSoak runs a race build of the daemon under a fixed sequence of faults and expects no rule
-// to be violated.
+// Runs a race build of the daemon under a fixed sequence of faults, which must violate no rule.
 func TestShortSoak(t *testing.T) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "ivyentry")
