--- a/scripts/scripts_test.go
+++ b/scripts/scripts_test.go
@@ -19,8 +19,7 @@
 	"ivyridge/internal/freeport"
 )
 
-// binDir holds the programs built for this run.
-var binDir string
+var binDir string // the programs built for this run
 
 func TestMain(m *testing.M) {
 	os.Exit(run(m))
@@ -49,8 +48,8 @@
 	faultsPortPrefix = "19"
 )
 
-// Guards against port conflicts ("bind: address already in use") with tests of other
-// packages that run at the same time on ports from freeport.
+// Guards against port conflicts with tests of other packages that use ports from freeport at the
+// same time.
 func TestScriptPortsAreOutsideFreeportRange(t *testing.T) {
 	for _, prefix := range []string{scriptPortPrefix, faultsPortPrefix} {
 		first, err := strconv.Atoi(prefix + "000")
@@ -74,8 +73,8 @@
 	})
 }
 
-// serve is the script command "serve ADDRESS DIRECTORY". It serves the files of a
-// directory over HTTP until the script ends.
+// serve is the script command "serve ADDRESS DIRECTORY". It serves files over HTTP until the script
+// ends.
 func serve(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: serve ADDRESS DIRECTORY")
@@ -87,13 +86,12 @@
 	go func() { _ = server.Serve(l) }()
 }
 
-// setup puts the programs on the path, copies the demo's configuration into the
-// script's work directory and replaces its ports.
+// setup puts the programs on the path and copies the demo's configuration, with other ports, into
+// the script's work directory.
 func setup(env *testscript.Env) error {
 	env.Setenv("PATH", binDir+string(filepath.ListSeparator)+os.Getenv("PATH"))
 	env.Setenv("IVYCTL_TOKEN", "demo-operator")
-	// The fleet of zz-faults runs in parallel with that of session and needs other
-	// ports.
+	// The script zz-faults runs in parallel with session and needs other ports.
 	portPrefix := scriptPortPrefix
 	if strings.Contains(env.WorkDir, "faults") {
 		portPrefix = faultsPortPrefix
@@ -112,8 +110,7 @@
 	return writeSettings(env.WorkDir)
 }
 
-// writeSettings writes the settings of three instances from the demo's template and
-// removes instances 4 to 6 from fakes.yaml.
+// writeSettings writes the settings of three instances and removes all others from fakes.yaml.
 func writeSettings(dir string) error {
 	template, err := os.ReadFile(filepath.Join(dir, "settings.template.yaml"))
 	if err != nil {
@@ -138,15 +135,15 @@
 	return os.WriteFile(filepath.Join(dir, "fakes.yaml"), []byte(strings.Join(kept, "\n")), 0o644)
 }
 
-// until is the script command "until TEXT COMMAND...". It runs a command every 0.1 s
-// until its standard output contains the text, and fails after 300 attempts.
+// until is the script command "until TEXT COMMAND...". It runs a command every 0.1 s until its
+// standard output contains the text.
 func until(ts *testscript.TestScript, neg bool, args []string) {
-	const tries = 300
+	const maxAttempts = 300
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: until TEXT COMMAND...")
 	}
 	var out string
-	for range tries {
+	for range maxAttempts {
 		_ = ts.Exec(args[1], args[2:]...)
 		out = ts.ReadFile("stdout")
 		if strings.Contains(out, args[0]) {
