--- a/demo/huurtoets/fleet.sh
+++ b/demo/huurtoets/fleet.sh
@@ -10,8 +10,8 @@
 }
 
 # start_fleet starts the fake endpoints and the instances and waits until all are
-# ready. It sets targets to the instances' addresses and router_N to the process id
-# of instance N.
+# ready. It sets targets to the addresses of the instances and router_N to the process
+# ID of instance N.
 start_fleet() {
 	mkdir -p "$out"
 	trap finish EXIT INT TERM
--- a/demo/huurtoets/run.sh
+++ b/demo/huurtoets/run.sh
@@ -13,7 +13,7 @@
 load=$!
 sleep 20
 echo
-echo "In the wave, asked of router-2:"
+echo "During the burst, as reported by router-2:"
 "$bin/ivyctl" -a 127.0.0.1:7202 'show queued by class' || true
 "$bin/ivyctl" -a 127.0.0.1:7202 'show refused by class, reason over 10s' || true
 wait $load
