--- a/bench/kill.sh
+++ b/bench/kill.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Kills the home of the screening cell with SIGKILL at about half of the fleet's
-# capacity and prints the attainment in the ten seconds before and after. All started
-# processes are terminated on exit.
+# Kills the home of the screening cell, the instance that holds its queue, at about half of the
+# capacity of the fleet. Prints the share of requests that met their targets in the ten seconds before
+# and after. All started processes are terminated on exit.
 set -eu
 here=$(dirname "$0")
 demo=$here/../demo/huurtoets
--- a/bench/pairs.sh
+++ b/bench/pairs.sh
@@ -1,13 +1,11 @@
 #!/usr/bin/env bash
-# Runs scenarios ("days") with two overlapping faults, one for each pair of fault
-# kinds, in the users' bench. Prints the pairs that violate a rule or terminate a
-# process.
+# Runs one scenario for each pair of fault kinds, with overlapping faults, in an external benchmark.
+# Prints the pairs that violate a rule or end a process.
 #
 #   bench/pairs.sh BENCH SITE [JOBS]
 #
-# BENCH is the bench's program, SITE a site file and JOBS the number of parallel
-# runs, 4 by default. The scenarios are generated in a temporary directory; those to
-# be kept go to deploy/days.
+# BENCH is the program of the benchmark, SITE its site file, and JOBS the number of parallel runs,
+# 4 by default. The scenarios are in a temporary directory; those to keep belong in deploy/days.
 set -euo pipefail
 bench=$1
 site=$2
@@ -15,8 +13,7 @@
 days=$(mktemp -d)
 trap 'rm -rf "$days"' EXIT
 
-# Fault kinds. The first fault of a pair starts at 10 s, the second at 12 s; each
-# lasts 6 s.
+# Fault kinds. The first fault of a pair starts at 10 s and the second at 12 s; each lasts 6 s.
 troubles=(
   'kind = "burst", x = 1.8'
   'kind = "shift", share = 0.6'
@@ -80,4 +77,4 @@
 }
 export -f play
 ls "$days"/*.toml | xargs -P "$jobs" -I{} bash -c 'play "$0" "$1" {}' "$bench" "$site"
-echo "$(ls "$days" | wc -l) pairs played"
+echo "$(ls "$days" | wc -l) pairs run"
