--- a/soak/faults.go
+++ b/soak/faults.go
@@ -215,7 +215,7 @@
 }
 
 // killMany kills the selected instances at the same time and restarts them. all says that these are
-// all instances, and records the time of recovery.
+// all instances, and has the recovery time recorded.
 func (s *injection) killMany(kind string, all bool, selects func(*instance) bool) {
 	instances := s.run.acquireAll()
 	if instances == nil {
--- a/soak/run.go
+++ b/soak/run.go
@@ -38,7 +38,7 @@
 	faultFreeDuration   = 4 * time.Second
 )
 
-// deploymentBounds are set on all instances and checked by the rules.
+// deploymentBounds are checked by the rules. Those that are settings are set on all instances.
 var deploymentBounds = Bounds{
 	Contact: 3 * time.Second, Propagation: 2 * time.Second, Revoke: 5 * time.Second, Drain: 2 * time.Second,
 	Recover: 12 * time.Second, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetryExtra: 54,
