--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -201,7 +201,7 @@
 		}
 		r.d.retries.Add("claim-withdrawn", 1)
 	}
-	return false, verdict.Refuse(verdict.KeyConflict, "concurrent attempts kept claiming the same key").WithRetryAfter(time.Second)
+	return false, verdict.Refuse(verdict.KeyConflict, "other attempts at the same key keep beginning").WithRetryAfter(time.Second)
 }
 
 // replay sends the caller the answer of an earlier attempt.
@@ -235,11 +235,11 @@
 	if !r.d.fleet.GrantValid(g) {
 		r.d.fleet.Release(g, node.Outcome{})
 		r.machine.Step(evExpire)
-		return verdict.Refuse(verdict.GrantExpired, "grant for endpoint %s is no longer valid", g.Endpoint)
+		return verdict.Refuse(verdict.GrantExpired, "endpoint %s was withdrawn", g.Endpoint)
 	}
 	if r.claim != nil && r.d.fleet.Now()-r.claim.At > claimTTL {
 		r.d.fleet.Release(g, node.Outcome{})
-		return verdict.Refuse(verdict.GrantExpired, "the claim of the key expired before the request was sent")
+		return verdict.Refuse(verdict.GrantExpired, "the request waited longer than its key is held")
 	}
 	end, err := r.send(ctx, g)
 	r.d.fleet.Release(g, end)
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -79,7 +79,7 @@
 	return end, nil
 }
 
-var errStalled = errors.New("endpoint timed out")
+var errStalled = errors.New("the endpoint fell silent")
 
 // headerTimeout returns the timeout for the response headers.
 func (r *run) headerTimeout() time.Duration {
@@ -129,7 +129,7 @@
 		return node.Outcome{}, errors.Wrap(err, "send")
 	}
 	r.machine.Step(evCut)
-	return node.Outcome{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "no response: %v", err)
+	return node.Outcome{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "no answer: %v", err)
 }
 
 // classifyStatus handles the status codes that mean that the endpoint failed. Only 429
@@ -138,12 +138,12 @@
 	switch {
 	case res.StatusCode == http.StatusTooManyRequests:
 		r.machine.Step(evRefusedUnrun)
-		e := verdict.Fail(verdict.NotRun, verdict.EndpointBusy, "endpoint refused the request with 429")
+		e := verdict.Fail(verdict.NotRun, verdict.EndpointBusy, "the endpoint takes no more")
 		return node.Outcome{Busy: true}, e.WithRetryAfter(retryAfter(res)), true
 	case res.StatusCode >= http.StatusInternalServerError:
 		r.machine.Step(evCut)
 		_, _ = io.CopyN(io.Discard, res.Body, 4<<10)
-		return node.Outcome{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointError, "endpoint returned %s", res.Status), true
+		return node.Outcome{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointError, "the endpoint answered %s", res.Status), true
 	}
 	return node.Outcome{}, nil, false
 }
@@ -167,10 +167,10 @@
 func (r *run) readComplete(res *http.Response, sent time.Duration) (node.Outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(res.Body, r.d.answerLimit+1))
 	if err != nil {
-		return node.Outcome{Failed: true}, verdict.Fail(verdict.Ran, verdict.EndpointCut, "response truncated: %v", err)
+		return node.Outcome{Failed: true}, verdict.Fail(verdict.Ran, verdict.EndpointCut, "the answer was cut: %v", err)
 	}
 	if int64(len(body)) > r.d.answerLimit {
-		return node.Outcome{}, verdict.Fail(verdict.Ran, verdict.EndpointError, "response is larger than %d bytes", r.d.answerLimit)
+		return node.Outcome{}, verdict.Fail(verdict.Ran, verdict.EndpointError, "the answer is larger than %d bytes", r.d.answerLimit)
 	}
 	now := r.d.fleet.Now()
 	r.res.FirstToken = now - r.req.Arrived
--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -119,7 +119,7 @@
 		end.Tokens, r.res.Tokens = scan.Events, scan.Events
 		if err != io.EOF || !scan.Done {
 			end.Failed = true
-			return end, verdict.Fail(verdict.Ran, verdict.EndpointCut, "stream truncated after %d tokens", scan.Events)
+			return end, verdict.Fail(verdict.Ran, verdict.EndpointCut, "the stream was cut after %d tokens", scan.Events)
 		}
 		end.Complete = true
 		end.Late = r.lateAt(r.res.FirstToken+r.req.Arrived, r.d.fleet.Now())
--- a/home/estimate.go
+++ b/home/estimate.go
@@ -165,10 +165,10 @@
 // admit returns the refusal of r, or nil if r is admitted.
 func (h *Home) admit(r *queue.Request, a *Request) *verdict.Error {
 	if h.slots(false) == 0 {
-		return verdict.Refuse(verdict.NoEndpoint, "no endpoint of pool %q accepts requests", h.pool.Name).WithRetryAfter(time.Second)
+		return verdict.Refuse(verdict.NoEndpoint, "no endpoint of pool %q takes work", h.pool.Name).WithRetryAfter(time.Second)
 	}
 	if t := h.set.Team(a.Team); t != nil && t.MaxWaiting > 0 && h.q.TeamLen(r.Class, a.Team) >= t.MaxWaiting {
-		return verdict.Refuse(verdict.TeamLimit, "team %q has reached its limit of %d waiting requests", a.Team, t.MaxWaiting).WithRetryAfter(h.retryAfter(r))
+		return verdict.Refuse(verdict.TeamLimit, "team %q has %d requests waiting", a.Team, t.MaxWaiting).WithRetryAfter(h.retryAfter(r))
 	}
 	if !h.policy.Admit {
 		return nil
@@ -181,7 +181,7 @@
 	if immediate > 0 && h.onTimeProbability(r, a, wait) >= admitRatio*immediate {
 		return nil
 	}
-	e := verdict.Refuse(verdict.Overloaded, "class %q: predicted wait of %s would miss the target", a.Class, wait.Round(time.Millisecond))
+	e := verdict.Refuse(verdict.Overloaded, "class %q would wait %s", a.Class, wait.Round(time.Millisecond))
 	return e.WithRetryAfter(clampRetry(wait))
 }
 
--- a/home/home.go
+++ b/home/home.go
@@ -406,7 +406,7 @@
 func (h *Home) refuseExpired(r *queue.Request) {
 	a := r.Payload.(*Request)
 	delete(h.waiting, a.Key)
-	e := verdict.Refuse(verdict.DeadlineMissed, "class %q can no longer meet its target", a.Class)
+	e := verdict.Refuse(verdict.DeadlineMissed, "class %q can no longer be answered in time", a.Class)
 	h.decide(a.Key, nil, e.WithRetryAfter(h.retryAfter(r)))
 	h.freeRequests = append(h.freeRequests, r)
 }
--- a/node/answers.go
+++ b/node/answers.go
@@ -98,7 +98,7 @@
 	x := a.attempts[a.completed[a.evicted]]
 	a.evicted++
 	a.bytes -= len(x.answer.Body)
-	x.answer = &Answer{Failure: verdict.Fail(verdict.Ran, verdict.Duplicate, "the request ran, but its answer has been evicted")}
+	x.answer = &Answer{Failure: verdict.Fail(verdict.Ran, verdict.Duplicate, "the request ran; its answer is no longer held")}
 }
 
 // expire removes answers that are older than any owner's record of them. Removing
@@ -157,12 +157,12 @@
 		}
 	}
 	n.count.joinErrors.Add(1)
-	return nil, verdict.Fail(verdict.MayHaveRun, verdict.EntryLost, "instance %s, which holds the earlier attempt, did not answer: %v", r.Entry, err)
+	return nil, verdict.Fail(verdict.MayHaveRun, verdict.EntryLost, "instance %s, which had the request, does not answer: %v", r.Entry, err)
 }
 
 func (n *Node) joinLocal(ctx context.Context, r *owner.Record) (*Answer, error) {
 	if r.Incarnation != n.incarnation {
-		return nil, verdict.Fail(verdict.MayHaveRun, verdict.EntryLost, "instance %s, which held the earlier attempt, has restarted", r.Entry)
+		return nil, verdict.Fail(verdict.MayHaveRun, verdict.EntryLost, "instance %s, which had the request, was restarted", r.Entry)
 	}
 	ans, err := n.answers.wait(ctx, r.Key, r.Attempt)
 	if err == nil && ans == nil {
--- a/node/ask.go
+++ b/node/ask.go
@@ -75,7 +75,7 @@
 		}
 	}
 	n.count.asksFailed.Add(1)
-	return nil, verdict.Refuse(verdict.HomeLost, "no home granted or refused the request: %v", last).WithRetryAfter(time.Second)
+	return nil, verdict.Refuse(verdict.HomeLost, "no home kept the request: %v", last).WithRetryAfter(time.Second)
 }
 
 func (n *Node) sleepContext(ctx context.Context, d time.Duration) bool {
--- a/node/claim.go
+++ b/node/claim.go
@@ -57,7 +57,7 @@
 		}
 	}
 	n.Withdraw(c)
-	e := verdict.Refuse(reason, "no quorum of the key's owners recorded the request")
+	e := verdict.Refuse(reason, "the owners of the request's key could not all vouch for it")
 	return nil, e.WithRetryAfter(time.Second)
 }
 
--- a/node/commands.go
+++ b/node/commands.go
@@ -76,7 +76,7 @@
 		n.mu.Lock()
 		n.commands.Abort(c)
 		n.mu.Unlock()
-		return old, errors.Errorf("command refused: not accepted by all instances: %s", strings.Join(refusals, "; "))
+		return old, errors.Errorf("refused: not in force, since these instances did not promise it: %s", strings.Join(refusals, "; "))
 	}
 	old = n.commit(c)
 	n.commitAll(ctx, peers, req)
@@ -181,12 +181,12 @@
 func (s memberService) Prepare(_ context.Context, r *peerpb.CommandRequest) (*peerpb.CommandReply, error) {
 	var c command.Command
 	if err := json.Unmarshal(r.Command, &c); err != nil {
-		return &peerpb.CommandReply{Why: "command cannot be decoded"}, nil
+		return &peerpb.CommandReply{Why: "not a command"}, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.docs.config.revision != r.ConfigRevision {
-		return &peerpb.CommandReply{Why: "has a different configuration revision"}, nil
+		return &peerpb.CommandReply{Why: "holds another configuration"}, nil
 	}
 	if err := s.commands.Prepare(s.now(), c); err != nil {
 		return &peerpb.CommandReply{Why: err.Error()}, nil
@@ -198,7 +198,7 @@
 func (s memberService) Commit(_ context.Context, r *peerpb.CommandRequest) (*peerpb.CommandReply, error) {
 	var c command.Command
 	if err := json.Unmarshal(r.Command, &c); err != nil {
-		return &peerpb.CommandReply{Why: "command cannot be decoded"}, nil
+		return &peerpb.CommandReply{Why: "not a command"}, nil
 	}
 	s.commit(c)
 	return &peerpb.CommandReply{Ok: true}, nil
--- a/node/status.go
+++ b/node/status.go
@@ -18,7 +18,7 @@
 // Query answers an operator's query that a peer forwards.
 func (s memberService) Query(_ context.Context, r *peerpb.QueryRequest) (*peerpb.QueryReply, error) {
 	if s.query == nil {
-		return nil, errors.New("this instance does not serve queries")
+		return nil, errors.New("queries are not served here")
 	}
 	table, err := s.query(r.Text)
 	if err != nil {
