--- a/home/estimate.go
+++ b/home/estimate.go
@@ -1,7 +1,6 @@
 package home
 
-// This file predicts service and waiting times from observed runs and decides
-// admission.
+// This file predicts service and waiting times and decides admission.
 
 import (
 	"math"
@@ -14,35 +13,26 @@
 )
 
 const (
-	// A request is admitted if waiting leaves it at least admitRatio of its
-	// probability to be on time; a waiting request is refused once less than
-	// expireRatio of it is left.
-	admitRatio  = 0.95
-	expireRatio = 0.5
+	admitRatio  = 0.95 // least part of the on-time probability left after the predicted wait, to be admitted
+	expireRatio = 0.5  // least part of it left after the wait so far, to stay queued
 
-	// A service request that has to wait must be expected to end within
-	// serviceWaitPercent of its target, since predicted waits are unreliable.
+	// Predicted waits are unreliable, so a service request that has to wait is admitted only if it
+	// is expected to end within serviceWaitPercent of its target.
 	serviceWaitPercent = 50
 
-	// The ratio of observed to predicted waits is a decaying average,
-	// clamped to the range biasMin to biasMax.
-	biasDecay = 0.98
-	biasMin   = 0.5
-	biasMax   = 4.0
-	// Predictions below biasMinWait do not update the bias.
-	biasMinWait = 50 * time.Millisecond
+	// The ratio of observed to predicted waits is averaged with biasDecay and clamped.
+	biasDecay   = 0.98
+	biasMin     = 0.5
+	biasMax     = 4.0
+	biasMinWait = 50 * time.Millisecond // shorter predictions do not update the ratio
 
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 2 * time.Minute
 
-	// loadWindow is the time constant of a class's admitted load.
-	loadWindow = 2 * time.Second
+	loadWindow = 2 * time.Second // time constant of a class's admitted load
 
-	// grantWindow is the time constant of a class's granted load. Once a class
-	// has had requests waiting for grantRateAfter, its waits are predicted from
-	// that load.
-	grantWindow     = 4 * time.Second
-	grantRateAfter  = 4 * time.Second
+	grantWindow     = 4 * time.Second // time constant of a class's granted load
+	grantRateAfter  = 4 * time.Second // queuing time after which waits are predicted from that load
 	grantRateMargin = 1.1
 
 	defaultTokens = 200.0                  // before any answer completed
@@ -50,7 +40,6 @@
 	minCost       = 1e-3                   // slot-seconds
 )
 
-// classStats are the observed statistics of a class.
 type classStats struct {
 	start            float64 // seconds to the first token, or total time for a service
 	bias             float64 // observed over predicted wait
@@ -62,13 +51,11 @@
 	hasStart         bool
 }
 
-// addAdmitted adds admitted work to the decaying load.
 func (s *classStats) addAdmitted(now time.Duration, cost float64) {
 	s.load = s.loadAt(now) + cost/loadWindow.Seconds()
 	s.loadUpdated = now
 }
 
-// addGranted adds granted work to the decaying grant rate.
 func (s *classStats) addGranted(now time.Duration, cost float64) {
 	s.grantRate = s.grantRate*math.Exp(-float64(now-s.grantRateUpdated)/float64(grantWindow)) + cost/grantWindow.Seconds()
 	s.grantRateUpdated = now
@@ -89,15 +76,14 @@
 		latest = r.Arrival + c.FirstToken - seconds(start)
 	}
 	if c.Whole > 0 {
-		hold := start + h.latestStartTokens(a, c.Whole.Seconds()-start, gap)*gap
-		latest = min(latest, r.Arrival+c.Whole-seconds(hold))
+		runtime := start + h.latestStartTokens(a, c.Whole.Seconds()-start, gap)*gap
+		latest = min(latest, r.Arrival+c.Whole-seconds(runtime))
 	}
 	r.LatestStart = max(latest, r.Arrival)
 }
 
-// latestStartTokens returns the answer length, in tokens, that must still fit
-// between r's start and its deadline: at a later start, r has less than
-// expireRatio of its probability to be on time.
+// latestStartTokens returns the answer length, in tokens, that must still fit between the latest
+// start and the deadline. Only expireRatio of the answers that fit within room seconds are shorter.
 func (h *Home) latestStartTokens(a *Request, room, gap float64) float64 {
 	d := h.dist(a)
 	if d == nil {
@@ -106,8 +92,7 @@
 	return d.Quantile(expireRatio * d.Within(room/gap))
 }
 
-// onTimeProbability returns the fraction of requests like r that would be on
-// time if they started after wait.
+// onTimeProbability returns the fraction of requests like r that end on time if started after wait.
 func (h *Home) onTimeProbability(r *queue.Request, a *Request, wait time.Duration) float64 {
 	c := h.classes[r.Class]
 	elapsed := wait + h.now - r.Arrival + seconds(h.startSeconds(r.Class))
@@ -139,8 +124,7 @@
 	return h.lengths.Dist(a.Class, a.Team)
 }
 
-// meanTokens returns the mean answer length of requests like a, capped by the
-// caller's limit. It is zero for services.
+// meanTokens returns the expected answer length up to the caller's limit, or zero for a service.
 func (h *Home) meanTokens(a *Request) float64 {
 	if h.pool.Kind != decl.Model {
 		return 0
@@ -162,7 +146,7 @@
 	return defaultStart.Seconds()
 }
 
-// admit returns the refusal of r, or nil if r is admitted.
+// admit returns the reason to refuse r, or nil if r is admitted.
 func (h *Home) admit(r *queue.Request, a *Request) *verdict.Error {
 	if h.slots(false) == 0 {
 		return verdict.Refuse(verdict.NoEndpoint, "no endpoint of pool %q takes work", h.pool.Name).WithRetryAfter(time.Second)
@@ -174,7 +158,7 @@
 		return nil
 	}
 	if h.q.Len() == 0 && h.placeable(r) {
-		return nil // can start immediately
+		return nil
 	}
 	wait := h.predictWait(r)
 	immediate := h.onTimeProbability(r, a, 0)
@@ -223,7 +207,6 @@
 	return 1
 }
 
-// updateBias updates the correction of predicted waits from r's actual wait.
 func (h *Home) updateBias(r *queue.Request) {
 	s := &h.stats[r.Class]
 	if r.Predicted < biasMinWait {
@@ -241,7 +224,7 @@
 	return clampRetry(h.predictWait(r) / 2)
 }
 
-// observe updates the estimates from a completed run.
+// observe updates the estimates and the state of the endpoint from a run that ended.
 func (h *Home) observe(r *run, rel *Release) {
 	s := &h.stats[r.class]
 	c := h.classes[r.class]
--- a/home/fit.go
+++ b/home/fit.go
@@ -1,8 +1,7 @@
 package home
 
-// A gapRegression is a decaying linear regression of an endpoint's inter-token
-// gap on its number of runs. It predicts how many runs bring the gap to a target,
-// also beyond the numbers seen recently.
+// A gapRegression is a decaying linear regression of an endpoint's inter-token gap on its number of
+// runs. Unlike an average, it also predicts gaps at numbers not seen recently.
 type gapRegression struct {
 	weight, n, gap, nn, ngap float64
 }
@@ -22,8 +21,7 @@
 	f.ngap = fitDecay*f.ngap + n*gap
 }
 
-// solve returns the number of runs at which the gap reaches target, or false if
-// the samples do not determine it.
+// solve returns the number of runs at which the gap reaches target, or false if it is undetermined.
 func (f *gapRegression) solve(target float64) (float64, bool) {
 	if f.weight < fitMinSamples {
 		return 0, false
--- a/home/home.go
+++ b/home/home.go
@@ -1,18 +1,13 @@
 // Package home implements admission control, ordering and placement of the
 // requests of one cell of endpoints.
 //
-// A cell is a bounded group of identical endpoints. Its home instance holds the
-// cell's only queue and grants a request only when an endpoint has a free slot
-// for it. A Home does no I/O and reads no clock: every method takes the current
-// time and an event, and TakeDecisions returns the resulting decisions. All its
-// state is soft and rebuilt within seconds from the entry instances: they hold the
-// requests, ask again elsewhere when a home is lost, and report what they run
-// to each home.
+// A cell is a bounded group of identical endpoints. Its home instance holds the cell's only queue
+// and grants a request only when an endpoint has a free slot for it. The state of a Home is rebuilt
+// within seconds from the entry instances: they hold the requests, ask another instance when a home
+// is lost, and report their runs to each home.
 //
-// home.go handles events and state, estimate.go predicts service and waiting
-// times and decides admission, place.go selects endpoints, limits.go and fit.go
-// set the concurrency limits, and policy.go defines the policy switches. A Home
-// is not safe for concurrent use.
+// A Home does no I/O and reads no clock: its methods take the current time and an event, and
+// TakeDecisions returns the resulting decisions. It is not safe for concurrent use.
 package home
 
 import (
@@ -25,17 +20,12 @@
 	"ivyridge/verdict"
 )
 
-// Timeouts of a Home's soft state.
 const (
 	// RunLease is how long a run is counted after its entry last reported it.
-	RunLease = 3 * time.Second
-	// maxReportAge is the age above which an endpoint's load report is stale
-	// when a Home resumes deciding; reportTimeout is how long a Home waits
-	// for a new report before it uses the endpoint anyway.
-	maxReportAge  = time.Second
-	reportTimeout = 400 * time.Millisecond
-	// syncGrace is how long a new grant may be missing from its entry's Sync.
-	syncGrace = time.Second
+	RunLease      = 3 * time.Second
+	maxReportAge  = time.Second            // older load reports are stale when a Home resumes deciding
+	reportTimeout = 400 * time.Millisecond // wait for a report, after which the endpoint is used without
+	syncGrace     = time.Second            // how long a new grant may be missing from its entry's Sync
 )
 
 // A Key identifies one attempt by entry instance and sequence number.
@@ -104,28 +94,28 @@
 
 // A Home is the state of one cell.
 type Home struct {
-	pool         decl.Pool
-	policy       Policy
-	classes      []*decl.Class
-	classIndex   map[string]int
-	set          *decl.Set
-	q            *queue.Queue
-	lengths      *length.Distributions
-	stats        []classStats
-	waiting      map[Key]*queue.Request
-	running      map[Key]*run
-	byName       map[string]*endpoint
-	list         []*endpoint
-	nextIndex    int     // next round-robin index
-	share        float64 // part of each concurrency limit that this instance may grant
-	decisions    []Decision
-	freeRequests []*queue.Request
-	freeRuns     []*run // for reuse
-	accept       func(*queue.Request) bool
-	acceptOwed   func(*queue.Request) bool
-	runsByTier   [decl.MaxTier + 1]int // number of runs
-	now          time.Duration
-	Counts       Counts
+	pool             decl.Pool
+	policy           Policy
+	classes          []*decl.Class
+	classIndex       map[string]int
+	set              *decl.Set
+	q                *queue.Queue
+	lengths          *length.Distributions
+	stats            []classStats
+	waiting          map[Key]*queue.Request
+	running          map[Key]*run
+	byName           map[string]*endpoint
+	list             []*endpoint
+	nextIndex        int     // of the round robin in list
+	share            float64 // part of each concurrency limit that this instance may grant
+	decisions        []Decision
+	freeRequests     []*queue.Request
+	freeRuns         []*run
+	accept           func(*queue.Request) bool
+	acceptBelowShare func(*queue.Request) bool
+	runsByTier       [decl.MaxTier + 1]int
+	now              time.Duration
+	Counts           Counts
 }
 
 // Counts are totals since the Home was created.
@@ -143,13 +133,13 @@
 		byName:  make(map[string]*endpoint),
 		share:   1,
 	}
-	h.accept, h.acceptOwed = h.placeable, h.placeableOwed
+	h.accept, h.acceptBelowShare = h.placeable, h.placeableBelowShare
 	h.Configure(0, set, pool)
 	return h
 }
 
-// Configure applies new declarations. Waiting requests keep their order;
-// those whose class no longer exists are refused.
+// Configure applies new declarations. Waiting requests keep their order; those whose class no
+// longer exists are refused.
 func (h *Home) Configure(now time.Duration, set *decl.Set, pool *decl.Pool) {
 	h.now = now
 	oldClasses, oldStats, oldIndex := h.classes, h.stats, h.classIndex
@@ -172,8 +162,7 @@
 	h.dispatch()
 }
 
-// reassignRuns maps the runs to the new class indexes. A run whose class no
-// longer exists is counted under the first class.
+// reassignRuns counts the runs of a class that no longer exists under the first class.
 func (h *Home) reassignRuns(oldClasses []*decl.Class) {
 	h.runsByTier = [decl.MaxTier + 1]int{}
 	for _, e := range h.byName {
@@ -185,7 +174,6 @@
 	}
 }
 
-// requeue moves the waiting requests to the new queue.
 func (h *Home) requeue(oldClasses []*decl.Class) {
 	for key, r := range h.waiting {
 		a := r.Payload.(*Request)
@@ -202,8 +190,8 @@
 	}
 }
 
-// SetShare sets the part, 0 to 1, of every endpoint's limit that this Home may
-// grant: 1 for the home of the cell, less for an instance that stands in for it.
+// SetShare sets the part, 0 to 1, of every endpoint's limit that this Home may grant: 1 for the
+// home of the cell, less for a fallback.
 func (h *Home) SetShare(now time.Duration, share float64) {
 	h.now = now
 	h.share = share
@@ -220,7 +208,7 @@
 		x := h.byName[e.Name]
 		if x == nil || x.spec.Addr != e.Addr {
 			x = newEndpoint(e, &h.pool)
-			x.unheardSince = now
+			x.awaitingReportSince = now
 			h.byName[e.Name] = x
 		}
 		x.update(e)
@@ -240,15 +228,14 @@
 	h.dispatch()
 }
 
-// RequireReports reports that this Home has not decided for some time. Endpoints
-// without a recent load report may have begun to leave meanwhile, so they get no
-// requests until they report again or reportTimeout passes.
+// RequireReports withholds requests from endpoints without a recent load report, which may be
+// leaving, until they report or reportTimeout passes. Call it when this Home resumes deciding.
 func (h *Home) RequireReports(now time.Duration) {
 	h.now = now
 	for _, e := range h.list {
 		if now-e.reported > maxReportAge {
 			e.machine.Step(evRequireReports)
-			e.unheardSince = now
+			e.awaitingReportSince = now
 		}
 	}
 }
@@ -263,7 +250,7 @@
 		return
 	}
 	if _, duplicate := h.waiting[a.Key]; duplicate {
-		return // retransmitted message
+		return // a retransmission
 	}
 	if _, duplicate := h.running[a.Key]; duplicate {
 		return
@@ -304,8 +291,7 @@
 	return 1
 }
 
-// Cancel removes a waiting request. A request already granted is unaffected;
-// its entry releases it.
+// Cancel removes a waiting request. It does not end a granted one, which its entry releases.
 func (h *Home) Cancel(now time.Duration, key Key) {
 	h.now = now
 	if r, ok := h.waiting[key]; ok {
@@ -334,7 +320,6 @@
 	h.freeRuns = append(h.freeRuns, r)
 }
 
-// startRun records a run.
 func (h *Home) startRun(x run) {
 	var r *run
 	if n := len(h.freeRuns); n > 0 {
@@ -348,16 +333,14 @@
 	h.countRun(r, 1)
 }
 
-// countRun adds delta to the run counts of r's endpoint and tier.
 func (h *Home) countRun(r *run, delta int) {
 	r.endpoint.running += delta
 	r.endpoint.runsByTier[h.classes[r.class].Tier] += delta
 	h.runsByTier[h.classes[r.class].Tier] += delta
 }
 
-// Sync reports all runs of entry in this cell. Runs that the entry no longer
-// reports are ended, and unknown ones are added, which is how a new home learns
-// what runs in its cell.
+// Sync reports all runs of entry in this cell. Runs that it does not list are ended, and unknown
+// ones are added, from which a new home learns what runs in its cell.
 func (h *Home) Sync(now time.Duration, entry string, runs []ActiveRun) {
 	h.now = now
 	for _, x := range runs {
@@ -390,8 +373,8 @@
 		h.q.Expire(now, h.refuseExpired)
 	}
 	for _, e := range h.list {
-		if e.machine.State() == stUnheard && now-e.unheardSince > reportTimeout {
-			e.machine.Step(evTrust)
+		if e.machine.State() == stAwaitingReport && now-e.awaitingReportSince > reportTimeout {
+			e.machine.Step(evReportTimeout)
 		}
 	}
 	for _, r := range h.running {
@@ -414,7 +397,7 @@
 // dispatch grants queued requests while endpoints have free slots.
 func (h *Home) dispatch() {
 	for h.q.Len() > 0 {
-		r := h.q.Pop(h.accept, h.acceptOwed)
+		r := h.q.Pop(h.accept, h.acceptBelowShare)
 		if r == nil {
 			return
 		}
@@ -498,9 +481,9 @@
 	evLeave          = chart.Endpoint.Event("leave")
 	evStop           = chart.Endpoint.Event("stop")
 	evStart          = chart.Endpoint.Event("start")
-	evTrust          = chart.Endpoint.Event("trust")
+	evReportTimeout  = chart.Endpoint.Event("trust")
 	evRequireReports = chart.Endpoint.Event("distrust")
-	stUnheard        = chart.Endpoint.State("unheard")
+	stAwaitingReport = chart.Endpoint.State("unheard")
 	stServing        = chart.Endpoint.State("serving")
 	stSlow           = chart.Endpoint.State("slow")
 )
--- a/home/home_test.go
+++ b/home/home_test.go
@@ -36,7 +36,6 @@
 	return h
 }
 
-// reportAll sends a load report of each of n endpoints.
 func reportAll(h *home.Home, n int) {
 	for i := range n {
 		h.Report(0, home.Load{Endpoint: fmt.Sprintf("e%d", i)})
@@ -114,7 +113,6 @@
 	}
 }
 
-// A request that would miss its deadline is refused on arrival.
 func TestOverloadRefusedOnArrival(t *testing.T) {
 	h := newHome(t, 1)
 	for i := range uint64(80) {
@@ -131,7 +129,7 @@
 	}
 }
 
-// A new home learns the current runs from the entries and grants no slot twice.
+// A new home learns the current runs from the entries, so that it grants no slot twice.
 func TestSyncRestoresRuns(t *testing.T) {
 	h := newHome(t, 1)
 	h.Sync(0, "n1", []home.ActiveRun{{Seq: 1, Endpoint: "e0", Class: "verdict"}, {Seq: 2, Endpoint: "e0", Class: "letter"}})
@@ -159,8 +157,7 @@
 	}
 }
 
-// A slow endpoint is detected from its inter-token gaps although its load
-// reports are normal.
+// The load reports of a slow endpoint are normal; only its inter-token gaps are not.
 func TestSlowEndpointDetected(t *testing.T) {
 	h := newHome(t, 3)
 	for i := range 30 {
@@ -191,8 +188,7 @@
 	}
 }
 
-// benchDecision measures one arrival and one release in a cell of 16 endpoints,
-// the maximum cell size, with the given number of requests waiting.
+// benchDecision measures one arrival and one release in a cell of the maximum size.
 func benchDecision(b *testing.B, waiting int) {
 	set, err := decl.Parse("d.yaml", []byte("classes:\n  - {name: verdict, tier: 0, whole: 4s, repeatable: false}\n  - {name: letter, tier: 2, whole: 10h, repeatable: true, finish_late: true}\npools:\n  - {name: m, kind: model, slots: 2, max_slots: 8}\n"))
 	if err != nil {
@@ -235,8 +231,7 @@
 	}
 }
 
-// A new home grants on an endpoint only after its load report, since it may be
-// leaving; an endpoint without a report is used after a timeout.
+// An endpoint that has not reported may be leaving, so it gets no requests until a timeout.
 func TestReportAwaitedBeforeGrant(t *testing.T) {
 	h := newHome(t, 0)
 	h.SetEndpoints(0, endpointList(2))
--- a/home/limits.go
+++ b/home/limits.go
@@ -1,9 +1,8 @@
 package home
 
-// This file adjusts the concurrency limits of endpoints and detects slow ones,
-// from observed inter-token gaps. Load reports lag, so they are used only to
-// infer runs that this Home did not grant, and to learn that an endpoint is back
-// or is leaving.
+// This file adjusts concurrency limits and detects slow endpoints, both from inter-token gaps. Load
+// reports lag, so they serve only to infer runs that this Home did not grant and to learn that an
+// endpoint is back or leaving.
 
 import (
 	"math"
@@ -14,43 +13,33 @@
 
 const (
 	adjustInterval = 100 * time.Millisecond
-	// The time constants, in tokens, of the two smoothed inter-token gaps. The
-	// longer one controls the lower tiers' limit: limits fall faster than
-	// they rise, so a short window would lower it at every burst of prompts.
+	// Time constants, in tokens, of the smoothed gaps. The longer one controls the lower tiers'
+	// limit: limits fall faster than they rise, so a short one would lower it at every burst of
+	// prompts.
 	gapWindowTokens     = 150
 	longGapWindowTokens = 1200
-	// The limit is kept while the gap is between lowWatermark and
-	// highWatermark of its target. Both are below one, since a class wants 95%
-	// of the gaps within the target and gaps vary around their mean.
-	highWatermark = 0.90
-	lowWatermark  = 0.80
-	maxLimitCut   = 0.3 // fraction of a limit per step
-	// An endpoint is slow above slowFactor times the cell's median gap, and no
-	// longer below fastFactor times it.
-	slowFactor    = 2.0
-	fastFactor    = 1.4
-	slowMinTokens = 40 // tokens observed before an endpoint is judged
-	// protectQuantile of the highest tier's answers must meet their target;
-	// the quantile is used after protectMinAnswers answers.
-	protectQuantile   = 0.985
-	protectMinAnswers = 50
-	// The protected gap is an average over an answer, so the limit may be
-	// held close to it.
+	// The limit is kept while the gap over its target is between these. Both are below one, since a
+	// class wants 95% of the gaps within the target and gaps vary around their mean.
+	highWatermark     = 0.90
+	lowWatermark      = 0.80
+	maxLimitCut       = 0.3   // fraction of a limit per step
+	slowFactor        = 2.0   // an endpoint is slow above this multiple of the cell's median gap
+	fastFactor        = 1.4   // and no longer slow below this one
+	slowMinTokens     = 40    // tokens observed before an endpoint is judged
+	protectQuantile   = 0.985 // of the highest tier's answers must meet their target
+	protectMinAnswers = 50    // observed before the quantile is used
+	// The protected gap is an average over an answer, so the limit may be held close to it.
 	protectHighWatermark = 1.02
 	protectLowWatermark  = 0.94
-	// foreignDecay is the smoothing factor of the inferred foreign runs.
-	foreignDecay = 0.7
-	// A service's limit is kept while its service time is between
-	// serviceLowRatio and serviceHighRatio times its minimum;
-	// minServiceTimeDrift raises the minimum slowly so that it can follow.
+	foreignDecay         = 0.7 // smoothing factor of the inferred foreign runs
+	// A service's limit is kept while its service time over its minimum is between these.
 	serviceLowRatio       = 1.25
 	serviceHighRatio      = 1.5
 	serviceAdjustInterval = 50 * time.Millisecond
-	minServiceTimeDrift   = 0.0005
+	minServiceTimeDrift   = 0.0005 // raises the minimum slowly, so that it follows a slower service
 	serviceTimeDecay      = 0.95
-	// maxForecastFactor bounds a forecast limit, as a multiple of the limit.
-	maxForecastFactor = 2.0
-	defaultGap        = 60 * time.Millisecond
+	maxForecastFactor     = 2.0 // bound of a forecast, as a multiple of the limit
+	defaultGap            = 60 * time.Millisecond
 )
 
 // A Progress is what an entry observed of one endpoint's tokens since its last
@@ -97,7 +86,6 @@
 	h.dispatch()
 }
 
-// detectSlow compares e's gap with the cell's median.
 func (h *Home) detectSlow(e *endpoint) {
 	if !h.policy.Slow || e.tokens < slowMinTokens {
 		return
@@ -128,9 +116,8 @@
 	e.lowLimit = nextLimit(e.lowLimit, busy, e.longGap/h.protectedGap(), protectHighWatermark, protectLowWatermark, maxLimit)
 }
 
-// raiseLimit raises e's limits to its current number of runs, if that exceeds
-// them and the gap is within its target. It keeps the limit that a previous home
-// of the cell had found.
+// raiseLimit raises e's limits to its number of runs unless its gap is above the high watermark, so
+// that a new home keeps the limit that the previous one had found.
 func (h *Home) raiseLimit(e *endpoint) {
 	if !h.policy.Fill || e.gap > highWatermark*h.targetGap().Seconds() {
 		return
@@ -141,11 +128,11 @@
 
 // adjustService adjusts the limit of a service endpoint by its service time: a
 // rise above the minimum means that requests queue in the endpoint.
-func (h *Home) adjustService(e *endpoint, held time.Duration) {
-	if !h.policy.Fill || held <= 0 {
+func (h *Home) adjustService(e *endpoint, duration time.Duration) {
+	if !h.policy.Fill || duration <= 0 {
 		return
 	}
-	d := held.Seconds()
+	d := duration.Seconds()
 	if e.minServiceTime == 0 || d < e.minServiceTime {
 		e.minServiceTime = d
 	}
@@ -163,8 +150,8 @@
 	e.lowLimit = e.limit
 }
 
-// forecastLimit estimates how many requests e could run at once, also above a
-// limit that has not been reached for lack of load.
+// forecastLimit estimates how many requests e could run at once. It exceeds a limit that e has not
+// reached for lack of load.
 func (h *Home) forecastLimit(e *endpoint, lowTier bool) float64 {
 	limit := h.limitOf(e, lowTier)
 	if !h.policy.Fill || h.pool.Kind != decl.Model {
@@ -192,9 +179,8 @@
 	return limit
 }
 
-// protectedGap returns the inter-token gap, in seconds, at which protectQuantile
-// of the highest tier's answers are on time if they start at once. Lower tiers
-// must not make an endpoint slower.
+// protectedGap returns the inter-token gap, in seconds, at which protectQuantile of the highest
+// tier's answers are on time if they start at once. Lower tiers must not make an endpoint slower.
 func (h *Home) protectedGap() float64 {
 	gap := math.Inf(1)
 	for i, c := range h.classes {
@@ -246,8 +232,7 @@
 	return s
 }
 
-// meanGap returns the mean gap of the serving endpoints, weighted by limit, in
-// seconds.
+// meanGap returns the mean gap of the serving endpoints, weighted by limit, in seconds.
 func (h *Home) meanGap() float64 {
 	sum, weight := 0.0, 0.0
 	for _, e := range h.list {
--- a/home/place.go
+++ b/home/place.go
@@ -12,50 +12,40 @@
 )
 
 const (
-	// maxWarmPrefixes is how many prefixes are remembered per endpoint.
-	maxWarmPrefixes = 256
-	// warmBonus is the score of a warm prefix, as a fraction of a full endpoint.
-	warmBonus = 0.25
-	// crossDataCentrePenalty is the cost of another data centre, in the same unit.
-	crossDataCentrePenalty = 0.02
-	// failuresToUnreachable consecutive failures disable an endpoint until it
-	// reports.
-	failuresToUnreachable = 2
-	// probeInterval is the interval between probe requests to a slow endpoint.
-	probeInterval = 2 * time.Second
-	// Slots are reserved for the mean load of higher tiers plus
-	// reserveSigmas standard deviations of Poisson arrivals.
-	reserveSigmas = 2.0
-	// pauseAfterRefusal is how long an endpoint that rejected a request as
-	// overload gets no more requests, if others accept them.
+	maxWarmPrefixes        = 256             // remembered per endpoint
+	warmBonus              = 0.25            // on the score, as a fraction of a full endpoint
+	crossDataCentrePenalty = 0.02            // in the same unit
+	failuresToUnreachable  = 2               // consecutive; the endpoint gets no requests until it reports
+	probeInterval          = 2 * time.Second // between probe requests to a slow endpoint
+	reserveSigmas          = 2.0             // Poisson standard deviations reserved above the higher tiers' mean load
+	// pauseAfterRefusal is how long an endpoint that refused a request as overload gets no more.
 	pauseAfterRefusal = time.Second
-	// minProbeTier is the highest tier whose requests may be used as probes.
-	minProbeTier = 1
+	minProbeTier      = 1 // requests of more urgent tiers are not used as probes
 )
 
 type endpoint struct {
-	spec           Endpoint
-	machine        chart.Machine
-	running        int
-	runsByTier     [decl.MaxTier + 1]int // number of runs
-	limit          float64               // concurrency limit
-	lowLimit       float64               // concurrency limit for lower tiers
-	gap            float64               // seconds between tokens, smoothed
-	longGap        float64               // the same over a longer window
-	tokens         float64               // tokens observed for gap
-	gapFit         gapRegression
-	lastAdjusted   time.Duration
-	minServiceTime float64 // seconds, of a service
-	serviceTime    float64 // seconds, of a service, smoothed
-	foreign        float64 // runs not granted by this Home, inferred from load reports
-	reported       time.Duration
-	unheardSince   time.Duration // when it began to wait for a report
-	lastProbe      time.Duration
-	pausedUntil    time.Duration // see pauseAfterRefusal
-	failures       int
-	warm           map[uint64]int // prefix to index in prefixRing
-	prefixRing     [maxWarmPrefixes]uint64
-	ringNext       int
+	spec                Endpoint
+	machine             chart.Machine
+	running             int
+	runsByTier          [decl.MaxTier + 1]int
+	limit               float64 // concurrency limit
+	lowLimit            float64 // concurrency limit for lower tiers
+	gap                 float64 // seconds between tokens, smoothed
+	longGap             float64 // the same over a longer window
+	tokens              float64 // tokens observed for gap
+	gapFit              gapRegression
+	lastAdjusted        time.Duration
+	minServiceTime      float64 // seconds, of a service
+	serviceTime         float64 // seconds, of a service, smoothed
+	foreign             float64 // runs not granted by this Home, inferred from load reports
+	reported            time.Duration
+	awaitingReportSince time.Duration
+	lastProbe           time.Duration
+	pausedUntil         time.Duration // see pauseAfterRefusal
+	failures            int
+	warm                map[uint64]int // prefix to index in prefixRing
+	prefixRing          [maxWarmPrefixes]uint64
+	ringNext            int
 }
 
 func newEndpoint(spec Endpoint, pool *decl.Pool) *endpoint {
@@ -85,8 +75,7 @@
 	return s == stServing || s == stSlow
 }
 
-// mayAccept reports whether e accepts requests or is waiting for its report.
-func (e *endpoint) mayAccept() bool { return e.accepting() || e.machine.State() == stUnheard }
+func (e *endpoint) mayAccept() bool { return e.accepting() || e.machine.State() == stAwaitingReport }
 
 func (e *endpoint) recordFailure() {
 	e.failures++
@@ -95,11 +84,10 @@
 	}
 }
 
-// recordRefusal pauses e and lowers its limit after it rejected a request as
-// overload.
+// recordRefusal pauses e and lowers its limit after it refused a request as overload.
 func (e *endpoint) recordRefusal(now time.Duration) {
 	if now < e.pausedUntil {
-		return // already handled
+		return
 	}
 	e.pausedUntil = now + pauseAfterRefusal
 	e.limit = max(1, e.limit*(1-maxLimitCut))
@@ -107,7 +95,7 @@
 
 func (e *endpoint) resetFailures() { e.failures = 0 }
 
-// recordGrant notes that e will have the prefix in its cache.
+// recordGrant adds prefix to those that e is assumed to hold in its cache.
 func (e *endpoint) recordGrant(now time.Duration, prefix uint64) {
 	if e.machine.State() == stSlow {
 		e.lastProbe = now
@@ -124,8 +112,7 @@
 	e.ringNext = (e.ringNext + 1) % maxWarmPrefixes
 }
 
-// limitOf returns the concurrency limit of e, scaled by this Home's share. LowTier
-// selects the limit for lower tiers.
+// limitOf returns this Home's share of e's limit; lowTier selects the limit for lower tiers.
 func (h *Home) limitOf(e *endpoint, lowTier bool) float64 {
 	limit := e.limit
 	if lowTier && h.policy.Protect {
@@ -139,7 +126,7 @@
 	return h.limitOf(e, lowTier) - float64(e.running) - e.foreign
 }
 
-// slots returns the concurrency limit of the cell.
+// slots returns the number of requests that the cell is expected to run at once.
 func (h *Home) slots(lowTier bool) float64 {
 	n := 0.0
 	for _, e := range h.list {
@@ -150,8 +137,7 @@
 	return n
 }
 
-// placeable reports whether r may run now: an endpoint has a free slot, and the
-// reserve for higher tiers is kept.
+// placeable reports whether an endpoint has a free slot for r outside the higher tiers' reserve.
 func (h *Home) placeable(r *queue.Request) bool {
 	tier := h.classes[r.Class].Tier
 	if tier > 0 && h.policy.Reserve && !h.leavesReserve(tier) {
@@ -160,15 +146,14 @@
 	return h.choose(r, r.Payload.(*Request), tier > 0) != nil
 }
 
-// placeableOwed is placeable for a class below its guaranteed share, which may
-// use the reserve and the higher tiers' limit.
-func (h *Home) placeableOwed(r *queue.Request) bool {
+// placeableBelowShare is placeable for a class below its guaranteed share, which may use the
+// reserve and the higher tiers' limit.
+func (h *Home) placeableBelowShare(r *queue.Request) bool {
 	return h.choose(r, r.Payload.(*Request), false) != nil
 }
 
-// leavesReserve reports whether one more run of the tier leaves the higher tiers
-// the slots that their expected load needs. Without a reserve they would wait for
-// the end of long low-tier requests.
+// leavesReserve reports whether one more run of the tier leaves the slots that the higher tiers are
+// expected to need. Without them these would wait for the end of long low-tier requests.
 func (h *Home) leavesReserve(tier int) bool {
 	lower := 1
 	for _, n := range h.runsByTier[tier:] {
@@ -187,9 +172,8 @@
 	return float64(lower) <= h.slots(true)-higher-reserveSigmas*math.Sqrt(higher)
 }
 
-// choose returns the endpoint for r, or nil if none has a free slot. A paused or
-// slow endpoint, or the one on which r failed before, is used if no other endpoint
-// accepts requests.
+// choose returns the endpoint for r, or nil if none has a free slot. The only accepting endpoint is
+// used even if it is paused or slow, or failed an earlier attempt at r.
 func (h *Home) choose(r *queue.Request, a *Request, lowTier bool) *endpoint {
 	if !h.policy.Counts {
 		return h.roundRobin(a)
@@ -215,7 +199,6 @@
 	return best
 }
 
-// soleEndpoint returns the first accepting endpoint with a free slot, or nil.
 func (h *Home) soleEndpoint(lowTier bool) *endpoint {
 	for _, e := range h.list {
 		if e.accepting() && h.freeSlots(e, lowTier) >= 1 {
@@ -246,8 +229,8 @@
 	return h.classes[r.Class].Tier >= minProbeTier && e.running == 0 && h.now-e.lastProbe >= probeInterval
 }
 
-// score returns the relative load of e with one more request, adjusted for a warm
-// prefix and for the data centre. The lowest score is best.
+// score returns the load of e with one more request, adjusted for a warm prefix and for the data
+// centre. The lowest score is best.
 func (h *Home) score(e *endpoint, a *Request) float64 {
 	limit := max(1, e.limit*h.share)
 	s := (float64(e.running) + e.foreign + 1) / limit
--- a/home/policy.go
+++ b/home/policy.go
@@ -73,8 +73,7 @@
 	Strict = "strict" // least loaded, strict priorities, no admission control
 )
 
-// ParsePolicy returns the policy called name with the mechanisms in without
-// switched off.
+// ParsePolicy returns the policy called name with the mechanisms in without switched off.
 func ParsePolicy(name string, without ...string) (Policy, error) {
 	var p Policy
 	switch name {
@@ -111,8 +110,7 @@
 	return queue.Options{Tiers: p.Tiers, Shares: p.Shares, Deadlines: p.Deadlines, Fair: p.Fair}
 }
 
-// shareOf returns the guaranteed share of c, at least defaultShare for the lower
-// tiers.
+// shareOf returns the guaranteed share of c, at least defaultShare for the lower tiers.
 func shareOf(c *decl.Class) float64 {
 	if c.Tier == 0 {
 		return c.Share
