--- a/node/answers.go
+++ b/node/answers.go
@@ -16,8 +16,7 @@
 )
 
 const (
-	// maxAnswerBytes bounds the total size of the stored bodies.
-	maxAnswerBytes = 48 << 20
+	maxAnswerBytes = 48 << 20 // total of the stored bodies
 	joinTimeout    = 4 * time.Minute
 	joinAttempts   = 2
 )
@@ -27,13 +26,12 @@
 	Status      int
 	ContentType string
 	Body        []byte
-	// Failure is set if the attempt ended without an answer; the other
-	// fields are then zero.
+	// Failure is set if the attempt ended without an answer; the other fields are then zero.
 	Failure *verdict.Error
 }
 
-// An attemptKey identifies one attempt at a key. An attempt that is missing from
-// the store was withdrawn before anything was sent.
+// An attemptKey identifies one attempt at a key. An attempt that is missing from the store was
+// withdrawn before anything was sent.
 type attemptKey struct {
 	key     owner.Key
 	attempt uint64
@@ -101,8 +99,8 @@
 	x.answer = &Answer{Failure: verdict.Fail(verdict.Ran, verdict.Duplicate, "the request ran; its answer is no longer held")}
 }
 
-// expire removes answers that are older than any owner's record of them. Removing
-// one earlier would make a retry take the attempt for one that was not sent.
+// expire removes answers that are older than any owner's record of them. A retry would take an
+// attempt that is missing earlier for one that was not sent.
 func (a *answerStore) expire(now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -171,8 +169,7 @@
 	return ans, err
 }
 
-// Join serves a peer that received a retry of a request whose attempt is on this
-// instance.
+// Join serves a peer that received a retry of an attempt on this instance.
 func (s ownerService) Join(ctx context.Context, r *peerpb.JoinRequest) (*peerpb.JoinReply, error) {
 	rec := &owner.Record{Key: keyFromBytes(r.Key), Entry: s.opt.Name, Attempt: r.Attempt, Incarnation: r.Incarnation}
 	ans, err := s.joinLocal(ctx, rec)
--- a/node/ask.go
+++ b/node/ask.go
@@ -1,8 +1,7 @@
 package node
 
-// This file asks the home of a cell for a grant on behalf of an entry. The entry
-// holds the request until it is answered, so the loss of a home loses no request:
-// the entry asks the next home and passes the request's age.
+// This file asks the home of a cell for a grant. The entry holds the request until it is answered:
+// if a home is lost, it asks the next one and passes the request's age.
 
 import (
 	"context"
@@ -15,9 +14,8 @@
 	"ivyridge/verdict"
 )
 
-// GrantTTL is how long a grant may be used after it was given. It is far below
-// home.RunLease and owner.Retention, so that an entry that was suspended does not
-// act on a grant whose slot or key record has expired.
+// GrantTTL is how long a grant may be used. It is far below home.RunLease and owner.Retention, so
+// that an entry that was suspended does not use a grant whose slot or key record has expired.
 const GrantTTL = time.Second
 
 const (
@@ -35,7 +33,7 @@
 	MaxTokens  int
 	Prefix     uint64
 	Avoid      string
-	Arrived    time.Duration // time of arrival
+	Arrived    time.Duration
 	DataCentre string
 }
 
@@ -89,8 +87,8 @@
 	}
 }
 
-// acquireFromCells tries the first cells in order; if one is overloaded, it tries the
-// next. The result again reports that the homes changed, so Acquire should retry.
+// acquireFromCells tries the first cells in order until one is not overloaded. The result again
+// reports that the homes changed, so Acquire should retry.
 func (n *Node) acquireFromCells(ctx context.Context, v *view, cells []*cellView, r *Request) (g *Grant, again bool, err error) {
 	const maxCells = 2
 	for _, c := range cells[:min(maxCells, len(cells))] {
@@ -105,8 +103,8 @@
 	return nil, false, err
 }
 
-// acquireFromCell asks the homes of one cell in order of rank. If none of them serves
-// the cell, this instance decides itself, with a bounded share.
+// acquireFromCell asks the homes of one cell in order of rank. If none of them serves the cell,
+// this instance decides itself, within its share as a fallback.
 func (n *Node) acquireFromCell(ctx context.Context, v *view, c *cellView, r *Request) (*Grant, bool, error) {
 	for _, name := range c.homes[:min(maxHomesTried, len(c.homes))] {
 		d, moved, err := n.askHome(ctx, v, c, name, r)
@@ -163,7 +161,7 @@
 	}
 }
 
-// askHome asks one home, which may be this instance.
+// askHome asks one home, which may be this instance. The bool reports that another must be asked.
 func (n *Node) askHome(ctx context.Context, v *view, c *cellView, name string, r *Request) (home.Decision, bool, error) {
 	a := n.newHomeRequest(r)
 	if name == n.opt.Name {
@@ -203,8 +201,8 @@
 	return d, reply.NotHome, nil
 }
 
-// GrantValid reports whether a grant may still be used. A newer list, an operator command or
-// GrantTTL may have invalidated it.
+// GrantValid reports whether a grant may still be used. GrantTTL, a newer list or an operator
+// command may have invalidated it.
 func (n *Node) GrantValid(g *Grant) bool {
 	return n.view.Load().endpoints[g.Endpoint] && n.now()-g.At < GrantTTL
 }
--- a/node/cell.go
+++ b/node/cell.go
@@ -21,10 +21,9 @@
 	// endpoints' limits, since the entries have not yet reported what they run.
 	takeoverPeriod = 200 * time.Millisecond
 	takeoverShare  = 0.5
-	// fallbackRanks bounds the ranks that may stand in for an unreachable home
-	// with a large share: a rank r with 0 < r < fallbackRanks grants up to 1/2^r
-	// of an endpoint's limit, so that these and the home together stay below
-	// twice the limit. Other instances grant an equal part of it.
+	// While the home is unreachable, an instance of rank r, 0 < r < fallbackRanks, grants up to
+	// 1/2^r of an endpoint's limit, so that these and the home stay below twice the limit. Any
+	// other instance grants the limit divided by the number of usable instances.
 	fallbackRanks   = 3
 	cellIdleTimeout = 10 * time.Second
 )
@@ -77,7 +76,6 @@
 	return out
 }
 
-// updateCells applies a new view to the cells of this instance.
 func (n *Node) updateCells(v *view) {
 	for _, c := range n.allCells() {
 		if cv := v.cells[c.name]; cv != nil {
@@ -89,7 +87,7 @@
 	}
 }
 
-// update applies a view to the cell. The caller holds c.mu.
+// update applies a view. The caller holds c.mu.
 func (c *cell) update(n *Node, cv *cellView, v *view) {
 	now := n.now()
 	rank := cv.rank(n.opt.Name)
@@ -112,8 +110,8 @@
 	}
 }
 
-// setShare sets the fraction of the endpoints' limits that this instance may grant,
-// by its rank for the cell. The caller holds c.mu.
+// setShare sets the part of the limits that this instance may grant, by its rank. The caller holds
+// c.mu.
 func (c *cell) setShare(n *Node, now time.Duration, v *view) {
 	share := 1.0 / float64(max(1, v.usable))
 	switch {
@@ -130,8 +128,8 @@
 	}
 }
 
-// ask waits for the cell's decision. The result moved reports that this instance no
-// longer serves the cell and that another one must be asked.
+// ask waits for the cell's decision. The result moved reports that this instance no longer serves
+// the cell and that another one must be asked.
 func (c *cell) ask(ctx context.Context, n *Node, a home.Request) (d home.Decision, moved bool, err error) {
 	ch := make(chan home.Decision, 1)
 	now := n.now()
@@ -150,8 +148,7 @@
 	}
 }
 
-// deliver sends decisions to the waiting asks and returns grants that nobody waits
-// for. The caller holds c.mu.
+// deliver answers the waiting asks and releases grants that have none. The caller holds c.mu.
 func (c *cell) deliver() {
 	for {
 		var abandoned []home.Key // grants whose callers have gone
@@ -172,7 +169,7 @@
 	}
 }
 
-// cancel removes an ask whose caller has gone, and returns its grant if it has one.
+// cancel removes an ask whose caller has gone, and releases its grant if it has one.
 func (c *cell) cancel(n *Node, key home.Key) {
 	now := n.now()
 	c.mu.Lock()
@@ -183,8 +180,7 @@
 	c.deliver()
 }
 
-// redirectWaiters makes all waiting asks of the cell move to the next home. The
-// caller holds c.mu.
+// redirectWaiters makes the waiting asks move to the next home. The caller holds c.mu.
 func (c *cell) redirectWaiters() {
 	now := c.home.Now()
 	for key, ch := range c.waiters {
@@ -194,7 +190,7 @@
 	}
 }
 
-// redirectAllWaiters makes the waiting asks of all cells ask again.
+// redirectAllWaiters redirects the waiting asks of all cells and restarts their takeover period.
 func (n *Node) redirectAllWaiters(now time.Duration) {
 	for _, c := range n.allCells() {
 		c.mu.Lock()
@@ -210,7 +206,6 @@
 	return n.leaving
 }
 
-// tickCells advances the time of the cells that are in use.
 func (n *Node) tickCells(now time.Duration) {
 	v := n.view.Load()
 	for _, c := range n.allCells() {
@@ -224,8 +219,7 @@
 	}
 }
 
-// pollLoop polls the load reports of the endpoints of the cells that this instance
-// serves.
+// pollLoop polls the load reports of the endpoints in the cells that this instance serves.
 func (n *Node) pollLoop() {
 	for n.sleep(pollInterval) {
 		v := n.view.Load()
@@ -242,15 +236,13 @@
 	}
 }
 
-// pollCell polls all endpoints of a cell at once.
 func (n *Node) pollCell(c *cell, cv *cellView) {
 	for _, e := range cv.endpoints {
 		go n.poll(c, e)
 	}
 }
 
-// inUse reports whether this instance has served asks of the cell within
-// cellIdleTimeout.
+// inUse reports whether this instance has served asks of the cell within cellIdleTimeout.
 func (n *Node) inUse(name string, now time.Duration) bool {
 	n.cellMu.Lock()
 	c := n.cells[name]
@@ -375,8 +367,8 @@
 	c.deliver()
 }
 
-// Declarations returns the declarations in force, with operator commands applied,
-// and whether there are any.
+// Declarations returns the declarations in force, with operator commands applied, and whether any
+// are.
 func (n *Node) Declarations() (*decl.Set, bool) {
 	v := n.view.Load()
 	return v.set, v.ready
--- a/node/claim.go
+++ b/node/claim.go
@@ -1,8 +1,7 @@
 package node
 
-// This file claims keys. A request that must not be repeated is sent only after two
-// of its key's three owners have recorded it. The file also serves the owner's side
-// of claims; settle.go transfers records when the owners change.
+// This file claims keys: a request that must not be repeated is sent only after two of its key's
+// three owners have recorded it. It also serves the owner's side of claims.
 
 import (
 	"context"
@@ -67,8 +66,7 @@
 	holder                      *owner.Record
 }
 
-// requestQuorum sends Begin to all owners of the key and returns as soon as a quorum
-// has recorded the attempt.
+// requestQuorum sends Begin to all owners of the key and returns once a quorum has recorded it.
 func (n *Node) requestQuorum(ctx context.Context, c *Claim) tally {
 	n.mu.Lock()
 	revision, live := n.owners.Revision(), n.owners.Live()
@@ -110,8 +108,7 @@
 	}
 }
 
-// beginAt sends Begin to one owner, which may be this instance. A failed call counts
-// as the outcome Unknown.
+// beginAt sends Begin to one owner, which may be this instance. A failed call counts as Unknown.
 func (n *Node) beginAt(ctx context.Context, name string, rec *peerpb.Record, revision int64) *peerpb.BeginReply {
 	req := &peerpb.BeginRequest{Record: rec, ListRevision: revision}
 	if name == n.opt.Name {
--- a/node/commands.go
+++ b/node/commands.go
@@ -1,8 +1,7 @@
 package node
 
-// This file distributes operator commands with a two-phase commit over all listed
-// instances. If an instance does not prepare a command, the command is refused and
-// the error names that instance.
+// This file distributes operator commands by two-phase commit over all listed instances. A command
+// that an instance does not prepare is refused; the error names that instance.
 
 import (
 	"context"
@@ -43,8 +42,7 @@
 	return old, err
 }
 
-// An InvalidCommand is the error of a command that fails validation; retrying it
-// cannot succeed.
+// An InvalidCommand is the error of a command that fails validation, so that a retry is useless.
 type InvalidCommand struct{ Why string }
 
 func (e *InvalidCommand) Error() string { return e.Why }
@@ -83,8 +81,7 @@
 	return old, nil
 }
 
-// checkCommand validates c against the configuration and the list. The caller holds
-// n.mu.
+// checkCommand validates c. The caller holds n.mu.
 func (n *Node) checkCommand(c *command.Command) error {
 	if n.docs.set == nil {
 		return errors.New("no configuration is in force yet")
@@ -111,8 +108,7 @@
 	return nil
 }
 
-// prepareAll sends Prepare to all peers and returns those that did not accept, each
-// with the reason.
+// prepareAll sends Prepare to all peers and returns those that did not accept, with the reasons.
 func (n *Node) prepareAll(ctx context.Context, peers map[string]string, req *peerpb.CommandRequest) []string {
 	var mu sync.Mutex
 	var refusals []string
@@ -176,8 +172,7 @@
 	return old
 }
 
-// Prepare implements the first phase: it reserves the command's slot and version on
-// this instance.
+// Prepare is the first phase: it reserves the command's slot and version on this instance.
 func (s memberService) Prepare(_ context.Context, r *peerpb.CommandRequest) (*peerpb.CommandReply, error) {
 	var c command.Command
 	if err := json.Unmarshal(r.Command, &c); err != nil {
@@ -194,7 +189,7 @@
 	return &peerpb.CommandReply{Ok: true}, nil
 }
 
-// Commit implements the second phase: it applies a prepared command.
+// Commit is the second phase: it applies a prepared command.
 func (s memberService) Commit(_ context.Context, r *peerpb.CommandRequest) (*peerpb.CommandReply, error) {
 	var c command.Command
 	if err := json.Unmarshal(r.Command, &c); err != nil {
--- a/node/counters.go
+++ b/node/counters.go
@@ -2,7 +2,6 @@
 
 import "expvar"
 
-// counters are the node's expvar counters.
 type counters struct {
 	suspensions, configsRejected, configsAccepted, oldRevisions *expvar.Int
 	offers, fetches, platformCalls, platformErrors              *expvar.Int
--- a/node/documents.go
+++ b/node/documents.go
@@ -1,9 +1,8 @@
 package node
 
-// This file distributes the configuration and the instance list. Two instances poll
-// the platform on behalf of the fleet. A new revision is offered to a few peers, and
-// heartbeats carry the revisions so that an instance that is behind fetches the
-// document. A revision older than the accepted one is ignored, whatever its source.
+// This file distributes the configuration and the instance list. Two instances poll the platform.
+// They offer a new revision to a few peers; the others see it in heartbeats and fetch it. A
+// revision older than the accepted one is ignored, whatever its source.
 
 import (
 	"context"
@@ -28,10 +27,8 @@
 	watchRetryDelay  = 500 * time.Millisecond
 	offerFanout      = 3
 	callTimeout      = 500 * time.Millisecond
-	// documentTimeout is the timeout of calls that carry a document: 1 MB takes
-	// 8.4 s over a link of 1 Mbit/s, and with callTimeout such a transfer would
-	// be cut and restarted forever. Calls to a dead peer end sooner, by the
-	// connection's pings.
+	// documentTimeout is for calls that carry a document: 1 MB takes 8.4 s at 1 Mbit/s, and
+	// callTimeout would cut such a transfer every time. Calls to a dead peer end sooner, by pings.
 	documentTimeout     = 10 * time.Second
 	platformLostAfter   = 5 * time.Second // without contact, after which further instances poll the platform
 	watchStagger        = time.Second     // added delay for each rank
@@ -67,8 +64,7 @@
 	evPlatformSeen = chart.Configuration.Event("platform_seen")
 )
 
-// accept applies a document if it is valid and newer than the accepted one. It
-// reports whether it did.
+// accept applies a document, and reports true, if it is valid and newer than the accepted one.
 func (n *Node) accept(kind peerpb.Kind, revision int64, value []byte, from string) bool {
 	var ok bool
 	switch kind {
@@ -139,8 +135,7 @@
 	return true
 }
 
-// applyCommands applies the operator commands to the configuration and the table.
-// The caller holds n.mu.
+// applyCommands applies the commands to the configuration and the table. The caller holds n.mu.
 func (n *Node) applyCommands() {
 	if n.docs.set != nil {
 		n.docs.effective = n.commands.Apply(n.docs.set)
@@ -232,9 +227,9 @@
 	}
 }
 
-// shouldWatch reports whether this instance polls the platform now: it is one of the
-// first platformWatchers by rank, or the platform has not been reached for
-// platformLostAfter plus a delay that grows with the rank.
+// shouldWatch reports whether this instance is to poll the platform: it is one of the first
+// platformWatchers by rank, or nobody has reached the platform for platformLostAfter plus a delay
+// that grows with the rank.
 func (n *Node) shouldWatch() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -279,8 +274,7 @@
 	return nil
 }
 
-// recordPlatformHeard records that some instance reached the platform at the given
-// time.
+// recordPlatformHeard records that some instance reached the platform at the given time.
 func (n *Node) recordPlatformHeard(at time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -315,9 +309,8 @@
 	}
 }
 
-// Ready reports whether the instance can serve requests, and if not, the reason. A
-// new instance first waits up to bootstrapGrace for a heartbeat of a peer, so that it
-// starts from the highest revisions known.
+// Ready reports whether the instance can serve requests, or why not. A new instance first waits up
+// to bootstrapGrace for a heartbeat, so that it starts from the highest revisions known.
 func (n *Node) Ready() (bool, string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -329,9 +322,9 @@
 	case n.docs.list.revision == 0:
 		return false, "no list"
 	case !n.view.Load().ready:
-		return false, "no view" // requests are served from the view, which is built after the documents are accepted
+		return false, "no view" // requests are served from the view, which is built after the documents
 	}
-	others, slow := 0, n.now()-n.started > bootstrapGrace
+	others, graceElapsed := 0, n.now()-n.started > bootstrapGrace
 	for _, p := range n.table.Peers() {
 		if p.Name == n.opt.Name {
 			continue
@@ -343,7 +336,7 @@
 			return false, "behind " + p.Name
 		}
 	}
-	if others > 0 && !n.peerHeard && !slow {
+	if others > 0 && !n.peerHeard && !graceElapsed {
 		return false, "no peer heard yet"
 	}
 	return true, ""
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -32,8 +32,8 @@
 	return b
 }
 
-// settledRevision returns the list revision under which this instance has settled
-// all partitions that it owns, or zero. The caller holds n.mu.
+// settledRevision returns the list revision under which this instance has settled all partitions
+// that it owns, or zero. The caller holds n.mu.
 func (n *Node) settledRevision() int64 {
 	if n.owners.Settled() {
 		return n.owners.Revision()
@@ -41,8 +41,7 @@
 	return 0
 }
 
-// handleHeartbeat applies a heartbeat and fetches documents that are newer at its
-// sender.
+// handleHeartbeat applies a heartbeat and fetches documents that are newer at its sender.
 func (n *Node) handleHeartbeat(b *peerpb.Beat) {
 	now := n.now()
 	h := member.Heartbeat{
@@ -84,7 +83,6 @@
 	}
 }
 
-// heartbeatLoop sends heartbeats to the partners of this instance.
 func (n *Node) heartbeatLoop() {
 	for n.sleep(member.HeartbeatInterval) {
 		n.sendHeartbeats(false)
--- a/node/leave.go
+++ b/node/leave.go
@@ -9,14 +9,12 @@
 
 const (
 	handOverPollInterval = 20 * time.Millisecond
-	// handOverTimeout bounds how long a leaving instance waits until the new
-	// owners have settled the keys that it owned.
+	// handOverTimeout bounds the wait for the new owners to settle the keys of a leaving instance.
 	handOverTimeout = 5 * time.Second
 )
 
-// Leave announces to all peers that this instance is leaving, so that its cells and
-// keys move to others, and redirects the asks that wait here to the next homes. The
-// instance continues to serve its own requests until Close.
+// Leave announces to all peers that this instance is leaving, so that its cells and keys move to
+// them, and redirects waiting asks to the next homes. It serves its own requests until Close.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	n.leaving = true
@@ -27,8 +25,8 @@
 	n.refresh()
 }
 
-// AwaitHandOver waits until no other instance depends on this one, until
-// handOverTimeout has passed or until ctx is done.
+// AwaitHandOver waits until no other instance depends on this one, handOverTimeout has passed or
+// ctx is done.
 func (n *Node) AwaitHandOver(ctx context.Context) {
 	deadline := n.now() + handOverTimeout
 	for !n.handedOver() && n.now() < deadline {
@@ -40,8 +38,7 @@
 	n.sleepContext(ctx, handOverPollInterval)
 }
 
-// handedOver reports whether all usable peers have settled their partitions and no
-// ask waits here.
+// handedOver reports whether all usable peers have settled their partitions and no ask waits here.
 func (n *Node) handedOver() bool {
 	for _, c := range n.allCells() {
 		c.mu.Lock()
--- a/node/node.go
+++ b/node/node.go
@@ -8,13 +8,6 @@
 // (Acquire, Claim) takes the cells, homes and addresses from one immutable view.
 // State changes are published to the rest of the process over a watermill
 // channel.
-//
-// The files: documents.go (configuration and instance list), heartbeat.go
-// (failure detection), view.go (assignment of cells to instances), cell.go
-// (serving as a home), ask.go (acquiring grants), outbox.go (reporting running
-// and ended requests to homes), claim.go and settle.go (key ownership),
-// answers.go (answers of keyed requests), commands.go (operator commands),
-// status.go (operator queries), leave.go (planned stops).
 package node
 
 import (
@@ -109,8 +102,7 @@
 // A QueryFunc answers an operator's query from the state of this instance alone.
 type QueryFunc func(text string) ([]byte, error)
 
-// SetQuery sets the function that answers queries of peers. It must be called before
-// Run.
+// SetQuery sets the function that answers queries of peers. It must be called before Run.
 func (n *Node) SetQuery(f QueryFunc) { n.query = f }
 
 // A Topic is a kind of state change that can be subscribed to.
@@ -198,8 +190,8 @@
 	}()
 }
 
-// Close stops the node immediately and waits for its background loops. For a planned
-// stop, call Leave first.
+// Close stops the node immediately and waits for its background loops. For a planned stop, call
+// Leave first.
 func (n *Node) Close() {
 	n.cancel()
 	_ = n.bus.Close()
@@ -207,7 +199,6 @@
 	n.wg.Wait()
 }
 
-// publish sends a change to the subscribers in this process.
 func (n *Node) publish(c Change) {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -216,8 +207,7 @@
 	_ = n.bus.Publish(string(c.Topic), message.NewMessage(watermill.NewShortUUID(), data))
 }
 
-// Subscribe returns a channel of the changes of a topic. It is closed after ctx is
-// done.
+// Subscribe returns a channel of the changes of a topic, which is closed after ctx is done.
 func (n *Node) Subscribe(ctx context.Context, t Topic) (<-chan Change, error) {
 	in, err := n.bus.Subscribe(ctx, string(t))
 	if err != nil {
@@ -240,7 +230,6 @@
 	return out, nil
 }
 
-// logChanges logs the published changes until the node is closed.
 func (n *Node) logChanges() {
 	var wg sync.WaitGroup
 	for _, t := range []Topic{MembersChanged, DocumentsChanged, CommandsChanged} {
@@ -273,8 +262,7 @@
 
 const tickInterval = 20 * time.Millisecond
 
-// tickLoop advances the time-dependent state and detects that the process was
-// suspended.
+// tickLoop advances the time-dependent state and detects that the process was suspended.
 func (n *Node) tickLoop() {
 	last := n.now()
 	for n.sleep(tickInterval) {
@@ -302,12 +290,11 @@
 	n.answers.expire(now)
 }
 
-// resume handles a suspension of the process. Peer state from before it is not
-// used until it has been refreshed, and waiting asks are sent back to their
-// entries.
-func (n *Node) resume(now, gap time.Duration) {
+// resume handles a suspension of the process: the silence of peers during it does not count, and
+// waiting asks move to other homes.
+func (n *Node) resume(now, suspended time.Duration) {
 	n.count.suspensions.Add(1)
-	n.log.Warn("process was suspended", zap.Duration("for", gap))
+	n.log.Warn("process was suspended", zap.Duration("for", suspended))
 	n.mu.Lock()
 	n.table.ResetSilence(now)
 	n.mu.Unlock()
--- a/node/outbox.go
+++ b/node/outbox.go
@@ -1,9 +1,8 @@
 package node
 
-// This file reports to homes what this entry runs in their cells. Ended requests are
-// sent at once in small batches, token counts at sync intervals, and all running
-// requests at every fullSyncEvery-th sync, so that a home can rebuild its state from
-// the entries.
+// This file reports to homes what this entry runs in their cells: ended requests at once in small
+// batches, token counts at sync intervals, and all running requests at every fullSyncEvery-th sync,
+// so that a home can rebuild its state.
 
 import (
 	"context"
@@ -14,14 +13,11 @@
 )
 
 const (
-	// batchDelay is how long the report of an ended request waits for others to
-	// share its message.
-	batchDelay    = 3 * time.Millisecond
+	batchDelay    = 3 * time.Millisecond // wait for more ended requests to report in one message
 	syncInterval  = 250 * time.Millisecond
-	fullSyncEvery = 4 // every fourth sync lists all running requests
-	// instancesPerSyncStep is the number of usable instances per step of the sync
-	// interval: a larger fleet sends token counts only every second, third or
-	// fourth sync, since a home receives them from all entries.
+	fullSyncEvery = 4 // a full sync lists all running requests
+	// A home receives token counts from all entries, so fleets of one, two or three times this many
+	// usable instances send them only at every second, third or fourth sync.
 	instancesPerSyncStep = 12
 	syncTimeout          = 500 * time.Millisecond
 )
@@ -55,7 +51,7 @@
 	mu            sync.Mutex
 	cells         map[string]*cellOutbox
 	waitingByHome map[string]int // number of waiting asks by home
-	wake          chan struct{}
+	requestEnded  chan struct{}
 	homesChanged  chan struct{} // the homes may have changed
 }
 
@@ -63,7 +59,7 @@
 	o.n = n
 	o.cells = make(map[string]*cellOutbox)
 	o.waitingByHome = make(map[string]int)
-	o.wake = make(chan struct{}, 1)
+	o.requestEnded = make(chan struct{}, 1)
 	o.homesChanged = make(chan struct{}, 1)
 }
 
@@ -110,7 +106,7 @@
 		Busy:         e.Busy,
 	})
 	o.mu.Unlock()
-	notify(o.wake)
+	notify(o.requestEnded)
 }
 
 // notify sends on a channel with a buffer of one, unless it is full.
@@ -145,8 +141,7 @@
 	flushFull                      // also all running requests
 )
 
-// loop flushes when a request has ended, when the homes may have changed and at sync
-// intervals.
+// loop flushes when a request has ended, when the homes may have changed and at sync intervals.
 func (o *outbox) loop() {
 	t := time.NewTicker(syncInterval)
 	defer t.Stop()
@@ -168,7 +163,7 @@
 			}
 		case <-o.homesChanged:
 			kind = flushProgress // a new home receives a full sync
-		case <-o.wake:
+		case <-o.requestEnded:
 			if !o.n.sleep(batchDelay) {
 				return
 			}
@@ -247,7 +242,6 @@
 	c.releases, c.endedHomes = nil, make(map[string]bool)
 }
 
-// takeTokens returns the token counts since the last call and resets them.
 func (c *cellOutbox) takeTokens() []*peerpb.Progress {
 	var out []*peerpb.Progress
 	for e, t := range c.tokens {
--- a/node/ready_test.go
+++ b/node/ready_test.go
@@ -1,8 +1,6 @@
 package node
 
-// The documents are accepted before the view that serves requests is built from them.
-// An instance that reports ready in between refuses its first callers with
-// "no-configuration".
+// An instance that reports ready before its view is built refuses its first callers.
 
 import (
 	"os"
--- a/node/settle.go
+++ b/node/settle.go
@@ -16,21 +16,21 @@
 func (n *Node) settleLoop() {
 	for n.sleep(settleInterval) {
 		n.mu.Lock()
-		pending, revision, gap := n.owners.ToPull(), n.owners.Revision(), n.owners.MissedAfter()
+		pending, revision, missedAfter := n.owners.ToPull(), n.owners.Revision(), n.owners.MissedAfter()
 		n.mu.Unlock()
 		for name, parts := range pending {
 			if addr := n.view.Load().peers[name]; addr != "" {
-				go n.pull(name, addr, revision, gap, parts)
+				go n.pull(name, addr, revision, missedAfter, parts)
 			}
 		}
 	}
 }
 
-func (n *Node) pull(name, addr string, revision, gap int64, parts []owner.Partition) {
+func (n *Node) pull(name, addr string, revision, missedAfter int64, parts []owner.Partition) {
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
 	n.count.pulls.Add(1)
-	req := &peerpb.PullRequest{From: n.opt.Name, ListRevision: revision, Gap: gap}
+	req := &peerpb.PullRequest{From: n.opt.Name, ListRevision: revision, Gap: missedAfter}
 	for _, p := range parts {
 		req.Partitions = append(req.Partitions, int32(p))
 	}
--- a/node/status.go
+++ b/node/status.go
@@ -66,8 +66,7 @@
 	return out
 }
 
-// rootCause returns the innermost wrapped error, without the prefixes of the layers
-// that it passed through.
+// rootCause returns the innermost wrapped error, without the prefixes that its callers added.
 func rootCause(err error) error {
 	for inner := errors.Unwrap(err); inner != nil; inner = errors.Unwrap(err) {
 		err = inner
--- a/node/view.go
+++ b/node/view.go
@@ -1,8 +1,7 @@
 package node
 
-// This file builds the immutable view that requests read, from the list, the liveness
-// of the peers and the declarations: the cells, the ranked homes of each, and the
-// addresses of peers.
+// This file builds the immutable view that requests read (the cells, the ranked homes of each and
+// the addresses of peers) from the list, the liveness of the peers and the declarations.
 
 import (
 	"context"
@@ -19,8 +18,7 @@
 	"ivyridge/member"
 )
 
-// maxCellSize is the maximum number of endpoints of a cell. A larger group of
-// endpoints with the same pool and region is split.
+// maxCellSize is the maximum number of endpoints of a cell; larger groups are split.
 const maxCellSize = 16
 
 // A cellView is the immutable description of one cell in a view.
@@ -48,8 +46,8 @@
 // refreshDelay coalesces rebuilds that follow liveness changes.
 const refreshDelay = 20 * time.Millisecond
 
-// refreshSoon schedules a refresh after refreshDelay, one for all changes until then:
-// if many peers fail at once, each suspicion would otherwise rebuild the view.
+// refreshSoon schedules a refresh after refreshDelay, one for all changes until then: if many peers
+// fail at once, each suspicion would otherwise rebuild the view.
 func (n *Node) refreshSoon() {
 	if n.refreshing.CompareAndSwap(false, true) {
 		time.AfterFunc(refreshDelay, func() {
@@ -73,8 +71,7 @@
 	notify(n.out.homesChanged)
 }
 
-// unusablePeers returns the peers whose calls should not be waited for. The caller
-// holds n.mu.
+// unusablePeers returns the peers whose calls are to be cancelled. The caller holds n.mu.
 func (n *Node) unusablePeers() []string {
 	var out []string
 	for _, p := range n.table.Peers() {
@@ -116,8 +113,7 @@
 	return v
 }
 
-// buildCells groups the listed endpoints by pool and region and splits groups of more
-// than maxCellSize.
+// buildCells groups the listed endpoints by pool and region into cells of at most maxCellSize.
 func (n *Node) buildCells(v *view, l *member.List) {
 	type group struct{ pool, region string }
 	groups := make(map[group][]member.Endpoint)
@@ -173,8 +169,7 @@
 	return c
 }
 
-// rankHomes ranks the usable instances for a cell, those in the data centres of its
-// endpoints first.
+// rankHomes ranks the usable instances for a cell, those in its data centres first.
 func (n *Node) rankHomes(c *cellView, usable []string, dataCentreOf map[string]string) []string {
 	if n.opt.Alone {
 		return []string{n.opt.Name}
@@ -216,8 +211,7 @@
 	return out
 }
 
-// peerContexts cancel the calls that wait for a peer when it becomes unusable, so that
-// a request does not wait at a dead home.
+// peerContexts cancel the calls to a peer when it becomes unusable.
 type peerContexts struct {
 	mu     sync.Mutex
 	byPeer map[string]*cancelableContext
