--- a/owner/owner.go
+++ b/owner/owner.go
@@ -1,30 +1,25 @@
 // Package owner replicates the records that make a request run at most once.
 //
-// A key identifies a request across a caller's retries. Keys are hashed into a
-// fixed number of partitions; the owners of a partition are the three instances
-// ranked first for it by rendezvous hashing over the platform's list. A request
-// that must not be repeated is sent only after two of its key's owners have
-// recorded it. Any two such pairs share an owner, so a second attempt finds the
-// record of the first, also under a network partition: ownership depends on the
-// published list and not on reachability.
+// A key identifies a request across a caller's retries. Keys are hashed into a fixed number of
+// partitions; the owners of a partition are the three instances ranked first for it by rendezvous
+// hashing over the platform's list. A request that must not be repeated is sent only after two of
+// its key's owners have recorded it. Any two such pairs share an owner, so a second attempt finds
+// the record of the first, also under a network partition: ownership depends on the published
+// list and not on reachability.
 //
-// Owners change with the list. An owner answers only for the revision of the
-// list that it holds, and only if it is authoritative for the partition: it has
-// settled the partition under this list, or has owned it under every list since
-// it last did. To settle, it pulls the partition's records from the owners under
-// each list that may have been in force, as far as it and those who answer know.
-// Since a record is on two of three owners, one of the three may be missing. An
-// instance that cannot settle answers so, and the request is refused as not run.
-// After a quarantine as long as the retention of records, no record that it
-// could have missed is still valid. If the operators declare a cold start of the
-// fleet, owners that find each other fresh settle at once, since there are no
-// earlier records.
+// Owners change with the list. An owner answers only for the revision of the list that it holds,
+// and only if it is authoritative for the partition: it has settled the partition under this
+// list, or has owned it under every list since it last did. To settle, it pulls the partition's
+// records from the owners under each list that may have been in force, as far as it and they
+// know. Since a record is on two of three owners, one of the three may be missing. An instance
+// that cannot settle says so, and the request is refused as not run, until a quarantine as long
+// as the retention of records has passed: then no record that it could have missed is still
+// valid. In a cold start declared by the operators, owners that find each other fresh settle at
+// once, since there are no earlier records.
 //
-// A change of the list costs messages only between old and new owners of the
-// partitions that move, a number that does not grow with the fleet.
-//
-// Owners does no I/O, reads no clock and is not safe for concurrent use. owner.go
-// handles records, settle.go partitions and settling.
+// A change of the list costs messages only between old and new owners of the partitions that
+// move, a number that does not grow with the fleet. Owners does no I/O, reads no clock and is not
+// safe for concurrent use.
 package owner
 
 import (
@@ -37,17 +32,15 @@
 )
 
 const (
-	// ownersPerPartition is the replication factor.
-	ownersPerPartition = 3
-	// Partitions is the number of partitions. In a fleet of more than three
-	// times as many instances, some would own none.
+	ownersPerPartition = 3 // replication factor
+	// Partitions is the number of partitions. Some instances own none in a fleet of more than three
+	// times as many.
 	Partitions = 128
-	// Retention is how long a record is kept after its claim. It exceeds the
-	// longest duration of a request, so that a retry finds the record, and
-	// for some time the answer.
+	// Retention is how long a record is kept after its claim. It exceeds the longest duration of a
+	// request, so that a retry finds the record, and for some time the answer.
 	Retention = 5 * time.Minute
-	// freshPeriod is how long after settling an instance of a cold start still
-	// counts as fresh, so that the last one to start settles too.
+	// freshPeriod is how long after settling an instance of a cold start still counts as fresh, so
+	// that the last one to start settles too.
 	freshPeriod = 10 * time.Second
 	// MaxRecords bounds the records of one instance, of about 200 bytes each.
 	MaxRecords = 200_000
@@ -69,7 +62,6 @@
 // An Outcome is the result of Begin.
 type Outcome int
 
-// The outcomes of Begin.
 const (
 	Unknown     Outcome = iota
 	Recorded            // this owner holds the record and is authoritative for the key
@@ -92,11 +84,9 @@
 // A LiveInstance is an instance that the list reports as live.
 type LiveInstance struct{ Name, DataCentre string }
 
-// Of returns the owners of p among the live instances, in different data centres
-// as far as possible: data centres are ranked by rendezvous hashing, and the
-// best-ranked instance of each is taken, then the second-ranked, until there are
-// three. The loss of one instance replaces one owner, and the loss of a data
-// centre at most one of three if there are three data centres.
+// Of returns the owners of p among the live instances, in different data centres as far as
+// possible: the best-ranked instance of each data centre, then the second-ranked, until there are
+// three. The loss of one instance, or of one of three data centres, replaces at most one owner.
 func Of(p Partition, live []LiveInstance) []string {
 	centres := rankDataCentres(p, live)
 	var out []string
@@ -122,7 +112,6 @@
 	score uint64
 }
 
-// rankDataCentres ranks the data centres for p, and the instances of each.
 func rankDataCentres(p Partition, live []LiveInstance) []dataCentre {
 	var out []dataCentre
 	for _, l := range live {
@@ -183,26 +172,23 @@
 type Owners struct {
 	self        string
 	quarantine  time.Duration
-	coldStart   bool // the whole fleet may be starting for the first time
+	coldStart   bool
 	revision    int64
 	live        []LiveInstance
 	history     []listVersion
-	missedAfter int64
+	missedAfter int64                         // last revision before the skipped ones, zero if none
 	partitions  map[Partition]*partitionState // owned under the list in force
-	// everSettled holds the partitions that this process has ever settled: it
-	// still holds all records that it accepted for them.
+	// everSettled holds the partitions that this process has ever settled: it still holds all
+	// records that it accepted for them.
 	everSettled map[Partition]bool
-	// records holds all known attempts of each key. Begin adds one only if
-	// there is none, but a Pull may bring several: the one that a quorum
-	// recorded, and others about to be withdrawn. Keeping only one could drop
-	// the one that a quorum recorded.
+	// records holds all known attempts of each key. A Pull may bring several: the one that a quorum
+	// recorded, which must not be dropped, and others about to be withdrawn.
 	records map[Key][]Record
 	count   int
 }
 
-// New returns the Owners of a new instance. Quarantine is how long earlier
-// records may remain valid while no instance is authoritative. ColdStart says that
-// the whole fleet may be starting for the first time.
+// New returns the Owners of a new instance. Quarantine is how long earlier records may remain valid
+// while no instance is authoritative. ColdStart says that the fleet may have no earlier records.
 func New(self string, quarantine time.Duration, coldStart bool) *Owners {
 	return &Owners{
 		self: self, quarantine: quarantine, coldStart: coldStart,
@@ -219,7 +205,7 @@
 // merge adds r unless its attempt is known.
 func (o *Owners) merge(r Record) {
 	for _, old := range o.records[r.Key] {
-		if old.same(&r) {
+		if old.sameAttempt(&r) {
 			return
 		}
 	}
@@ -227,8 +213,7 @@
 	o.count++
 }
 
-// same reports whether r and x belong to the same attempt.
-func (r *Record) same(x *Record) bool { return r.Entry == x.Entry && r.Attempt == x.Attempt }
+func (r *Record) sameAttempt(x *Record) bool { return r.Entry == x.Entry && r.Attempt == x.Attempt }
 
 func contains(name string, names []string) bool {
 	for _, n := range names {
@@ -239,8 +224,8 @@
 	return false
 }
 
-// Begin records an attempt to run a key. Revision is that of the caller's list.
-// With Duplicate, it returns the record of the other attempt.
+// Begin records an attempt to run a key. Revision is that of the caller's list. With Duplicate, it
+// returns the record of the other attempt.
 func (o *Owners) Begin(now time.Duration, r Record, revision int64) (Outcome, Record) {
 	switch {
 	case o.revision < revision:
@@ -252,7 +237,7 @@
 	}
 	if known := o.records[r.Key]; len(known) > 0 {
 		for i := range known {
-			if !known[i].same(&r) {
+			if !known[i].sameAttempt(&r) {
 				return Duplicate, known[i]
 			}
 		}
@@ -273,8 +258,8 @@
 	return Unsettled
 }
 
-// Withdraw removes the record of an attempt that was not sent and never will be,
-// so that the key can be claimed again.
+// Withdraw removes the record of an attempt that was not sent and never will be, so that the key
+// can be claimed again.
 func (o *Owners) Withdraw(k Key, entry string, attempt uint64) {
 	o.filter(k, func(r *Record) bool { return r.Entry != entry || r.Attempt != attempt })
 }
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -67,8 +67,7 @@
 	return false
 }
 
-// begin claims a key at its reachable owners and reports whether a quorum
-// recorded it.
+// begin claims a key at its reachable owners and reports whether a quorum recorded it.
 func (c *cluster) begin(k owner.Key, entry string, reachable ...string) bool {
 	live := c.owners[reachable[0]].Live()
 	names := owner.Of(owner.PartitionOf(k), live)
@@ -91,7 +90,6 @@
 
 const keys = 300
 
-// beginAll claims all keys and returns how many a quorum recorded.
 func (c *cluster) beginAll(entry string, reachable ...string) int {
 	n := 0
 	for i := range keys {
@@ -172,8 +170,7 @@
 	}
 }
 
-// Two owners that restart without records at once are not authoritative until
-// the quarantine has passed.
+// Two owners that restart without records are not authoritative until the quarantine has passed.
 func TestTwoOwnersRestart(t *testing.T) {
 	c := newCluster(t, instances...)
 	c.beginAll("first", instances...)
@@ -195,7 +192,6 @@
 	}
 }
 
-// An owner with another list records nothing.
 func TestRevisionMismatch(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	o := c.owners["a"]
@@ -230,8 +226,7 @@
 	}
 }
 
-// Owners are in different data centres, so that the loss of a data centre removes
-// one of three.
+// The loss of a data centre removes only one of three owners.
 func TestDataCentreLost(t *testing.T) {
 	c := newCluster(t, instances...)
 	live := c.owners["a"].Live()
@@ -284,8 +279,7 @@
 	}
 }
 
-// A record about to be withdrawn must not replace, in an owner that settles, the
-// one that a quorum recorded.
+// A record about to be withdrawn must not replace the one that a quorum recorded.
 func TestPullKeepsAllAttempts(t *testing.T) {
 	c := newCluster(t, "a", "b", "c", "d")
 	k := key(1)
@@ -306,27 +300,26 @@
 	}
 	sort.Strings(left)
 	c.setList(left...)
-	var gaining *owner.Owners
+	var newOwner *owner.Owners
 	for _, n := range left {
 		if o := c.owners[n]; n != second && n != third {
-			gaining = o
+			newOwner = o
 		}
 	}
 	for _, from := range []string{third, second} { // the failing attempt arrives first
 		if a, ok := c.owners[from].Pull(c.now, c.revision, 0, []owner.Partition{p}); ok {
-			gaining.ApplyPull(c.now, from, c.revision, a)
+			newOwner.ApplyPull(c.now, from, c.revision, a)
 		}
 	}
 	for _, o := range c.owners {
 		o.Withdraw(k, "second", 1)
 	}
-	if out, _ := gaining.Begin(c.now, owner.Record{Key: k, Entry: "third", Attempt: 1}, c.revision); out == owner.Recorded {
+	if out, _ := newOwner.Begin(c.now, owner.Record{Key: k, Entry: "third", Attempt: 1}, c.revision); out == owner.Recorded {
 		t.Error("a settled owner lost the record of a quorum")
 	}
 }
 
-// If a revision was in force on no instance, keys are still recorded, and none
-// twice.
+// A revision that was in force on no instance must not prevent settling.
 func TestRevisionsSkipped(t *testing.T) {
 	c := newCluster(t, instances...)
 	c.beginAll("first", instances...)
@@ -345,8 +338,7 @@
 	}
 }
 
-// An owner that misses a revision under which others record keys learns its owners
-// from them.
+// An owner that misses a revision under which others record keys learns its owners from them.
 func TestMissedRevisionLearnedFromPeers(t *testing.T) {
 	c := newCluster(t, instances...)
 	late := c.owners["a"]
--- a/owner/settle.go
+++ b/owner/settle.go
@@ -1,7 +1,6 @@
 package owner
 
-// This file settles partitions: it determines whether an owner holds all records
-// that earlier owners accepted.
+// This file determines whether an owner holds all records that earlier owners accepted.
 
 import "time"
 
@@ -9,12 +8,12 @@
 type partitionState struct {
 	owners      []string // under the list in force
 	settled     bool
-	retained    bool // owned without interruption since it was settled
-	missedLists bool // revisions of the list were skipped; see Owners.missedAfter
-	since       time.Duration
-	settledAt   time.Duration // when it was settled
-	// priorOwners are the owners under earlier lists that may have been in
-	// force; of each list, all but one must reply.
+	retained    bool          // owned without interruption since it was settled
+	missedLists bool          // revisions of the list were skipped
+	since       time.Duration // when settling began
+	settledAt   time.Duration
+	// priorOwners are the owners under earlier lists that may have been in force. Of each list, all
+	// but one must reply.
 	priorOwners [][]string
 	replies     map[string]PartitionReport
 }
@@ -35,8 +34,8 @@
 
 func (s *partitionState) authoritative() bool { return s.settled || s.retained }
 
-// SetList applies a newer list of the live instances, sorted by name. The caller
-// must not change live afterwards.
+// SetList applies a newer list of the live instances, sorted by name. The caller must not change
+// live afterwards.
 func (o *Owners) SetList(now time.Duration, revision int64, live []LiveInstance) {
 	if revision <= o.revision {
 		return
@@ -83,8 +82,8 @@
 	}
 }
 
-// MissedAfter returns the last revision before the ones that this instance missed and has
-// not settled since, or zero. It is passed to Pull.
+// MissedAfter returns the last revision before the ones that this instance missed and has not
+// settled since, or zero. It is passed to Pull.
 func (o *Owners) MissedAfter() int64 {
 	for _, s := range o.partitions {
 		if s.missedLists && !s.settled {
@@ -94,9 +93,8 @@
 	return 0
 }
 
-// ownersAfter returns the owners of p under each list newer than a revision that
-// was in force on this instance. A list that was in force on no instance asked
-// has no records: two owners must have held it to record a key.
+// ownersAfter returns the owners of p under each list after a revision that was in force here. A
+// list that was in force nowhere has no records: two owners must have held it to record a key.
 func (o *Owners) ownersAfter(p Partition, after int64) [][]string {
 	var out [][]string
 	for _, h := range o.history {
@@ -111,17 +109,17 @@
 	return out
 }
 
-// newPartition returns the state of a partition that this instance did not own
-// before. An instance without an earlier list may be new or may have restarted, so
-// the owners under a list with it and under one without it count as earlier ones.
+// newPartition returns the state of a partition that this instance did not own before. Without an
+// earlier list, the instance may be new or may have restarted, so the owners under a list with it
+// and under one without it count as earlier ones.
 func (o *Owners) newPartition(now time.Duration, p Partition, owners []string, before []LiveInstance, skipped bool) *partitionState {
 	s := &partitionState{owners: owners, since: now, missedLists: skipped, replies: make(map[string]PartitionReport)}
 	if before == nil {
 		s.priorOwners = append(s.priorOwners, owners)
 		before = without(o.live, o.self)
 	}
-	if was := Of(p, before); len(was) > 0 {
-		s.priorOwners = append(s.priorOwners, was)
+	if prior := Of(p, before); len(prior) > 0 {
+		s.priorOwners = append(s.priorOwners, prior)
 	}
 	return s
 }
@@ -148,7 +146,7 @@
 	return out
 }
 
-// trySettle settles a partition once enough of its earlier owners have replied.
+// trySettle settles a partition if enough earlier owners have replied or the quarantine has passed.
 func (o *Owners) trySettle(now time.Duration, p Partition, s *partitionState) {
 	if s.settled {
 		return
@@ -161,15 +159,15 @@
 	o.everSettled[p] = true
 }
 
-// quorumReplied reports whether so few owners are missing under each list that
-// may have been in force that every record of a quorum is known.
+// quorumReplied reports whether so few owners are missing under each list that may have been in
+// force that every record of a quorum is known.
 func (o *Owners) quorumReplied(p Partition, s *partitionState) bool {
 	lists := append([][]string(nil), s.priorOwners...)
 	for _, reply := range s.replies {
 		lists = append(lists, reply.PriorOwners...)
 	}
 	if len(lists) == 0 {
-		return false // no owners to ask and nothing known
+		return false // no owner to ask
 	}
 	for _, owners := range lists {
 		missing := 0
@@ -185,7 +183,7 @@
 	return true
 }
 
-// hasRecordsOf reports whether this instance holds all records name accepted.
+// hasRecordsOf reports whether this instance holds all records that name accepted.
 func (o *Owners) hasRecordsOf(p Partition, s *partitionState, name string) bool {
 	if name == o.self {
 		return o.everSettled[p]
@@ -193,8 +191,8 @@
 	return s.replies[name].Intact
 }
 
-// allFresh reports whether, in a cold start, all owners of a partition are fresh,
-// so that there are no earlier records.
+// allFresh reports whether, in a cold start, all owners of a partition are fresh, so that there are
+// no earlier records.
 func (o *Owners) allFresh(p Partition, s *partitionState) bool {
 	if !o.coldStart || o.everSettled[p] {
 		return false
@@ -207,8 +205,7 @@
 	return true
 }
 
-// Settled reports whether a list is in force and all partitions of this instance
-// are settled.
+// Settled reports whether a list is in force and all partitions of this instance are settled.
 func (o *Owners) Settled() bool {
 	for _, s := range o.partitions {
 		if !s.settled {
@@ -226,7 +223,7 @@
 			continue
 		}
 		for name := range s.pullTargets() {
-			if h, ok := s.replies[name]; name != o.self && !(ok && h.Intact) {
+			if r, ok := s.replies[name]; name != o.self && !(ok && r.Intact) {
 				out[name] = append(out[name], p)
 			}
 		}
@@ -254,10 +251,9 @@
 	return names
 }
 
-// Pull returns the records of the given partitions. It answers only if the
-// caller's revision of the list is in force here: an owner that holds another
-// may still accept records that the caller would miss. MissedAfter is the last
-// revision before the ones that the caller missed, or zero.
+// Pull returns the records of the given partitions. It answers only if the caller's revision is in
+// force here: under another, more records might be accepted that the caller would miss. MissedAfter
+// is the last revision before the ones that the caller missed, or zero.
 func (o *Owners) Pull(now time.Duration, revision, missedAfter int64, parts []Partition) (a PullReply, ok bool) {
 	if o.revision != revision {
 		return a, false
