--- a/member/member.go
+++ b/member/member.go
@@ -1,15 +1,12 @@
 // Package member tracks the liveness of the other instances of a fleet.
 //
-// The platform publishes a list of instances that lags; heartbeats between
-// instances detect failures sooner. A Table combines both: an instance is known
-// if the list contains it, live while heartbeats arrive, suspected when it or its
-// heartbeat partners report silence, and leaving by its own announcement or by
-// the list. Each instance sends heartbeats to a number of partners that grows
-// with the logarithm of the fleet; heartbeats also carry suspicions.
+// The platform publishes a list of instances that lags; heartbeats between instances detect
+// failures sooner. A Table combines both: an instance is known if the list contains it, live while
+// heartbeats arrive, suspected when this instance or a peer reports its silence, and leaving by its
+// own announcement or by the list.
 //
-// Rank orders instances for a job by rendezvous hashing, so that all instances
-// with the same list agree without communication. A Table does no I/O and is not
-// safe for concurrent use.
+// Rank orders instances for a job by rendezvous hashing, so that all instances with the same list
+// agree without communication. A Table does no I/O and is not safe for concurrent use.
 package member
 
 import (
@@ -21,12 +18,11 @@
 	"ivyridge/chart"
 )
 
-// Parameters of the failure detector.
 const (
 	HeartbeatInterval = 200 * time.Millisecond
 	SilenceTimeout    = 700 * time.Millisecond // three heartbeats missed
 	SuspicionLifetime = 5 * time.Second        // lifetime of a suspicion that is not renewed
-	SuspendThreshold  = 700 * time.Millisecond // gap between ticks that means that this process was suspended
+	SuspendThreshold  = 700 * time.Millisecond // a longer gap between ticks means that this process was suspended
 	fullMeshPeers     = 8                      // up to this number, all peers are partners
 	fingerBase        = 4                      // partners in a larger fleet are 1, 4, 16, ... positions ahead
 	maxSuspicions     = 32                     // per heartbeat
@@ -35,7 +31,6 @@
 // A State is the state of an instance or endpoint in the platform's list.
 type State string
 
-// The states in the list.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
@@ -109,7 +104,7 @@
 	self    string
 	list    *List
 	peers   map[string]*Peer
-	version uint64 // incremented by every change that can change a ranking
+	version uint64 // see Version
 	leaving bool
 	drained func(name string) bool // by an operator command
 }
@@ -125,8 +120,7 @@
 // Version returns a number that is incremented whenever the set of usable instances may change.
 func (t *Table) Version() uint64 { return t.version }
 
-// SetList applies a list and reports true, unless its revision is not newer than
-// that of the list in force.
+// SetList applies a list and reports true, unless it is not newer than the list in force.
 func (t *Table) SetList(now time.Duration, l List) bool {
 	if l.Revision <= t.list.Revision {
 		return false
@@ -156,8 +150,8 @@
 	return true
 }
 
-// HandleHeartbeat handles a heartbeat from a peer, or the answer to one. It reports whether
-// the sender is in the list.
+// HandleHeartbeat handles a heartbeat from a peer, or the answer to one. It reports whether the
+// sender is in the list.
 func (t *Table) HandleHeartbeat(now time.Duration, from string, h Heartbeat) bool {
 	p := t.peers[from]
 	if p == nil {
@@ -180,8 +174,7 @@
 	}
 }
 
-// applySuspicion handles a suspicion reported by a peer. It is ignored if this
-// instance has heard from the suspect since.
+// applySuspicion ignores an expired suspicion and one of a peer that has been heard from since.
 func (t *Table) applySuspicion(now time.Duration, s Suspicion) {
 	p := t.peers[s.Instance]
 	if p == nil || s.Instance == t.self || now-s.Since > SuspicionLifetime || p.LastHeard >= s.Since {
@@ -222,16 +215,14 @@
 	}
 }
 
-// ResetSilence reports that this process was suspended. The silence of peers until now
-// does not count.
+// ResetSilence discounts the silence of all peers until now, because this process was suspended.
 func (t *Table) ResetSilence(now time.Duration) {
 	for _, p := range t.peers {
 		p.LastHeard = max(p.LastHeard, now)
 	}
 }
 
-// Suspicions returns the suspicions to send in a heartbeat, at most
-// maxSuspicions.
+// Suspicions returns the suspicions to send in a heartbeat, at most maxSuspicions.
 func (t *Table) Suspicions(now time.Duration) []Suspicion {
 	var out []Suspicion
 	for _, p := range t.peers {
@@ -242,10 +233,9 @@
 	return out
 }
 
-// Partners returns the partners to which this instance sends heartbeats. On a ring
-// of hashed names they are 1, 4, 16, ... positions ahead, so that both their
-// number and the number of rounds until news reaches all instances grow with the
-// logarithm of the fleet. In a small fleet, all peers are partners.
+// Partners returns the peers to which this instance sends heartbeats. In a large fleet they are 1,
+// 4, 16, ... positions ahead on a ring of hashed names, so that their number and the rounds until a
+// change reaches all instances grow with the logarithm of the fleet.
 func (t *Table) Partners() []*Peer {
 	ring := make([]*Peer, 0, len(t.peers))
 	for _, p := range t.peers {
@@ -286,15 +276,14 @@
 	t.version++
 }
 
-// SetDrained sets the function that reports whether an operator drained an
-// instance.
+// SetDrained sets the function that reports whether an operator drained an instance.
 func (t *Table) SetDrained(drained func(name string) bool) {
 	t.drained = drained
 	t.version++
 }
 
-// Usable returns the names of the instances that may be given work, in no
-// particular order. It includes this one unless it is leaving.
+// Usable returns the names of the instances that may be given work, in no particular order. It
+// includes this one unless it is leaving.
 func (t *Table) Usable() []string {
 	var out []string
 	for name, p := range t.peers {
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestSleptClearsOwnSilence(t *testing.T) {
+func TestResetSilenceAfterSuspension(t *testing.T) {
 	tb := member.New("n0")
 	tb.SetList(0, listOf(1, "n0", "n1"))
 	tb.HandleHeartbeat(0, "n1", member.Heartbeat{})
@@ -74,7 +74,7 @@
 	}
 }
 
-// News reaches the whole fleet in few rounds of heartbeats to few partners.
+// A change reaches the whole fleet in few rounds of heartbeats to few partners.
 func TestPartners(t *testing.T) {
 	for _, n := range []int{6, 40, 390} {
 		all := names(n)
@@ -84,15 +84,15 @@
 			tb.SetList(0, listOf(1, all...))
 			for _, p := range tb.Partners() {
 				links[name] = append(links[name], p.Name)
-				links[p.Name] = append(links[p.Name], name) // the answer carries the same
+				links[p.Name] = append(links[p.Name], name) // the answer is a heartbeat too
 			}
 			if k := len(tb.Partners()); k > 8 {
 				t.Errorf("%d partners in a fleet of %d; want at most 8", k, n)
 			}
 		}
 		reached := map[string]bool{all[0]: true}
-		beats := 0
-		for ; len(reached) < n && beats < 20; beats++ {
+		rounds := 0
+		for ; len(reached) < n && rounds < 20; rounds++ {
 			next := make(map[string]bool)
 			for name := range reached {
 				next[name] = true
@@ -102,8 +102,8 @@
 			}
 			reached = next
 		}
-		if beats > 8 {
-			t.Errorf("in a fleet of %d, news takes %d rounds of heartbeats; want at most 8", n, beats)
+		if rounds > 8 {
+			t.Errorf("in a fleet of %d, a change takes %d rounds of heartbeats; want at most 8", n, rounds)
 		}
 	}
 }
