--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -4,7 +4,7 @@
 
 const (
 	requestsPerRetry = 10 // requests that earn one retry
-	maxSavedRetries  = 20 // retries that can be saved
+	maxSavedRetries  = 20 // most retries that unused credit allows
 )
 
 // A budget limits retries to a fraction of the requests, so that retries cannot
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,14 +1,9 @@
 // Package dispatch runs one admitted request until it is answered.
 //
-// Do claims the request's key if the request must not be repeated, acquires a
-// grant, sends the request to the granted endpoint and forwards the answer. A
-// failed attempt is retried only if it certainly did not run or the request is
-// repeatable, and only within a retry budget. The state of the request is a
-// machine of charts/request.yaml, and the verdict of a failed request is that of
-// the machine's state.
-//
-// The files: dispatch.go (the request's steps), send.go (one attempt), stream.go
-// (forwarding a stream), budget.go (the retry budget).
+// Do claims the request's key if the request must not be repeated, acquires a grant, sends the
+// request to the granted endpoint and forwards the answer. A failed attempt is retried only if it
+// certainly did not run or the request is repeatable, and only within a retry budget. The state
+// machine in chart/charts/request.yaml determines the verdict of a failed request.
 package dispatch
 
 import (
@@ -26,8 +21,8 @@
 
 const (
 	maxAttempts = 4
-	// claimTTL is how long after its claim a keyed request may be sent. It is
-	// below owner.Retention, so that the owners still hold the record.
+	// claimTTL is how long after its claim a keyed request may be sent. It is below
+	// owner.Retention, so that the owners still hold the record.
 	claimTTL = owner.Retention / 2
 )
 
@@ -90,19 +85,18 @@
 	unpooled    *http.Client // a new connection for each request
 	budget      budget
 	retries     *expvar.Map
-	answerLimit int64 // maximum size of an answer that is not streamed, in bytes
+	answerLimit int64 // for an answer that is not streamed, in bytes
 }
 
-// maxAnswer bounds an answer that is not streamed.
-const maxAnswer = 16 << 20
+const maxAnswer = 16 << 20 // bytes
 
 // New returns a Dispatcher. Retries are counted by reason in retries.
 func New(f Fleet, retries *expvar.Map) *Dispatcher {
 	return NewWithTransports(f, retries, transport(true), transport(false))
 }
 
-// NewWithTransports returns a Dispatcher that reaches endpoints over the transport pooled, and
-// over unpooled for requests that must not be sent on a reused connection.
+// NewWithTransports returns a Dispatcher that reaches endpoints over the transport pooled, and over
+// unpooled for requests that must not be sent on a reused connection.
 func NewWithTransports(f Fleet, retries *expvar.Map, pooled, unpooled http.RoundTripper) *Dispatcher {
 	return &Dispatcher{
 		fleet:       f,
@@ -127,14 +121,15 @@
 	recorder   *recorder // records the answer of a keyed request, else nil
 }
 
-// Do runs a request to completion.
+// Do runs a request until it is answered, refused or failed, or ctx is done. A request with a key
+// that must not be repeated runs on after ctx is cancelled, up to its deadline.
 func (d *Dispatcher) Do(ctx context.Context, req *Request, sink Sink) Result {
 	d.budget.deposit()
 	r := &run{d: d, req: req, sink: sink, machine: chart.Request.New()}
 	if req.Key != nil && !req.Repeatable {
 		r.recorder = &recorder{sink: sink}
 		r.sink = r.recorder
-		// The caller may disconnect and retry for the answer.
+		// A caller that disconnects may retry for the answer.
 		var cancel context.CancelFunc
 		ctx, cancel = withoutCancel(ctx)
 		defer cancel()
@@ -177,11 +172,10 @@
 	}
 }
 
-// claimKey claims the request's key, or forwards the answer of the attempt that holds
-// it.
+// claimKey claims the request's key, or forwards the answer of the attempt that holds it.
 func (r *run) claimKey(ctx context.Context) (joined bool, err error) {
-	const claims = 3
-	for range claims {
+	const maxClaims = 3
+	for range maxClaims {
 		c, err := r.d.fleet.Claim(ctx, *r.req.Key)
 		if err != nil {
 			return false, err
@@ -249,8 +243,7 @@
 	return err
 }
 
-// shouldRetry reports whether a failed attempt may be followed by another, and charges
-// the retry budget.
+// shouldRetry reports whether another attempt may follow, and charges the retry budget if so.
 func (r *run) shouldRetry(ctx context.Context, attempt int, err error) bool {
 	e := verdict.Of(err)
 	if ctx.Err() != nil || r.res.Started || attempt >= maxAttempts || r.machine.Final() && !r.req.Repeatable {
@@ -296,8 +289,7 @@
 	return &e
 }
 
-// finishClaim withdraws the claim of a request that was not run, and stores the answer
-// of any other for retries.
+// finishClaim withdraws the claim of a request that was not run, and else stores its answer.
 func (r *run) finishClaim() {
 	if r.claim == nil {
 		return
@@ -336,8 +328,7 @@
 	k.sink.Start(status, h)
 }
 
-// Write implements Sink. It ignores errors of the caller's sink: if the caller has
-// gone, the answer is still recorded for a retry.
+// Write ignores errors of the caller's sink: the answer is still recorded for a retry.
 func (k *recorder) Write(p []byte) error {
 	k.body = append(k.body, p...)
 	_ = k.sink.Write(p)
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -23,10 +23,8 @@
 const (
 	connectTimeout      = 300 * time.Millisecond
 	maxIdleConnsPerHost = 256
-	// stallTimeout is the maximum pause within an answer.
-	stallTimeout = 30 * time.Second
-	// headerTimeoutFactor times the class's target is the timeout for response
-	// headers, if it exceeds stallTimeout.
+	stallTimeout        = 30 * time.Second // maximum pause within an answer
+	// headerTimeoutFactor times the target is the timeout for headers, if above stallTimeout.
 	headerTimeoutFactor = 4
 	// RequestIDHeader carries the request's ID to the endpoint.
 	RequestIDHeader = "X-Request-Id"
@@ -81,7 +79,6 @@
 
 var errStalled = errors.New("the endpoint fell silent")
 
-// headerTimeout returns the timeout for the response headers.
 func (r *run) headerTimeout() time.Duration {
 	return max(stallTimeout, headerTimeoutFactor*r.req.Class.Whole)
 }
@@ -101,8 +98,7 @@
 	req.Header.Set("X-Class", r.req.Class.Name)
 	client := r.d.pooled
 	if len(r.req.Body) == 0 && !r.req.Repeatable {
-		// The transport retries a GET if a reused connection breaks; on a
-		// new connection it does not.
+		// On a reused connection that breaks, the transport would send a GET again.
 		client = r.d.unpooled
 	}
 	return client.Do(req)
@@ -132,8 +128,8 @@
 	return node.Outcome{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "no answer: %v", err)
 }
 
-// classifyStatus handles the status codes that mean that the endpoint failed. Only 429
-// means that the request was not run; after a 5xx it may have run.
+// classifyStatus handles the status codes of a failed endpoint. Only 429 means that the request was
+// not run; after a 5xx it may have run.
 func (r *run) classifyStatus(res *http.Response) (end node.Outcome, err error, failed bool) {
 	switch {
 	case res.StatusCode == http.StatusTooManyRequests:
--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -1,8 +1,7 @@
 package dispatch
 
-// This file forwards a stream of server-sent events and counts its tokens. A stream is
-// complete only if its last event is [DONE]; if it ends before, the caller gets an
-// error.
+// This file forwards a stream of server-sent events and counts its tokens. A stream without [DONE]
+// as its last event was cut, and the caller gets an error.
 
 import (
 	"bytes"
@@ -17,9 +16,8 @@
 )
 
 const (
-	readSize = 16 << 10
-	// tokenReportInterval is how often token counts are passed to the fleet.
-	tokenReportInterval = 100 * time.Millisecond
+	readSize            = 16 << 10
+	tokenReportInterval = 100 * time.Millisecond // of token counts to the fleet
 )
 
 var (
@@ -27,19 +25,16 @@
 	donePrefix  = []byte("data: [DONE]")
 )
 
-// A Scanner counts the events of a stream that is read in pieces. Its zero value is
-// ready to use.
+// A Scanner counts the events of a stream that is read in pieces. The zero value is ready to use.
 type Scanner struct {
 	Events int
 	Done   bool
 	line   []byte // prefix of the current incomplete line
 }
 
-// maxLinePrefix is how much of an incomplete line is kept, enough to classify it.
-const maxLinePrefix = 16
+const maxLinePrefix = 16 // bytes kept of an incomplete line, enough to classify it
 
-// Scan processes the next piece and returns the number of events that it completes, not
-// counting [DONE].
+// Scan processes the next piece and returns how many events it completes, not counting [DONE].
 func (s *Scanner) Scan(p []byte) int {
 	before := s.Events
 	for len(p) > 0 {
@@ -75,7 +70,6 @@
 	}
 }
 
-// stream forwards an answer as it is read.
 func (r *run) stream(res *http.Response, g *node.Grant, sent time.Duration, timer *watchdog) (node.Outcome, error) {
 	var scan Scanner
 	var end node.Outcome
