--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,13 +1,12 @@
 // Package queue orders the requests waiting for an endpoint.
 //
-// A Queue orders on three levels: tiers by strict priority, with a guaranteed
-// share for each class that declares one; classes within a tier by the latest
-// start of their first request; and teams within a class by deficit round
-// robin on expected cost. Each level can be switched off, for use as a baseline:
-// with none, a Queue is a single FIFO queue.
+// A Queue orders on three levels: tiers by strict priority, with a guaranteed share for each class
+// that declares one; classes within a tier by the latest start of their first request; and teams
+// within a class by deficit round robin on expected cost. Each level can be switched off; with none,
+// a Queue is a single FIFO queue.
 //
-// Times are durations since the start of the caller's clock. Costs are expected
-// slot-seconds. A Queue is not safe for concurrent use.
+// Times are durations since the start of the caller's clock. Costs are expected slot-seconds. A
+// Queue is not safe for concurrent use.
 package queue
 
 import (
@@ -15,13 +14,11 @@
 	"time"
 )
 
-// maxCredit bounds the unused guaranteed share that a class may accumulate, in
-// requests.
-const maxCredit = 2.0
+const maxCredit = 2.0 // requests' worth of unused guaranteed share that a class may accumulate
 
 // A Class holds the ordering parameters of a class.
 type Class struct {
-	Tier       int
+	Tier       int     // 0 is served first
 	Share      float64 // guaranteed fraction of the service, 0 to 1
 	Target     time.Duration
 	FinishLate bool // waiting requests are kept after their latest start
@@ -35,8 +32,7 @@
 	Fair      bool // deficit round robin between teams, else by arrival
 }
 
-// A Request is an entry of a Queue. The caller sets the exported fields and must
-// not change them while the request waits.
+// A Request is an entry of a Queue. Its exported fields must not change while it waits.
 type Request struct {
 	Class       int // index into the classes given to New
 	Team        string
@@ -44,8 +40,8 @@
 	Arrival     time.Duration
 	LatestStart time.Duration // latest start that still meets the target
 	Cost        float64
-	// Pushed and Predicted are not used by Queue: the caller may store in them
-	// when the request began to wait and its predicted wait.
+	// Pushed and Predicted are for the caller: when the request began to wait, and how long it
+	// should.
 	Pushed    time.Duration
 	Predicted time.Duration
 	Payload   any // for the caller, not used by Queue
@@ -66,7 +62,7 @@
 	n          int
 	deficit    float64
 	head, tail *Request
-	prev, next *teamQueue // ring of the class
+	prev, next *teamQueue // in the ring of the class
 }
 
 type class struct {
@@ -76,32 +72,31 @@
 	weights float64
 	credit  float64
 	queues  map[string]*teamQueue
-	current *teamQueue // next in the round robin, nil if empty
+	current *teamQueue // next in the round robin, nil if none
 }
 
-// A Queue orders waiting requests. Push is O(1) for requests in order of
-// arrival and Remove is O(1); Pop is linear in the number of classes and
-// independent of the number of waiting requests.
+// A Queue orders waiting requests. Push is O(1) in order of arrival and Remove is O(1); Pop is
+// linear in the number of classes and independent of the number of waiting requests.
 type Queue struct {
 	opt        Options
 	classes    []*class
 	tiers      [][]*class
 	n          int
-	freeQueues *teamQueue // for reuse
+	freeQueues *teamQueue
 }
 
 // New returns an empty Queue for the given classes.
 func New(specs []Class, opt Options) *Queue {
 	q := &Queue{opt: opt}
-	top := 0
+	maxTier := 0
 	for _, s := range specs {
 		if !opt.Tiers {
 			s.Tier = 0
 		}
-		top = max(top, s.Tier)
+		maxTier = max(maxTier, s.Tier)
 		q.classes = append(q.classes, &class{spec: s, queues: make(map[string]*teamQueue)})
 	}
-	q.tiers = make([][]*class, top+1)
+	q.tiers = make([][]*class, maxTier+1)
 	for _, c := range q.classes {
 		q.tiers[c.spec.Tier] = append(q.tiers[c.spec.Tier], c)
 	}
@@ -129,8 +124,8 @@
 	return ""
 }
 
-// Push adds r. Requests of one team are kept in order of arrival, so that one
-// asked again after a failure regains its position.
+// Push adds r. Requests of one team are kept in order of arrival, so that one asked again after a
+// failure regains its position.
 func (q *Queue) Push(r *Request) {
 	c := q.classes[r.Class]
 	key := q.queueKey(r.Team)
@@ -219,7 +214,6 @@
 	return true
 }
 
-// removeQueue removes an empty queue from its class.
 func (q *Queue) removeQueue(l *teamQueue) {
 	c := l.class
 	delete(c.queues, l.team)
@@ -236,8 +230,8 @@
 	q.freeQueues = l
 }
 
-// peek returns the request that c serves next. It may advance the round robin,
-// but is idempotent: a queue whose deficit covers its head stays current.
+// peek returns the request that c serves next. It may advance the round robin, but is idempotent: a
+// queue whose deficit covers its head stays current.
 func (c *class) peek() *Request {
 	if c.current == nil {
 		return nil
@@ -246,8 +240,7 @@
 		return c.current.head
 	}
 	for c.current.deficit < c.current.head.Cost {
-		// A quantum that covers the head at least once per round bounds the
-		// loop to two rounds.
+		// A quantum that covers the head at least once per round bounds the loop to two rounds.
 		c.current.deficit += c.current.weight * c.quantum()
 		if c.current.deficit >= c.current.head.Cost {
 			break
@@ -260,15 +253,13 @@
 // quantum returns the mean cost of the waiting requests.
 func (c *class) quantum() float64 { return max(c.work/float64(c.n), 1e-6) }
 
-// Pop removes and returns the next request to serve, or nil. Only requests for
-// which accept returns true are served; a class whose next request is not
-// accepted is skipped. For a class below its guaranteed share it is enough that
-// owed returns true.
-func (q *Queue) Pop(accept, owed func(*Request) bool) *Request {
+// Pop removes and returns the next request to serve, or nil. A class whose next request accept
+// rejects is skipped; below its guaranteed share it is enough that acceptBelowShare returns true.
+func (q *Queue) Pop(accept, acceptBelowShare func(*Request) bool) *Request {
 	if q.n == 0 {
 		return nil
 	}
-	r := q.firstOwed(owed)
+	r := q.firstBelowShare(acceptBelowShare)
 	if r == nil {
 		r = q.firstByTier(accept)
 	}
@@ -282,9 +273,8 @@
 	return r
 }
 
-// charge deducts the cost of r, the head of l, from l's deficit and passes the
-// turn on if the rest does not cover the next request. The only queue of a class
-// accumulates no debt.
+// charge deducts the cost of r, the head of l, from l's deficit and ends l's turn if the rest does
+// not cover the next request. The only queue of a class accumulates no debt.
 func (l *teamQueue) charge(r *Request) {
 	if l.next == l {
 		l.deficit = 0
@@ -296,9 +286,9 @@
 	}
 }
 
-// firstOwed returns the next request of the class furthest below its guaranteed
-// share, or nil if no class is owed a request that accept allows.
-func (q *Queue) firstOwed(accept func(*Request) bool) *Request {
+// firstBelowShare returns the next request of the class furthest below its guaranteed share, or nil
+// if there is no such class with a request that accept allows.
+func (q *Queue) firstBelowShare(accept func(*Request) bool) *Request {
 	if !q.opt.Shares {
 		return nil
 	}
@@ -309,14 +299,13 @@
 			continue
 		}
 		r := c.peek()
-		if due := c.credit / r.Cost; due >= highest && accept(r) {
-			best, highest = r, due
+		if ratio := c.credit / r.Cost; ratio >= highest && accept(r) {
+			best, highest = r, ratio
 		}
 	}
 	return best
 }
 
-// firstByTier returns the next request by tier, then by latest start or arrival.
 func (q *Queue) firstByTier(accept func(*Request) bool) *Request {
 	for _, tier := range q.tiers {
 		var best *Request
@@ -344,8 +333,7 @@
 	return r.Arrival
 }
 
-// updateCredits credits each waiting class with its share of r's cost, and
-// deducts that cost from the credit of r's class.
+// updateCredits credits each waiting class with its share of r's cost and charges r's class.
 func (q *Queue) updateCredits(r *Request) {
 	if !q.opt.Shares {
 		return
@@ -359,8 +347,8 @@
 	own.credit = max(0, own.credit-r.Cost)
 }
 
-// Expire removes the requests whose latest start has passed and calls f with
-// each. Classes with FinishLate keep theirs.
+// Expire removes the requests whose latest start has passed and calls f with each. Requests of
+// classes with FinishLate stay.
 func (q *Queue) Expire(now time.Duration, f func(*Request)) {
 	for _, c := range q.classes {
 		if c.n == 0 || c.spec.FinishLate {
@@ -378,10 +366,9 @@
 	}
 }
 
-// Ahead returns the work, in slot-seconds, that would be served before r if it
-// were pushed now: the work of higher tiers, the part of other classes in its
-// tier that is due earlier, and the part of its own class that round robin
-// serves first. Own is the last part alone.
+// Ahead returns the work, in slot-seconds, that would be served before r if it were pushed now:
+// that of higher tiers, the part of other classes in its tier that is due earlier, and the part of
+// its own class that round robin serves first, which own returns alone.
 func (q *Queue) Ahead(r *Request) (total, own float64) {
 	c := q.classes[r.Class]
 	for _, other := range q.classes {
@@ -400,8 +387,8 @@
 	return total + own, own
 }
 
-// earlierPart estimates the fraction of other's work that is due before a new
-// request of c: all of it if other's target is no longer than c's.
+// earlierPart estimates the fraction of other's work that is due before a new request of c: all of
+// it if other's target is no longer than c's.
 func earlierPart(c, other *class) float64 {
 	if other.spec.Target <= c.spec.Target {
 		return 1
@@ -409,8 +396,8 @@
 	return float64(c.spec.Target) / float64(other.spec.Target)
 }
 
-// fairAhead returns an upper bound of the work of c served before r by round
-// robin: the work of r's team, scaled by the total weight over the team's weight.
+// fairAhead returns an upper bound of the work of c served before r by round robin: the work of r's
+// team, scaled by the total weight over the team's weight.
 func (q *Queue) fairAhead(c *class, r *Request) float64 {
 	teamWork, weight, weights := r.Cost, max(r.Weight, 1), c.weights
 	if l := c.queues[r.Team]; l != nil {
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -44,8 +44,7 @@
 	}
 }
 
-// A burst of one team does not delay the others: every team with waiting
-// requests is served within one round.
+// A burst of one team does not delay the others: each is served within a round.
 func TestFairBetweenTeams(t *testing.T) {
 	q := queue.New([]queue.Class{{}}, allLevels)
 	for i := range 500 {
