--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,9 +1,8 @@
 // Package ledger counts completed requests by outcome in buckets of one second,
 // for queries over a recent window.
 //
-// A Ledger keeps a fixed number of buckets with a bounded number of rows. Requests
-// beyond that bound are counted under Other, so that totals stay exact. A Ledger
-// is safe for concurrent use.
+// A Ledger keeps a fixed number of buckets with a bounded number of rows. Requests beyond that are
+// counted under Other, so that totals stay exact. A Ledger is safe for concurrent use.
 package ledger
 
 import (
@@ -57,18 +56,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := int64(now / time.Second)
-	s := &l.ring[at%numSeconds]
-	if s.at != at || s.rows == nil {
-		*s = bucket{at, make(map[Row]int64)}
+	b := &l.ring[at%numSeconds]
+	if b.at != at || b.rows == nil {
+		*b = bucket{at, make(map[Row]int64)}
 	}
-	if _, ok := s.rows[r]; !ok && len(s.rows) >= maxRows {
+	if _, ok := b.rows[r]; !ok && len(b.rows) >= maxRows {
 		r.Team, r.Endpoint = Other, Other
 	}
-	s.rows[r]++
+	b.rows[r]++
 }
 
-// Sum returns the counts of the last window before now, at most 299 s and in whole
-// seconds. The current second counts too.
+// Sum returns the counts of the last window before now, in whole seconds up to 299 s. The current
+// second counts too.
 func (l *Ledger) Sum(now, window time.Duration) map[Row]int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,11 +75,11 @@
 	from := to - int64(min(window, (numSeconds-1)*time.Second)/time.Second)
 	out := make(map[Row]int64)
 	for i := range l.ring {
-		s := &l.ring[i]
-		if s.rows == nil || s.at < from || s.at > to {
+		b := &l.ring[i]
+		if b.rows == nil || b.at < from || b.at > to {
 			continue
 		}
-		for r, n := range s.rows {
+		for r, n := range b.rows {
 			out[r] += n
 		}
 	}
