--- a/home/home.go
+++ b/home/home.go
@@ -3,8 +3,8 @@
 //
 // A cell is a bounded group of identical endpoints. Its home instance holds the cell's only queue
 // and grants a request only when an endpoint has a free slot for it. The state of a Home is rebuilt
-// within seconds from the entry instances: they hold the requests, ask another instance when a home
-// is lost, and report their runs to each home.
+// within seconds from the entry instances, at which requests arrive: they hold the requests, ask
+// another instance when a home is lost, and report their runs to each home.
 //
 // A Home does no I/O and reads no clock: its methods take the current time and an event, and
 // TakeDecisions returns the resulting decisions. It is not safe for concurrent use.
@@ -84,6 +84,7 @@
 	Stopped    bool // by an operator command
 }
 
+// A run is a granted request that has not ended.
 type run struct {
 	key       Key
 	endpoint  *endpoint
--- a/home/home_test.go
+++ b/home/home_test.go
@@ -50,14 +50,14 @@
 	return out
 }
 
-func ask(seq uint64, class string) home.Request {
+func newRequest(seq uint64, class string) home.Request {
 	return home.Request{Key: home.Key{Entry: "n1", Seq: seq}, Class: class, Team: "a"}
 }
 
 func TestGrantsUpToLimit(t *testing.T) {
 	h := newHome(t, 2)
 	for i := range uint64(6) {
-		h.Submit(0, ask(i, "letter"))
+		h.Submit(0, newRequest(i, "letter"))
 	}
 	if n := len(h.TakeDecisions()); n != 4 {
 		t.Errorf("got %d decisions on two endpoints of two slots; want 4", n)
@@ -70,10 +70,10 @@
 
 func TestHigherTierFirst(t *testing.T) {
 	h := newHome(t, 1)
-	h.Submit(0, ask(1, "letter"))
-	h.Submit(0, ask(2, "letter"))
-	h.Submit(0, ask(3, "letter"))
-	h.Submit(time.Millisecond, ask(4, "verdict"))
+	h.Submit(0, newRequest(1, "letter"))
+	h.Submit(0, newRequest(2, "letter"))
+	h.Submit(0, newRequest(3, "letter"))
+	h.Submit(time.Millisecond, newRequest(4, "verdict"))
 	h.TakeDecisions()
 	h.Done(2*time.Millisecond, home.Release{Key: home.Key{Entry: "n1", Seq: 1}, Complete: true, Tokens: 1})
 	if d := h.TakeDecisions(); len(d) != 1 || d[0].Seq != 4 {
@@ -87,7 +87,7 @@
 	eps[0].Leaving = true
 	h.SetEndpoints(0, eps)
 	for i := range uint64(2) {
-		h.Submit(0, ask(i, "letter"))
+		h.Submit(0, newRequest(i, "letter"))
 	}
 	for _, d := range h.TakeDecisions() {
 		if d.Endpoint == "e0" {
@@ -96,7 +96,7 @@
 	}
 	eps[0].Leaving = false
 	h.SetEndpoints(0, eps) // an outdated list
-	h.Submit(0, ask(9, "letter"))
+	h.Submit(0, newRequest(9, "letter"))
 	for _, d := range h.TakeDecisions() {
 		if d.Endpoint == "e0" {
 			t.Error("request granted on an endpoint that had left")
@@ -106,7 +106,7 @@
 
 func TestRefusalWithoutEndpoints(t *testing.T) {
 	h := newHome(t, 0)
-	h.Submit(0, ask(1, "verdict"))
+	h.Submit(0, newRequest(1, "verdict"))
 	d := h.TakeDecisions()
 	if len(d) != 1 || d[0].Refusal == nil || d[0].Refusal.Verdict != verdict.NotRun || d[0].Refusal.RetryAfter == 0 {
 		t.Errorf("got %+v; want a NotRun refusal with RetryAfter", d)
@@ -116,7 +116,7 @@
 func TestOverloadRefusedOnArrival(t *testing.T) {
 	h := newHome(t, 1)
 	for i := range uint64(80) {
-		h.Submit(0, ask(i, "verdict"))
+		h.Submit(0, newRequest(i, "verdict"))
 	}
 	refused := 0
 	for _, d := range h.TakeDecisions() {
@@ -133,7 +133,7 @@
 func TestSyncRestoresRuns(t *testing.T) {
 	h := newHome(t, 1)
 	h.Sync(0, "n1", []home.ActiveRun{{Seq: 1, Endpoint: "e0", Class: "verdict"}, {Seq: 2, Endpoint: "e0", Class: "letter"}})
-	h.Submit(0, ask(3, "letter"))
+	h.Submit(0, newRequest(3, "letter"))
 	if d := h.TakeDecisions(); len(d) != 0 {
 		t.Errorf("got %+v on a full endpoint; want no decision", d)
 	}
@@ -150,7 +150,7 @@
 
 func TestRunLeaseExpires(t *testing.T) {
 	h := newHome(t, 1)
-	h.Submit(0, ask(1, "letter"))
+	h.Submit(0, newRequest(1, "letter"))
 	h.Tick(home.RunLease + time.Second)
 	if n := h.Running(); n != 0 {
 		t.Errorf("%d runs left after their lease expired; want 0", n)
@@ -201,7 +201,7 @@
 	seq := uint64(0)
 	for range waiting + 32 {
 		seq++
-		a := ask(seq, "letter")
+		a := newRequest(seq, "letter")
 		a.Team = fmt.Sprintf("t%d", seq%200)
 		h.Submit(0, a)
 	}
@@ -216,7 +216,7 @@
 	for i := range b.N {
 		now := time.Duration(i) * time.Millisecond
 		seq++
-		a := ask(seq, "letter")
+		a := newRequest(seq, "letter")
 		a.Team = "t1"
 		h.Submit(now, a)
 		if len(running) > 0 {
@@ -235,7 +235,7 @@
 func TestReportAwaitedBeforeGrant(t *testing.T) {
 	h := newHome(t, 0)
 	h.SetEndpoints(0, endpointList(2))
-	h.Submit(0, ask(1, "verdict"))
+	h.Submit(0, newRequest(1, "verdict"))
 	if d := h.TakeDecisions(); len(d) != 0 {
 		t.Fatalf("got %+v before any load report; want no decision", d)
 	}
