--- a/node/cell.go
+++ b/node/cell.go
@@ -1,7 +1,8 @@
 package node
 
-// This file serves this instance's cells. It wraps each home.Home with a lock, lets
-// asks wait for its decisions, and polls the load reports of the endpoints.
+// This file serves this instance's cells. It wraps each home.Home with a lock, lets asks wait for
+// its decisions, and polls the load reports of the endpoints. An ask is a request for a grant, from
+// this or another instance.
 
 import (
 	"context"
--- a/node/documents.go
+++ b/node/documents.go
@@ -243,7 +243,7 @@
 	if rank < platformWatchers {
 		return true
 	}
-	return n.now()-n.platformHeard > platformLostAfter+time.Duration(rank)*watchStagger
+	return n.now()-n.lastPlatformContact > platformLostAfter+time.Duration(rank)*watchStagger
 }
 
 func (n *Node) watchOnce(kind platformclient.Kind, wait time.Duration) error {
@@ -263,7 +263,7 @@
 		n.count.platformErrors.Add(1)
 		return errors.Wrap(err, "watch")
 	}
-	n.recordPlatformHeard(n.now())
+	n.recordPlatformContact(n.now())
 	if p != nil {
 		if p.Revision < after {
 			n.count.oldRevisions.Add(1)
@@ -274,14 +274,14 @@
 	return nil
 }
 
-// recordPlatformHeard records that some instance reached the platform at the given time.
-func (n *Node) recordPlatformHeard(at time.Duration) {
+// recordPlatformContact records that some instance reached the platform at the given time.
+func (n *Node) recordPlatformContact(at time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if at > n.platformHeard {
-		n.platformHeard = at
+	if at > n.lastPlatformContact {
+		n.lastPlatformContact = at
 	}
-	if n.now()-n.platformHeard < platformLostAfter {
+	if n.now()-n.lastPlatformContact < platformLostAfter {
 		n.docs.machine.Step(evPlatformSeen)
 	} else {
 		n.docs.machine.Step(evPlatformLost)
@@ -336,7 +336,7 @@
 			return false, "behind " + p.Name
 		}
 	}
-	if others > 0 && !n.peerHeard && !graceElapsed {
+	if others > 0 && !n.heartbeatReceived && !graceElapsed {
 		return false, "no peer heard yet"
 	}
 	return true, ""
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -21,7 +21,7 @@
 		ConfigRevision:  n.docs.config.revision,
 		ListRevision:    n.docs.list.revision,
 		CommandVersion:  n.commands.Version(),
-		PlatformAgeMs:   (now - n.platformHeard).Milliseconds(),
+		PlatformAgeMs:   (now - n.lastPlatformContact).Milliseconds(),
 		Leaving:         n.leaving,
 		Ready:           n.docs.set != nil,
 		SettledRevision: n.settledRevision(),
@@ -61,13 +61,13 @@
 	n.mu.Lock()
 	before := n.table.Version()
 	n.table.HandleHeartbeat(now, b.From, h)
-	n.peerHeard = true
+	n.heartbeatReceived = true
 	changed := n.table.Version() != before
 	config := b.ConfigRevision > max(n.docs.config.revision, n.docs.rejectedRevision)
 	list := b.ListRevision > n.docs.list.revision
 	commands := b.CommandVersion > n.commands.Version()
 	n.mu.Unlock()
-	n.recordPlatformHeard(h.PlatformHeard)
+	n.recordPlatformContact(h.PlatformHeard)
 	if config {
 		go n.fetch(peerpb.Kind_CONFIG, b.From, b.Addr)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -76,16 +76,16 @@
 	ledger      *ledger.Ledger
 	count       counters
 
-	mu            sync.Mutex // guards the fields up to fetching
-	table         *member.Table
-	docs          documents
-	commands      *command.Set
-	owners        *owner.Owners
-	peerHeard     bool
-	started       time.Duration
-	leaving       bool
-	platformHeard time.Duration // last time any instance reached the platform
-	fetching      map[fetchKey]bool
+	mu                  sync.Mutex // guards the fields up to fetching
+	table               *member.Table
+	docs                documents
+	commands            *command.Set
+	owners              *owner.Owners
+	heartbeatReceived   bool
+	started             time.Duration
+	leaving             bool
+	lastPlatformContact time.Duration // last time any instance reached the platform
+	fetching            map[fetchKey]bool
 
 	cellMu sync.Mutex
 	cells  map[string]*cell
@@ -148,7 +148,7 @@
 	n.peerCtx.init()
 	n.count.init(opt.Counters)
 	now := n.now()
-	n.started, n.platformHeard = now, now
+	n.started, n.lastPlatformContact = now, now
 	n.owners = owner.New(opt.Name, opt.Quarantine, opt.ColdStart)
 	n.view.Store(&view{set: new(decl.Set), pools: map[string][]*cellView{}, cells: map[string]*cellView{}, peers: map[string]string{}})
 	return n
--- a/node/status.go
+++ b/node/status.go
@@ -158,7 +158,7 @@
 	return ConfigStatus{
 		State: n.docs.machine.Name(), Revision: n.docs.config.revision, ListRevision: n.docs.list.revision,
 		Commands: n.commands.Version(), Rejected: n.docs.rejectedRevision, Rejection: n.docs.rejection,
-		PlatformAge: now - n.platformHeard, AcceptedSince: now - n.docs.acceptedAt,
+		PlatformAge: now - n.lastPlatformContact, AcceptedSince: now - n.docs.acceptedAt,
 		Settled: n.owners.Settled(), Records: n.owners.Len(),
 	}
 }
