--- a/home/limits.go
+++ b/home/limits.go
@@ -14,8 +14,7 @@
 const (
 	adjustInterval = 100 * time.Millisecond
 	// Time constants, in tokens, of the smoothed gaps. The longer one controls the lower tiers'
-	// limit: limits fall faster than they rise, so a short one would lower it at every burst of
-	// prompts.
+	// limit: limits fall faster than they rise, so bursts of prompts would keep it low otherwise.
 	gapWindowTokens     = 150
 	longGapWindowTokens = 1200
 	// The limit is kept while the gap over its target is between these. Both are below one, since a
@@ -150,8 +149,8 @@
 	e.lowLimit = e.limit
 }
 
-// forecastLimit estimates how many requests e could run at once. It exceeds a limit that e has not
-// reached for lack of load.
+// forecastLimit estimates how many requests e could run at once. It may exceed e's limit, which is
+// not raised while e is not full.
 func (h *Home) forecastLimit(e *endpoint, lowTier bool) float64 {
 	limit := h.limitOf(e, lowTier)
 	if !h.policy.Fill || h.pool.Kind != decl.Model {
--- a/home/place.go
+++ b/home/place.go
@@ -13,12 +13,12 @@
 
 const (
 	maxWarmPrefixes        = 256             // remembered per endpoint
-	warmBonus              = 0.25            // on the score, as a fraction of a full endpoint
-	crossDataCentrePenalty = 0.02            // in the same unit
+	warmBonus              = 0.25            // subtracted from the score; 1 is the score of a full endpoint
+	crossDataCentrePenalty = 0.02            // added to the score
 	failuresToUnreachable  = 2               // consecutive; the endpoint gets no requests until it reports
 	probeInterval          = 2 * time.Second // between probe requests to a slow endpoint
-	reserveSigmas          = 2.0             // Poisson standard deviations reserved above the higher tiers' mean load
-	// pauseAfterRefusal is how long an endpoint that refused a request as overload gets no more.
+	reserveSigmas          = 2.0             // standard deviations (Poisson) reserved above the higher tiers' load
+	// pauseAfterRefusal is how long an endpoint gets no requests after it refused one as overload.
 	pauseAfterRefusal = time.Second
 	minProbeTier      = 1 // requests of more urgent tiers are not used as probes
 )
@@ -153,7 +153,7 @@
 }
 
 // leavesReserve reports whether one more run of the tier leaves the slots that the higher tiers are
-// expected to need. Without them these would wait for the end of long low-tier requests.
+// expected to need. Otherwise they would wait for the end of long low-tier requests.
 func (h *Home) leavesReserve(tier int) bool {
 	lower := 1
 	for _, n := range h.runsByTier[tier:] {
