--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -21,7 +21,7 @@
 		ConfigRevision:  n.docs.config.revision,
 		ListRevision:    n.docs.list.revision,
 		CommandVersion:  n.commands.Version(),
-		PlatformAgeMs:   (now - n.platformHeard).Milliseconds(),
+		PlatformAgeMs:   (now - n.lastPlatformContact).Milliseconds(),
 		Leaving:         n.leaving,
 		Ready:           n.docs.set != nil,
 		SettledRevision: n.settledRevision(),
@@ -32,8 +32,8 @@
 	return b
 }
 
-// settledRevision returns the list revision under which this instance has settled
-// all partitions that it owns, or zero. The caller holds n.mu.
+// settledRevision returns the list revision under which this instance has settled all partitions
+// that it owns, or zero. The caller holds n.mu.
 func (n *Node) settledRevision() int64 {
 	if n.owners.Settled() {
 		return n.owners.Revision()
@@ -41,8 +41,7 @@
 	return 0
 }
 
-// handleHeartbeat applies a heartbeat and fetches documents that are newer at its
-// sender.
+// handleHeartbeat applies a heartbeat and fetches documents that are newer at its sender.
 func (n *Node) handleHeartbeat(b *peerpb.Beat) {
 	now := n.now()
 	h := member.Heartbeat{
@@ -62,13 +61,13 @@
 	n.mu.Lock()
 	before := n.table.Version()
 	n.table.HandleHeartbeat(now, b.From, h)
-	n.peerHeard = true
+	n.heartbeatReceived = true
 	changed := n.table.Version() != before
 	config := b.ConfigRevision > max(n.docs.config.revision, n.docs.rejectedRevision)
 	list := b.ListRevision > n.docs.list.revision
 	commands := b.CommandVersion > n.commands.Version()
 	n.mu.Unlock()
-	n.recordPlatformHeard(h.PlatformHeard)
+	n.recordPlatformContact(h.PlatformHeard)
 	if config {
 		go n.fetch(peerpb.Kind_CONFIG, b.From, b.Addr)
 	}
@@ -84,7 +83,6 @@
 	}
 }
 
-// heartbeatLoop sends heartbeats to the partners of this instance.
 func (n *Node) heartbeatLoop() {
 	for n.sleep(member.HeartbeatInterval) {
 		n.sendHeartbeats(false)
