--- a/api/api.go
+++ b/api/api.go
@@ -186,11 +186,11 @@
 	}
 	var m modelRequest
 	if e := json.Unmarshal(body, &m); e != nil {
-		a.refuse(w, verdict.Refuse(verdict.BadRequest, "invalid JSON in request body: %v", e))
+		a.refuse(w, verdict.Refuse(verdict.BadRequest, "the body is not a JSON request: %v", e))
 		return
 	}
 	if m.Priority != nil {
-		a.refuse(w, verdict.Refuse(verdict.BadRequest, "priority is derived from the request class and cannot be set"))
+		a.refuse(w, verdict.Refuse(verdict.BadRequest, "the priority comes from the request's class and cannot be set"))
 		return
 	}
 	pool := set.Pool(m.Model)
@@ -281,11 +281,11 @@
 	}
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		return nil, decl.Identity{}, verdict.Refuse(verdict.Unauthenticated, "missing bearer token")
+		return nil, decl.Identity{}, verdict.Refuse(verdict.Unauthenticated, "a bearer token is needed")
 	}
 	id, ok := set.Authenticate(token)
 	if !ok {
-		return nil, decl.Identity{}, verdict.Refuse(verdict.Unauthenticated, "unknown bearer token")
+		return nil, decl.Identity{}, verdict.Refuse(verdict.Unauthenticated, "the bearer token is not known")
 	}
 	return set, id, nil
 }
@@ -293,10 +293,10 @@
 func (a *API) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, a.opt.MaxBody))
 	if errors.As(err, new(*http.MaxBytesError)) {
-		return nil, verdict.Refuse(verdict.TooLarge, "request body exceeds %d bytes", a.opt.MaxBody)
+		return nil, verdict.Refuse(verdict.TooLarge, "the body is larger than %d bytes", a.opt.MaxBody)
 	}
 	if err != nil {
-		return nil, verdict.Refuse(verdict.BadRequest, "reading request body: %v", err)
+		return nil, verdict.Refuse(verdict.BadRequest, "the body could not be read: %v", err)
 	}
 	return body, nil
 }
@@ -330,7 +330,7 @@
 	}
 	key := r.Header.Get(KeyHeader)
 	if len(key) > maxKeyBytes {
-		return nil, verdict.Refuse(verdict.BadRequest, "header %s exceeds %d bytes", KeyHeader, maxKeyBytes)
+		return nil, verdict.Refuse(verdict.BadRequest, "the %s is longer than %d bytes", KeyHeader, maxKeyBytes)
 	}
 	if key != "" {
 		k := hashKey(id.Team.Name, r.URL.Path, key)
@@ -357,7 +357,7 @@
 func (a *API) run(w http.ResponseWriter, r *http.Request, req *dispatch.Request) {
 	select {
 	case <-a.stop:
-		a.refuse(w, verdict.Refuse(verdict.Leaving, "instance %s is shutting down", a.node.Name()).WithRetryAfter(time.Second))
+		a.refuse(w, verdict.Refuse(verdict.Leaving, "instance %s is leaving", a.node.Name()).WithRetryAfter(time.Second))
 		return
 	default:
 	}
@@ -365,7 +365,7 @@
 	case a.slots <- struct{}{}:
 		defer func() { <-a.slots }()
 	default:
-		a.refuse(w, verdict.Refuse(verdict.Overloaded, "instance %s reached its limit of %d concurrent requests", a.node.Name(), a.opt.Open).WithRetryAfter(time.Second))
+		a.refuse(w, verdict.Refuse(verdict.Overloaded, "instance %s holds %d requests", a.node.Name(), a.opt.Open).WithRetryAfter(time.Second))
 		return
 	}
 	a.counters.Open.Add(1)
--- a/api/sink.go
+++ b/api/sink.go
@@ -62,7 +62,7 @@
 	return nil
 }
 
-var errClientDisconnected = errors.New("client disconnected")
+var errClientDisconnected = errors.New("the caller has gone")
 
 // abort terminates a response that failed after its header was sent. A stream
 // gets an error event and no [DONE], and the connection is closed, so that the
--- a/fake/config.go
+++ b/fake/config.go
@@ -169,7 +169,7 @@
 		go endpoint.Serve(l)
 		return nil
 	}
-	return errors.Errorf("unknown endpoint %q", name)
+	return errors.Errorf("no endpoint is called %q", name)
 }
 
 // Endpoint returns the named endpoint, or nil if it was never started.
--- a/fake/control.go
+++ b/fake/control.go
@@ -59,7 +59,7 @@
 		name := chi.URLParam(r, "name")
 		e := w.Endpoint(name)
 		if e == nil {
-			http.Error(rw, "unknown endpoint "+name, http.StatusNotFound)
+			http.Error(rw, "no endpoint is called "+name, http.StatusNotFound)
 			return
 		}
 		if err := f(e, name); err != nil {
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -200,7 +200,7 @@
 	}
 	run := e.runLog.Begin(d.id, e.Name, r.Header.Get("X-Team"), leaving)
 	if fault.Error != 0 {
-		http.Error(w, "injected engine fault", fault.Error)
+		http.Error(w, "the engine is at fault", fault.Error)
 		return
 	}
 	s := e.newSequence(&req, body, d, r.Header.Get("X-Team"))
--- a/fake/service.go
+++ b/fake/service.go
@@ -99,7 +99,7 @@
 	}()
 	run := s.runLog.Begin(d.id, s.Name, r.Header.Get("X-Team"), leaving)
 	if fault.Error != 0 {
-		http.Error(w, "injected service fault", fault.Error)
+		http.Error(w, "the service is at fault", fault.Error)
 		return
 	}
 	select {
