--- a/peer/client.go
+++ b/peer/client.go
@@ -14,11 +14,9 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// idleTimeout keeps connections to peers that are seldom called, since a
-	// new one costs the CPU time of two handshakes.
-	idleTimeout = 10 * time.Minute
-	// maxStreams is the maximum number of concurrent calls of one peer; each
-	// request that waits at a home is one.
+	idleTimeout = 10 * time.Minute // long, since a new connection costs two handshakes
+	// maxStreams bounds the concurrent calls on one connection. Each request that waits
+	// at a home occupies one.
 	maxStreams      = 20_000
 	shutdownTimeout = 200 * time.Millisecond
 )
@@ -37,8 +35,7 @@
 	clients map[string]*Client
 }
 
-// NewTransport returns the transport for calls between instances, which authenticates
-// with keys.
+// NewTransport returns a transport that authenticates to peers with keys.
 func NewTransport(keys *Keyring) *http.Transport {
 	return &http.Transport{
 		TLSClientConfig:     keys.Client(),
@@ -47,15 +44,14 @@
 		ForceAttemptHTTP2:   true,
 		IdleConnTimeout:     idleTimeout,
 		HTTP2: &http.HTTP2Config{
-			// If a peer does not answer a ping, the connection is closed and all
-			// calls that wait on it fail.
+			// Pings detect dead connections, on which calls would wait.
 			SendPingTimeout: 2 * time.Second,
 			PingTimeout:     time.Second,
 		},
 	}
 }
 
-// NewDialer returns a Dialer that uses the given transport.
+// NewDialer returns a Dialer that sends calls through rt.
 func NewDialer(rt http.RoundTripper) *Dialer {
 	return &Dialer{http: &http.Client{Transport: rt}, clients: make(map[string]*Client)}
 }
@@ -77,7 +73,7 @@
 	return c
 }
 
-// Close closes all idle connections.
+// Close closes the idle connections.
 func (d *Dialer) Close() { d.http.CloseIdleConnections() }
 
 // A Server serves the peer services.
@@ -85,14 +81,14 @@
 	http *http.Server
 }
 
-// Services are the service implementations of an instance.
+// Services holds an instance's implementations of the peer services.
 type Services struct {
 	Home   peerpb.Home
 	Owner  peerpb.Owner
 	Member peerpb.Member
 }
 
-// Handler returns the handler of the peer services.
+// Handler returns an HTTP handler that routes calls to the services.
 func (s Services) Handler() http.Handler {
 	mux := http.NewServeMux()
 	for _, h := range []peerpb.TwirpServer{
@@ -105,8 +101,8 @@
 	return mux
 }
 
-// NewServer returns the server for peer calls. The TLS handshake fails for a client
-// without a certificate of the fleet.
+// NewServer returns a server for h that rejects clients without a certificate
+// signed by the fleet's authority.
 func NewServer(keys *Keyring, h http.Handler) *Server {
 	return &Server{&http.Server{
 		Handler:           h,
@@ -120,8 +116,7 @@
 // Serve accepts connections on l until Close or Shutdown.
 func (s *Server) Serve(l net.Listener) error { return s.http.ServeTLS(l, "", "") }
 
-// Shutdown waits up to shutdownTimeout for calls in progress, then closes all
-// connections.
+// Shutdown waits up to 200 ms for calls in progress, then closes all connections.
 func (s *Server) Shutdown(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
--- a/peer/issue.go
+++ b/peer/issue.go
@@ -1,7 +1,6 @@
 package peer
 
-// This file creates the certificate authority and certificates of a fleet, for
-// `ivyctl keys` and for tests.
+// This file issues the certificates of a fleet, for `ivyctl keys` and for tests.
 
 import (
 	"crypto/ecdsa"
@@ -24,14 +23,14 @@
 	backdate          = time.Hour // tolerance for clock differences
 )
 
-// File names of the authority's certificate and key.
+// Files of the authority's certificate and key.
 const (
 	CAFile    = "ca.pem"
 	CAKeyFile = "ca.key"
 )
 
-// NewAuthority writes a new certificate authority to dir. It is an error if dir
-// contains one already.
+// NewAuthority writes a new certificate authority to dir. It fails if dir already
+// contains an authority's key.
 func NewAuthority(dir string) error {
 	if _, err := os.Stat(filepath.Join(dir, CAKeyFile)); err == nil {
 		return errors.Errorf("authority: %s already exists", filepath.Join(dir, CAKeyFile))
@@ -40,7 +39,7 @@
 	if err != nil {
 		return errors.Wrap(err, "authority")
 	}
-	t := template("ivyridge authority", authorityValidity)
+	t := certTemplate("ivyridge authority", authorityValidity)
 	t.IsCA, t.BasicConstraintsValid = true, true
 	t.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
@@ -61,7 +60,7 @@
 	if err != nil {
 		return errors.Wrap(err, "issue")
 	}
-	t := template(name, instanceValidity)
+	t := certTemplate(name, instanceValidity)
 	t.KeyUsage = x509.KeyUsageDigitalSignature
 	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	der, err := x509.CreateCertificate(rand.Reader, t, ca, &key.PublicKey, caKey)
@@ -71,7 +70,7 @@
 	return writePair(filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key"), der, key)
 }
 
-func template(name string, life time.Duration) *x509.Certificate {
+func certTemplate(name string, validity time.Duration) *x509.Certificate {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
 		panic(err) // crypto/rand does not fail
@@ -81,7 +80,7 @@
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-backdate),
-		NotAfter:     now.Add(life),
+		NotAfter:     now.Add(validity),
 	}
 }
 
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -58,12 +58,12 @@
 }
 
 func TestRejectsUntrustedClients(t *testing.T) {
-	dir, other := t.TempDir(), t.TempDir()
+	dir, otherDir := t.TempDir(), t.TempDir()
 	url := serve(t, loadKeys(t, issueKeys(t, dir, "one")))
 	if err := get(loadKeys(t, issueKeys(t, dir, "two")), url); err != nil {
 		t.Errorf("peer with a certificate of the fleet was rejected: %v", err)
 	}
-	if err := get(loadKeys(t, issueKeys(t, other, "two")), url); err == nil {
+	if err := get(loadKeys(t, issueKeys(t, otherDir, "two")), url); err == nil {
 		t.Error("client with a certificate of another authority was accepted")
 	}
 	if res, err := http.Get(url); err == nil {
@@ -82,27 +82,26 @@
 	dir := t.TempDir()
 	files := issueKeys(t, dir, "one")
 	url := serve(t, loadKeys(t, files))
-	fresh := t.TempDir()
-	next := issueKeys(t, fresh, "two")
-	// During the rotation the authority file contains both certificates.
-	both, err := os.ReadFile(next.CA)
+	nextDir := t.TempDir()
+	next := issueKeys(t, nextDir, "two")
+	newCA, err := os.ReadFile(next.CA)
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, err := os.ReadFile(files.CA)
+	oldCA, err := os.ReadFile(files.CA)
 	if err != nil {
 		t.Fatal(err)
 	}
 	later := time.Now().Add(time.Minute)
-	if err := errors.Join(os.WriteFile(files.CA, append(old, both...), 0o644), os.Chtimes(files.CA, later, later),
-		os.WriteFile(next.CA, append(both, old...), 0o644)); err != nil {
+	if err := errors.Join(os.WriteFile(files.CA, append(oldCA, newCA...), 0o644), os.Chtimes(files.CA, later, later),
+		os.WriteFile(next.CA, append(newCA, oldCA...), 0o644)); err != nil {
 		t.Fatal(err)
 	}
 	client := loadKeys(t, next)
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		if err := get(client, url); err == nil {
 			return
-		} else if try > 100 {
+		} else if attempt > 100 {
 			t.Fatalf("keys of the new authority were not loaded: %v", err)
 		}
 		time.Sleep(100 * time.Millisecond)
--- a/peer/peerpb/peer.twirp.go
+++ b/peer/peerpb/peer.twirp.go
@@ -36,7 +36,7 @@
 	// Ask waits until the request is granted or refused.
 	Ask(context.Context, *AskRequest) (*AskReply, error)
 
-	// Sync tells a home what an entry runs in its cells, and what ended.
+	// Sync reports to a home which requests an entry runs in its cells, and which ended.
 	Sync(context.Context, *SyncRequest) (*SyncReply, error)
 }
 
@@ -807,16 +807,16 @@
 // Owner Interface
 // ===============
 
-// Owner keeps the records of keys that may run at most once.
+// Owner stores records of idempotency keys, so that each key runs at most once.
 type Owner interface {
 	Begin(context.Context, *BeginRequest) (*BeginReply, error)
 
-	// Withdraw takes back the record of an attempt that was not sent.
+	// Withdraw deletes the record of an attempt that was not sent.
 	Withdraw(context.Context, *WithdrawRequest) (*WithdrawReply, error)
 
 	Pull(context.Context, *PullRequest) (*PullReply, error)
 
-	// Join waits for the answer of a key that the called instance runs.
+	// Join waits for the answer to a request that the called instance runs.
 	Join(context.Context, *JoinRequest) (*JoinReply, error)
 }
 
--- a/peer/tls.go
+++ b/peer/tls.go
@@ -1,10 +1,9 @@
-// Package peer connects instances with mutual TLS, one HTTP/2 connection to each
-// peer, and clients of the twirp services in peerpb.
+// Package peer connects instances over HTTP/2 with mutual TLS and serves the twirp
+// services in peerpb.
 //
-// Every instance has a certificate signed by the fleet's own authority and accepts
-// only peers with such a certificate. The files are read again when they change,
-// so keys can be rotated without a restart; during a rotation the authority file
-// may contain two certificates.
+// Instances accept only peers with a certificate signed by the fleet's authority.
+// Key files are reloaded when they change. During a key rotation the authority
+// file may contain several certificates.
 package peer
 
 import (
@@ -17,15 +16,15 @@
 	"github.com/pkg/errors"
 )
 
-// keyCheckInterval is how often the key files are checked for changes.
-const keyCheckInterval = 2 * time.Second
+const keyCheckInterval = 2 * time.Second // of the files' modification times
 
-// KeyFiles names an instance's certificate, key and authority files, all PEM.
+// KeyFiles are the paths of an instance's certificate, key and authority, all PEM.
 type KeyFiles struct {
 	Cert, Key, CA string
 }
 
-// A Keyring holds the current keys. It is safe for concurrent use.
+// A Keyring holds keys that it reloads when their files change. It is safe for
+// concurrent use.
 type Keyring struct {
 	files   KeyFiles
 	mu      sync.Mutex
@@ -35,7 +34,7 @@
 	checked time.Time
 }
 
-// LoadKeys returns a Keyring with the keys in the files.
+// LoadKeys returns a Keyring that holds the keys in the files.
 func LoadKeys(files KeyFiles) (*Keyring, error) {
 	k := &Keyring{files: files}
 	modTime, err := k.newestModTime()
@@ -48,7 +47,6 @@
 	return k, nil
 }
 
-// newestModTime returns the latest modification time of the three files.
 func (k *Keyring) newestModTime() (time.Time, error) {
 	var last time.Time
 	for _, name := range []string{k.files.Cert, k.files.Key, k.files.CA} {
@@ -80,9 +78,8 @@
 	return nil
 }
 
-// current returns the current keys, after reading the files again if they have
-// changed. If they cannot be loaded, for example while they are being replaced, the
-// old keys remain.
+// current reloads the files if they have changed. If that fails, for example while
+// they are being replaced, it returns the previous keys.
 func (k *Keyring) current() (*tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -96,8 +93,8 @@
 	return k.cert, k.pool
 }
 
-// Server returns the TLS configuration of the peer listener. Each handshake verifies
-// the peer's certificate against the current authority.
+// Server returns a TLS configuration that uses the current keys for each handshake
+// and requires a client certificate signed by the authority.
 func (k *Keyring) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -115,14 +112,13 @@
 	}
 }
 
-// Client returns the TLS configuration for calling peers. It verifies the peer's
-// certificate against the authority but not its host name, since addresses change.
+// Client returns a TLS configuration that verifies the peer's certificate against
+// the current authority. It does not check host names, since addresses change.
 func (k *Keyring) Client() *tls.Config {
 	return &tls.Config{
-		MinVersion: tls.VersionTLS13,
-		NextProtos: []string{"h2"},
-		// VerifyConnection checks the chain against the fleet's authority.
-		InsecureSkipVerify: true,
+		MinVersion:         tls.VersionTLS13,
+		NextProtos:         []string{"h2"},
+		InsecureSkipVerify: true, // replaced by VerifyConnection
 		VerifyConnection: func(cs tls.ConnectionState) error {
 			_, pool := k.current()
 			opts := x509.VerifyOptions{Roots: pool, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}}
