--- a/decl/check.go
+++ b/decl/check.go
@@ -105,44 +105,43 @@
 }
 
 func (c *checker) caller(t *Team, k *Caller) {
-	raw, err := hex.DecodeString(k.TokenHash)
-	if err != nil || len(raw) != sha256.Size {
+	hash, err := hex.DecodeString(k.TokenHash)
+	if err != nil || len(hash) != sha256.Size {
 		c.errs.Add(k.Pos, "caller %q: token_sha256 must be %d hex digits", k.Name, 2*sha256.Size)
 		return
 	}
 	if k.Name == "" {
 		c.errs.Add(k.Pos, "a caller of team %q has no name", t.Name)
 	}
-	if _, ok := c.set.callers[string(raw)]; ok {
+	if _, ok := c.set.callers[string(hash)]; ok {
 		c.errs.Add(k.Pos, "caller %q: another caller has the same token", k.Name)
 		return
 	}
-	c.set.callers[string(raw)] = Identity{Team: t, Caller: k.Name}
+	c.set.callers[string(hash)] = Identity{Team: t, Caller: k.Name}
 }
 
-// checkName records an error if the name is missing or taken, and reports whether
-// it is valid.
-func (c *checker) checkName(p yamlfile.Pos, what, name string, taken bool) bool {
+// checkName reports whether a name is present and not taken. It records an error
+// otherwise.
+func (c *checker) checkName(p yamlfile.Pos, kind, name string, taken bool) bool {
 	if name == "" {
-		c.errs.Add(p, "a %s has no name", what)
+		c.errs.Add(p, "a %s has no name", kind)
 		return false
 	}
 	if taken {
-		c.errs.Add(p, "%s %q is declared twice", what, name)
+		c.errs.Add(p, "%s %q is declared twice", kind, name)
 		return false
 	}
 	return true
 }
 
-func (c *checker) checkClassRef(p yamlfile.Pos, what, name, class string) {
+func (c *checker) checkClassRef(p yamlfile.Pos, kind, name, class string) {
 	if c.set.classes[class] == nil {
-		c.errs.Add(p, "%s %q: class %q is not declared", what, name, class)
+		c.errs.Add(p, "%s %q: class %q is not declared", kind, name, class)
 	}
 }
 
-// Authenticate returns the identity of the holder of a bearer token. The lookup
-// uses the token's SHA-256, so its duration reveals nothing about other tokens,
-// and the final comparison takes constant time.
+// Authenticate returns the identity of the holder of a bearer token. Its timing
+// reveals nothing about valid tokens: only SHA-256 hashes are compared.
 func (s *Set) Authenticate(token string) (Identity, bool) {
 	sum := sha256.Sum256([]byte(token))
 	id, ok := s.callers[string(sum[:])]
@@ -150,16 +149,16 @@
 		return Identity{}, false
 	}
 	for i := range id.Team.Callers {
-		raw, _ := hex.DecodeString(id.Team.Callers[i].TokenHash)
-		if subtle.ConstantTimeCompare(raw, sum[:]) == 1 {
+		hash, _ := hex.DecodeString(id.Team.Callers[i].TokenHash)
+		if subtle.ConstantTimeCompare(hash, sum[:]) == 1 {
 			return id, true
 		}
 	}
 	return Identity{}, false
 }
 
-// WithClass returns a copy of s in which change was applied to the class called name.
-// It returns s and false if there is no such class.
+// WithClass returns a copy of s with change applied to the named class, or s and
+// false if there is none.
 func (s *Set) WithClass(name string, change func(*Class)) (*Set, bool) {
 	old := s.classes[name]
 	if old == nil {
--- a/decl/decl.go
+++ b/decl/decl.go
@@ -1,10 +1,5 @@
-// Package decl parses and validates declarations, which operators keep in version
-// control and the platform publishes.
-//
-// A Set declares the classes (service levels), the teams with their callers and
-// permitted classes, and the pools of endpoints that serve models or plain
-// services. Parse checks a whole file and returns all errors with their positions.
-// A Set returned by Parse is consistent and must not be changed.
+// Package decl parses and validates the declarations of classes (service levels),
+// teams (customers) and pools of endpoints, which the platform publishes.
 package decl
 
 import (
@@ -24,28 +19,24 @@
 type Class struct {
 	Pos  yamlfile.Pos
 	Name string `yaml:"name"`
-	// Tier is the priority of the class, 0 to MaxTier; zero is the highest.
+	// Tier is the priority, from 0 (highest) to MaxTier.
 	Tier int `yaml:"tier"`
-	// FirstToken and Whole are the latency targets for the first token and
-	// the complete answer, counted from arrival; zero means no target. At
-	// least one is set.
+	// FirstToken and Whole are latency targets from arrival to the first token and
+	// to the end of the response. Zero means no target; at least one is set.
 	FirstToken time.Duration `yaml:"first_token"`
 	Whole      time.Duration `yaml:"whole"`
-	// TokenGap is the target for the time between tokens of a stream; zero
-	// means no target.
+	// TokenGap is the target for the mean time between tokens, zero for none.
 	TokenGap time.Duration `yaml:"token_gap"`
-	// Repeatable reports whether a request may run more than once.
+	// Repeatable allows a request to run more than once.
 	Repeatable bool `yaml:"repeatable"`
-	// Share is the fraction of a pool's capacity, at least 0 and below 1, that
-	// is guaranteed to this class ahead of higher tiers while it has requests
-	// waiting.
+	// Share is the fraction of a pool's capacity, in [0, 1), that waiting requests
+	// of this class get even when requests of other tiers are waiting.
 	Share float64 `yaml:"guaranteed_share"`
-	// FinishLate keeps waiting requests that can no longer meet their target.
+	// FinishLate keeps requests queued that can no longer meet their target.
 	FinishLate bool `yaml:"finish_late"`
 }
 
-// Target returns the latency target by which an answer counts as on time: that of
-// the first token if set, else that of the complete answer.
+// Target returns FirstToken if set, else Whole.
 func (c *Class) Target() time.Duration {
 	if c.FirstToken > 0 {
 		return c.FirstToken
@@ -53,32 +44,29 @@
 	return c.Whole
 }
 
-// A Caller is the holder of a bearer token, declared by the token's hash.
+// A Caller is the holder of a bearer token.
 type Caller struct {
-	Pos  yamlfile.Pos
-	Name string `yaml:"name"`
-	// TokenHash is the hex SHA-256 of the bearer token.
-	TokenHash string `yaml:"token_sha256"`
+	Pos       yamlfile.Pos
+	Name      string `yaml:"name"`
+	TokenHash string `yaml:"token_sha256"` // SHA-256 in hex
 }
 
-// A Team declares its callers, the classes they may use and their limits.
+// A Team is a customer.
 type Team struct {
 	Pos     yamlfile.Pos
 	Name    string   `yaml:"name"`
 	Callers []Caller `yaml:"callers"`
-	// Class is the default class of a request; Classes lists the others that
-	// a request may specify.
+	// Class is the default class, Classes the others that a request may name.
 	Class   string   `yaml:"class"`
 	Classes []string `yaml:"classes"`
-	// Weight is the team's weight in fair queuing within a class, 1 to
-	// MaxWeight; the default is 1.
+	// Weight is the weight in fair queuing within a class, from 1 (default) to
+	// MaxWeight.
 	Weight int `yaml:"weight"`
-	// MaxWaiting bounds the team's waiting requests per class in one cell;
-	// zero means no bound.
+	// MaxWaiting bounds the queued requests per class and cell. Zero means no bound.
 	MaxWaiting int `yaml:"max_waiting"`
 }
 
-// MayUse reports whether t may use the class named class.
+// MayUse reports whether t may use the named class.
 func (t *Team) MayUse(class string) bool {
 	if t.Class == class {
 		return true
@@ -91,7 +79,7 @@
 	return false
 }
 
-// A Kind distinguishes model engines from plain services.
+// A Kind is the kind of endpoint in a pool.
 type Kind string
 
 // The kinds of pool.
@@ -105,15 +93,15 @@
 	Pos  yamlfile.Pos
 	Name string `yaml:"name"`
 	Kind Kind   `yaml:"kind"`
-	// Slots is the initial concurrency limit of an endpoint; MaxSlots is the
-	// highest limit that feedback may set, by default Slots.
+	// Slots is the initial concurrency limit of an endpoint, MaxSlots the highest
+	// to which it may adapt, by default Slots.
 	Slots    int `yaml:"slots"`
 	MaxSlots int `yaml:"max_slots"`
-	// Class is the default class of requests to a service.
+	// Class is the default class, which overrides that of the team.
 	Class string `yaml:"class"`
 }
 
-// A Set is a complete and consistent set of declarations.
+// A Set is a consistent set of declarations. It must not be modified.
 type Set struct {
 	Classes []Class `yaml:"classes"`
 	Teams   []Team  `yaml:"teams"`
@@ -140,8 +128,8 @@
 // Pool returns the pool called name, or nil.
 func (s *Set) Pool(name string) *Pool { return s.pools[name] }
 
-// Parse parses and validates a file of declarations. The error, if any, is a
-// yamlfile.Errors with all errors found.
+// Parse parses and validates declarations; file is used in error positions. The
+// error, if any, is a yamlfile.Errors with all errors found.
 func Parse(file string, data []byte) (*Set, error) {
 	s := new(Set)
 	err := yamlfile.Decode(file, data, s)
--- a/decl/decl_test.go
+++ b/decl/decl_test.go
@@ -8,7 +8,7 @@
 	"ivyridge/decl"
 )
 
-func read(t testing.TB) *decl.Set {
+func parseDemo(t testing.TB) *decl.Set {
 	t.Helper()
 	data, err := os.ReadFile("../demo/huurtoets/declarations.yaml")
 	if err != nil {
@@ -22,7 +22,7 @@
 }
 
 func TestAuthenticate(t *testing.T) {
-	s := read(t)
+	s := parseDemo(t)
 	id, ok := s.Authenticate("demo-token-agents-zuid")
 	if !ok || id.Team.Name != "agents-zuid" || id.Caller != "portal" {
 		t.Errorf("got %+v, %v", id, ok)
@@ -56,8 +56,8 @@
 	}
 }
 
-func TestWithCopies(t *testing.T) {
-	s := read(t)
+func TestWithClassCopies(t *testing.T) {
+	s := parseDemo(t)
 	next, ok := s.WithClass("letter", func(c *decl.Class) { c.Tier = 5 })
 	if !ok || next.Class("letter").Tier != 5 || s.Class("letter").Tier != 2 {
 		t.Error("WithClass changed the original set or did not change the copy")
