--- a/api/api.go
+++ b/api/api.go
@@ -2,10 +2,8 @@
 // endpoints for models, and a path prefix that proxies to services.
 //
 // A client authenticates with a bearer token, which identifies its team. The
-// request class is the one in the class header, which the team must be allowed
-// to use; without that header, the pool's class; otherwise the team's default.
-// Error responses use the OpenAI error format and carry the verdict and the
-// reason in the body and in headers.
+// request class is taken from the class header, the pool or the team, in this
+// order. Errors have the OpenAI format, with the verdict and reason added.
 package api
 
 import (
@@ -40,18 +38,17 @@
 	VerdictHeader    = "X-Ivyridge-Verdict"
 	ReasonHeader     = "X-Ivyridge-Reason"
 	InstanceHeader   = "X-Ivyridge-Instance"
-	// shouldRetryHeader stops OpenAI client libraries from retrying a request
-	// that may already have run.
+	// shouldRetryHeader controls automatic retries by OpenAI client libraries.
 	shouldRetryHeader = "X-Should-Retry"
 )
 
 const (
 	maxKeyBytes    = 256
 	bytesPerToken  = 4
-	maxPrefixBytes = 1024 // bytes of the prompt that identify a prefix
+	maxPrefixBytes = 1024 // prompt bytes hashed for cache affinity
 )
 
-// A Node provides the instance's identity, clock, declarations and ledger.
+// A Node is the part of a node.Node that the API uses.
 type Node interface {
 	Name() string
 	DataCentre() string
@@ -63,7 +60,7 @@
 
 var _ Node = (*node.Node)(nil)
 
-// Options are the limits on requests.
+// Options are limits on requests.
 type Options struct {
 	MaxBody int64         // bytes
 	MaxTime time.Duration // per request
@@ -75,12 +72,12 @@
 	node       Node
 	dispatcher *dispatch.Dispatcher
 	opt        Options
-	slots      chan struct{} // semaphore of Options.Open slots
+	slots      chan struct{} // semaphore for Options.Open
 	stop       chan struct{} // closed by Stop
 	counters   Counters
 }
 
-// Counters are the request metrics.
+// Counters are metrics of requests.
 type Counters struct {
 	Requests, Served, Late *expvar.Int
 	Refused, Failed        *expvar.Map // by reason
@@ -113,7 +110,7 @@
 	return &API{node: n, dispatcher: d, opt: opt, slots: make(chan struct{}, opt.Open), stop: make(chan struct{}), counters: c}
 }
 
-// Handler returns the HTTP handler for the client listener.
+// Handler returns the HTTP handler for clients.
 func (a *API) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/v1/chat/completions", a.handleModel)
@@ -128,13 +125,11 @@
 	return r
 }
 
-// Stop makes the API refuse new requests; requests in progress continue. It
-// must be called at most once.
+// Stop makes the API refuse new requests. It must be called at most once.
 func (a *API) Stop() { close(a.stop) }
 
-// Wait blocks until no request is in progress or ctx is done. Closing the
-// listener's connections is not enough: a request with an idempotency key
-// continues after its client disconnects.
+// Wait waits until no request is in progress or ctx is done. Requests with an
+// idempotency key outlast their client's connection.
 func (a *API) Wait(ctx context.Context) error {
 	for range cap(a.slots) { // holding every slot means that no request is in progress
 		select {
@@ -154,7 +149,7 @@
 	fmt.Fprintln(w, "ready")
 }
 
-// modelRequest holds the fields of a model request that the router reads.
+// modelRequest holds the fields that the router reads.
 type modelRequest struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
@@ -167,8 +162,7 @@
 	} `json:"messages"`
 }
 
-// promptPrefix returns the leading bytes of the prompt or first message, which
-// identify the prefix for cache affinity.
+// promptPrefix returns the start of the prompt or of the first message, as JSON.
 func (b *modelRequest) promptPrefix() []byte {
 	first := b.Prompt
 	if len(b.Messages) > 0 {
@@ -213,8 +207,8 @@
 	a.run(w, r, req)
 }
 
-// withPriority inserts the tier as the engine's priority (lower runs first)
-// into body, which must be a JSON object with at least one field.
+// withPriority inserts the engine priority (lower runs first) into body, a JSON
+// object with at least one field.
 func withPriority(body []byte, tier int) []byte {
 	i := bytes.IndexByte(body, '{')
 	out := make([]byte, 0, len(body)+16)
@@ -225,9 +219,8 @@
 	return append(out, body[i+1:]...)
 }
 
-// prefixHash hashes the start of a prompt together with the team and the model,
-// so that prefix-cache affinity never links requests of different teams. It
-// returns zero if start is empty.
+// prefixHash returns zero if start is empty. The hash includes the team, so that
+// cache affinity never links requests of different teams.
 func prefixHash(team, model string, start []byte) uint64 {
 	if len(start) == 0 {
 		return 0
@@ -261,7 +254,6 @@
 	a.run(w, r, req)
 }
 
-// readRequest authenticates the client and reads the request body.
 func (a *API) readRequest(w http.ResponseWriter, r *http.Request) (*decl.Set, decl.Identity, []byte, error) {
 	set, id, err := a.authenticate(r)
 	if err != nil {
@@ -271,8 +263,8 @@
 	return set, id, body, err
 }
 
-// authenticate identifies the client by its token and returns the declarations
-// that apply to the request.
+// authenticate returns the client's identity and the declarations in force. It
+// counts the request.
 func (a *API) authenticate(r *http.Request) (*decl.Set, decl.Identity, error) {
 	a.counters.Requests.Add(1)
 	set, ok := a.node.Declarations()
@@ -301,7 +293,6 @@
 	return body, nil
 }
 
-// newRequest builds the dispatch request from the client's identity and headers.
 func (a *API) newRequest(r *http.Request, set *decl.Set, id decl.Identity, pool *decl.Pool) (*dispatch.Request, error) {
 	name := r.Header.Get(ClassHeader)
 	switch {
@@ -326,7 +317,7 @@
 		Repeatable: class.Repeatable && r.Header.Get(RepeatableHeader) != "false",
 	}
 	if req.ID == "" {
-		req.ID = newID(a.node.Name())
+		req.ID = newRequestID(a.node.Name())
 	}
 	key := r.Header.Get(KeyHeader)
 	if len(key) > maxKeyBytes {
@@ -339,8 +330,7 @@
 	return req, nil
 }
 
-// hashKey hashes an idempotency key together with the team and the path, so
-// that equal keys of different teams do not collide.
+// hashKey includes team and path, to which idempotency keys are scoped.
 func hashKey(team, path, key string) owner.Key {
 	var k owner.Key
 	text := team + "\x00" + path + "\x00" + key
@@ -353,7 +343,7 @@
 	return k
 }
 
-// run dispatches a request, writes its response and records the result.
+// run dispatches a request and writes its response.
 func (a *API) run(w http.ResponseWriter, r *http.Request, req *dispatch.Request) {
 	select {
 	case <-a.stop:
@@ -384,7 +374,6 @@
 	}
 }
 
-// record adds the outcome of a request to the counters and the ledger.
 func (a *API) record(req *dispatch.Request, res *dispatch.Result) {
 	row := ledger.Row{Class: req.Class.Name, Team: req.Team, Endpoint: res.Endpoint, DataCentre: a.node.DataCentre()}
 	a.counters.Tokens.Add(int64(res.Tokens))
@@ -408,7 +397,7 @@
 	a.node.Ledger().Add(a.node.Now(), row)
 }
 
-// refuse responds to a request that is rejected before it is dispatched.
+// refuse rejects a request that was not dispatched.
 func (a *API) refuse(w http.ResponseWriter, err error) {
 	e := verdict.Of(err)
 	a.counters.Refused.Add(string(e.Reason), 1)
@@ -436,8 +425,8 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// An ErrorDetail is an OpenAI error object extended with the verdict and the
-// delay in seconds after which to retry.
+// An ErrorDetail is an OpenAI error object with two more fields: the verdict and,
+// in seconds, the delay before a retry.
 type ErrorDetail struct {
 	Message    string  `json:"message"`
 	Type       string  `json:"type"`
@@ -461,7 +450,7 @@
 	return data
 }
 
-// errorType maps an HTTP status to an OpenAI error type.
+// errorType returns the OpenAI error type for an HTTP status.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
@@ -476,7 +465,6 @@
 	return "server_error"
 }
 
-// A modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
--- a/api/bench_test.go
+++ b/api/bench_test.go
@@ -11,7 +11,6 @@
 	"time"
 )
 
-// reportQuantiles reports the 50th and 99th percentiles of ds as metrics.
 func reportQuantiles(b *testing.B, name string, ds []time.Duration) (p50, p99 time.Duration) {
 	sort.Slice(ds, func(i, j int) bool { return ds[i] < ds[j] })
 	p50, p99 = ds[len(ds)/2], ds[len(ds)*99/100]
@@ -20,8 +19,8 @@
 	return p50, p99
 }
 
-// replaceEngine replaces the fake engine by h, to measure without engine latency,
-// and returns its address.
+// replaceEngine serves h, which has no engine latency, at the address of the fake
+// engine, and returns the address.
 func (s *testStack) replaceEngine(b *testing.B, h http.HandlerFunc) string {
 	s.environment.Endpoint("e1").Crash()
 	addr := ""
@@ -60,9 +59,7 @@
 
 const chatBody = `{"model": "screening", "messages": [{"role": "user", "content": "x"}], "stream": %v}`
 
-// BenchmarkRequest measures the latency that an instance adds to a request,
-// by sending each request once directly to an endpoint and once through the
-// instance.
+// BenchmarkRequest measures the latency that an instance adds to direct requests.
 func BenchmarkRequest(b *testing.B) {
 	s := startStack(b)
 	addr := s.replaceEngine(b, func(w http.ResponseWriter, r *http.Request) {
@@ -88,8 +85,7 @@
 	b.ReportMetric(float64((t99 - d99).Microseconds()), "added-p99-µs")
 }
 
-// BenchmarkStream measures the throughput of server-sent events through an
-// instance.
+// BenchmarkStream measures the throughput of server-sent events.
 func BenchmarkStream(b *testing.B) {
 	const events = 20_000
 	s := startStack(b)
--- a/api/sink.go
+++ b/api/sink.go
@@ -1,6 +1,6 @@
 package api
 
-// This file writes dispatched responses to clients.
+// This file writes responses to clients.
 
 import (
 	"fmt"
@@ -15,23 +15,19 @@
 	"ivyridge/verdict"
 )
 
-// writeTimeout is the deadline of one write, so that a slow client cannot
-// block it indefinitely.
-const writeTimeout = 10 * time.Second
+const writeTimeout = 10 * time.Second // per write, against slow clients
 
-// A sink writes the response to one client.
 type sink struct {
 	w        http.ResponseWriter
 	flush    *http.ResponseController
 	instance string
 	id       string
-	stream   bool
-	broken   bool
+	stream   bool // the response consists of server-sent events
+	broken   bool // a write failed
 }
 
 var _ dispatch.Sink = (*sink)(nil)
 
-// Start implements dispatch.Sink.
 func (s *sink) Start(status int, header http.Header) {
 	h := s.w.Header()
 	for _, name := range []string{"Content-Type", "Content-Language", "Cache-Control"} {
@@ -46,7 +42,6 @@
 	s.w.WriteHeader(status)
 }
 
-// Write implements dispatch.Sink.
 func (s *sink) Write(p []byte) error {
 	if s.broken {
 		return errClientDisconnected
@@ -64,9 +59,8 @@
 
 var errClientDisconnected = errors.New("the caller has gone")
 
-// abort terminates a response that failed after its header was sent. A stream
-// gets an error event and no [DONE], and the connection is closed, so that the
-// client cannot mistake the partial response for a complete one.
+// abort ends a response that failed after its header was sent. It closes the
+// connection, so that the client does not take the response for complete.
 func (s *sink) abort(e *verdict.Error) {
 	if s.stream && !s.broken {
 		_, _ = fmt.Fprintf(s.w, "data: %s\n\n", errorBody(e))
@@ -75,7 +69,6 @@
 	panic(http.ErrAbortHandler)
 }
 
-// newID returns a random request ID prefixed with the instance name.
-func newID(instance string) string {
+func newRequestID(instance string) string {
 	return fmt.Sprintf("%s-%016x%08x", instance, rand.Uint64(), rand.Uint32())
 }
