--- a/fake/config.go
+++ b/fake/config.go
@@ -28,14 +28,12 @@
 	dir string
 }
 
-// A PlatformConfig describes the fake platform. ListLag is the delay after
-// which a change of the member list is published; Declarations is a file name
-// relative to that of the Config.
+// A PlatformConfig describes the fake platform.
 type PlatformConfig struct {
 	Pos          yamlfile.Pos
 	Listen       string        `yaml:"listen"`
-	ListLag      time.Duration `yaml:"list_lag"`
-	Declarations string        `yaml:"declarations"`
+	ListLag      time.Duration `yaml:"list_lag"`     // publication delay of the member list
+	Declarations string        `yaml:"declarations"` // file name
 }
 
 // An InstanceConfig is a router instance in the platform's member list.
@@ -47,9 +45,7 @@
 	DataCentre string `yaml:"data_centre"`
 }
 
-// An EndpointConfig describes a fake endpoint. Lag delays the load reports of
-// a model engine; Work is the processing time of a service's request, and
-// Workers its concurrency.
+// An EndpointConfig describes an engine, to which Lag applies, or a service.
 type EndpointConfig struct {
 	Pos        yamlfile.Pos
 	Name       string        `yaml:"name"`
@@ -58,13 +54,12 @@
 	Region     string        `yaml:"region"`
 	Pool       string        `yaml:"pool"`
 	Kind       decl.Kind     `yaml:"kind"`
-	Lag        time.Duration `yaml:"report_lag"`
-	Work       time.Duration `yaml:"work"`
-	Workers    int           `yaml:"workers"`
+	Lag        time.Duration `yaml:"report_lag"` // age of load reports
+	Work       time.Duration `yaml:"work"`       // processing time of a request
+	Workers    int           `yaml:"workers"`    // concurrent requests
 }
 
-// LoadConfig reads and validates a configuration file. Paths in it are
-// relative to the file's directory.
+// LoadConfig reads and validates a file. Paths in it are relative to its directory.
 func LoadConfig(file string) (*Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -109,12 +104,12 @@
 	endpoints map[string]Endpoint
 }
 
-// Start starts all fakes of c. It does not listen on the control address; see
-// Control. The fakes of an unsuccessful Start keep running.
+// Start starts all fakes of c, but does not serve Control. After an error, fakes
+// may keep running.
 func Start(c *Config) (*Environment, error) {
-	w := &Environment{Config: c, RunLog: NewRunLog(), Platform: NewPlatform(c.Platform.ListLag), endpoints: make(map[string]Endpoint)}
+	env := &Environment{Config: c, RunLog: NewRunLog(), Platform: NewPlatform(c.Platform.ListLag), endpoints: make(map[string]Endpoint)}
 	for i := range c.Endpoints {
-		if err := w.StartEndpoint(c.Endpoints[i].Name); err != nil {
+		if err := env.StartEndpoint(c.Endpoints[i].Name); err != nil {
 			return nil, err
 		}
 	}
@@ -122,14 +117,14 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "declarations")
 	}
-	w.Platform.Publish(string(data))
-	w.Platform.ChangeList(func(l *member.List) { *l = c.memberList() })
+	env.Platform.Publish(string(data))
+	env.Platform.ChangeList(func(l *member.List) { *l = c.memberList() })
 	lis, err := net.Listen("tcp", c.Platform.Listen)
 	if err != nil {
 		return nil, errors.Wrap(err, "platform")
 	}
-	go w.Platform.Serve(lis)
-	return w, nil
+	go env.Platform.Serve(lis)
+	return env, nil
 }
 
 func (c *Config) memberList() member.List {
@@ -147,11 +142,10 @@
 	return member.Endpoint{Name: e.Name, Addr: e.Listen, DataCentre: e.DataCentre, Region: e.Region, Pool: e.Pool, State: member.Live}
 }
 
-// StartEndpoint starts the named endpoint, or restarts it after a crash. It
-// returns an error if the name is not configured or its address is in use.
-func (w *Environment) StartEndpoint(name string) error {
-	for i := range w.Config.Endpoints {
-		e := &w.Config.Endpoints[i]
+// StartEndpoint starts an endpoint of the Config, or restarts it after a crash.
+func (env *Environment) StartEndpoint(name string) error {
+	for i := range env.Config.Endpoints {
+		e := &env.Config.Endpoints[i]
 		if e.Name != name {
 			continue
 		}
@@ -159,13 +153,13 @@
 		if err != nil {
 			return errors.Wrap(err, name)
 		}
-		var endpoint Endpoint = NewEngine(name, engine.Default(), w.RunLog, e.Lag)
+		var endpoint Endpoint = NewEngine(name, engine.Default(), env.RunLog, e.Lag)
 		if e.Kind == decl.Service {
-			endpoint = NewService(name, e.Work, e.Workers, w.RunLog)
+			endpoint = NewService(name, e.Work, e.Workers, env.RunLog)
 		}
-		w.mu.Lock()
-		w.endpoints[name] = endpoint
-		w.mu.Unlock()
+		env.mu.Lock()
+		env.endpoints[name] = endpoint
+		env.mu.Unlock()
 		go endpoint.Serve(l)
 		return nil
 	}
@@ -173,18 +167,18 @@
 }
 
 // Endpoint returns the named endpoint, or nil if it was never started.
-func (w *Environment) Endpoint(name string) Endpoint {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.endpoints[name]
+func (env *Environment) Endpoint(name string) Endpoint {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.endpoints[name]
 }
 
 // Close stops all fakes and closes their connections.
-func (w *Environment) Close() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, e := range w.endpoints {
+func (env *Environment) Close() {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, e := range env.endpoints {
 		e.Crash()
 	}
-	w.Platform.Close()
+	env.Platform.Close()
 }
--- a/fake/control.go
+++ b/fake/control.go
@@ -1,7 +1,6 @@
 package fake
 
-// This file implements the HTTP control interface: fault injection, changes of
-// the member list, and the record of runs.
+// This file implements the HTTP control interface.
 
 import (
 	"encoding/json"
@@ -16,29 +15,29 @@
 	"ivyridge/platformclient"
 )
 
-// Control returns the HTTP handler of the control interface.
-func (w *Environment) Control() http.Handler {
+// Control returns the HTTP interface that injects faults and reads the run log.
+func (env *Environment) Control() http.Handler {
 	r := chi.NewRouter()
-	r.Get("/books", w.getRunLog)
-	r.Post("/endpoints/{name}/fault", w.postFault)
-	r.Post("/endpoints/{name}/crash", w.endpointHandler(func(e Endpoint, _ string) error { e.Crash(); return nil }))
-	r.Post("/endpoints/{name}/restart", w.endpointHandler(func(_ Endpoint, name string) error { return w.StartEndpoint(name) }))
-	r.Post("/endpoints/{name}/leave", w.endpointHandler(func(e Endpoint, name string) error {
+	r.Get("/books", env.getRunLog)
+	r.Post("/endpoints/{name}/fault", env.postFault)
+	r.Post("/endpoints/{name}/crash", env.endpointHandler(func(e Endpoint, _ string) error { e.Crash(); return nil }))
+	r.Post("/endpoints/{name}/restart", env.endpointHandler(func(_ Endpoint, name string) error { return env.StartEndpoint(name) }))
+	r.Post("/endpoints/{name}/leave", env.endpointHandler(func(e Endpoint, name string) error {
 		e.Leave()
-		w.setEndpointState(name, member.Leaving)
+		env.setEndpointState(name, member.Leaving)
 		return nil
 	}))
-	r.Post("/endpoints/{name}/list", func(rw http.ResponseWriter, r *http.Request) {
-		w.setEndpointState(chi.URLParam(r, "name"), member.State(r.URL.Query().Get("state")))
+	r.Post("/endpoints/{name}/list", func(w http.ResponseWriter, r *http.Request) {
+		env.setEndpointState(chi.URLParam(r, "name"), member.State(r.URL.Query().Get("state")))
 	})
-	r.Post("/instances/{name}/list", func(rw http.ResponseWriter, r *http.Request) {
-		w.setInstanceState(chi.URLParam(r, "name"), member.State(r.URL.Query().Get("state")))
+	r.Post("/instances/{name}/list", func(w http.ResponseWriter, r *http.Request) {
+		env.setInstanceState(chi.URLParam(r, "name"), member.State(r.URL.Query().Get("state")))
 	})
-	r.Post("/platform/down", func(rw http.ResponseWriter, r *http.Request) {
-		w.Platform.SetDown(r.URL.Query().Get("down") != "false")
+	r.Post("/platform/down", func(w http.ResponseWriter, r *http.Request) {
+		env.Platform.SetDown(r.URL.Query().Get("down") != "false")
 	})
-	r.Post("/platform/old", w.postOld)
-	r.Post("/platform/publish", w.postPublish)
+	r.Post("/platform/old", env.postOld)
+	r.Post("/platform/publish", env.postPublish)
 	return r
 }
 
@@ -49,36 +48,35 @@
 	PlatformCalls int64            `json:"platform_calls"`
 }
 
-func (w *Environment) getRunLog(rw http.ResponseWriter, _ *http.Request) {
-	rw.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(rw).Encode(RunLogResponse{w.RunLog.Runs(), w.RunLog.Tokens(), w.Platform.Calls.Load()})
+func (env *Environment) getRunLog(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(RunLogResponse{env.RunLog.Runs(), env.RunLog.Tokens(), env.Platform.Calls.Load()})
 }
 
-func (w *Environment) endpointHandler(f func(e Endpoint, name string) error) http.HandlerFunc {
-	return func(rw http.ResponseWriter, r *http.Request) {
+func (env *Environment) endpointHandler(f func(e Endpoint, name string) error) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
 		name := chi.URLParam(r, "name")
-		e := w.Endpoint(name)
+		e := env.Endpoint(name)
 		if e == nil {
-			http.Error(rw, "no endpoint is called "+name, http.StatusNotFound)
+			http.Error(w, "no endpoint is called "+name, http.StatusNotFound)
 			return
 		}
 		if err := f(e, name); err != nil {
-			http.Error(rw, err.Error(), http.StatusConflict)
+			http.Error(w, err.Error(), http.StatusConflict)
 		}
 	}
 }
 
-func (w *Environment) postFault(rw http.ResponseWriter, r *http.Request) {
+func (env *Environment) postFault(w http.ResponseWriter, r *http.Request) {
 	f, err := parseFault(r)
 	if err != nil {
-		http.Error(rw, err.Error(), http.StatusBadRequest)
+		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	w.endpointHandler(func(e Endpoint, _ string) error { e.Set(f); return nil })(rw, r)
+	env.endpointHandler(func(e Endpoint, _ string) error { e.Set(f); return nil })(w, r)
 }
 
-// parseFault parses a fault from a query such as slow=4&delay=1s. An empty
-// query yields the zero Fault, which restores normal operation.
+// parseFault parses a query such as slow=4&delay=1s.
 func parseFault(r *http.Request) (f Fault, err error) {
 	for key, values := range r.URL.Query() {
 		v := values[0]
@@ -109,18 +107,17 @@
 
 func (e unknownFaultError) Error() string { return "unknown fault " + string(e) }
 
-// setEndpointState sets a configured endpoint's state in the member list, or
-// removes the endpoint from it if s is empty.
-func (w *Environment) setEndpointState(name string, s member.State) {
-	w.Platform.ChangeList(func(l *member.List) {
+// setEndpointState sets an endpoint's listed state. An empty state removes it.
+func (env *Environment) setEndpointState(name string, s member.State) {
+	env.Platform.ChangeList(func(l *member.List) {
 		kept := make([]member.Endpoint, 0, len(l.Endpoints))
 		for _, e := range l.Endpoints {
 			if e.Name != name {
 				kept = append(kept, e)
 			}
 		}
-		for i := range w.Config.Endpoints {
-			if e := w.Config.Endpoints[i].memberEndpoint(); e.Name == name && s != "" {
+		for i := range env.Config.Endpoints {
+			if e := env.Config.Endpoints[i].memberEndpoint(); e.Name == name && s != "" {
 				e.State = s
 				kept = append(kept, e)
 			}
@@ -129,17 +126,16 @@
 	})
 }
 
-// setInstanceState sets a configured instance's state in the member list, or
-// removes the instance from it if s is empty.
-func (w *Environment) setInstanceState(name string, s member.State) {
-	w.Platform.ChangeList(func(l *member.List) {
+// setInstanceState sets an instance's listed state. An empty state removes it.
+func (env *Environment) setInstanceState(name string, s member.State) {
+	env.Platform.ChangeList(func(l *member.List) {
 		kept := make([]member.Instance, 0, len(l.Instances))
 		for _, e := range l.Instances {
 			if e.Name != name {
 				kept = append(kept, e)
 			}
 		}
-		for _, e := range w.Config.memberList().Instances {
+		for _, e := range env.Config.memberList().Instances {
 			if e.Name == name && s != "" {
 				e.State = s
 				kept = append(kept, e)
@@ -149,24 +145,23 @@
 	})
 }
 
-// postOld makes the platform serve the newest configuration under revision 1,
-// to simulate a platform that goes back, or the true revision again with
-// old=false.
-func (w *Environment) postOld(rw http.ResponseWriter, r *http.Request) {
+// postOld makes the platform serve the newest configuration as revision 1, to
+// simulate a stale platform, or under its real revision again with old=false.
+func (env *Environment) postOld(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("old") == "false" {
-		w.Platform.ServeOld(platformclient.Config, nil)
+		env.Platform.ServeOld(platformclient.Config, nil)
 		return
 	}
-	newest := w.Platform.Newest(platformclient.Config)
+	newest := env.Platform.Newest(platformclient.Config)
 	newest.Revision = 1
-	w.Platform.ServeOld(platformclient.Config, &newest)
+	env.Platform.ServeOld(platformclient.Config, &newest)
 }
 
-func (w *Environment) postPublish(rw http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, platformclient.MaxValue))
+func (env *Environment) postPublish(w http.ResponseWriter, r *http.Request) {
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, platformclient.MaxValue))
 	if err != nil {
-		http.Error(rw, err.Error(), http.StatusRequestEntityTooLarge)
+		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
-	_, _ = io.WriteString(rw, strconv.FormatInt(w.Platform.Publish(string(data)), 10)+"\n")
+	_, _ = io.WriteString(w, strconv.FormatInt(env.Platform.Publish(string(data)), 10)+"\n")
 }
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -22,11 +22,10 @@
 	defaultLength = 32  // tokens
 	maxWaiting    = 512 // queue length at which the engine responds with 429
 	bytesPerToken = 4
-	prefixBytes   = 1024
+	prefixBytes   = 1024 // shortest prompt start that is cached
 )
 
-// A Fault is a set of failures to inject into an endpoint. The zero Fault is
-// normal operation. Cut and CutOnce apply to engines only.
+// A Fault is a set of failures to inject. Services ignore Cut and CutOnce.
 type Fault struct {
 	Slow    float64       // factor on processing time; below one has no effect
 	Hang    bool          // accept requests and never respond
@@ -41,37 +40,34 @@
 type Engine struct {
 	Name   string
 	runLog *RunLog
-	lag    time.Duration // age of the load reports that are served
+	lag    time.Duration // age of load reports
 
 	mu      sync.Mutex
 	model   *engine.Engine
 	fault   Fault
 	leaving bool
 	wake    chan struct{}
-	reports []report
+	reports []report // oldest first
 	ctx     context.Context
 	stop    context.CancelFunc
 	server  *http.Server
 	conns   connections
 }
 
-// A report is a load report with the time it was taken.
 type report struct {
 	at   time.Time
 	Load LoadReport
 }
 
-// A LoadReport is the response to GET /load. Running and Waiting count
-// requests.
+// A LoadReport is the response to GET /load. Running and Waiting count requests.
 type LoadReport struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
 	Leaving bool `json:"leaving"`
 }
 
-// NewEngine starts an engine with performance p that records its runs in
-// books and serves load reports of age lag. It accepts requests once Serve is
-// called; Crash releases its resources.
+// NewEngine starts an engine that records its runs in runLog and serves load reports
+// of age lag. Crash releases its resources.
 func NewEngine(name string, p engine.Params, runLog *RunLog, lag time.Duration) *Engine {
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Engine{Name: name, runLog: runLog, lag: lag, model: engine.New(p), wake: make(chan struct{}, 1), ctx: ctx, stop: stop}
@@ -91,7 +87,7 @@
 // Serve accepts connections on l until Crash.
 func (e *Engine) Serve(l net.Listener) { _ = e.server.Serve(l) }
 
-// Crash stops the engine at once and closes its connections.
+// Crash stops the engine and closes its connections.
 func (e *Engine) Crash() {
 	e.stop()
 	_ = e.server.Close()
@@ -106,19 +102,18 @@
 	e.model.Slowness = max(f.Slow, 1)
 }
 
-// Leave makes the engine's load reports announce that it is leaving.
+// Leave sets the leaving flag of load reports.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-// A stream delivers the progress of one sequence to its handler.
 type stream struct {
 	tokens chan int // number of tokens produced so far, after each iteration
 }
 
-// loop runs the engine's iterations in real time.
+// loop runs the engine model in real time.
 func (e *Engine) loop() {
 	next := time.Now()
 	for e.ctx.Err() == nil {
@@ -143,7 +138,6 @@
 	}
 }
 
-// completionRequest holds the fields of a request that the engine reads.
 type completionRequest struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
@@ -155,9 +149,8 @@
 	} `json:"messages"`
 }
 
-// prefix returns a hash of the prompt's prefix, scoped to the team, and the
-// length in tokens of the first message. Both are zero if the first message is
-// too short to be cached.
+// prefix returns the cache key and length in tokens of the first message. Both are
+// zero if it is too short to be cached.
 func (req *completionRequest) prefix(team string) (uint64, int) {
 	first := []byte(req.Prompt)
 	if len(req.Messages) > 0 {
@@ -222,7 +215,6 @@
 	return s
 }
 
-// A response is the response to one request in progress.
 type response struct {
 	engine     *Engine
 	w          http.ResponseWriter
@@ -231,7 +223,7 @@
 	seq        *engine.Sequence
 	run        *Run
 	fault      Fault
-	produced   int
+	produced   int // tokens
 }
 
 func (r *response) serve(ctx context.Context) {
@@ -285,8 +277,7 @@
 	return r.writeBody() == nil
 }
 
-// writeEvent writes one token as a server-sent event. The first token contains
-// the request ID, so that a client can detect the response to another request.
+// writeEvent writes a token. The first contains the request ID, for clients to check.
 func (r *response) writeEvent(n int) {
 	text := fmt.Sprintf(" w%d", n)
 	if n == 1 {
@@ -303,8 +294,7 @@
 	return err
 }
 
-// handleLoad serves the load report of about e.lag ago. The leaving flag is
-// always current.
+// handleLoad serves the load of about e.lag ago with the current leaving flag.
 func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	now := time.Now()
@@ -319,7 +309,7 @@
 	_ = json.NewEncoder(w).Encode(l)
 }
 
-// connections tracks a server's open connections so that Crash can close them.
+// connections tracks a server's open connections.
 type connections struct {
 	mu   sync.Mutex
 	open map[net.Conn]bool
--- a/fake/platform.go
+++ b/fake/platform.go
@@ -1,7 +1,6 @@
 package fake
 
-// This file implements a fake platform: a read-only configuration service with
-// long polling, whose list of instances and endpoints lags.
+// This file implements a fake of the platform's configuration service.
 
 import (
 	"encoding/json"
@@ -18,11 +17,11 @@
 	"ivyridge/platformclient"
 )
 
-// A Platform serves a configuration and a member list, and counts the calls to
-// it. It is safe for concurrent use.
+// A Platform serves the configuration and the member list with long polling. It is
+// safe for concurrent use.
 type Platform struct {
-	Calls  atomic.Int64
-	lag    time.Duration // between a change of the list and its publication
+	Calls  atomic.Int64  // requests received
+	lag    time.Duration // publication delay of the member list
 	server *http.Server
 	conns  connections
 
@@ -36,8 +35,7 @@
 
 type document struct{ doc platformclient.Published }
 
-// NewPlatform returns a platform that publishes changes of the member list
-// after lag.
+// NewPlatform returns a platform that publishes the member list with a delay.
 func NewPlatform(lag time.Duration) *Platform {
 	p := &Platform{
 		lag:     lag,
@@ -60,16 +58,14 @@
 	p.conns.closeAll()
 }
 
-// Publish publishes a new revision of the configuration and returns its
-// number.
+// Publish publishes a configuration and returns its revision.
 func (p *Platform) Publish(value string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.publishLocked(platformclient.Config, value)
 }
 
-// publishLocked publishes a new revision of a document and returns its number.
-// The caller holds p.mu.
+// publishLocked publishes a document and returns its revision. p.mu must be held.
 func (p *Platform) publishLocked(k platformclient.Kind, value string) int64 {
 	d := p.docs[k]
 	if d == nil {
@@ -83,8 +79,8 @@
 	return d.doc.Revision
 }
 
-// ChangeList applies change to the member list and publishes the list. Both
-// happen after the lag, except for the first list, which is published at once.
+// ChangeList changes and publishes the member list after the delay, or at once if
+// no list has been published.
 func (p *Platform) ChangeList(change func(l *member.List)) {
 	publish := func() {
 		p.mu.Lock()
@@ -103,14 +99,13 @@
 	time.AfterFunc(p.lag, publish)
 }
 
-// listUnpublished reports whether no member list has been published yet.
 func (p *Platform) listUnpublished() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.docs[platformclient.List] == nil
 }
 
-// SetDown makes the platform abort all requests, or serve them again.
+// SetDown sets whether the platform aborts all requests.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,8 +114,7 @@
 	p.changed = make(chan struct{})
 }
 
-// ServeOld makes the platform serve old in place of the newest revision of a
-// document, or the newest again if old is nil.
+// ServeOld overrides the served revision with old, or ends this if old is nil.
 func (p *Platform) ServeOld(k platformclient.Kind, old *platformclient.Published) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,8 +127,7 @@
 	p.changed = make(chan struct{})
 }
 
-// Newest returns the newest revision of a document, or the zero Published if
-// there is none.
+// Newest returns the newest revision, or the zero Published if there is none.
 func (p *Platform) Newest(k platformclient.Kind) platformclient.Published {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,8 +137,7 @@
 	return platformclient.Published{}
 }
 
-// current returns the document to serve, nil if there is none, and a channel
-// that is closed at the next change.
+// current returns the document to serve, if any. The next change closes changed.
 func (p *Platform) current(k platformclient.Kind) (doc *platformclient.Published, down bool, changed chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fake/runs.go
+++ b/fake/runs.go
@@ -1,9 +1,6 @@
-// Package fake implements fakes of the router's environment: model engines,
-// services, and the platform's configuration service.
-//
-// Each run of a request is recorded under the request's ID, so that tests and
-// load reports can detect duplicate executions and responses to the wrong
-// request. Faults are injected through an HTTP control interface.
+// Package fake implements fake model engines, services and a fake of the platform's
+// configuration service. The endpoints record every run under its request's ID, and
+// can be made to fail.
 package fake
 
 import (
@@ -23,41 +20,38 @@
 	AfterLeaving bool          `json:"after_leaving"` // the endpoint was already leaving
 }
 
-// RunLog record the runs of all fakes of a process. They are safe for
-// concurrent use.
+// A RunLog records the runs of all fakes of a process. It is safe for concurrent use.
 type RunLog struct {
 	start time.Time
 	mu    sync.Mutex
 	runs  map[string][]*Run
 }
 
-// NewRunLog returns an empty record of runs.
+// NewRunLog returns an empty RunLog.
 func NewRunLog() *RunLog { return &RunLog{start: time.Now(), runs: make(map[string][]*Run)} }
 
-// Begin records the start of a run. The caller must not modify the result, and
-// passes it to End.
-func (b *RunLog) Begin(id, endpoint, team string, leaving bool) *Run {
-	r := &Run{Endpoint: endpoint, Team: team, At: time.Since(b.start), AfterLeaving: leaving}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.runs[id] = append(b.runs[id], r)
+// Begin records the start of a run. The result must be modified only by End.
+func (l *RunLog) Begin(id, endpoint, team string, leaving bool) *Run {
+	r := &Run{Endpoint: endpoint, Team: team, At: time.Since(l.start), AfterLeaving: leaving}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.runs[id] = append(l.runs[id], r)
 	return r
 }
 
-// End records how a run ended: the number of tokens it produced, and whether
-// the response was completed.
-func (b *RunLog) End(r *Run, tokens int, whole bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r.Tokens, r.Complete = tokens, whole
+// End records a run's tokens and whether its response was completed.
+func (l *RunLog) End(r *Run, tokens int, complete bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	r.Tokens, r.Complete = tokens, complete
 }
 
 // Runs returns a copy of all runs, keyed by request ID.
-func (b *RunLog) Runs() map[string][]Run {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make(map[string][]Run, len(b.runs))
-	for id, list := range b.runs {
+func (l *RunLog) Runs() map[string][]Run {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make(map[string][]Run, len(l.runs))
+	for id, list := range l.runs {
 		for _, r := range list {
 			out[id] = append(out[id], *r)
 		}
@@ -65,10 +59,10 @@
 	return out
 }
 
-// Tokens returns the total number of tokens of the runs that have ended.
-func (b *RunLog) Tokens() int {
+// Tokens returns the total number of tokens of ended runs.
+func (l *RunLog) Tokens() int {
 	n := 0
-	for _, list := range b.Runs() {
+	for _, list := range l.Runs() {
 		for i := range list {
 			n += list[i].Tokens
 		}
@@ -76,8 +70,7 @@
 	return n
 }
 
-// directivePattern matches directives to the fakes that clients embed in a
-// request's text, such as [[length=7]]. The router does not interpret them.
+// directivePattern matches directives in a request's text, such as [[length=7]].
 var directivePattern = regexp.MustCompile(`\[\[([a-z]+)=([^\]]+)\]\]`)
 
 type directives struct {
--- a/fake/service.go
+++ b/fake/service.go
@@ -29,8 +29,7 @@
 	open    int // requests being served or queued
 }
 
-// NewService returns a service that spends work on each request and records
-// its runs in books.
+// NewService returns a service that takes the time work for each request.
 func NewService(name string, work time.Duration, workers int, runLog *RunLog) *Service {
 	s := &Service{Name: name, runLog: runLog, work: work, workers: make(chan struct{}, workers)}
 	r := chi.NewRouter()
@@ -43,7 +42,7 @@
 // Serve accepts connections on l until Crash.
 func (s *Service) Serve(l net.Listener) { _ = s.server.Serve(l) }
 
-// Crash stops the service at once and closes its connections.
+// Crash stops the service and closes its connections.
 func (s *Service) Crash() {
 	_ = s.server.Close()
 	s.conns.closeAll()
@@ -56,7 +55,7 @@
 	s.fault = f
 }
 
-// Leave makes the service's load reports announce that it is leaving.
+// Leave sets the leaving flag of load reports.
 func (s *Service) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,8 +115,7 @@
 	s.runLog.End(run, 0, err == nil)
 }
 
-// process simulates the processing of a request. It reports false if the client
-// disconnected meanwhile.
+// process waits for the processing time. It returns false if the client disconnects.
 func (s *Service) process(r *http.Request, d directives, f Fault) bool {
 	work := s.work
 	if d.work > 0 {
