--- a/fleet/network_test.go
+++ b/fleet/network_test.go
@@ -1,7 +1,6 @@
 package fleet_test
 
-// This file implements an instance's connections to the platform, its peers and
-// the endpoints, with the faults currently set in the simulation.
+// This file simulates an instance's connections, with faults.
 
 import (
 	"bytes"
@@ -21,32 +20,31 @@
 	"ivyridge/platformclient"
 )
 
-// platformClient is an instance's client of the simulated platform.
 type platformClient struct {
 	sim  *simulation
 	inst *instance
 }
 
-func (r *platformClient) Watch(ctx context.Context, k platformclient.Kind, after int64, wait time.Duration) (*platformclient.Published, error) {
+func (c *platformClient) Watch(ctx context.Context, k platformclient.Kind, after int64, wait time.Duration) (*platformclient.Published, error) {
 	timeout := time.After(wait)
-	r.sim.mu.Lock()
-	r.sim.platformCalls++
-	r.sim.mu.Unlock()
+	c.sim.mu.Lock()
+	c.sim.platformCalls++
+	c.sim.mu.Unlock()
 	for {
-		r.sim.mu.Lock()
-		doc, down, changed := r.sim.config, r.sim.platformDown, r.sim.updated
-		if r.sim.platformStale {
+		c.sim.mu.Lock()
+		doc, down, changed := c.sim.config, c.sim.platformDown, c.sim.updated
+		if c.sim.platformStale {
 			doc.Revision = 1
 		}
 		if k == platformclient.List {
-			data, err := json.Marshal(r.sim.list)
+			data, err := json.Marshal(c.sim.list)
 			if err != nil {
 				panic(err)
 			}
-			doc = platformclient.Published{Revision: r.sim.list.Revision, Value: string(data)}
+			doc = platformclient.Published{Revision: c.sim.list.Revision, Value: string(data)}
 		}
-		r.sim.mu.Unlock()
-		if down || r.inst.ctx.Err() != nil {
+		c.sim.mu.Unlock()
+		if down || c.inst.ctx.Err() != nil {
 			return nil, errors.New("platform unavailable")
 		}
 		if doc.Revision != after {
@@ -62,59 +60,56 @@
 	}
 }
 
-// loadClient is an instance's client for the load reports of endpoints.
 type loadClient struct {
 	sim  *simulation
 	inst *instance
 }
 
-func (l *loadClient) Load(_ context.Context, name, _ string) (home.Load, error) {
-	l.sim.mu.Lock()
-	defer l.sim.mu.Unlock()
-	e := l.sim.endpoints[name]
+func (c *loadClient) Load(_ context.Context, name, _ string) (home.Load, error) {
+	c.sim.mu.Lock()
+	defer c.sim.mu.Unlock()
+	e := c.sim.endpoints[name]
 	if e.mode == "dead" {
 		return home.Load{}, errors.New("refused")
 	}
 	return home.Load{Endpoint: name, Leaving: !e.leavingSince.IsZero()}, nil
 }
 
-// transport is an http.RoundTripper that carries an instance's requests to peers
-// and endpoints in the same process.
+// transport delivers an instance's requests to peers and endpoints.
 type transport struct {
 	sim  *simulation
 	inst *instance
 }
 
-func (l *transport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (tr *transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var body []byte
 	if r.Body != nil {
 		body, _ = io.ReadAll(r.Body)
 		_ = r.Body.Close()
 	}
-	if l.inst.ctx.Err() != nil {
+	if tr.inst.ctx.Err() != nil {
 		return nil, errors.New("the sending instance has crashed")
 	}
-	l.sim.mu.Lock()
-	e := l.sim.endpoints[r.URL.Host]
-	peer := l.sim.instances[r.URL.Host]
-	l.sim.mu.Unlock()
+	tr.sim.mu.Lock()
+	e := tr.sim.endpoints[r.URL.Host]
+	peer := tr.sim.instances[r.URL.Host]
+	tr.sim.mu.Unlock()
 	if e != nil {
-		return l.toEndpoint(r, e, body)
+		return tr.toEndpoint(r, e, body)
 	}
 	if peer == nil || peer.ctx.Err() != nil {
 		return nil, syscall.ECONNREFUSED
 	}
-	return l.toPeer(r, peer, body)
+	return tr.toPeer(r, peer, body)
 }
 
-// toPeer sends a request to a peer with the link's faults.
-func (l *transport) toPeer(r *http.Request, peer *instance, body []byte) (*http.Response, error) {
-	l.sim.mu.Lock()
-	partitioned := l.inst.side != peer.side && l.sim.linkFault(l.inst.name, peer.name, l.sim.rng).drop
-	fault := l.sim.linkFault(l.inst.name, peer.name, l.sim.rng)
-	l.sim.mu.Unlock()
+func (tr *transport) toPeer(r *http.Request, peer *instance, body []byte) (*http.Response, error) {
+	tr.sim.mu.Lock()
+	partitioned := tr.inst.side != peer.side && tr.sim.linkFault(tr.inst.name, peer.name, tr.sim.rng).drop
+	fault := tr.sim.linkFault(tr.inst.name, peer.name, tr.sim.rng)
+	tr.sim.mu.Unlock()
 	if partitioned || fault.drop {
-		return nil, l.awaitTimeout(r.Context())
+		return nil, tr.awaitTimeout(r.Context())
 	}
 	if fault.delay > 0 {
 		time.Sleep(fault.delay)
@@ -123,11 +118,11 @@
 		return nil, err
 	}
 	if fault.duplicate {
-		go func() { _, _ = l.serve(r, peer, body) }()
+		go func() { _, _ = tr.serve(r, peer, body) }()
 	}
-	res, err := l.serve(r, peer, body)
+	res, err := tr.serve(r, peer, body)
 	if err == nil && fault.loseReply {
-		return nil, l.awaitTimeout(r.Context())
+		return nil, tr.awaitTimeout(r.Context())
 	}
 	if err != nil {
 		return nil, err
@@ -143,8 +138,8 @@
 	return res, nil
 }
 
-// awaitTransfer waits for the time that a transfer of n bytes takes at rate bytes
-// per second, or returns an error when ctx ends. A rate of zero takes no time.
+// awaitTransfer waits for the transfer time of n bytes at rate bytes per second,
+// which is zero if unlimited.
 func awaitTransfer(ctx context.Context, n, rate int) error {
 	if rate == 0 {
 		return nil
@@ -157,22 +152,20 @@
 	}
 }
 
-// awaitTimeout waits as the sender of a lost message does, at most 500 ms, and
-// returns an error.
-func (l *transport) awaitTimeout(ctx context.Context) error {
+// awaitTimeout waits like the sender of a lost message. It always returns an error.
+func (tr *transport) awaitTimeout(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-time.After(500 * time.Millisecond):
 		return errors.New("time-out")
-	case <-l.inst.ctx.Done():
+	case <-tr.inst.ctx.Done():
 		return errors.New("the sending instance has crashed")
 	}
 }
 
-// serve runs a peer's handler and returns its response, or an error if either
-// instance crashes before the handler has finished.
-func (l *transport) serve(r *http.Request, peer *instance, body []byte) (*http.Response, error) {
+// serve calls a peer's handler. It fails if either instance crashes meanwhile.
+func (tr *transport) serve(r *http.Request, peer *instance, body []byte) (*http.Response, error) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	rec := httptest.NewRecorder()
@@ -190,16 +183,15 @@
 		return nil, ctx.Err()
 	case <-peer.ctx.Done():
 		return nil, syscall.ECONNRESET
-	case <-l.inst.ctx.Done():
+	case <-tr.inst.ctx.Done():
 		return nil, errors.New("the sending instance has crashed")
 	}
 }
 
-// toEndpoint runs a request on an endpoint and records the execution.
-func (l *transport) toEndpoint(r *http.Request, e *endpoint, body []byte) (*http.Response, error) {
-	l.sim.mu.Lock()
+func (tr *transport) toEndpoint(r *http.Request, e *endpoint, body []byte) (*http.Response, error) {
+	tr.sim.mu.Lock()
 	mode, serviceTime, leavingSince := e.mode, e.serviceTime, e.leavingSince
-	l.sim.mu.Unlock()
+	tr.sim.mu.Unlock()
 	if mode == "dead" {
 		return nil, syscall.ECONNREFUSED
 	}
@@ -210,20 +202,20 @@
 		return newResponse(http.StatusTooManyRequests, "busy"), nil
 	}
 	id, attempt := string(body), r.Header.Get(dispatch.RequestIDHeader)
-	l.sim.mu.Lock()
-	l.sim.runs[id]++
-	l.sim.trace("run %s as %s by %s on %s", id, attempt, l.inst.name, e.name)
-	l.sim.attempts[attempt] = append(l.sim.attempts[attempt], e.name)
+	tr.sim.mu.Lock()
+	tr.sim.runs[id]++
+	tr.sim.trace("run %s as %s by %s on %s", id, attempt, tr.inst.name, e.name)
+	tr.sim.attempts[attempt] = append(tr.sim.attempts[attempt], e.name)
 	e.inFlight++
 	e.maxInFlight = max(e.maxInFlight, e.inFlight)
-	l.sim.mu.Unlock()
+	tr.sim.mu.Unlock()
 	defer func() {
-		l.sim.mu.Lock()
+		tr.sim.mu.Lock()
 		e.inFlight--
-		l.sim.mu.Unlock()
+		tr.sim.mu.Unlock()
 	}()
 	if !leavingSince.IsZero() && time.Since(leavingSince) > 2*time.Second {
-		l.sim.recordViolation("endpoint %s received request %s %s after it announced that it leaves, want at most 2 s", e.name, id, time.Since(leavingSince))
+		tr.sim.recordViolation("endpoint %s received request %s %s after it announced that it leaves, want at most 2 s", e.name, id, time.Since(leavingSince))
 	}
 	if mode == "late" {
 		serviceTime = 5 * time.Second
@@ -232,7 +224,7 @@
 	case <-time.After(serviceTime):
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
-	case <-l.inst.ctx.Done():
+	case <-tr.inst.ctx.Done():
 		return nil, errors.New("the sending instance has crashed")
 	}
 	if mode == "cut" {
--- a/fleet/random_test.go
+++ b/fleet/random_test.go
@@ -19,9 +19,7 @@
 	return strings.Replace(text, "whole: 2s", "whole: 4s", 1)
 }
 
-// TestRandomSchedules runs random schedules of faults and checks the guarantees
-// against the recorded executions. IVYRIDGE_SCHEDULES sets the number of
-// schedules, IVYRIDGE_SEED the first seed.
+// IVYRIDGE_SCHEDULES sets the number of schedules, IVYRIDGE_SEED the first seed.
 func TestRandomSchedules(t *testing.T) {
 	count, firstSeed := envInt("IVYRIDGE_SCHEDULES", 24), envInt("IVYRIDGE_SEED", 1)
 	for i := range count {
@@ -42,7 +40,6 @@
 	return value
 }
 
-// runSchedule runs one fleet under load with faults drawn from the seed.
 func runSchedule(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	sim := newSimulation(t, seed, 3+rng.IntN(4), 2+rng.IntN(3))
@@ -72,8 +69,7 @@
 	sim.close()
 }
 
-// scheduleFaults returns the faults from which a schedule draws. Their order is
-// part of what a seed reproduces.
+// scheduleFaults returns the faults to draw from. Seeds depend on their order.
 func scheduleFaults(sim *simulation) []func(rng *rand.Rand) {
 	randomInstance := func(rng *rand.Rand) *instance {
 		all := sim.allInstances()
--- a/fleet/scenarios_test.go
+++ b/fleet/scenarios_test.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// callConcurrently starts n requests of class verdict spread evenly over a period
-// and returns their replies. Each is retried up to tries times.
+// callConcurrently sends n requests of class verdict, spread evenly over a period,
+// with up to tries attempts each.
 func (sim *simulation) callConcurrently(n int, over time.Duration, tries int) []reply {
 	out := make([]reply, n)
 	var wg sync.WaitGroup
@@ -42,7 +42,6 @@
 	return out
 }
 
-// countAnswered returns the number of successful replies.
 func countAnswered(rs []reply) int {
 	n := 0
 	for _, r := range rs {
@@ -53,7 +52,7 @@
 	return n
 }
 
-// homeInstance returns the running instance that is home of the pool's only cell.
+// homeInstance returns the running instance that is home of the only cell.
 func (sim *simulation) homeInstance() *instance {
 	sim.t.Helper()
 	for _, inst := range sim.allInstances() {
@@ -87,8 +86,7 @@
 	})
 }
 
-// The open requests of a crashed entry are lost. Their retries are answered with
-// may-have-run and never run a second time.
+// Retries of a crashed entry's open requests get may-have-run and do not run.
 func TestEntryCrash(t *testing.T) {
 	simulate(t, 3, 5, 3, func(sim *simulation) {
 		go func() {
@@ -97,7 +95,7 @@
 		}()
 		rs := sim.callConcurrently(200, 3*time.Second, 6)
 		if n := countAnswered(rs); n < 190 {
-			t.Errorf("%d of 200 answered", n)
+			t.Errorf("%d of 200 requests answered", n)
 		}
 		for _, r := range rs {
 			if r.err != nil && r.err.Verdict == verdict.NotRun {
@@ -140,24 +138,22 @@
 	})
 }
 
-// Both sides of a partition serve while the load balancer moves callers between
-// the sides.
+// Both sides of a partition serve requests.
 func TestPartition(t *testing.T) {
 	simulate(t, 5, 6, 4, func(sim *simulation) {
 		sim.partition(500*time.Millisecond, 4*time.Second)
 		rs := sim.callConcurrently(200, 4*time.Second, 12)
 		if n := countAnswered(rs); n < 150 {
-			t.Errorf("%d of 200 answered", n)
+			t.Errorf("%d of 200 requests answered", n)
 		}
 		time.Sleep(5 * time.Second)
 		if n := countAnswered(sim.callSequentially("vafter", 20)); n < 20 {
-			t.Errorf("%d of 20 answered after the partition", n)
+			t.Errorf("%d of 20 requests answered after the partition", n)
 		}
 	})
 }
 
-// callSequentially sends n requests of class verdict one after the other, each
-// with up to three attempts.
+// callSequentially sends n requests of class verdict with up to 3 attempts each.
 func (sim *simulation) callSequentially(prefix string, n int) []reply {
 	var out []reply
 	for i := range n {
@@ -166,8 +162,7 @@
 	return out
 }
 
-// partition separates the two sides of the network after a delay, for a given
-// duration. It does not block.
+// partition separates the sides of the network in the background.
 func (sim *simulation) partition(after, duration time.Duration) {
 	go func() {
 		time.Sleep(after)
@@ -185,8 +180,7 @@
 	sim.linkFault = f
 }
 
-// lossyLink drops, duplicates and delays messages between peers. The varying delay
-// also reorders them.
+// lossyLink drops, duplicates, delays and reorders messages between peers.
 func lossyLink(_, _ string, rng *rand.Rand) linkFault {
 	return linkFault{
 		drop:      rng.IntN(20) == 0,
@@ -200,13 +194,12 @@
 	simulate(t, 6, 5, 3, func(sim *simulation) {
 		sim.setLinkFault(lossyLink)
 		if n := countAnswered(sim.callConcurrently(150, 5*time.Second, 10)); n < 140 {
-			t.Errorf("%d of 150 answered", n)
+			t.Errorf("%d of 150 requests answered", n)
 		}
 	})
 }
 
-// No request fails during planned shutdowns: the leaving instance or another one
-// answers it.
+// No request fails during planned shutdowns.
 func TestPlannedStops(t *testing.T) {
 	simulate(t, 7, 4, 3, func(sim *simulation) {
 		go func() {
@@ -225,7 +218,7 @@
 	})
 }
 
-// All instances but one crash at the same time and restart with empty state.
+// All instances but one restart with empty state.
 func TestAllButOneCrash(t *testing.T) {
 	simulate(t, 8, 5, 3, func(sim *simulation) {
 		go func() {
@@ -240,13 +233,12 @@
 		sim.callConcurrently(100, 2*time.Second, 12)
 		time.Sleep(owner.Retention)
 		if n := countAnswered(sim.callSequentially("vafter", 20)); n != 20 {
-			t.Errorf("%d of 20 answered after the quarantine", n)
+			t.Errorf("%d of 20 requests answered after the quarantine", n)
 		}
 	})
 }
 
-// A leaving endpoint gets no new requests after two seconds, which
-// transport.toEndpoint checks.
+// transport.toEndpoint checks that a leaving endpoint gets no requests after 2 s.
 func TestEndpointLeaves(t *testing.T) {
 	simulate(t, 9, 4, 3, func(sim *simulation) {
 		go func() {
@@ -280,8 +272,7 @@
 	}
 }
 
-// countInForce returns the number of running instances on which a revision is in
-// force.
+// countInForce returns how many running instances apply a revision.
 func (sim *simulation) countInForce(revision int64) int {
 	n := 0
 	for _, inst := range sim.allInstances() {
@@ -315,14 +306,13 @@
 		sim.crash(sim.allInstances()[0])
 		added := sim.start("n1", 0, 0) // restarts while the platform serves an old revision
 		time.Sleep(3 * time.Second)
-		if ready, why := added.node.Ready(); !ready || added.node.Config().Revision != 2 {
-			t.Errorf("the restarted instance has revision %d (ready %v %s), want 2 and ready", added.node.Config().Revision, ready, why)
+		if ready, reason := added.node.Ready(); !ready || added.node.Config().Revision != 2 {
+			t.Errorf("the restarted instance has revision %d (ready %v %s), want 2 and ready", added.node.Config().Revision, ready, reason)
 		}
 	})
 }
 
-// Guards against sending documents between instances with the timeout of a short
-// call, 500 ms: a transfer that takes 1.2 s would be cut off and restarted forever.
+// Guards against a timeout of 500 ms for documents, whose transfer takes 1.2 s.
 func TestLargeRevisionSpreadsOverSlowLinks(t *testing.T) {
 	simulate(t, 21, 6, 2, func(sim *simulation) {
 		sim.mu.Lock()
@@ -336,8 +326,7 @@
 	})
 }
 
-// The number of calls to the platform does not grow with the fleet, since only a
-// few instances watch it and pass documents on.
+// The number of calls to the platform does not grow with the fleet.
 func TestPlatformCalls(t *testing.T) {
 	callsDuringRetention := func(instances int) (calls int) {
 		simulate(t, 12, instances, 1, func(sim *simulation) {
@@ -366,7 +355,7 @@
 		sim.mu.Unlock()
 		time.Sleep(20 * time.Second)
 		if n := countAnswered(sim.callConcurrently(50, 2*time.Second, 3)); n != 50 {
-			t.Errorf("%d of 50 answered while the platform is down", n)
+			t.Errorf("%d of 50 requests answered while the platform is down", n)
 		}
 		sim.mu.Lock()
 		sim.platformDown = false
@@ -379,13 +368,10 @@
 	})
 }
 
-// setLookupTarget returns an operator's command that sets the target of class
-// lookup.
-func setLookupTarget(value string) command.Command {
+func lookupTargetCommand(value string) command.Command {
 	return command.Command{Op: command.SetClass, Target: "lookup", Field: "whole", Value: value, Operator: "test"}
 }
 
-// lookupTarget returns the target of class lookup in force on an instance.
 func (inst *instance) lookupTarget() time.Duration {
 	s, _ := inst.node.Declarations()
 	return s.Class("lookup").Whole
@@ -393,12 +379,12 @@
 
 func TestCommandSurvivesReplacement(t *testing.T) {
 	simulate(t, 14, 4, 2, func(sim *simulation) {
-		if _, err := sim.allInstances()[0].node.Command(context.Background(), setLookupTarget("1500ms")); err != nil {
+		if _, err := sim.allInstances()[0].node.Command(context.Background(), lookupTargetCommand("1500ms")); err != nil {
 			t.Fatal(err)
 		}
 		for i, inst := range sim.allInstances() {
 			if got := inst.lookupTarget(); got != 1500*time.Millisecond {
-				t.Errorf("%s has %s in force after the command was accepted", inst.name, got)
+				t.Errorf("%s applies target %s after the command was accepted", inst.name, got)
 			}
 			sim.leave(inst)
 			sim.setInstance(fmt.Sprintf("n%d", i+5), member.Live)
@@ -407,7 +393,7 @@
 		}
 		for _, inst := range sim.readyInstances() {
 			if got := inst.lookupTarget(); got != 1500*time.Millisecond {
-				t.Errorf("%s has %s in force after all were replaced", inst.name, got)
+				t.Errorf("%s applies target %s after all were replaced", inst.name, got)
 			}
 		}
 	})
@@ -417,23 +403,22 @@
 	simulate(t, 15, 4, 2, func(sim *simulation) {
 		sim.partition(0, 10*time.Second)
 		time.Sleep(time.Second)
-		if _, err := sim.allInstances()[0].node.Command(context.Background(), setLookupTarget("1500ms")); err == nil {
+		if _, err := sim.allInstances()[0].node.Command(context.Background(), lookupTargetCommand("1500ms")); err == nil {
 			t.Error("a command was accepted on one side of a partition")
 		}
 		for _, inst := range sim.allInstances() {
 			if got := inst.lookupTarget(); got != 2*time.Second {
-				t.Errorf("%s has %s in force after the command was refused", inst.name, got)
+				t.Errorf("%s applies target %s after the command was refused", inst.name, got)
 			}
 		}
 		time.Sleep(15 * time.Second)
-		if _, err := sim.allInstances()[0].node.Command(context.Background(), setLookupTarget("1500ms")); err != nil {
+		if _, err := sim.allInstances()[0].node.Command(context.Background(), lookupTargetCommand("1500ms")); err != nil {
 			t.Errorf("command after the partition: %v", err)
 		}
 	})
 }
 
-// Concurrent commands for the same field leave one value in force on all
-// instances.
+// Concurrent commands for a field leave the same value in force on all instances.
 func TestCommandRace(t *testing.T) {
 	simulate(t, 16, 4, 2, func(sim *simulation) {
 		var wg sync.WaitGroup
@@ -442,7 +427,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				if _, err := inst.node.Command(context.Background(), setLookupTarget(fmt.Sprintf("%ds", 3+i))); err == nil {
+				if _, err := inst.node.Command(context.Background(), lookupTargetCommand(fmt.Sprintf("%ds", 3+i))); err == nil {
 					sim.mu.Lock()
 					accepted++
 					sim.mu.Unlock()
@@ -454,11 +439,11 @@
 		first := sim.allInstances()[0].lookupTarget()
 		for _, inst := range sim.allInstances() {
 			if inst.lookupTarget() != first {
-				t.Errorf("%s has %s in force, %s has %s", inst.name, inst.lookupTarget(), sim.allInstances()[0].name, first)
+				t.Errorf("%s applies target %s, %s applies %s", inst.name, inst.lookupTarget(), sim.allInstances()[0].name, first)
 			}
 		}
 		if accepted == 0 && first != 2*time.Second {
-			t.Errorf("no command was accepted, but %s is in force", first)
+			t.Errorf("no command was accepted, but the target is %s", first)
 		}
 	})
 }
@@ -466,24 +451,23 @@
 // A later publication overrides a command only if it changes the same field.
 func TestPublicationAfterCommand(t *testing.T) {
 	simulate(t, 17, 3, 2, func(sim *simulation) {
-		if _, err := sim.allInstances()[0].node.Command(context.Background(), setLookupTarget("1500ms")); err != nil {
+		if _, err := sim.allInstances()[0].node.Command(context.Background(), lookupTargetCommand("1500ms")); err != nil {
 			t.Fatal(err)
 		}
 		sim.publish(declarations + "# two\n")
 		time.Sleep(2 * time.Second)
 		if got := sim.allInstances()[1].lookupTarget(); got != 1500*time.Millisecond {
-			t.Errorf("%s in force after a publication that does not change the field", got)
+			t.Errorf("target is %s after a publication that does not change the field", got)
 		}
 		sim.publish(withLongerTarget(declarations))
 		time.Sleep(2 * time.Second)
 		if got := sim.allInstances()[1].lookupTarget(); got != 4*time.Second {
-			t.Errorf("%s in force after a publication that changes the field", got)
+			t.Errorf("target is %s after a publication that changes the field", got)
 		}
 	})
 }
 
-// TestDuplicateRunIsDetected checks the simulation itself: a retry without a key
-// runs a second time, and the recorded executions must show both.
+// The simulation must detect a duplicate run, here of a retry without a key.
 func TestDuplicateRunIsDetected(t *testing.T) {
 	simulate(t, 18, 3, 2, func(sim *simulation) {
 		for try, inst := range sim.allInstances()[:2] {
@@ -495,11 +479,10 @@
 	})
 }
 
-// An instance that starts while the platform is down learns the configuration,
-// the list and operators' commands from its seeds.
+// An instance that starts while the platform is down gets its state from its seeds.
 func TestStartWithoutPlatform(t *testing.T) {
 	simulate(t, 19, 4, 2, func(sim *simulation) {
-		if _, err := sim.allInstances()[0].node.Command(context.Background(), setLookupTarget("1500ms")); err != nil {
+		if _, err := sim.allInstances()[0].node.Command(context.Background(), lookupTargetCommand("1500ms")); err != nil {
 			t.Fatal(err)
 		}
 		sim.mu.Lock()
@@ -512,7 +495,7 @@
 		inst := sim.start("n4", 1, owner.Retention)
 		sim.awaitSettled()
 		if inst.lookupTarget() != 1500*time.Millisecond {
-			t.Errorf("the new instance has %s in force", inst.lookupTarget())
+			t.Errorf("the new instance applies target %s", inst.lookupTarget())
 		}
 		if r := sim.call(inst, "v1", "v1/0", "verdict"); r.err != nil {
 			t.Errorf("the new instance failed a request: %v", r.err)
@@ -520,13 +503,12 @@
 	})
 }
 
-// While a partition leaves a cell with a home on each side, an endpoint gets at
-// most twice its limit from each of them; afterwards, at most its limit.
+// During a partition, a cell may have a home on each side, each of which grants an
+// endpoint at most twice its limit. Afterwards, the limit holds.
 func TestOverGrantIsBounded(t *testing.T) {
 	const limit = 4 // slots of pool work in declarations
 	simulate(t, 20, 6, 2, func(sim *simulation) {
-		// takeMaxInFlight returns the highest number of requests in flight on one
-		// endpoint since the last call.
+		// takeMaxInFlight resets the maximum over all endpoints and returns it.
 		takeMaxInFlight := func() int {
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
@@ -560,8 +542,7 @@
 	})
 }
 
-// If an entry crashes between recording its claim with the owners and sending the
-// request, a retry is answered with may-have-run and nothing runs.
+// A retry gets may-have-run if the entry crashed after its claim was recorded.
 func TestEntryCrashBetweenClaimAndSend(t *testing.T) {
 	simulate(t, 21, 4, 2, func(sim *simulation) {
 		entry, other := sim.allInstances()[0], sim.allInstances()[1]
@@ -578,15 +559,14 @@
 	})
 }
 
-// Requests are served while the list contains an instance that does not exist and
-// lacks one that is running.
+// Requests are served while the list of instances is wrong.
 func TestInaccurateInstanceList(t *testing.T) {
 	simulate(t, 22, 5, 3, func(sim *simulation) {
 		sim.setInstance("n8", member.Live) // n8 does not exist
 		sim.setInstance("n5", "")          // n5 keeps running
 		rs := sim.callConcurrently(100, 4*time.Second, 8)
 		if n := countAnswered(rs); n < 95 {
-			t.Errorf("%d of 100 answered", n)
+			t.Errorf("%d of 100 requests answered", n)
 		}
 	})
 }
--- a/fleet/simulation_test.go
+++ b/fleet/simulation_test.go
@@ -1,7 +1,6 @@
-// Package fleet_test runs complete fleets of instances in one process and in
-// virtual time, with a simulated network, platform and endpoints, and injects
-// faults. Whether a request ran is checked against the executions that the
-// endpoints recorded, not against what the instances report.
+// Package fleet_test injects faults into fleets of instances that run in one process
+// and in virtual time, and checks the guarantees against the executions that the
+// simulated endpoints recorded.
 package fleet_test
 
 import (
@@ -40,8 +39,8 @@
   - {name: a, class: verdict, classes: [lookup, letter]}
 `
 
-// A simulation is a fleet of instances with its simulated platform, network and
-// endpoints. mu guards the state that instances use concurrently.
+// A simulation is a fleet with its platform, network and endpoints. mu guards the
+// state that instances use concurrently.
 type simulation struct {
 	t             *testing.T
 	rng           *rand.Rand
@@ -50,18 +49,18 @@
 	endpoints     map[string]*endpoint
 	config        platformclient.Published
 	list          member.List
-	platformDown  bool          // watch calls fail
-	platformStale bool          // the platform serves the configuration as revision 1
-	platformCalls int           // watch calls received by the platform
+	platformDown  bool
+	platformStale bool // the platform serves the configuration as revision 1
+	platformCalls int
 	updated       chan struct{} // closed and replaced by notifyWatchers
 	linkFault     func(from, to string, rng *rand.Rand) linkFault
 	attempts      map[string][]string // endpoints that ran each attempt, by attempt id
-	runs          map[string]int      // number of executions, by request id
-	seeds         []string            // seed addresses of instances started from now on
-	violations    []string            // violated guarantees
+	runs          map[string]int      // executions, by request id
+	seeds         []string            // seed addresses of instances to be started
+	violations    []string
 }
 
-// A linkFault describes the faults applied to one message between instances.
+// A linkFault applies to one message between instances.
 type linkFault struct {
 	drop, loseReply, duplicate bool
 	delay                      time.Duration
@@ -78,7 +77,7 @@
 	ctx        context.Context
 	cancel     context.CancelFunc
 	inFlight   sync.WaitGroup
-	leaving    bool // shutting down as planned
+	leaving    bool // shutting down gracefully
 }
 
 type endpoint struct {
@@ -87,8 +86,8 @@
 	serviceTime  time.Duration
 	mode         string    // "dead" refuses connections, "cut" resets them after the work, "busy" answers 429, "late" takes 5 s
 	leavingSince time.Time // zero if not leaving
-	inFlight     int       // requests in progress
-	maxInFlight  int       // highest inFlight seen
+	inFlight     int
+	maxInFlight  int
 }
 
 func newSimulation(t *testing.T, seed uint64, instances, endpoints int) *simulation {
@@ -116,16 +115,14 @@
 	return sim
 }
 
-// dataCentreOf distributes instances over three data centres by their number.
 func dataCentreOf(name string) string { return string("xyz"[(name[1]-'1')%3]) }
 
-// startCold starts an instance as part of the first start of a fleet.
+// startCold starts an instance of a new fleet.
 func (sim *simulation) startCold(name string, side int) *instance {
 	return sim.launch(name, side, owner.Retention, true)
 }
 
-// start starts an instance that joins a running fleet, or restarts a killed one
-// with empty state.
+// start starts an instance, without state, that joins a running fleet.
 func (sim *simulation) start(name string, side int, quarantine time.Duration) *instance {
 	return sim.launch(name, side, quarantine, false)
 }
@@ -162,15 +159,13 @@
 	}
 }
 
-// crash stops an instance without a shutdown sequence.
 func (sim *simulation) crash(inst *instance) {
 	sim.trace("crash %s", inst.name)
 	inst.cancel()
 	inst.node.Close()
 }
 
-// leave shuts an instance down as planned, in the same order as package daemon:
-// it is listed as leaving, finishes its open requests, hands over and stops.
+// leave shuts an instance down gracefully, in the same order as package daemon.
 func (sim *simulation) leave(inst *instance) {
 	sim.mu.Lock()
 	inst.leaving = true
@@ -206,8 +201,7 @@
 	return out
 }
 
-// readyInstances returns the instances to which a load balancer would send
-// requests: running, ready and not leaving.
+// readyInstances returns the instances that accept requests.
 func (sim *simulation) readyInstances() []*instance {
 	var out []*instance
 	for _, inst := range sim.allInstances() {
@@ -221,7 +215,6 @@
 	return out
 }
 
-// publish publishes text as the next revision of the configuration.
 func (sim *simulation) publish(text string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -230,8 +223,7 @@
 	sim.notifyWatchers()
 }
 
-// setInstance sets an instance's state in the published list. An empty state
-// removes the instance.
+// setInstance sets an instance's listed state. An empty state removes it.
 func (sim *simulation) setInstance(name string, s member.State) {
 	sim.trace("list %s as %q", name, s)
 	sim.mu.Lock()
@@ -250,7 +242,6 @@
 	sim.notifyWatchers()
 }
 
-// setEndpoint sets the state of a listed endpoint.
 func (sim *simulation) setEndpoint(name string, s member.State) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -265,20 +256,19 @@
 	sim.notifyWatchers()
 }
 
-// notifyWatchers wakes all pending watch calls. The caller holds sim.mu.
+// notifyWatchers wakes all watch calls. sim.mu must be held.
 func (sim *simulation) notifyWatchers() {
 	close(sim.updated)
 	sim.updated = make(chan struct{})
 }
 
-// recordViolation records a violated guarantee, which check reports.
 func (sim *simulation) recordViolation(format string, args ...any) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
 
-// responseRecorder is a dispatch.Sink that keeps the response in memory.
+// responseRecorder is a dispatch.Sink.
 type responseRecorder struct {
 	status int
 	body   bytes.Buffer
@@ -291,14 +281,12 @@
 	return nil
 }
 
-// A reply is the outcome of one attempt of a caller.
 type reply struct {
 	body string
 	err  *verdict.Error
 }
 
-// call sends one attempt of a request through an instance and checks its result.
-// Requests of class verdict carry a key made from id.
+// call sends one attempt through an instance. Class verdict uses id as the key.
 func (sim *simulation) call(inst *instance, id, attempt, class string) reply {
 	set, ok := inst.node.Declarations()
 	if !ok {
@@ -336,8 +324,7 @@
 	return reply{s.body.String(), res.Err}
 }
 
-// checkReply checks that a successful response belongs to its request and that
-// an attempt reported as not run was not run.
+// checkReply detects responses to other requests, and runs reported as not run.
 func (sim *simulation) checkReply(id, attempt string, s *responseRecorder, res dispatch.Result) {
 	if res.Err == nil && s.body.String() != id {
 		sim.recordViolation("%s: got the response to another request: %q", attempt, s.body.String())
@@ -352,8 +339,8 @@
 	}
 }
 
-// callWithRetries sends a request to random ready instances until an attempt
-// succeeds, at most tries times, and returns the last reply.
+// callWithRetries sends a request to random ready instances, up to tries times,
+// until it succeeds. It returns the last reply.
 func (sim *simulation) callWithRetries(id, class string, tries int) reply {
 	var last reply
 	for try := range tries {
@@ -374,8 +361,7 @@
 	return last
 }
 
-// check fails the test for each recorded violation and for each keyed request,
-// whose id starts with v, that ran more than once.
+// check reports violations, including keyed requests, named v*, that ran twice.
 func (sim *simulation) check() {
 	sim.t.Helper()
 	sim.mu.Lock()
@@ -390,8 +376,8 @@
 	}
 }
 
-// awaitSettled waits until all running instances are ready and settled as owners
-// of their keys. It fails the test after 10 s.
+// awaitSettled waits until all running instances are ready and hold the records of
+// their idempotency keys. It fails the test after 10 s.
 func (sim *simulation) awaitSettled() {
 	sim.t.Helper()
 	for range 100 {
@@ -410,7 +396,7 @@
 	sim.t.Fatal("the fleet was not ready and settled within 10 s")
 }
 
-// simulate runs f in virtual time on a settled fleet, then checks the guarantees.
+// simulate calls f in virtual time and then checks the guarantees.
 func simulate(t *testing.T, seed uint64, instances, endpoints int, f func(sim *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
