--- a/experiment/bound.go
+++ b/experiment/bound.go
@@ -1,9 +1,7 @@
 package experiment
 
-// This file computes upper bounds for the performance of any scheduler, even
-// one that knows all arrivals and response lengths in advance. Only capacity is
-// constrained: requests may be split over all engines, and within a surge the
-// individual deadlines are ignored. The bounds are therefore not attainable.
+// This file computes upper bounds for the performance of any scheduler. They are not
+// attainable, since they ignore the split into engines and the deadlines in a surge.
 
 import (
 	"math"
@@ -15,15 +13,12 @@
 
 // A Bound is an upper bound of the on-time throughput of a scenario.
 type Bound struct {
-	Surge int // requests of the surging class that arrive during the surge
-	// UnknownLengths is like Surge, for a scheduler that does not know the response
-	// lengths and therefore cannot prefer short requests.
-	UnknownLengths int
+	Surge          int     // requests of the surge
+	UnknownLengths int     // like Surge, without knowledge of the response lengths
 	Goodput        float64 // tokens per second
 }
 
-// Bound computes the bounds of the scenario for one seed. Surge and UnknownLengths are
-// zero without a surge.
+// Bound computes the bounds for one seed. Those of the surge are zero without one.
 func (s *Scenario) Bound(seed uint64) Bound {
 	arrivals := s.Workload.Arrivals(seed)
 	b := Bound{Goodput: s.goodputBound(arrivals)}
@@ -33,10 +28,9 @@
 	return b
 }
 
-// surgeBound returns how many of the surge's requests fit into the capacity of
-// the window in which they may run, less the work of higher tiers that arrives
-// in it: most takes the cheapest first, and blind assumes their mean cost.
-func (s *Scenario) surgeBound(arrivals []load.Arrival, tier int) (most, blind int) {
+// surgeBound returns how many of the surge's requests fit into the capacity that
+// higher tiers leave. It takes the cheapest first, or all at their mean cost.
+func (s *Scenario) surgeBound(arrivals []load.Arrival, tier int) (cheapestFirst, atMeanCost int) {
 	var costs []float64
 	var surging *load.Class
 	for i := range s.Workload.Classes {
@@ -63,12 +57,12 @@
 	for _, c := range costs {
 		sum += c
 	}
-	blind = min(len(costs), int(capacity/(sum/float64(len(costs)))))
-	return countFitting(costs, capacity), blind
+	atMeanCost = min(len(costs), int(capacity/(sum/float64(len(costs)))))
+	return countFitting(costs, capacity), atMeanCost
 }
 
-// cost returns the time that a request takes, in seconds of an engine that
-// runs at Capacity, or of a service worker.
+// cost returns the seconds of an engine at Capacity, or of a worker, that a request
+// takes.
 func (s *Scenario) cost(a *load.Arrival) float64 {
 	if a.Class.Service != "" {
 		return s.Work.Seconds()
@@ -77,8 +71,7 @@
 	return float64(a.Length)*perToken + float64(a.Class.Prompt-a.Class.Shared)/s.Params.PrefillRate
 }
 
-// countFitting returns how many of the cheapest requests fit into the
-// capacity. It sorts costs.
+// countFitting returns how many of the cheapest requests fit. It sorts costs.
 func countFitting(costs []float64, capacity float64) int {
 	sort.Float64s(costs)
 	for i, c := range costs {
@@ -89,15 +82,14 @@
 	return len(costs)
 }
 
-// A workItem is a number of tokens to generate before the start of second due.
+// A workItem is a number of tokens to generate before a second of the run.
 type workItem struct {
 	due    int
 	tokens float64
 }
 
-// goodputBound simulates earliest-deadline-first scheduling, in steps of one
-// second, on a single server with the capacity of all engines. Partial
-// responses count, so that no schedule of complete responses exceeds the bound.
+// goodputBound simulates earliest-deadline-first scheduling, which is optimal on a
+// single server, in steps of one second. Partial responses count.
 func (s *Scenario) goodputBound(arrivals []load.Arrival) float64 {
 	last := int(math.Ceil((s.Workload.Duration + s.Workload.Drain).Seconds()))
 	offered := make([][]workItem, last+1)
@@ -124,8 +116,8 @@
 	return done / s.Workload.Duration.Seconds()
 }
 
-// serveSecond serves the work items in order until the capacity, in tokens, is
-// used up, drops those past their deadline, and returns the tokens served.
+// serveSecond serves up to capacity tokens in order of the items, drops items past
+// their deadline, and returns the tokens served.
 func serveSecond(open []workItem, second int, capacity float64) float64 {
 	done := 0.0
 	for i := range open {
@@ -142,7 +134,7 @@
 	return done
 }
 
-// withTokensLeft filters open in place and returns the unfinished items.
+// withTokensLeft filters open in place.
 func withTokensLeft(open []workItem) []workItem {
 	kept := open[:0]
 	for _, p := range open {
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -1,10 +1,8 @@
 // Package experiment compares scheduling policies by discrete-event simulation.
 //
-// It runs the production scheduler (package home) in virtual time against
-// models of endpoints (package engine) and a generated workload (package
-// load). The result depends only on the scenario, the policy and the seed. The
-// simulation has no network and one scheduler per pool; it does not cover the
-// interaction of instances.
+// It runs the scheduler (package home) in virtual time on models of endpoints
+// (package engine) and a generated workload (package load). Results depend only on
+// scenario, policy and seed. There is one scheduler per pool and no network.
 package experiment
 
 import (
@@ -19,13 +17,12 @@
 // A Fault is a failure of one endpoint.
 type Fault struct {
 	At       time.Duration // since the start of the run
-	Endpoint int           // index in the model pool
-	Slow     float64       // factor on its iteration time; zero for no change
+	Endpoint int           // index in each model pool
+	Slow     float64       // factor on the iteration time; zero for no change
 	Crash    bool
 }
 
-// A Scenario is the input of a simulation. It is not modified by Run, so that
-// concurrent runs may share it.
+// A Scenario is the input of a simulation. Concurrent runs may share it.
 type Scenario struct {
 	Name     string
 	Set      *decl.Set
@@ -37,8 +34,7 @@
 	Params   engine.Params
 	Lag      time.Duration // age of load reports
 	Faults   []Fault
-	// SurgeClass is the class whose rate surges between From and To. It is
-	// empty if there is no surge.
+	// The rate of SurgeClass, if any, surges between From and To.
 	SurgeClass string
 	From, To   time.Duration
 }
@@ -49,32 +45,29 @@
 	Goodput        float64 // tokens per second in on-time responses
 	ComputedTokens int64   // tokens in all responses, complete or not
 	OnTimeTokens   int64   // tokens in on-time responses
-	// Gaps is the fraction of the complete responses of more than one token
-	// whose mean time between tokens met the class's target.
+	// Gaps is the fraction of complete responses of several tokens that met the
+	// class's target for the mean time between tokens.
 	Gaps float64
-	// RecoveryTime is the time from the end of the surge until the share of
-	// arrivals served on time is back to normal.
+	// RecoveryTime counts from the end of the surge to the last second in which less
+	// than 90 % of the arrivals were served on time.
 	RecoveryTime time.Duration
 	Slow         int64 // number of times that an endpoint was detected as slow
 }
 
-// A ClassResult is the outcome of one class. Each offered request counts as
-// exactly one of OnTime, Late, Refused, Failed or Unfinished (at the end
-// of the run); Served is OnTime plus Late.
+// A ClassResult counts requests of a class. Each is one of OnTime, Late, Refused,
+// Failed and Unfinished (at the end of the run); Served is OnTime plus Late.
 type ClassResult struct {
 	Class                                                      string
 	Offered, Served, OnTime, Late, Refused, Failed, Unfinished int
 	Attainment                                                 float64
-	// SurgeOffered and SurgeOnTime count the arrivals during the surge.
-	SurgeOffered, SurgeOnTime int
-	Teams                     map[string]*TeamResult
+	SurgeOffered, SurgeOnTime                                  int // arrivals during the surge
+	Teams                                                      map[string]*TeamResult
 }
 
-// A TeamResult is the outcome of one team's requests of a class.
+// A TeamResult counts one team's requests of a class.
 type TeamResult struct{ Offered, OnTime int }
 
-// Wasted returns the fraction of the computed tokens that are not part of an
-// on-time response, or zero if none were computed.
+// Wasted returns the fraction of the computed tokens outside of on-time responses.
 func (r *Result) Wasted() float64 {
 	if r.ComputedTokens == 0 {
 		return 0
@@ -92,15 +85,15 @@
 	return nil
 }
 
-// Run simulates the scenario once.
+// Run simulates the scenario without modifying it.
 func (s *Scenario) Run(policy home.Policy, seed uint64) *Result {
 	sim := newSimulation(s, policy, seed)
 	sim.run()
 	return sim.result()
 }
 
-// Capacity returns the total tokens per second of a pool's engines, each with
-// the largest batch that meets the shortest token-gap target of the classes.
+// Capacity returns the tokens per second of a model pool at the largest batch size
+// that meets the token-gap targets of all classes.
 func (s *Scenario) Capacity() float64 {
 	gap := time.Duration(0)
 	for _, c := range s.Set.Classes {
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -35,7 +35,6 @@
 	return p
 }
 
-// The simulation must be deterministic for a given seed.
 func TestDeterministic(t *testing.T) {
 	s := scenario(t, "huurtoets/letter x2")
 	a, b := s.Run(policy(t, home.Full), 1), s.Run(policy(t, home.Full), 1)
@@ -44,8 +43,7 @@
 	}
 }
 
-// The full policy protects tier-0 requests from a surge of a lower tier. FIFO
-// must fail in the same scenario, else the surge is too small for this test.
+// FIFO must fail where the full policy succeeds, else the surge is too small.
 func TestHighTierProtectedDuringSurge(t *testing.T) {
 	s := scenario(t, "huurtoets/letter x5")
 	full, fifo := s.Run(policy(t, home.Full), 1), s.Run(policy(t, home.FIFO), 1)
@@ -57,7 +55,6 @@
 	}
 }
 
-// No request may be left without a response when an engine crashes.
 func TestNoRequestUnfinishedAfterCrash(t *testing.T) {
 	s := scenario(t, "huurtoets/engine crash in a wave")
 	for _, c := range s.Run(policy(t, home.Full), 1).Classes {
@@ -67,7 +64,7 @@
 	}
 }
 
-// A policy that exceeds the bound means that the bound is wrong.
+// If a result exceeds the bound, the bound is wrong.
 func TestResultsWithinBound(t *testing.T) {
 	for _, name := range []string{"huurtoets/verdict x2", "inspection/report x2"} {
 		s := scenario(t, name)
--- a/experiment/pool.go
+++ b/experiment/pool.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file models a pool: its scheduler and its endpoints.
+// This file simulates a pool: its scheduler and its endpoints.
 
 import (
 	"fmt"
@@ -32,7 +32,7 @@
 	running     map[*request]*engine.Sequence // requests on an engine
 	tokens      int                           // generated since the last progress report
 	gapTime     time.Duration                 // sum of the gaps before those tokens
-	loadReports []home.Load                   // all load reports, oldest first
+	loadReports []home.Load                   // oldest first
 }
 
 func newPool(sim *simulation, d *decl.Pool, policy home.Policy) *pool {
@@ -59,7 +59,6 @@
 	return p
 }
 
-// applyDecisions applies the scheduler's decisions.
 func (p *pool) applyDecisions() {
 	decisions := append([]home.Decision(nil), p.scheduler.TakeDecisions()...)
 	for _, d := range decisions {
@@ -77,7 +76,6 @@
 	}
 }
 
-// reportProgress reports the endpoints' token rates to the scheduler.
 func (p *pool) reportProgress() {
 	for _, e := range p.endpoints {
 		if e.tokens > 0 {
@@ -88,11 +86,10 @@
 	p.applyDecisions()
 }
 
-// reportLoads sends the scheduler the endpoints' load reports, delayed by the
-// scenario's lag, and the list of requests in progress, which renews them.
+// reportLoads sends the scheduler delayed load reports and the requests in progress.
 func (p *pool) reportLoads() {
 	lagReports := int(p.sim.scenario.Lag / reportInterval)
-	var runs []home.ActiveRun
+	var active []home.ActiveRun
 	for _, e := range p.endpoints {
 		if e.crashed {
 			p.scheduler.Unreachable(p.sim.now, e.name)
@@ -103,10 +100,10 @@
 	}
 	for key, r := range p.sim.byKey {
 		if r.pool == p && r.endpoint != nil {
-			runs = append(runs, home.ActiveRun{Seq: key.Seq, Endpoint: r.endpoint.name, Class: r.Class.Name})
+			active = append(active, home.ActiveRun{Seq: key.Seq, Endpoint: r.endpoint.name, Class: r.Class.Name})
 		}
 	}
-	p.scheduler.Sync(p.sim.now, "entry", runs)
+	p.scheduler.Sync(p.sim.now, "entry", active)
 	p.applyDecisions()
 }
 
@@ -117,7 +114,6 @@
 	return home.Load{Endpoint: e.name, Running: e.busyWorkers, Waiting: len(e.queue)}
 }
 
-// start starts a granted request.
 func (e *endpoint) start(r *request) {
 	if e.crashed {
 		r.handleEndpointLoss(e.sim, true)
@@ -136,7 +132,6 @@
 	}
 }
 
-// startQueued starts a service's queued requests while workers are free.
 func (e *endpoint) startQueued() {
 	for len(e.queue) > 0 && e.busyWorkers < e.sim.scenario.Workers {
 		r := e.queue[0]
@@ -151,7 +146,7 @@
 	}
 }
 
-// step runs one engine iteration and delivers its tokens when it ends.
+// step starts an engine iteration, and the next when it ends.
 func (e *endpoint) step() {
 	if e.engine.Idle() || e.crashed {
 		e.iterating = false
@@ -187,17 +182,15 @@
 	}
 }
 
-// crash makes the endpoint unavailable and ends its requests, in a
-// deterministic order.
 func (e *endpoint) crash() {
 	e.crashed = true
-	var held []*request
+	var lost []*request
 	for r := range e.running {
-		held = append(held, r)
+		lost = append(lost, r)
 	}
-	sort.Slice(held, func(i, j int) bool { return held[i].key.Seq < held[j].key.Seq })
+	sort.Slice(lost, func(i, j int) bool { return lost[i].key.Seq < lost[j].key.Seq }) // deterministic order
 	clear(e.running)
-	for _, r := range held {
+	for _, r := range lost {
 		r.handleEndpointLoss(e.sim, false)
 	}
 }
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -11,16 +11,14 @@
 	"ivyridge/load"
 )
 
-// Intervals and latencies of the simulated system.
 const (
 	tickInterval     = 20 * time.Millisecond
 	progressInterval = 100 * time.Millisecond
 	reportInterval   = 500 * time.Millisecond
-	networkLatency   = time.Millisecond // one way, between a router instance and a scheduler or endpoint
+	networkLatency   = time.Millisecond // one way
 )
 
-// An event is a callback at a virtual time. Events of equal time run in the
-// order in which they were scheduled.
+// An event is a callback at a virtual time. Events of equal time run in order of seq.
 type event struct {
 	at  time.Duration
 	seq uint64
@@ -43,7 +41,6 @@
 	return x
 }
 
-// A request is the state of one arrival.
 type request struct {
 	*load.Arrival
 	spec       *decl.Class
@@ -77,8 +74,8 @@
 	pools    map[string]*pool
 	requests []*request
 	byKey    map[home.Key]*request
-	keys     uint64
-	computed int64
+	lastKey  uint64
+	computed int64 // tokens
 	end      time.Duration
 }
 
@@ -94,7 +91,7 @@
 		a := &arrivals[i]
 		r := &request{Arrival: a, spec: s.Set.Class(a.Class.Name), pool: sim.pools[a.Class.Model+a.Class.Service]}
 		sim.requests = append(sim.requests, r)
-		sim.after(a.At, func() { sim.ask(r) })
+		sim.after(a.At, func() { sim.submit(r) })
 	}
 	for _, f := range s.Faults {
 		sim.after(f.At, func() { sim.injectFault(f) })
@@ -102,20 +99,20 @@
 	return sim
 }
 
-// after schedules f to run once, d from now.
+// after schedules f to run after d.
 func (sim *simulation) after(d time.Duration, f func()) {
 	sim.seq++
 	heap.Push(&sim.events, event{sim.now + d, sim.seq, f})
 }
 
-// every schedules f to run periodically, first d from now.
+// every schedules f to run after d and then periodically.
 func (sim *simulation) every(d time.Duration, f func()) {
-	var again func()
-	again = func() {
+	var tick func()
+	tick = func() {
 		f()
-		sim.after(d, again)
+		sim.after(d, tick)
 	}
-	sim.after(d, again)
+	sim.after(d, tick)
 }
 
 func (sim *simulation) run() {
@@ -141,10 +138,9 @@
 	}
 }
 
-// ask sends a request to its pool's scheduler.
-func (sim *simulation) ask(r *request) {
-	sim.keys++
-	r.key = home.Key{Entry: "entry", Seq: sim.keys}
+func (sim *simulation) submit(r *request) {
+	sim.lastKey++
+	r.key = home.Key{Entry: "entry", Seq: sim.lastKey}
 	r.attempts++
 	sim.byKey[r.key] = r
 	sim.after(networkLatency, func() {
@@ -156,8 +152,7 @@
 	})
 }
 
-// prefix returns an FNV-1a hash of the team, whose requests share a prefix, or
-// zero if the class has no shared prefix.
+// prefix returns an FNV-1a hash of the team, or zero if the class shares no prefix.
 func (r *request) prefix() uint64 {
 	if r.Class.Shared == 0 {
 		return 0
@@ -169,7 +164,6 @@
 	return h
 }
 
-// finish ends a request and releases its slot.
 func (r *request) finish(sim *simulation, o outcome) {
 	r.outcome, r.end = o, sim.now
 	rel := home.Release{
@@ -190,28 +184,24 @@
 	})
 }
 
-// onTime reports whether r was served within the latency targets of its class.
 func (r *request) onTime() bool {
 	return r.outcome == served &&
 		(r.Class.FirstToken == 0 || r.firstToken-r.At <= r.Class.FirstToken) &&
 		(r.Class.Whole == 0 || r.end-r.At <= r.Class.Whole)
 }
 
-// tokenGapMet reports whether r's mean time between tokens met the class's
-// target.
 func (r *request) tokenGapMet() bool {
 	return r.tokens < 2 || r.spec.TokenGap == 0 || (r.lastToken-r.firstToken)/time.Duration(r.tokens-1) <= r.spec.TokenGap
 }
 
-// handleEndpointLoss retries a request whose endpoint crashed if it is
-// repeatable or did not reach the endpoint, and fails it otherwise.
+// handleEndpointLoss retries a request if it is repeatable or unsent, or fails it.
 func (r *request) handleEndpointLoss(sim *simulation, unsent bool) {
-	const attempts = 4
-	if (r.spec.Repeatable || unsent) && r.attempts < attempts {
+	const maxAttempts = 4
+	if (r.spec.Repeatable || unsent) && r.attempts < maxAttempts {
 		sim.release(r, home.Release{Key: r.key, Team: r.Team.Name, Failed: true})
 		r.avoid, r.endpoint = r.endpoint.name, nil
 		r.firstToken, r.tokens = 0, 0
-		sim.ask(r)
+		sim.submit(r)
 		return
 	}
 	r.finish(sim, failed)
@@ -219,7 +209,7 @@
 
 func (sim *simulation) result() *Result {
 	res := &Result{ComputedTokens: sim.computed}
-	gaps, answers := 0, 0
+	gapsMet, streamed := 0, 0
 	for i := range sim.scenario.Workload.Classes {
 		res.Classes = append(res.Classes, ClassResult{Class: sim.scenario.Workload.Classes[i].Name, Teams: make(map[string]*TeamResult)})
 	}
@@ -230,9 +220,9 @@
 			res.OnTimeTokens += int64(r.tokens)
 		}
 		if r.outcome == served && r.tokens > 1 {
-			answers++
+			streamed++
 			if r.tokenGapMet() {
-				gaps++
+				gapsMet++
 			}
 		}
 	}
@@ -242,17 +232,15 @@
 		}
 	}
 	res.Goodput = float64(res.OnTimeTokens) / sim.scenario.Workload.Duration.Seconds()
-	res.Gaps = float64(gaps) / float64(max(1, answers))
-	res.RecoveryTime = sim.normal()
+	res.Gaps = float64(gapsMet) / float64(max(1, streamed))
+	res.RecoveryTime = sim.recoveryTime()
 	for _, p := range sim.pools {
 		res.Slow += p.scheduler.Counts.SlowSeen
 	}
 	return res
 }
 
-// normal returns the time from the end of the surge to the end of the last
-// second in which less than normalShare of the arrivals were served on time.
-func (sim *simulation) normal() time.Duration {
+func (sim *simulation) recoveryTime() time.Duration {
 	const normalShare = 0.9
 	if sim.scenario.To == 0 {
 		return 0
--- a/experiment/suite.go
+++ b/experiment/suite.go
@@ -1,7 +1,6 @@
 package experiment
 
-// This file builds the scenarios of the policy benchmark from a user's
-// declarations and workload.
+// This file builds the scenarios of the policy benchmark.
 
 import (
 	"fmt"
@@ -17,7 +16,6 @@
 	"ivyridge/load"
 )
 
-// Parameters of the scenarios.
 const (
 	surgeFrom        = 15 * time.Second
 	surgeTo          = 35 * time.Second
@@ -40,8 +38,7 @@
 	engines, services int
 }{{"huurtoets", 9, 3}, {"inspection", 12, 3}}
 
-// Users reads declarations.yaml and workload.yaml of each user from its
-// directory below dir.
+// Users reads declarations.yaml and workload.yaml in each user's directory below dir.
 func Users(dir string) ([]User, error) {
 	var out []User
 	for _, size := range userSizes {
@@ -73,8 +70,7 @@
 	}
 }
 
-// surge adds a burst in which the requests of a class arrive at a multiple of
-// the rate that its whole pool can serve.
+// surge adds a burst of a class at a multiple of the rate that its pool can serve.
 func (s *Scenario) surge(class string, times float64) {
 	for i := range s.Workload.Classes {
 		c := &s.Workload.Classes[i]
@@ -93,9 +89,8 @@
 // meanToMedian returns the ratio of mean to median of a log-normal distribution.
 func meanToMedian(sigma float64) float64 { return math.Exp(sigma * sigma / 2) }
 
-// Suite returns the scenarios of a user: normal load, a surge of each class to
-// 2, 5 and 10 times capacity, a surge of one team, a slow engine, and an engine
-// crash and lagging load reports during a surge.
+// Suite returns scenarios with normal load, a surge of each class, a surge of one
+// team, a slow engine, and an engine crash or stale load reports during a surge.
 func (u *User) Suite() []*Scenario {
 	out := []*Scenario{u.scenario("quiet")}
 	for i := range u.Workload.Classes {
@@ -109,8 +104,7 @@
 	return append(out, u.SingleTeamSurge(), u.slowEngine(), u.engineCrash(), u.laggingReports())
 }
 
-// tierZeroModelClass returns the first class of tier 0 that is served by a
-// model, or "".
+// tierZeroModelClass returns the first class of tier 0 with a model, or "".
 func (u *User) tierZeroModelClass() string {
 	for i := range u.Workload.Classes {
 		c := &u.Workload.Classes[i]
@@ -121,7 +115,7 @@
 	return ""
 }
 
-// SingleTeamSurge returns a scenario in which one team alone sends tier-0 model requests
+// SingleTeamSurge returns a scenario in which one team sends tier-0 model requests
 // at five times the capacity of the pool.
 func (u *User) SingleTeamSurge() *Scenario {
 	s := u.scenario("one team's rush x5")
@@ -156,7 +150,6 @@
 	return s
 }
 
-// lowestPriorityClass returns the class with the highest tier number.
 func (u *User) lowestPriorityClass() string {
 	name, tier := "", -1
 	for i := range u.Set.Classes {
--- a/experiment/table.go
+++ b/experiment/table.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file runs scenarios with several seeds and prints the statistics.
+// This file runs scenarios with several seeds and prints statistics.
 
 import (
 	"fmt"
@@ -23,19 +23,18 @@
 	Surge            Stat // on-time requests of the surge, as a fraction of Bound.Surge
 	UnknownLengths   Stat // the same, as a fraction of Bound.UnknownLengths
 	Others           Stat // attainment of the tier-0 requests of teams that no burst names
-	RecoveryTime     Stat // Result.RecoveryTime in seconds
-	Gaps             Stat // Result.Gaps
-	Unfinished       Stat // requests unfinished at the end of the run
+	RecoveryTime     Stat // seconds
+	Gaps             Stat
+	Unfinished       Stat
 }
 
-// A ClassRow holds the statistics of one class in a Row.
+// A ClassRow holds the statistics of one class.
 type ClassRow struct {
 	Class      string
 	Attainment Stat
 }
 
-// A Stat summarizes a sample. The median of an even number of values is the
-// lower of the middle two.
+// A Stat summarizes a sample. Median is the lower of two middle values.
 type Stat struct{ Median, Min, Max float64 }
 
 // newStat sorts xs, which must not be empty.
@@ -44,8 +43,8 @@
 	return Stat{xs[(len(xs)-1)/2], xs[0], xs[len(xs)-1]}
 }
 
-// Measure runs a scenario under a policy with the seeds 1 to n, on up to half
-// of the CPUs, and returns the statistics under the policy's name.
+// Measure runs a scenario with the seeds 1 to n on up to half of the CPUs. The Row
+// gets name as its policy.
 func Measure(s *Scenario, name string, p home.Policy, n int) Row {
 	results := make([]*Result, n)
 	bounds := make([]Bound, n)
@@ -101,8 +100,6 @@
 	return n
 }
 
-// otherTeamsAttainment returns the total attainment of the tier-0 requests of
-// the teams that no burst names.
 func (s *Scenario) otherTeamsAttainment(r *Result) float64 {
 	burstTeams := make(map[string]bool)
 	for _, b := range s.Workload.Bursts {
@@ -139,8 +136,7 @@
 	return t.Flush()
 }
 
-// String returns the median, followed by the range unless it is below the
-// printed precision.
+// String returns the median, and the range unless it is below the precision.
 func (s Stat) String() string {
 	if s.Max-s.Min < 0.0005 {
 		return fmt.Sprintf("%.3f", s.Median)
