--- a/load/client.go
+++ b/load/client.go
@@ -1,6 +1,6 @@
 package load
 
-// This file implements the client, which includes a load balancer.
+// This file sends requests, as clients behind a load balancer would.
 
 import (
 	"bufio"
@@ -31,24 +31,23 @@
 	requestTimeout    = 5 * time.Minute // for all attempts of a request
 )
 
-// An Outcome is the result of one request as observed by the client.
+// An Outcome is the result of a request as observed by the client.
 type Outcome struct {
 	Arrival
 	ID             string
-	Status         int // HTTP status; zero if there was no response
+	Status         int // zero if there was no response
 	Verdict        string
 	Reason         string
 	First          time.Duration // from scheduled arrival to first token or header
 	End            time.Duration // from scheduled arrival to the end
 	Tokens         int
-	Complete       bool          // the response is complete
-	Misdirected    bool          // the response belongs to another request
-	Retries        int           // retries
-	RefusalLatency time.Duration // of an error response, from sending the request
+	Complete       bool
+	Misdirected    bool // the response belongs to another request
+	Retries        int
+	RefusalLatency time.Duration // from sending the last attempt to an error response
 }
 
-// OnTime reports whether the correct response was complete and met the class's
-// latency targets.
+// OnTime reports whether the correct and complete response met the latency targets.
 func (o *Outcome) OnTime() bool {
 	c := o.Class
 	return o.Complete && !o.Misdirected &&
@@ -56,9 +55,8 @@
 		(c.Whole == 0 || o.End <= c.Whole)
 }
 
-// A Client sends the requests of a run. It balances them round robin over the
-// instances whose readiness check succeeds. Sent and Done count requests and
-// may be read during Run.
+// A Client sends the requests of a run, round robin over the ready instances. Sent
+// and Done count requests and may be read during Run.
 type Client struct {
 	run     string
 	targets []string
@@ -69,8 +67,8 @@
 	Sent    atomic.Int64
 }
 
-// NewClient returns a Client for targets, each IP:port. The request IDs start
-// with run, which must differ between runs.
+// NewClient returns a Client for targets, each IP:port. Request IDs start with run,
+// which must be unique.
 func NewClient(run string, targets []string) *Client {
 	c := &Client{run: run, targets: targets, ready: make([]atomic.Bool, len(targets))}
 	for i := range c.ready {
@@ -84,9 +82,9 @@
 	return c
 }
 
-// Run sends all arrivals at their times and returns their outcomes in the same
-// order. It returns when all requests have ended; when ctx is done it cancels
-// them and sends no more. The Class of an Outcome that was not sent is nil.
+// Run sends the arrivals at their times, waits for all requests to end and returns
+// their outcomes in the same order. If ctx is done, it cancels open requests and
+// leaves the Class of unsent ones nil.
 func (c *Client) Run(ctx context.Context, arrivals []Arrival) []Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -113,7 +111,7 @@
 	return outcomes
 }
 
-// sleepUntil reports false if ctx is done before the time is reached.
+// sleepUntil returns false if ctx is done before the time is reached.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	d := time.Until(at)
 	if d <= 0 {
@@ -129,7 +127,7 @@
 	}
 }
 
-// checkReadiness runs the readiness check of target i until ctx is done.
+// checkReadiness polls target i until ctx is done.
 func (c *Client) checkReadiness(ctx context.Context, i int) {
 	for sleepUntil(ctx, time.Now().Add(readinessInterval)) {
 		hctx, cancel := context.WithTimeout(ctx, readinessTimeout)
@@ -149,7 +147,7 @@
 	}
 }
 
-// pick returns the next ready target, or just the next one if none is ready.
+// pick returns the next ready target, or the next one if none is ready.
 func (c *Client) pick() string {
 	for range c.targets {
 		i := int(c.next.Add(1)) % len(c.targets)
@@ -160,7 +158,6 @@
 	return c.targets[int(c.next.Add(1))%len(c.targets)]
 }
 
-// sendWithRetries sends one request and retries it as its class allows.
 func (c *Client) sendWithRetries(ctx context.Context, a *Arrival, start time.Time) Outcome {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -175,8 +172,8 @@
 	}
 }
 
-// attempt sends o once and records the response in it. It returns the delay
-// before a retry, or zero if the request must not be retried.
+// attempt sends a request once and records the response in o. It returns the delay
+// before a retry, or zero if there must be none.
 func (c *Client) attempt(ctx context.Context, o *Outcome, start time.Time) time.Duration {
 	const reconnectDelay = 100 * time.Millisecond
 	var res *http.Response
@@ -190,7 +187,7 @@
 		res, err = c.http.Do(req)
 		var op *net.OpError
 		if err == nil || !errors.As(err, &op) || op.Op != "dial" {
-			break // only a failure to connect is retried on another target at once
+			break // only failures to connect are retried at once
 		}
 	}
 	if err != nil {
@@ -215,8 +212,8 @@
 	return 0
 }
 
-// retryDelay returns the delay before a retry of a request that got an error
-// response, or zero if it may have run or there is no Retry-After header.
+// retryDelay returns the delay after an error response, or zero if the request may
+// have run or there is no Retry-After header.
 func (c *Client) retryDelay(res *http.Response, o *Outcome) time.Duration {
 	_, _ = io.Copy(io.Discard, res.Body)
 	s, err := strconv.Atoi(res.Header.Get("Retry-After"))
@@ -226,13 +223,11 @@
 	return time.Duration(s) * time.Second
 }
 
-// message is a message of a chat request.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// chatRequest is the body of a chat completion request.
 type chatRequest struct {
 	Model    string    `json:"model"`
 	Stream   bool      `json:"stream"`
@@ -264,19 +259,17 @@
 	return req, nil
 }
 
-// messages builds a prompt with a prefix that is the same for all requests of
-// the team, and a part that is specific to the request.
+// messages returns a prompt with a prefix that all requests of the team share.
 func messages(o *Outcome, directives string) []message {
 	shared := strings.Repeat(o.Team.Name+" ", 1+o.Class.Shared*bytesPerToken/(len(o.Team.Name)+1))
-	own := strings.Repeat("case ", max(0, (o.Class.Prompt-o.Class.Shared)*bytesPerToken/5))
+	unshared := strings.Repeat("case ", max(0, (o.Class.Prompt-o.Class.Shared)*bytesPerToken/5))
 	if o.Class.Shared == 0 {
-		return []message{{"user", directives + own}}
+		return []message{{"user", directives + unshared}}
 	}
-	return []message{{"system", shared}, {"user", directives + own}}
+	return []message{{"system", shared}, {"user", directives + unshared}}
 }
 
-// readStream reads server-sent events until the end of the stream or an error
-// event.
+// readStream reads server-sent events until [DONE] or an error.
 func (c *Client) readStream(body io.Reader, o *Outcome, start time.Time) {
 	r := bufio.NewScanner(body)
 	r.Buffer(make([]byte, 0, 4<<10), 1<<20)
@@ -307,7 +300,6 @@
 	}
 }
 
-// completionResponse holds the fields read from a response that is not streamed.
 type completionResponse struct {
 	Usage struct {
 		CompletionTokens int `json:"completion_tokens"`
--- a/load/plot.go
+++ b/load/plot.go
@@ -13,7 +13,7 @@
 	plotMargin = 48
 )
 
-// lineColours is the Okabe-Ito palette, which is safe for colour-blind readers.
+// lineColours is the Okabe-Ito palette for colour-blind readers.
 var lineColours = []string{"#0072b2", "#d55e00", "#009e73", "#cc79a7", "#e69f00", "#56b4e9", "#000000"}
 
 func (r *Report) plotAttainment() string {
--- a/load/report.go
+++ b/load/report.go
@@ -1,6 +1,6 @@
 package load
 
-// This file computes the report of a run.
+// This file computes reports.
 
 import (
 	"encoding/json"
@@ -25,22 +25,20 @@
 	GoodputTokens  float64 `json:"goodput_tokens_per_s"`
 	ComputedTokens int     `json:"computed_tokens"`
 	WastedTokens   int     `json:"wasted_tokens"`
-	// Duplicates counts requests with an idempotency key that ran more than
-	// once; Lost, requests without a final response; Misdirected, requests that got
-	// the response to another; RefusedButRun, requests that ran although the
-	// response said that they had not.
-	Duplicates    int   `json:"duplicates"`
-	Lost          int   `json:"lost"`
-	Misdirected   int   `json:"crossed"`
-	RefusedButRun int   `json:"refused_but_run"`
+	// Numbers of requests.
+	Duplicates    int `json:"duplicates"`      // ran more than once despite an idempotency key
+	Lost          int `json:"lost"`            // got no final response
+	Misdirected   int `json:"crossed"`         // got the response to another request
+	RefusedButRun int `json:"refused_but_run"` // ran although reported as not run
+
 	PlatformCalls int64 `json:"platform_calls"`
 
 	Series []Sample `json:"series"`
 }
 
-// A ClassReport summarizes the requests of one class. Latencies are in seconds
-// and cover complete responses: to the first token if the class has a target
-// for it, else to the end. Attainment is OnTime / Offered.
+// A ClassReport summarizes one class. P50 to P99 are latencies of complete responses,
+// to the first token if the class has a target for it, else to the end. Attainment is
+// the fraction of offered requests that were on time.
 type ClassReport struct {
 	Class           string         `json:"class"`
 	Offered         int            `json:"offered"`
@@ -60,13 +58,12 @@
 	refusals *hdrhistogram.Histogram
 }
 
-// A Sample covers the arrivals of one second of a run. The slices are indexed
-// like Report.Classes. Open counts the requests in progress in that second.
+// A Sample covers one second of arrivals. Its slices are indexed like Report.Classes.
 type Sample struct {
 	Second  int       `json:"second"`
 	Offered []int     `json:"offered"`
 	OnTime  []int     `json:"on_time"`
-	Open    []int     `json:"open"`
+	Open    []int     `json:"open"` // in progress
 	Share   []float64 `json:"attainment"`
 }
 
@@ -75,9 +72,8 @@
 	histSignificantDigits = 3
 )
 
-// Summarize computes the report of a run from the clients' outcomes and the
-// runs that the fakes recorded. It ignores outcomes without a class, which were
-// not sent.
+// Summarize computes the report from the outcomes of Client.Run and the runs that the
+// fakes recorded.
 func Summarize(w *Workload, seed uint64, outcomes []Outcome, runLog *fake.RunLogResponse) *Report {
 	r := &Report{Workload: w.Name, Seed: seed, Seconds: w.Duration.Seconds()}
 	classIndex := make(map[string]int)
@@ -113,7 +109,6 @@
 	return r
 }
 
-// checkGuarantees counts the violations of delivery guarantees by one request.
 func (r *Report) checkGuarantees(o *Outcome, runs []fake.Run) {
 	if o.Class.Keyed && len(runs) > 1 {
 		r.Duplicates++
@@ -167,8 +162,6 @@
 	c.RefusalP99 = quantile(c.refusals, 99)
 }
 
-// computeSeries computes the time series. A request counts in the second of its
-// scheduled arrival.
 func (r *Report) computeSeries(w *Workload, classIndex map[string]int, outcomes []Outcome) {
 	n := int(math.Ceil(w.Duration.Seconds()))
 	for s := range n {
@@ -201,13 +194,13 @@
 	}
 }
 
-// FetchRunLog reads the recorded runs from the fakes' control address.
+// FetchRunLog fetches the runs recorded by the fakes with the given control address.
 func FetchRunLog(control string) (*fake.RunLogResponse, error) {
 	res, err := http.Get("http://" + control + "/books")
 	if err != nil {
 		return nil, errors.Wrap(err, "books")
 	}
 	defer res.Body.Close()
-	b := new(fake.RunLogResponse)
-	return b, errors.Wrap(json.NewDecoder(res.Body).Decode(b), "books")
+	runLog := new(fake.RunLogResponse)
+	return runLog, errors.Wrap(json.NewDecoder(res.Body).Decode(runLog), "books")
 }
--- a/load/table.go
+++ b/load/table.go
@@ -1,6 +1,6 @@
 package load
 
-// This file reads and writes reports, and prints them as tables.
+// This file reads, writes and prints reports.
 
 import (
 	"encoding/json"
@@ -15,14 +15,13 @@
 	"github.com/pkg/errors"
 )
 
-// Names of files in a report directory.
+// Files in a report directory.
 const (
 	ReportFile = "report.json"
 	TableFile  = "report.txt"
 )
 
-// Save writes a report as JSON, table and plots to dir, which it creates if
-// necessary.
+// Save writes a report as JSON, table and plots to dir, which it creates if needed.
 func (r *Report) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return errors.Wrap(err, "report")
@@ -48,7 +47,7 @@
 	return nil
 }
 
-// ReadReport reads a report from a file that Save wrote as ReportFile.
+// ReadReport reads a ReportFile written by Save.
 func ReadReport(file string) (*Report, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -81,18 +80,18 @@
 	return errors.Wrap(err, "table")
 }
 
-func writeReasons(w io.Writer, class, what string, reasons map[string]int) {
+func writeReasons(w io.Writer, class, outcome string, reasons map[string]int) {
 	names := make([]string, 0, len(reasons))
 	for name := range reasons {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		fmt.Fprintf(w, "%s %s: %s %d\n", class, what, name, reasons[name])
+		fmt.Fprintf(w, "%s %s: %s %d\n", class, outcome, name, reasons[name])
 	}
 }
 
-// Compare prints the classes that a and b have in common side by side.
+// Compare prints the classes that a and b have in common.
 func Compare(w io.Writer, a, b *Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tattainment A\tB\tB-A\tserved A\tB\tp95 s A\tB\t")
@@ -113,9 +112,8 @@
 	return errors.Wrap(err, "compare")
 }
 
-// WriteBeforeAfter prints each class's attainment among the arrivals of span
-// seconds before and after mark, a second of the run, and its attainment in
-// each second after it.
+// WriteBeforeAfter prints each class's attainment in the span seconds before and
+// after second mark, and in each second after it.
 func (r *Report) WriteBeforeAfter(w io.Writer, mark, span int) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "class\t%d s before\t%d s after\tdifference\tsecond by second\t\n", span, span)
@@ -130,8 +128,7 @@
 	return errors.Wrap(t.Flush(), "around")
 }
 
-// attainment returns the attainment of a class's arrivals in the seconds from
-// (inclusive) to to (exclusive), or one if there are none.
+// attainment covers the arrivals in the seconds [from, to). Without any it is one.
 func (r *Report) attainment(class, from, to int) float64 {
 	offered, onTime := 0, 0
 	for s := max(0, from); s < min(to, len(r.Series)); s++ {
--- a/load/workload.go
+++ b/load/workload.go
@@ -1,11 +1,8 @@
-// Package load is an open-loop load generator that reports latencies, target
-// attainment and failures.
+// Package load is an open-loop load generator.
 //
-// Arrival times are generated from a seed before the run and do not depend on
-// responses. Latencies count from the scheduled arrival, which avoids
-// coordinated omission. A report combines the clients' observations with the
-// runs that the fakes recorded, to count duplicated, lost and misdirected
-// responses and wasted tokens.
+// Arrival times are drawn from a seed before the run. Latencies count from the
+// scheduled arrival, which avoids coordinated omission. Reports compare the clients'
+// observations with the runs that the fakes recorded.
 package load
 
 import (
@@ -25,13 +22,13 @@
 	Pos      yamlfile.Pos
 	Name     string        `yaml:"name"`
 	Duration time.Duration `yaml:"duration"`
-	Drain    time.Duration `yaml:"drain"` // time to wait for responses after the last arrival
+	Drain    time.Duration `yaml:"drain"` // time to wait for responses after Duration
 	Teams    []Team        `yaml:"teams"`
 	Classes  []Class       `yaml:"classes"`
 	Bursts   []Burst       `yaml:"bursts"`
 }
 
-// A Team sends a share of each class's requests in proportion to its weight.
+// A Team sends a share of each class's requests that is proportional to its weight.
 type Team struct {
 	Pos    yamlfile.Pos
 	Name   string  `yaml:"name"`
@@ -41,34 +38,29 @@
 
 // A Class is a request class.
 type Class struct {
-	Pos  yamlfile.Pos
-	Name string `yaml:"name"`
-	// Model or Service names the pool; exactly one is set.
+	Pos     yamlfile.Pos
+	Name    string  `yaml:"name"`
 	Model   string  `yaml:"model"`
-	Service string  `yaml:"service"`
+	Service string  `yaml:"service"` // set if Model is not
 	Stream  bool    `yaml:"stream"`
 	Rate    float64 `yaml:"rate"` // arrivals per second, of all teams
-	// FirstToken and Whole are the latency targets for the first token and for
-	// the complete response. Zero means no target.
+	// Latency targets, zero for none.
 	FirstToken time.Duration `yaml:"first_token"`
-	Whole      time.Duration `yaml:"whole"`
-	// Response lengths are log-normal: Length is the median in tokens, Spread
-	// the sigma.
-	Length float64 `yaml:"length"`
-	Spread float64 `yaml:"spread"`
-	// Prompt is the prompt's length in tokens, Shared the length of the prefix
-	// that all requests of a team have in common.
-	Prompt int `yaml:"prompt"`
-	Shared int `yaml:"shared"`
-	// Keyed makes requests carry an Idempotency-Key.
-	Keyed bool `yaml:"keyed"`
-	// Repeats is the maximum number of retries, after a lost connection or
-	// after a refusal that did not run and has a Retry-After header.
+	Whole      time.Duration `yaml:"whole"` // for the complete response
+	// Response lengths are log-normal.
+	Length float64 `yaml:"length"` // median in tokens
+	Spread float64 `yaml:"spread"` // sigma
+	// Lengths in tokens.
+	Prompt int  `yaml:"prompt"`
+	Shared int  `yaml:"shared"` // prefix shared by all requests of a team
+	Keyed  bool `yaml:"keyed"`  // send an Idempotency-Key
+	// Repeats is the maximum number of retries. Refusals are retried only with verdict
+	// not-run and a Retry-After header.
 	Repeats int `yaml:"repeats"`
 }
 
-// A Burst multiplies the rate of a class by Times between From and To, for one
-// team or, if Team is empty, for all.
+// A Burst multiplies the rate of a class by Times between From and To. An empty Team
+// stands for all teams.
 type Burst struct {
 	Pos   yamlfile.Pos
 	Class string        `yaml:"class"`
@@ -87,8 +79,8 @@
 	return Parse(file, data)
 }
 
-// Parse parses and validates a workload; file is used in error positions. The
-// error, if any, is a yamlfile.Errors.
+// Parse parses and validates a workload; file is used in error positions. Any error
+// is a yamlfile.Errors.
 func Parse(file string, data []byte) (*Workload, error) {
 	w := new(Workload)
 	err := yamlfile.Decode(file, data, w)
@@ -133,18 +125,17 @@
 	return nil
 }
 
-// An Arrival is one scheduled request. At is relative to the start of the run,
-// Length the number of tokens of the response.
+// An Arrival is a scheduled request.
 type Arrival struct {
-	At     time.Duration
+	At     time.Duration // since the start of the run
 	Class  *Class
 	Team   *Team
-	Length int
+	Length int // of the response, in tokens
 	N      int // index in order of arrival
 }
 
-// Arrivals generates the requests of a run, in order of arrival. The result
-// depends only on w and the seed, and refers to w's classes and teams.
+// Arrivals generates requests in order of arrival. They refer to the classes and
+// teams of w. Equal seeds yield equal arrivals.
 func (w *Workload) Arrivals(seed uint64) []Arrival {
 	var out []Arrival
 	for ci := range w.Classes {
@@ -160,8 +151,7 @@
 	return out
 }
 
-// drawArrivals generates a Poisson process of varying rate by thinning one of
-// the maximum rate.
+// drawArrivals generates a Poisson process of varying rate by thinning.
 func (w *Workload) drawArrivals(rng *rand.Rand, c *Class, t *Team) []Arrival {
 	base := c.Rate * t.Weight / w.totalWeight()
 	maxRate := base * w.maxRateFactor(c, t)
@@ -188,7 +178,7 @@
 	return sum
 }
 
-// rateFactor returns the product of the bursts in progress at a time.
+// rateFactor returns the product of the bursts at a time.
 func (w *Workload) rateFactor(c *Class, t *Team, at time.Duration) float64 {
 	f := 1.0
 	for _, b := range w.Bursts {
@@ -199,8 +189,7 @@
 	return f
 }
 
-// maxRateFactor returns the highest rateFactor at the start of a burst, but at
-// least one.
+// maxRateFactor returns the highest rateFactor at the start of a burst, at least one.
 func (w *Workload) maxRateFactor(c *Class, t *Team) float64 {
 	f := 1.0
 	for _, b := range w.Bursts {
@@ -209,7 +198,7 @@
 	return f
 }
 
-// drawLength returns a random response length, or zero if the class has none.
+// drawLength returns zero if the class has no length.
 func (c *Class) drawLength(rng *rand.Rand) int {
 	if c.Length == 0 {
 		return 0
