--- a/rig/rig.go
+++ b/rig/rig.go
@@ -1,12 +1,8 @@
-// Package rig measures the control-plane cost per instance.
+// Package rig measures the control-plane cost per instance, for docs/CAPACITY.md.
 //
-// It runs the control planes (package node) of many instances in one process,
-// connected over loopback with mutual TLS, with a fake platform and with
-// endpoints that only report their load. Requests are admitted, held and
-// released, but nothing is computed and no client is served, so that all CPU
-// time and traffic belong to the control plane. Runs of different sizes yield
-// the marginal cost of an instance, endpoint, team and request for
-// docs/CAPACITY.md.
+// It runs the control planes (package node) of many instances in one process, with
+// a fake platform. Requests are admitted, held and released without being sent to
+// an endpoint, so that all CPU time and traffic belong to the control plane.
 package rig
 
 import (
@@ -39,19 +35,18 @@
 	"ivyridge/platformclient"
 )
 
-// warmUp is the time before the measurement, in which connections are
-// established and the ownership of idempotency keys settles.
+// warmUp lets connections be established and owners of idempotency keys settle.
 const warmUp = 8 * time.Second
 
 // Params are the size and load of one run.
 type Params struct {
 	Instances     int
 	Endpoints     int
-	Pools         int // model pools; the endpoints are divided among them
+	Pools         int // model pools, which share the endpoints
 	Teams         int
 	Rate          float64       // requests per second, total over all instances
 	KeyedFraction float64       // fraction of requests with an idempotency key
-	Hold          time.Duration // time that a granted request holds its slot
+	Hold          time.Duration // time from grant to release of a request
 	Duration      time.Duration // of the measurement
 }
 
@@ -63,7 +58,7 @@
 	Messages         float64       // calls sent per second
 	Heap             float64       // bytes of heap and stacks
 	PlatformCalls    float64       // per minute, total over all instances
-	PropagationDelay time.Duration // from publishing a configuration until all instances apply it
+	PropagationDelay time.Duration // until all instances apply a published configuration
 	Done             int64         // requests completed, total over all instances
 }
 
@@ -79,9 +74,8 @@
 	loadServer *http.Server
 }
 
-// Run starts the instances, measures them for p.Duration and stops them. CPU
-// and heap are those of the whole process, so that only one Run may be in
-// progress.
+// Run starts instances, measures them and stops them. CPU and Heap are those of the
+// whole process, so that there must be no concurrent Run.
 func Run(p Params) (Result, error) {
 	b := &benchmark{params: p}
 	before := heapInUse()
@@ -115,8 +109,7 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// declarations returns a configuration with the given numbers of pools and
-// teams. The revision makes its text distinct.
+// declarations returns a configuration. The revision makes its text distinct.
 func declarations(pools, teams, revision int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# revision %d\nclasses:\n  - {name: verdict, tier: 0, whole: 30s, repeatable: false}\npools:\n", revision)
@@ -184,13 +177,13 @@
 
 func dataCentre(i int) string { return fmt.Sprintf("dc%d", i%6) }
 
-// serve runs serve on a free loopback port and returns its address.
-func (b *benchmark) serve(serve func(net.Listener)) (string, error) {
+// serve calls f with a loopback listener and returns its address.
+func (b *benchmark) serve(f func(net.Listener)) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.Wrap(err, "rig")
 	}
-	go serve(l)
+	go f(l)
 	return l.Addr().String(), nil
 }
 
@@ -221,8 +214,7 @@
 	_ = os.RemoveAll(b.dir)
 }
 
-// awaitRevision waits until all instances apply the configuration revision or
-// a newer one.
+// awaitRevision waits until all instances apply the revision or a newer one.
 func (b *benchmark) awaitRevision(revision int64) error {
 	const timeout = 30 * time.Second
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -239,8 +231,7 @@
 	return errors.Errorf("revision %d not applied by all instances within %s", revision, timeout)
 }
 
-// measure measures the running instances for the configured duration. It sets
-// all fields of the result but Heap and PropagationDelay.
+// measure sets all fields of the result but Heap and PropagationDelay.
 func (b *benchmark) measure() Result {
 	cpu, bytes, calls, platformCalls, done := cpuTime(), b.bytes.Load(), b.calls.Load(), b.platform.Calls.Load(), b.completed.Load()
 	began := time.Now()
@@ -250,8 +241,8 @@
 	return Result{
 		Params: b.params,
 		CPU:    (cpuTime() - cpu).Seconds() / instanceSeconds,
-		// Connections are counted at the dialing end only, but each byte is
-		// sent by one instance and received by another.
+		// Bytes are counted at the dialing end, but sent by one instance and received
+		// by another.
 		Bytes:         2 * float64(b.bytes.Load()-bytes) / instanceSeconds,
 		Messages:      float64(b.calls.Load()-calls) / instanceSeconds,
 		PlatformCalls: float64(b.platform.Calls.Load()-platformCalls) / s * 60,
@@ -259,8 +250,7 @@
 	}
 }
 
-// cpuTime returns the user and system time of the process, or zero if it is
-// not available.
+// cpuTime returns the process's user and system time, or zero on failure.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -269,8 +259,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// generateLoad issues requests at the configured rate, round robin over the
-// instances, until ctx is done.
+// generateLoad issues requests, round robin over the instances, until ctx is done.
 func (b *benchmark) generateLoad(ctx context.Context) {
 	if b.params.Rate == 0 {
 		return
@@ -293,7 +282,6 @@
 	}
 }
 
-// request performs the control-plane operations of one request.
 func (b *benchmark) request(ctx context.Context, i int) {
 	n := b.nodes[i%len(b.nodes)]
 	var claim *node.Claim
@@ -325,7 +313,6 @@
 	b.completed.Add(1)
 }
 
-// countingConn counts the bytes of a connection in both directions.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -343,7 +330,6 @@
 	return n, err
 }
 
-// countingTransport counts HTTP requests.
 type countingTransport struct {
 	*http.Transport
 	n *atomic.Int64
