--- a/api/api.go
+++ b/api/api.go
@@ -450,7 +450,6 @@
 	return data
 }
 
-// errorType returns the OpenAI error type for an HTTP status.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
--- a/api/sink.go
+++ b/api/sink.go
@@ -1,7 +1,5 @@
 package api
 
-// This file writes responses to clients.
-
 import (
 	"fmt"
 	"math/rand/v2"
--- a/experiment/pool.go
+++ b/experiment/pool.go
@@ -1,7 +1,5 @@
 package experiment
 
-// This file simulates a pool: its scheduler and its endpoints.
-
 import (
 	"fmt"
 	"sort"
--- a/fake/control.go
+++ b/fake/control.go
@@ -1,7 +1,5 @@
 package fake
 
-// This file implements the HTTP control interface.
-
 import (
 	"encoding/json"
 	"io"
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -1,7 +1,5 @@
 package fake
 
-// This file implements a fake model engine.
-
 import (
 	"context"
 	"encoding/json"
--- a/fake/platform.go
+++ b/fake/platform.go
@@ -1,7 +1,5 @@
 package fake
 
-// This file implements a fake of the platform's configuration service.
-
 import (
 	"encoding/json"
 	"net"
--- a/fake/service.go
+++ b/fake/service.go
@@ -1,7 +1,5 @@
 package fake
 
-// This file implements a fake service.
-
 import (
 	"encoding/json"
 	"io"
--- a/load/report.go
+++ b/load/report.go
@@ -1,7 +1,5 @@
 package load
 
-// This file computes reports.
-
 import (
 	"encoding/json"
 	"math"
@@ -36,9 +34,8 @@
 	Series []Sample `json:"series"`
 }
 
-// A ClassReport summarizes one class. P50 to P99 are latencies of complete responses,
-// to the first token if the class has a target for it, else to the end. Attainment is
-// the fraction of offered requests that were on time.
+// A ClassReport summarizes one class. P50 to P99 are latencies of complete responses
+// in seconds, to the first token if the class has a target for it, else to the end.
 type ClassReport struct {
 	Class           string         `json:"class"`
 	Offered         int            `json:"offered"`
@@ -48,7 +45,7 @@
 	RefusedByReason map[string]int `json:"refused_by_reason"`
 	Failed          int            `json:"failed"`
 	FailedByReason  map[string]int `json:"failed_by_reason"`
-	Attainment      float64        `json:"attainment"`
+	Attainment      float64        `json:"attainment"` // OnTime / Offered
 	P50             float64        `json:"p50_s"`
 	P95             float64        `json:"p95_s"`
 	P99             float64        `json:"p99_s"`
--- a/load/table.go
+++ b/load/table.go
@@ -1,7 +1,5 @@
 package load
 
-// This file reads, writes and prints reports.
-
 import (
 	"encoding/json"
 	"fmt"
