--- a/decl/decl.go
+++ b/decl/decl.go
@@ -62,7 +62,8 @@
 	// Weight is the weight in fair queuing within a class, from 1 (default) to
 	// MaxWeight.
 	Weight int `yaml:"weight"`
-	// MaxWaiting bounds the queued requests per class and cell. Zero means no bound.
+	// MaxWaiting bounds the queued requests per class and cell, which is a group of
+	// identical endpoints. Zero means no bound.
 	MaxWaiting int `yaml:"max_waiting"`
 }
 
--- a/experiment/bound.go
+++ b/experiment/bound.go
@@ -82,7 +82,7 @@
 	return len(costs)
 }
 
-// A workItem is a number of tokens to generate before a second of the run.
+// A workItem is a number of tokens to generate before the start of second due.
 type workItem struct {
 	due    int
 	tokens float64
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -48,8 +48,8 @@
 	// Gaps is the fraction of complete responses of several tokens that met the
 	// class's target for the mean time between tokens.
 	Gaps float64
-	// RecoveryTime counts from the end of the surge to the last second in which less
-	// than 90 % of the arrivals were served on time.
+	// RecoveryTime counts from the end of the surge to the end of the last second in
+	// which less than 90 % of the arrivals were served on time.
 	RecoveryTime time.Duration
 	Slow         int64 // number of times that an endpoint was detected as slow
 }
@@ -59,8 +59,8 @@
 type ClassResult struct {
 	Class                                                      string
 	Offered, Served, OnTime, Late, Refused, Failed, Unfinished int
-	Attainment                                                 float64
-	SurgeOffered, SurgeOnTime                                  int // arrivals during the surge
+	Attainment                                                 float64 // OnTime / Offered
+	SurgeOffered, SurgeOnTime                                  int     // arrivals during the surge
 	Teams                                                      map[string]*TeamResult
 }
 
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -1,7 +1,5 @@
 package experiment
 
-// This file implements the event loop of the simulation.
-
 import (
 	"container/heap"
 	"time"
--- a/fake/control.go
+++ b/fake/control.go
@@ -13,7 +13,8 @@
 	"ivyridge/platformclient"
 )
 
-// Control returns the HTTP interface that injects faults and reads the run log.
+// Control returns an HTTP handler that injects faults, publishes documents and returns
+// the run log.
 func (env *Environment) Control() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/books", env.getRunLog)
--- a/fleet/network_test.go
+++ b/fleet/network_test.go
@@ -138,8 +138,8 @@
 	return res, nil
 }
 
-// awaitTransfer waits for the transfer time of n bytes at rate bytes per second,
-// which is zero if unlimited.
+// awaitTransfer waits for the transfer time of n bytes at rate bytes per second. A
+// rate of zero is unlimited.
 func awaitTransfer(ctx context.Context, n, rate int) error {
 	if rate == 0 {
 		return nil
--- a/fleet/simulation_test.go
+++ b/fleet/simulation_test.go
@@ -286,7 +286,7 @@
 	err  *verdict.Error
 }
 
-// call sends one attempt through an instance. Class verdict uses id as the key.
+// call sends one attempt. Requests of class verdict use id as the idempotency key.
 func (sim *simulation) call(inst *instance, id, attempt, class string) reply {
 	set, ok := inst.node.Declarations()
 	if !ok {
@@ -361,7 +361,7 @@
 	return last
 }
 
-// check reports violations, including keyed requests, named v*, that ran twice.
+// check reports violations, and keyed requests (with an id v*) that ran repeatedly.
 func (sim *simulation) check() {
 	sim.t.Helper()
 	sim.mu.Lock()
--- a/load/client.go
+++ b/load/client.go
@@ -1,7 +1,5 @@
 package load
 
-// This file sends requests, as clients behind a load balancer would.
-
 import (
 	"bufio"
 	"bytes"
--- a/peer/client.go
+++ b/peer/client.go
@@ -15,8 +15,8 @@
 const (
 	dialTimeout = 500 * time.Millisecond
 	idleTimeout = 10 * time.Minute // long, since a new connection costs two handshakes
-	// maxStreams bounds the concurrent calls on one connection. Each request that waits
-	// at a home occupies one.
+	// maxStreams bounds the concurrent calls on one connection. Each request queued at
+	// another instance occupies one.
 	maxStreams      = 20_000
 	shutdownTimeout = 200 * time.Millisecond
 )
--- a/peer/peerpb/peer.twirp.go
+++ b/peer/peerpb/peer.twirp.go
@@ -31,12 +31,14 @@
 // Home Interface
 // ==============
 
-// Home is served by every instance; the home of a cell is computed.
+// Home admits and places the requests of cells, groups of identical endpoints. Every
+// instance serves it and computes which one is home of a cell.
 type Home interface {
 	// Ask waits until the request is granted or refused.
 	Ask(context.Context, *AskRequest) (*AskReply, error)
 
-	// Sync reports to a home which requests an entry runs in its cells, and which ended.
+	// Sync reports the running and ended requests of an entry, the instance that
+	// received them from clients.
 	Sync(context.Context, *SyncRequest) (*SyncReply, error)
 }
 
--- a/rig/rig.go
+++ b/rig/rig.go
@@ -241,8 +241,8 @@
 	return Result{
 		Params: b.params,
 		CPU:    (cpuTime() - cpu).Seconds() / instanceSeconds,
-		// Bytes are counted at the dialing end, but sent by one instance and received
-		// by another.
+		// Each byte is counted once, at the dialing end, but sent by one instance and
+		// received by another.
 		Bytes:         2 * float64(b.bytes.Load()-bytes) / instanceSeconds,
 		Messages:      float64(b.calls.Load()-calls) / instanceSeconds,
 		PlatformCalls: float64(b.platform.Calls.Load()-platformCalls) / s * 60,
