--- a/balance/admit.go
+++ b/balance/admit.go
@@ -27,9 +27,9 @@
 	// yieldThreshold is the pressure on a more urgent level above which a request yields. It is
 	// well below 1, since a request admitted now still holds its slot when pressure peaks.
 	yieldThreshold = 0.25
-	// yieldRefusalRate is the same for the share of more urgent requests refused or crowded, which
-	// can be high while their mean wait is short. It is well below the rate at which callers count
-	// as starved.
+	// yieldRefusalRate is the share of more urgent requests refused or crowded, as defined by
+	// levelPressures.count, above which a request yields. The share can be high while their mean
+	// wait is short. It is well below starvedRefusalRate.
 	yieldRefusalRate = 0.02
 	// minWaitShare is the minimum share of the objective available for waiting, so that prompts are
 	// not refused for their length alone.
@@ -40,8 +40,8 @@
 	holdSampleWeight = 0.02
 )
 
-// Bounds of the retry time of refused callers, besides the excess wait. The random spread avoids
-// synchronized retries; a caller with 5 s left waits for at most a third of that.
+// A refused caller is told to retry after minRetryAfter plus its excess wait plus a random time of
+// up to retryAfterSpread, which avoids synchronized retries.
 const (
 	minRetryAfter    = 300 * time.Millisecond
 	retryAfterSpread = 900 * time.Millisecond
@@ -62,8 +62,8 @@
 // A Refusal says that a request should not be sent now.
 type Refusal struct {
 	Cause      Cause
-	Wait       time.Duration       // at the best endpoint
-	Pressure   float64             // on the requests that it yields to, or on its own level
+	Wait       time.Duration       // estimated wait at the best endpoint, or until one is available
+	Pressure   float64             // on the level that it yields to, or on its own level
 	RetryAfter time.Duration       // relative to now
 	Scheduler  string              // instance that refused it; empty: this one
 	Limited    *discovery.Endpoint // endpoint to request a permit for; nil: none
@@ -104,7 +104,7 @@
 		return nil, refusal
 	}
 	b.spendCold(best.Endpoint, best.load, d.Service, now)
-	best.RetryAvailable = b.retries.account(d, now)
+	best.RetryAvailable = b.retries.recordPlacement(d, now)
 	b.begin(best, d, now)
 	if d.needsNotice() {
 		b.queueNotice(best, d)
@@ -171,9 +171,9 @@
 	s.hold += holdSampleWeight * (hold - s.hold)
 }
 
-// refuse returns a refusal if the request would start too late or must yield, or nil. Endpoint
-// first is the cheapest, and p the one chosen by chooseInTime. It records pressures and refusal
-// rates.
+// refuse returns a refusal if the request would start too late or must yield, or nil. The placement
+// first is at the cheapest endpoint, and p at the one chosen by chooseInTime. It records pressures
+// and refusal rates.
 func (s *serviceStats) refuse(d *Demand, first, p *Placement, reportInterval time.Duration, now time.Time) *Refusal {
 	level := d.level()
 	maxWait := d.maxWait(first.prefillTime)
@@ -199,7 +199,7 @@
 	return refusal
 }
 
-// yieldRefusal returns a refusal if requests of a level must yield to more urgent ones, or nil.
+// yieldRefusal returns a refusal if requests of level must yield to more urgent ones, or nil.
 func (s *serviceStats) yieldRefusal(level int, now time.Time) *Refusal {
 	for moreUrgent := range level {
 		pressure := s.pressures[moreUrgent][level].of(now)
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// slotWait returns the estimated wait for a slot, in ms, behind requests at least as urgent.
+// slotWait estimates the wait in ms for a slot behind requests of level or more urgent ones.
 func (s *serviceStats) slotWait(total *Running, level, slots int) float64 {
 	ahead := 0
 	for _, n := range total.ByLevel[:level+1] {
--- a/balance/admit_test.go
+++ b/balance/admit_test.go
@@ -49,7 +49,7 @@
 	for _, d := range []*balance.Demand{long, f.shortRequest(0), f.shortRequest(1), f.shortRequest(2)} {
 		p, refusal := b.Admit(f.endpoints, d)
 		if refusal != nil {
-			t.Fatalf("refused at idle engines: %+v", refusal)
+			t.Fatalf("request to idle engines got refusal %+v, want none", refusal)
 		}
 		p.RecordFirstEvent(time.Millisecond)
 		p.Done(balance.Served)
@@ -122,7 +122,7 @@
 	d := f.long(8)
 	d.Sent = true
 	if p, refusal := b.Admit(f.endpoints, d); p == nil {
-		t.Errorf("request that was already sent is refused: %+v", refusal)
+		t.Errorf("request that was already sent got refusal %+v, want none", refusal)
 	}
 }
 
@@ -170,7 +170,7 @@
 		}
 		f.now = f.now.Add(100 * time.Millisecond) // reports of others have arrived
 		if p, refusal := b.Admit(f.endpoints, f.shortRequest(rapid.IntRange(0, 2).Draw(t, "level"))); p == nil {
-			t.Fatalf("refusal %+v with %d idle engines", refusal, len(f.endpoints))
+			t.Fatalf("got refusal %+v with %d engines that have nothing queued, want none", refusal, len(f.endpoints))
 		}
 	})
 }
--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -47,7 +47,7 @@
 	incarnation  string
 	endpointID   string
 	backoffAt    time.Time // last time it asked for back-off; zero: never
-	backoffUntil time.Time // nothing is sent before
+	backoffUntil time.Time // end of the back-off; at most one probe is sent before
 	probed       bool      // the probe of a long back-off was sent
 	trialUntil   time.Time // a trial request is in flight until then at the latest
 	draining     bool
@@ -279,7 +279,7 @@
 	return &Refusal{Cause: EndpointsInBackoff, Wait: wait, RetryAfter: wait + time.Duration(rand.Float64()*float64(retryAfterSpread))}
 }
 
-// excluded reports whether the endpoint is ineligible for the request at any cost.
+// excluded reports whether the endpoint is ineligible for the request, even as a last resort.
 func (b *Balancer) excluded(e *discovery.Endpoint, l *load, d *Demand, now time.Time) bool {
 	return e.RejectsNew() || l.draining(now) || slices.Contains(d.Avoid, l.hash) || !b.inAllowedRegion(e, d)
 }
--- a/balance/backoff_test.go
+++ b/balance/backoff_test.go
@@ -187,13 +187,13 @@
 		t.Fatalf("placement %v and refusal %+v, want cause EndpointsInBackoff", p, refusal)
 	}
 	if refusal.Wait < time.Second || refusal.Wait > time.Second+maxJitter || refusal.RetryAfter < refusal.Wait {
-		t.Errorf("wait %v and retry after %v, want the back-off that ends first", refusal.Wait, refusal.RetryAfter)
+		t.Errorf("wait %v and retry after %v, want a wait of 1s to 1.3s for the first back-off to end, and no earlier retry", refusal.Wait, refusal.RetryAfter)
 	}
 	if got := len(b.UnavailableEndpoints()); got != 3 {
 		t.Errorf("%d endpoints listed as unavailable, want 3", got)
 	}
 	if _, refusal := b.Admit(nil, f.stream()); refusal != nil {
-		t.Errorf("refusal without endpoints: %+v", refusal)
+		t.Errorf("got refusal %+v without endpoints, want none", refusal)
 	}
 }
 
@@ -209,7 +209,7 @@
 	reports, _ := instance.Reports(false, 0)
 	scheduler.Merge(7, nil, reports, false)
 	if c := scheduler.Grant(7, f.endpoints, f.stream()); c.Endpoint != 0 || c.Refusal != nil {
-		t.Errorf("granted %+v to the instance in back-off", c)
+		t.Errorf("granted %+v to the instance in back-off, want neither endpoint nor refusal", c)
 	}
 	if c := scheduler.Grant(8, f.endpoints, f.stream()); c.Endpoint == 0 {
 		t.Error("not granted to another instance")
@@ -225,7 +225,7 @@
 // A restarted process is not in back-off, unless it may be the one that asked.
 func TestBackoffAndRestarts(t *testing.T) {
 	for _, c := range []struct {
-		after   time.Duration // time from the response until the start time is known
+		after   time.Duration // from the request to back off until the restarted process is listed with its start time
 		applies bool
 	}{{time.Second, true}, {4 * time.Second, false}} {
 		f := newFixture(1)
@@ -238,7 +238,7 @@
 		f.now = f.now.Add(c.after)
 		b.Forget(func(string) bool { return false })
 		if got := b.Place(next, f.stream()) == nil; got != c.applies {
-			t.Errorf("start time known %v after the response: back-off applies: %v", c.after, got)
+			t.Errorf("restarted process listed %v after the request to back off: back-off applies: %v, want it to apply within 3s only", c.after, got)
 		}
 	}
 	f := newFixture(1)
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -48,7 +48,7 @@
 	Bytes         int               // size of the body
 	Deposit       quota.DepositKind // deposit of the placement into the service's shared retry budget
 	Retry         Retry             // kind of retry to charge to the shared retry budget, once the instance's own is spent
-	Suspect       bool              // an endpoint terminated while it was running the same request
+	Suspect       bool              // an endpoint crashed while it was running the same request
 	Counted       bool              // already counted in its team's demand
 	Permit        uint32            // hash of the endpoint that a permit was granted for, which is preferred if eligible; zero: none
 	Permitted     bool              // only consider endpoints that need no permit, or for which one is held
@@ -310,12 +310,12 @@
 // stream would block the endpoint for its instance.
 const minConns = 2
 
-// hasConn reports whether an instance that runs this many requests may open another connection.
-func (b *Balancer) hasConn(running int, s *catalog.Service) bool {
+// hasConn reports whether an instance that runs n requests at an endpoint may send it another one.
+func (b *Balancer) hasConn(n int, s *catalog.Service) bool {
 	if s.MaxConns <= 0 {
 		return true
 	}
-	return running < quota.PerHolder(s.MaxConns, maxConnShare, b.instances, minConns)
+	return n < quota.PerHolder(s.MaxConns, maxConnShare, b.instances, minConns)
 }
 
 func (b *Balancer) begin(p *Placement, d *Demand, now time.Time) {
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -83,7 +83,7 @@
 	f.now = f.now.Add(time.Second)
 	for part := uint64(0); part < 4; part++ {
 		if p := b.Place(f.endpoints, f.long(100+part)); part > 0 && p.Endpoint.ID == streamEndpoint && p.Backlog > 100*time.Millisecond {
-			t.Fatalf("long prompt queued beside eight streams")
+			t.Fatalf("long prompt queued beside eight streams, want it at the other engine")
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	}
 	for id, n := range count {
 		if n > 160 {
-			t.Fatalf("%s got %d of 400 requests: %v", id, n, count)
+			t.Fatalf("%s got %d of 400 requests, want at most 160: %v", id, n, count)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 		b.Place(f.endpoints[1:], d).Done(balance.Served)
 	}
 	if p := b.Place(f.endpoints, d); p.Endpoint.ID != "e1" {
-		t.Fatal("overdue endpoint is chosen")
+		t.Fatal("request placed at the endpoint with 12 overdue requests, want e1")
 	}
 }
 
@@ -266,7 +266,7 @@
 		cached.Output, cached.Deadline = c.output, 4*time.Second
 		f.now = f.now.Add(200 * time.Millisecond)
 		if p := b.Place(f.endpoints, cached); (p.Endpoint.ID == "e0") != c.stays {
-			t.Errorf("request with an output of %d tokens placed at %s (cost %.2f)", c.output, p.Endpoint.ID, p.Cost)
+			t.Errorf("request with an output of %d tokens placed at %s (cost %.2f), want e0 for 20 tokens and e1 for 900", c.output, p.Endpoint.ID, p.Cost)
 		}
 	}
 }
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -35,7 +35,7 @@
 	cachedTokens           int     // prompt tokens cached at the endpoint being estimated
 	crossRegionCost        float64 // cost of leaving the region; zero with a single region
 	uncongestedCrossCost   float64 // crossRegionCost with an idle link
-	priorCrossCost         float64 // cost so far of using the prompt's first part in other regions; deducted from local prefill
+	priorCrossCost         float64 // accumulated cost of using the prompt's first part in other regions; deducted from local prefill
 	typicalPrefillPerToken float64 // ms to prefill a token at a typical endpoint; zero unless idle endpoints exist outside the working set
 }
 
--- a/balance/distance_test.go
+++ b/balance/distance_test.go
@@ -22,8 +22,7 @@
 	return f, b
 }
 
-// prompt returns a request with shared tokens in its first part and own tokens in its second, and
-// a body of this many bytes.
+// prompt returns a request whose parts have shared and own tokens. The size of its body is bytes.
 func (f *fixture) prompt(id uint64, shared, own, bytes int) *balance.Demand {
 	return &balance.Demand{
 		Service: f.engines, Priority: 2, Objective: 2 * time.Second, Prompt: shared + own, Output: 120, Bytes: bytes,
@@ -67,7 +66,7 @@
 		f.now = f.now.Add(c.age)
 		p := b.Place(f.endpoints, f.prompt(5, 13300, 3720, 17000))
 		if crosses := p.Distance == balance.OtherRegion; crosses != c.crosses {
-			t.Errorf("queueing delay %v, measured %v ago: crossing: %v, want %v", c.queue, c.age, crosses, c.crosses)
+			t.Errorf("queueing delay %v, measured %v ago: request leaves its region: %v, want %v", c.queue, c.age, crosses, c.crosses)
 		}
 	}
 }
@@ -125,7 +124,7 @@
 			}
 		}
 		if crossed < 15 || refused > 0 {
-			t.Errorf("priority %d: of 60 concurrent requests %d leave the region and %d are refused, want at least 15 and none", priority, crossed, refused)
+			t.Errorf("priority %d: of 60 concurrent requests %d leave the region and %d are refused, want at least 15 leaving and none refused", priority, crossed, refused)
 		}
 		f.now = f.now.Add(30 * time.Second)
 		if p, _ := b.Admit(f.endpoints, demand()); p == nil || p.Distance == balance.OtherRegion {
@@ -147,7 +146,7 @@
 		return crossed
 	}
 	if idle, congested := spilled(0), spilled(200*time.Millisecond); 2*congested > idle {
-		t.Errorf("of 60 concurrent requests %d cross an idle link and %d a congested one, want less than half as many", idle, congested)
+		t.Errorf("of 60 concurrent requests %d cross an idle link and %d a congested one, want at most half as many", idle, congested)
 	}
 }
 
--- a/balance/fair.go
+++ b/balance/fair.go
@@ -26,8 +26,8 @@
 	// yieldThreshold, so that less urgent requests yield first, and below refuseThreshold, so that
 	// teams within their share are not refused.
 	shareThreshold = 0.45
-	// shareYieldThreshold is the same for the pressure on more urgent levels. It is below
-	// yieldThreshold, at which all less urgent requests yield.
+	// shareYieldThreshold is the pressure on a more urgent level at which fair shares apply. It is
+	// below yieldThreshold, above which all less urgent requests yield.
 	shareYieldThreshold = 0.9 * yieldThreshold
 	// plainWaitShare is the share of the objective that a plain request may wait before fair shares
 	// apply. In requests per slot, the wait is clamped to minPlainWait and maxPlainWait, since the
@@ -38,11 +38,11 @@
 	// plainRefusalThreshold is the share of own requests refused by endpoints above which their
 	// queues count as full, if all slots are in use.
 	plainRefusalThreshold = 0.01
-	// plainLevelStep is how much later, in occupancy, fair shares apply per level of urgency, so
-	// that a team's less urgent requests are refused first.
+	// plainLevelStep is the increase, per more urgent level, of the occupancy at which fair shares
+	// apply, so that a team's less urgent requests are refused first.
 	plainLevelStep = 0.2
-	// sampleWeight is the weight of one request in the share that is refused. Fair shares apply for
-	// long only if several of the last fifty were refused.
+	// sampleWeight is the weight of one request in plainRefusalRate. Fair shares apply for long
+	// only if several of the last fifty requests were refused.
 	sampleWeight = 0.02
 	// endReportDelay is the mean time in ms that a completed request of another instance is still
 	// counted as running: half the report interval plus network delay.
@@ -86,7 +86,7 @@
 	}
 }
 
-// shareRefusal counts a request that asks for this much work at its best endpoint p, and returns a
+// shareRefusal counts a request that asks for requestedWork at its best endpoint p, and returns a
 // refusal if its team exceeds its share of an overloaded service, or nil. The caller holds b.mu.
 func (b *Balancer) shareRefusal(endpoints []*discovery.Endpoint, d *Demand, p *Placement, requestedWork float64, now time.Time) *Refusal {
 	if d.Counted {
@@ -114,8 +114,8 @@
 	return &Refusal{Cause: TeamOverShare, Pressure: over, Wait: time.Duration(p.Wait * float64(time.Millisecond)), RetryAfter: shareRetryAfter(d)}
 }
 
-// grantShare counts a placed request with the work counted in its team's demand, which may differ
-// from the work at the endpoint finally chosen. The caller holds b.mu.
+// grantShare counts a placed request with requestedWork, the work counted in its team's demand. The
+// work at the endpoint finally chosen may differ. The caller holds b.mu.
 func (b *Balancer) grantShare(d *Demand, requestedWork float64, now time.Time) {
 	b.sharesOf(d.Service.Name).Grant(now, d.Team, d.level(), requestedWork)
 }
@@ -140,7 +140,7 @@
 	return float64(max(0, d.Prompt-p.Cached))*p.Pace.PrefillPerToken + float64(d.Output)*token
 }
 
-// congestion returns the service's congestion for requests of a level; fair shares apply from 1.
+// congestion returns the service's congestion for requests of level; fair shares apply from 1.
 func (s *serviceStats) congestion(level int, now time.Time) float64 {
 	c := s.pressures[level][level].of(now) / shareThreshold
 	for urgent := range level {
--- a/balance/fair_test.go
+++ b/balance/fair_test.go
@@ -26,9 +26,9 @@
 	placed *balance.Placement
 }
 
-// run simulates 20 teams for 6 s. After 1 s, the first team sends times as many requests as the
-// others. It returns the share of the others' requests served after 2 s.
-func (r *surge) run(t *testing.T, times int) float64 {
+// run simulates 20 teams for 6 s. After 1 s, the first team sends factor times as many requests as
+// the others. It returns the share of the others' requests served after 2 s.
+func (r *surge) run(t *testing.T, factor int) float64 {
 	sent, served := 0, 0
 	last := make([]time.Time, 21)
 	start := r.now
@@ -37,7 +37,7 @@
 		for team := 1; team <= 20; team++ {
 			every := 10 * time.Second / time.Duration(r.rate)
 			if team == 1 && r.now.Sub(start) > time.Second {
-				every /= time.Duration(times)
+				every /= time.Duration(factor)
 			}
 			for ; r.now.Sub(last[team]) >= every; last[team] = last[team].Add(every) {
 				if last[team].IsZero() {
@@ -137,13 +137,13 @@
 	for _, n := range []int{1, 3} {
 		// Refusals are random, so use the mean of several runs.
 		const runs = 5
-		served := func(times int) (mean float64) {
+		served := func(factor int) (mean float64) {
 			for range runs {
 				r := newSurge()
 				for range n {
 					r.balancers = append(r.balancers, r.balancer())
 				}
-				mean += r.run(t, times) / runs
+				mean += r.run(t, factor) / runs
 			}
 			return mean
 		}
@@ -167,7 +167,7 @@
 		f.now = f.now.Add(100 * time.Millisecond)
 	}
 	if uses := b.TeamUses(); len(uses) != 0 {
-		t.Errorf("reported %+v while nothing is scarce", uses)
+		t.Errorf("reported team use %+v while nothing is scarce, want none", uses)
 	}
 }
 
@@ -247,6 +247,6 @@
 		t.Error("no urgent request was refused for its team's share, so the test is void")
 	}
 	if admitted > 0 {
-		t.Errorf("in %d of %d cases a less urgent request was admitted", admitted, refused)
+		t.Errorf("less urgent request admitted after %d of %d refusals of urgent ones, want none", admitted, refused)
 	}
 }
--- a/balance/fetch.go
+++ b/balance/fetch.go
@@ -83,7 +83,7 @@
 	d.all = append(d.all, c)
 }
 
-// nearest returns the donor in a data centre, else one in its region, else nil.
+// nearest returns the donor in dataCentre, else one in its region, else nil.
 func (d *donors) nearest(dataCentre string, regions Regions) *donor {
 	var found *donor
 	for i := range d.all {
--- a/balance/grant.go
+++ b/balance/grant.go
@@ -39,7 +39,7 @@
 	}
 	l := p.load
 	b.spendCold(p.Endpoint, l, d.Service, now)
-	available := b.retries.account(d, now)
+	available := b.retries.recordPlacement(d, now)
 	p.charge = newCharge(d, p.Cached)
 	r := l.remotes[instance]
 	r.add(p.charge)
--- a/balance/grant_test.go
+++ b/balance/grant_test.go
@@ -17,19 +17,19 @@
 	}
 	for hash, n := range count {
 		if n != 10 {
-			t.Fatalf("30 concurrent grants spread as %v (%d)", count, hash)
+			t.Fatalf("30 concurrent grants by endpoint: %v, want 10 each, also at %d", count, hash)
 		}
 	}
 	placement, _ := other.Adopt(balance.Choice{Endpoint: balance.EndpointHash("e0")}, f.endpoints, demand)
 	reports, _ := other.Reports(true, 0)
 	scheduler.Merge(7, nil, reports, true)
 	if got := scheduler.Grant(8, f.endpoints, demand).Endpoint; got == balance.EndpointHash("e0") {
-		t.Fatal("granted the only endpoint in use")
+		t.Fatal("granted e0, the only endpoint in use, want an idle one")
 	}
 	placement.Done(balance.Served)
 	reports, _ = other.Reports(false, 0)
 	if len(reports) != 1 || reports[0].Requests != 0 {
-		t.Fatalf("reports after completion: %+v", reports)
+		t.Fatalf("reports after completion: %+v, want one without requests", reports)
 	}
 }
 
@@ -78,11 +78,11 @@
 	p := b.Place(f.endpoints[:1], f.long(1))
 	_, seen := b.Reports(false, 0)
 	if reports, _ := b.Reports(false, seen); len(reports) != 0 {
-		t.Fatalf("reports without changes: %+v", reports)
+		t.Fatalf("reports without changes: %+v, want none", reports)
 	}
 	p.Done(balance.Served)
 	if reports, _ := b.Reports(false, seen); len(reports) != 1 {
-		t.Fatalf("reports after one completion: %+v", reports)
+		t.Fatalf("reports after one completion: %+v, want one", reports)
 	}
 }
 
@@ -99,7 +99,7 @@
 	for _, full := range []bool{true, false} {
 		reports, _ := a.Reports(full, 0)
 		if len(reports) != 1 || reports[0].Gone <= 0 {
-			t.Fatalf("full %v: reports %+v", full, reports)
+			t.Fatalf("full %v: reports %+v, want one of an endpoint that is gone", full, reports)
 		}
 		b.Merge(1, nil, reports, full)
 	}
@@ -166,6 +166,6 @@
 		t.Fatal("endpoint is skipped forever")
 	}
 	if down := first.Unreachable(); len(down) != 0 {
-		t.Fatalf("endpoints %v still count as unreachable", down)
+		t.Fatalf("endpoints %v still count as unreachable after 3 s, want none", down)
 	}
 }
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -37,7 +37,7 @@
 // A limitState is the state of the rate limit of one endpoint incarnation.
 type limitState struct {
 	rateLimit           limit.State
-	deniedUntil         [limit.Levels]time.Time // by urgency: no permit may be requested before then at this or lower urgency
+	deniedUntil         [limit.Levels]time.Time // by urgency: no permit may be requested before then for this urgency or less urgent ones
 	requestPendingUntil time.Time               // a permit request is in flight until then at the latest
 	permits             []time.Time             // expiry times of permits held
 	allocator           string                  // address of the instance that answered last
@@ -56,8 +56,8 @@
 
 func (l *load) hasLimit() bool { return l.limitState != nil && l.limitState.rateLimit.Limited }
 
-// availableAt returns when a permit may be held or requested at an urgency. A denial does not
-// block requests that are more urgent, since the allocator reserves permits for them.
+// availableAt returns now if no permit is needed, else when one may be requested at urgency. A
+// denial does not block more urgent requests, since the allocator reserves permits for them.
 func (l *limitState) availableAt(urgency int, now time.Time) time.Time {
 	if !l.needsPermit(now) {
 		return now
@@ -69,7 +69,7 @@
 	return available
 }
 
-// closed reports whether no permit is held and none may be requested yet at an urgency.
+// closed reports whether no permit is held and none may be requested yet at urgency.
 func (l *limitState) closed(urgency int, now time.Time) bool {
 	return l.needsPermit(now) && l.availableAt(urgency, now).After(now)
 }
@@ -277,7 +277,7 @@
 	b.ensureLimit(l).rateLimit.Merge(r.State(now))
 }
 
-// closedLimits returns the endpoints for which no permit may be requested. The caller holds b.mu.
+// closedLimits returns the hashes of the endpoints for which closed is true. The caller holds b.mu.
 func (b *Balancer) closedLimits(urgency int, now time.Time) (out []uint32) {
 	if !now.Before(b.limitsClosedUntil) {
 		return nil
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -32,7 +32,7 @@
 	}
 	endpoint, known, ok := b.BeginPermitRequest(refusal.Limited, urgency)
 	if !ok || !known.Limited || known.Rate != 1.2 {
-		t.Fatalf("got %+v, %v, want a limit of 1.2", known, ok)
+		t.Fatalf("BeginPermitRequest returned limit %+v, ok %v, want a limit of 1.2 and true", known, ok)
 	}
 	if _, _, again := b.BeginPermitRequest(refusal.Limited, urgency); again {
 		t.Error("two permit requests in flight")
@@ -59,7 +59,7 @@
 	b.EndPermitRequest(endpoint, urgency, limit.Answer{Wait: 700 * time.Millisecond}, "a", f.now)
 	for range 10 {
 		if p, refusal := b.Admit(f.endpoints, f.stream()); refusal != nil || p.Endpoint != f.endpoints[1] {
-			t.Fatalf("got %+v, want a placement at the other endpoint", refusal)
+			t.Fatalf("got refusal %+v, want a placement at the endpoint without a limit", refusal)
 		}
 	}
 	if got := b.ClosedEndpoints(f.stream()); len(got) != 1 || got[0] != endpoint {
@@ -69,7 +69,7 @@
 	for range 100 {
 		_, refusal := b.Admit(f.endpoints[:1], f.stream())
 		if refusal == nil || refusal.Cause != balance.EndpointsLimited || refusal.Wait != 700*time.Millisecond || refusal.RetryAfter < refusal.Wait {
-			t.Fatalf("got %+v, want cause EndpointsLimited", refusal)
+			t.Fatalf("got %+v, want cause EndpointsLimited, a wait of 700ms and no earlier retry", refusal)
 		}
 		longest = max(longest, refusal.RetryAfter)
 	}
--- a/balance/listing.go
+++ b/balance/listing.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	// minWorkingSet is the number of endpoints up to which all are in the set. They are few enough
-	// for fast choices, and enough to lose a data centre.
+	// minWorkingSet is the number of endpoints up to which all are in the set: few enough for fast
+	// choices, and enough to remain sufficient when a data centre is lost.
 	minWorkingSet = 256
 	// Target utilization of a set that fits the demand: shares of slots, of time spent on prefill,
 	// and of engines prefilling at one moment.
 	setSlotUse    = 0.1
 	setPrefillUse = 0.1
 	setBusyShare  = 0.25
-	// growWaitShare is the share of the objective above which a wait at the best endpoint, with
-	// none of the prompt cached, doubles the set. growSlotUse is the share of an endpoint's slots
-	// for requests without an engine.
+	// growWaitShare is the share of the objective above which a wait at the best engine, with none
+	// of the prompt cached, doubles the set. growSlotUse is the share of slots in use at the best
+	// endpoint above which a request without an engine doubles it.
 	growWaitShare = 0.25
 	growSlotUse   = 0.75
 	// The size is checked every setCheckInterval. It shrinks by setShrinkStep per check, starting
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -74,11 +74,11 @@
 		set := b.WorkingSets()[0]
 		t.Logf("%d endpoints used: %+v", len(perEndpoint), set)
 		if len(perEndpoint) < 200 || len(perEndpoint) > 320 || set.Used > 320 || set.Listed != n {
-			t.Errorf("%d of %d endpoints used", len(perEndpoint), n)
+			t.Errorf("%d of %d endpoints used, want 200 to 320", len(perEndpoint), n)
 		}
 		for dataCentre, used := range usedPerDataCentre {
 			if used < 25 {
-				t.Errorf("%d of %d used endpoints are in data centre %d", used, len(perEndpoint), dataCentre)
+				t.Errorf("%d of %d used endpoints are in data centre %d, want at least 25", used, len(perEndpoint), dataCentre)
 			}
 		}
 	}
@@ -97,7 +97,7 @@
 		}
 	}
 	if common < len(second)*9/10 {
-		t.Errorf("of %d and %d endpoints used by two instances %d are the same", len(first), len(second), common)
+		t.Errorf("of %d and %d endpoints used by two instances %d are the same, want at least 0.9 of the second number", len(first), len(second), common)
 	}
 }
 
@@ -113,10 +113,10 @@
 	after := b.WorkingSets()[0].Used
 	t.Logf("%d endpoints used before, %d during and %d after the surge; longest wait %v", before, during, after, longest)
 	if longest > 150*time.Millisecond {
-		t.Errorf("request waits for %v while other endpoints are idle", longest)
+		t.Errorf("request waits for %v while other endpoints are idle, want at most 150ms", longest)
 	}
 	if during < 2*before || after > 2*before {
-		t.Errorf("%d endpoints used before, %d during and %d after the surge", before, during, after)
+		t.Errorf("%d endpoints used before, %d during and %d after the surge, want at least twice the first number during and at most twice after", before, during, after)
 	}
 }
 
--- a/balance/load.go
+++ b/balance/load.go
@@ -26,7 +26,7 @@
 	level    int
 	uncached int     // prompt tokens to prefill
 	memory   int     // cache tokens used while it runs
-	exposure float64 // cost of a stall: weight divided by lateness of the acceptable gap
+	exposure float64 // cost of delaying its stream, per unit of lateness of the delay in ms; zero: not a stream
 }
 
 func newCharge(d *Demand, cached int) charge {
@@ -231,7 +231,8 @@
 	}
 }
 
-// remoteTokensSince returns the prompt tokens that others placed after then. It drops earlier ones.
+// remoteTokensSince returns the prompt tokens that others placed after the time then, and drops
+// earlier placements.
 func (l *load) remoteTokensSince(then time.Time) int {
 	recent := l.remotePlacements[:0]
 	sum := 0
@@ -337,11 +338,11 @@
 	return s.Failed / s.Completed
 }
 
-// excess returns how far the endpoint's failure rate exceeds that of its service, shrunk towards
-// zero when few requests have completed. Otherwise random variation would move all traffic to the
-// endpoint with the fewest failures so far.
-func (s *Observations) excess(service float64) float64 {
-	return max(0, (s.Failed+outcomePriorWeight*service)/(s.Completed+outcomePriorWeight)-service)
+// excess returns how far the endpoint's failure rate exceeds serviceRate, that of its service,
+// shrunk towards zero when few requests have completed. Otherwise random variation would move all
+// traffic to the endpoint with the fewest failures so far.
+func (s *Observations) excess(serviceRate float64) float64 {
+	return max(0, (s.Failed+outcomePriorWeight*serviceRate)/(s.Completed+outcomePriorWeight)-serviceRate)
 }
 
 // recent returns this instance's observations, decayed to now.
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -15,7 +15,7 @@
 	Priority int    // 0 is the most urgent
 	Fetched  int    // prompt tokens to fetch from another endpoint
 	Parts    []Part
-	Suspect  bool // it was running at an endpoint that terminated
+	Suspect  bool // it was running at an endpoint that crashed
 
 	// Residency is the set of regions to which Parts may be disclosed. It is not sent.
 	Residency catalog.Residency
@@ -188,7 +188,7 @@
 	}
 }
 
-// markRemoteChanged records a change to other instances' load at l, for incremental sums.
+// markRemoteChanged records a change to other instances' load at l, for incremental aggregates.
 func (b *Balancer) markRemoteChanged(l *load) {
 	b.remoteChanges++
 	l.remotesChanged = b.remoteChanges
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -53,7 +53,7 @@
 
 	hold         float64 // mean time in ms that a request holds a slot; zero: unknown
 	pressures    [levels]levelPressures
-	refusalRates [levels]levelPressures // shares of requests refused
+	refusalRates [levels]levelPressures // shares of requests refused or crowded
 	tallies      [levels]tally          // requests and refusals over starvationWindow
 
 	occupancy        pressure      // requests per slot at endpoints without an engine
@@ -104,10 +104,10 @@
 	l.stepTime = stats.stepTime.ForEndpoint(l.observed.Step)
 }
 
-// tokenTime returns the time per output token in ms, at this many requests and the recent prefill
-// load.
-func (l *load) tokenTime(requests int) float64 {
-	alone := l.stepTime * (1 + stepPerRequest*float64(requests))
+// tokenTime returns the time per output token in ms, with n concurrent requests and the recent
+// prefill load.
+func (l *load) tokenTime(n int) float64 {
+	alone := l.stepTime * (1 + stepPerRequest*float64(n))
 	chunk := chunkTokens * l.prefillPerToken
 	return 1 / ((1-l.prefillShare)/alone + l.prefillShare/(alone+chunk))
 }
@@ -134,8 +134,8 @@
 	p.balancer.markChanged(p.load)
 }
 
-// RecordFirstEvent records that the first event of the request's stream arrived this long after the
-// request was sent to the endpoint.
+// RecordFirstEvent records that the first event of the request's stream arrived. The argument is
+// the time since the request was sent to the endpoint.
 func (p *Placement) RecordFirstEvent(after time.Duration) {
 	b := p.balancer
 	b.mu.Lock()
@@ -152,7 +152,7 @@
 	b.markChanged(p.load)
 }
 
-// RecordStreamEnd records that the request's stream completed this long after its first event.
+// RecordStreamEnd records the number of events of a completed stream and the time since the first.
 func (p *Placement) RecordStreamEnd(events int, lasted time.Duration) {
 	b := p.balancer
 	b.mu.Lock()
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -20,7 +20,7 @@
 	silent      bool
 }
 
-// A firstEvent is the first event of a placement, due at a time.
+// A firstEvent is the first event of a placement's stream, not yet delivered.
 type firstEvent struct {
 	at     time.Time
 	sent   time.Time
@@ -62,7 +62,7 @@
 // overhead is the network round-trip time to an engine.
 const overhead = 8 * time.Millisecond
 
-// sendRequests sends n requests with exponential gaps of this mean.
+// sendRequests sends n requests after exponentially distributed pauses with mean pause.
 func (f *engineFleet) sendRequests(n int, pause time.Duration) {
 	for range n {
 		next := f.now.Add(time.Duration(f.rand.ExpFloat64() * float64(pause)))
@@ -81,7 +81,7 @@
 	}
 }
 
-// deliver delivers first events up to then.
+// deliver delivers the first events that are due at the time then.
 func (f *engineFleet) deliver(then time.Time) {
 	for len(f.waiting) > 0 && !f.waiting[0].at.After(then) {
 		x := heap.Pop(&f.waiting).(firstEvent)
@@ -110,7 +110,7 @@
 		median, p95 := f.errorsAfter(50)
 		t.Logf("%3.0f tokens/ms: median error %.3f, 95th percentile %.3f", each, median, p95)
 		if median > 0.15 || p95 > 0.6 {
-			t.Errorf("%3.0f tokens/ms: median error %.3f, 95th percentile %.3f", each, median, p95)
+			t.Errorf("%3.0f tokens/ms: median error %.3f, 95th percentile %.3f, want at most 0.15 and 0.6", each, median, p95)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 			slow += f.lastPlacedAt("e3")
 		}
 		if median, _ := f.errorsAfter(before - 100); median > 0.2 {
-			t.Errorf("seed %d: median error %.3f at the other engines", seed, median)
+			t.Errorf("seed %d: median error of estimates %.3f, want at most 0.2", seed, median)
 		}
 	}
 	t.Logf("%d of %d prompts placed at the slow engine", slow, seeds*prompts)
@@ -164,7 +164,7 @@
 	f.engines["e2"].silent = true
 	f.sendRequests(300, 45*time.Millisecond)
 	if median, _ := f.errorsAfter(50); median > 0.15 {
-		t.Errorf("median error %.3f at the other engines", median)
+		t.Errorf("median error of estimates %.3f at the other engines, want at most 0.15", median)
 	}
 }
 
@@ -181,7 +181,7 @@
 		p.RecordFirstEvent(100 * time.Millisecond)
 	}
 	if p := b.Place(f.endpoints, f.long(200)); p.Backlog != 0 {
-		t.Errorf("backlog of %s at an engine whose responses have all begun", p.Backlog)
+		t.Errorf("backlog of %s at an engine whose responses have all begun, want 0", p.Backlog)
 	}
 }
 
@@ -194,13 +194,13 @@
 	b.Merge(1, a.TakeNotices(), nil, false)
 	f.now = f.now.Add(5 * time.Millisecond)
 	if p := b.Place(f.endpoints, f.stream()); p.Backlog < 100*time.Millisecond {
-		t.Errorf("backlog of %s after another instance announced a long prompt", p.Backlog)
+		t.Errorf("backlog of %s after another instance announced a long prompt, want at least 100ms", p.Backlog)
 	}
 	reports, _ := a.Reports(true, 0)
 	b.Merge(1, nil, reports, true)
 	f.now = f.now.Add(45 * time.Millisecond)
 	if p := b.Place(f.endpoints, f.stream()); p.Backlog < 50*time.Millisecond {
-		t.Errorf("backlog of %s after another instance reported a long prompt", p.Backlog)
+		t.Errorf("backlog of %s after another instance reported a long prompt, want at least 50ms", p.Backlog)
 	}
 }
 
@@ -216,6 +216,6 @@
 	}
 	f.now = f.now.Add(time.Second)
 	if p := b.Place(f.endpoints, f.stream()); p.Pace.TokenTime < 9 || p.Pace.TokenTime > 14 {
-		t.Errorf("token time %.1f ms, want about 12", p.Pace.TokenTime)
+		t.Errorf("token time %.1f ms, want 9 to 14", p.Pace.TokenTime)
 	}
 }
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -103,8 +103,8 @@
 	b.markChanged(p.load)
 }
 
-// suspectExcess is the failure rate above that of the service from which an endpoint is suspect.
-const suspectExcess = 0.12
+// failingExcess is the excess over the service's failure rate above which an endpoint is failing.
+const failingExcess = 0.12
 
 // Suspect reports whether the endpoint fails significantly more often than its service.
 func (p *Placement) Suspect() bool {
@@ -112,7 +112,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p.load.refresh(b.now())
-	return max(p.excessFailures, p.load.observed.excess(p.failureRate)) > suspectExcess
+	return max(p.excessFailures, p.load.observed.excess(p.failureRate)) > failingExcess
 }
 
 // RecordUnreachable records that the endpoint did not accept a connection. It is skipped for a
@@ -128,8 +128,8 @@
 	b.markChanged(p.load)
 }
 
-// RecordGone records that another endpoint has this one's address. Every start has its own ID, so
-// this endpoint no longer exists. Other instances are told in reports.
+// RecordGone records that another endpoint has this one's address. This one is skipped for goneTTL,
+// also by other instances, which learn of it from reports.
 func (p *Placement) RecordGone() {
 	b := p.balancer
 	b.mu.Lock()
--- a/balance/popular.go
+++ b/balance/popular.go
@@ -28,15 +28,15 @@
 	value            float64
 	at               time.Time
 	since            time.Time // first use
-	accruedCrossCost float64   // cost so far of leaving the region for the part, as of at
+	accruedCrossCost float64   // accumulated cost of using the part in other regions, as of at
 }
 
 func (u useCount) of(now time.Time) float64 {
 	return u.value * math.Exp(-float64(now.Sub(u.at))/float64(usesWindow))
 }
 
-// accruedCrossCostAt returns the decayed cost of leaving the region for the part. Without decay,
-// rarely used parts would be prefilled a second time.
+// accruedCrossCostAt returns the accumulated cost of using the part in other regions, decayed to
+// now. Without decay, rarely used parts would be prefilled a second time.
 func (u useCount) accruedCrossCostAt(now time.Time) float64 {
 	if u.accruedCrossCost == 0 {
 		return 0
@@ -75,7 +75,7 @@
 	return 1 / max(1, expectedUses/float64(n))
 }
 
-// accruedCrossCost returns the cost so far of leaving the region for the prompt's first part.
+// accruedCrossCost is accruedCrossCostAt of the prompt's first part.
 func (u uses) accruedCrossCost(now time.Time, parts []Part) float64 {
 	if len(parts) < 2 {
 		return 0
@@ -83,9 +83,9 @@
 	return u[parts[0].ID].accruedCrossCostAt(now)
 }
 
-// accrueCrossCost updates the cost so far of using the prompt's first part in other regions. Once
-// that equals the cost of local prefill, the part is prefilled locally, which bounds the total cost
-// to about twice the optimum. The caller holds b.mu.
+// accrueCrossCost updates the accumulated cost of using the prompt's first part in other regions.
+// Once that equals the cost of local prefill, the part is prefilled locally, which bounds the total
+// cost to about twice the optimum. The caller holds b.mu.
 func (b *Balancer) accrueCrossCost(p *Placement, d *Demand, now time.Time) {
 	if !b.multiRegion || len(d.Parts) < 2 {
 		return
--- a/balance/popular_test.go
+++ b/balance/popular_test.go
@@ -28,7 +28,7 @@
 		busiest = max(busiest, n)
 	}
 	if len(used) < 17 || busiest > 200 {
-		t.Errorf("%d of 20 engines used for 3000 requests, at most %d at one: %v", len(used), busiest, used)
+		t.Errorf("%d of 20 engines used for 3000 requests, %d at the busiest, want at least 17 and at most 200: %v", len(used), busiest, used)
 	}
 }
 
@@ -43,6 +43,6 @@
 		p.Done(balance.Served)
 	}
 	if len(used) > 1 {
-		t.Errorf("prompts of one session went to %v", used)
+		t.Errorf("prompts of one session by engine: %v, want all at one", used)
 	}
 }
--- a/balance/residency.go
+++ b/balance/residency.go
@@ -2,8 +2,8 @@
 
 // This file enforces data residency: requests are served only in their allowed regions.
 //
-// The instance that a scheduler chose for checks the choice again, since the scheduler may run
-// another version or have other settings. A data centre without a configured region is not allowed.
+// An instance checks again what a scheduler chose for it, since the scheduler may run another
+// version or have other settings. Data centres without a region serve no restricted requests.
 
 import (
 	"ivyridge/discovery"
--- a/balance/residency_test.go
+++ b/balance/residency_test.go
@@ -142,17 +142,17 @@
 	for _, region := range regionNames {
 		disclosed := balance.RedactParts(notices, region)
 		if len(disclosed) != len(notices) {
-			t.Fatalf("%d of %d notices passed on", len(disclosed), len(notices))
+			t.Fatalf("RedactParts returned %d of %d notices, want all", len(disclosed), len(notices))
 		}
 		for i, n := range disclosed {
 			if len(n.Parts) > 0 && !notices[i].Residency.Allows(region) {
 				t.Fatalf("region %q is sent parts %v, allowed %v", region, n.Parts, notices[i].Residency.Regions())
 			}
 			if n.Endpoint != notices[i].Endpoint || n.Uncached != notices[i].Uncached {
-				t.Fatalf("notice without load: %+v, want %+v", n, notices[i])
+				t.Fatalf("RedactParts returned notice %+v, want endpoint and load of %+v", n, notices[i])
 			}
 			if len(notices[i].Parts) > 0 && notices[i].Residency.Allows(region) && len(n.Parts) == 0 {
-				t.Fatalf("region %q is not sent parts that it may know", region)
+				t.Fatalf("region %q is not sent parts that may be disclosed to it", region)
 			}
 		}
 	}
--- a/balance/restart_test.go
+++ b/balance/restart_test.go
@@ -33,10 +33,10 @@
 	next := f.restarted(2000)
 	before := b.Place(next, f.long(55))
 	if before.Cached != 0 {
-		t.Errorf("%d tokens presumed cached at the restarted process", before.Cached)
+		t.Errorf("%d tokens presumed cached at the restarted process, want 0", before.Cached)
 	}
 	if before.Backlog > 0 {
-		t.Errorf("backlog of the previous process carried over: %s", before.Backlog)
+		t.Errorf("backlog of %s at the restarted process, want 0", before.Backlog)
 	}
 	before.Done(balance.Unknown)
 
@@ -71,12 +71,12 @@
 func TestIncarnations(t *testing.T) {
 	e := catalog.Endpoint{ID: "e"}
 	if got := e.Incarnation(); got != "e" {
-		t.Errorf("got %q, want e", got)
+		t.Errorf("incarnation %q without a start time, want e", got)
 	}
 	e.Born = 1784010890952
 	later := e
 	later.Born++
 	if e.Incarnation() == "e" || e.Incarnation() == later.Incarnation() {
-		t.Errorf("got %q and %q, want two distinct incarnations", e.Incarnation(), later.Incarnation())
+		t.Errorf("incarnations %q and %q of two start times, want distinct ones other than e", e.Incarnation(), later.Incarnation())
 	}
 }
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -95,9 +95,9 @@
 	return &Refusal{Cause: RetryBudgetExhausted}
 }
 
-// account records a placement: it earns budget, and a retry is charged. It reports whether the
-// budget covers another retry of the request.
-func (r *retries) account(d *Demand, now time.Time) (available bool) {
+// recordPlacement deposits what the placement of d earns, and charges the budget if d is a retry.
+// It reports whether the budget covers another retry of the request.
+func (r *retries) recordPlacement(d *Demand, now time.Time) (available bool) {
 	bucketSize := r.capacity(now)
 	if bucketSize <= 0 {
 		return false
@@ -133,14 +133,14 @@
 	ColdShare   float64               `json:"cold_part"` // share of the rate of cold endpoints
 	RetryShare  float64               `json:"part"`      // share of retries
 	DataCentres int                   `json:"data_centres"`
-	Instances   int                   `json:"instances"` // that share endpoints' connections
+	Instances   int                   `json:"instances"` // number of instances that share the endpoints' connections, this one included
 	Retries     map[string]RetryShare `json:"retries"`   // by service name
 }
 
 // A RetryShare is an instance's retry budget for a service, with counts of retries.
 type RetryShare struct {
 	Available float64 `json:"left"`
-	Capacity  float64 `json:"most"` // capacity, without what busy services earn
+	Capacity  float64 `json:"most"` // base capacity, which recent deposits raise
 	Granted   int64   `json:"granted"`
 	Denied    int64   `json:"denied"`
 }
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -19,7 +19,7 @@
 	return f, b
 }
 
-// earn places requests that earn budget, and lets the rate of earning decay.
+// earn places requests that earn budget, and waits until these no longer raise its capacity.
 func (f *fixture) earn(b *balance.Balancer, requests int) {
 	for range requests {
 		b.Grant(7, f.endpoints, &balance.Demand{Service: f.plain, Deposit: quota.DepositFull})
@@ -39,7 +39,7 @@
 			continue
 		}
 		if c.Refusal == nil || c.Refusal.Cause != balance.RetryBudgetExhausted {
-			t.Fatalf("denied retry has refusal %+v", c.Refusal)
+			t.Fatalf("denied retry got refusal %+v, want cause RetryBudgetExhausted", c.Refusal)
 		}
 		return n
 	}
@@ -67,7 +67,7 @@
 	d := &balance.Demand{Service: f.plain, Retry: balance.RetryInTime, Sent: true}
 	for range 20 {
 		if c := b.Grant(7, nil, d); c.Endpoint != 0 || c.Refusal != nil {
-			t.Fatalf("without endpoints: %+v", c)
+			t.Fatalf("granted %+v without endpoints, want neither endpoint nor refusal", c)
 		}
 	}
 	for range 20 {
@@ -133,7 +133,7 @@
 	}
 	for id, n := range perEndpoint {
 		if n > 2*len(resumedAt)/(len(f.endpoints)-1) || id == lost.ID {
-			t.Errorf("%d of %d streams resumed at %s", n, len(resumedAt), id)
+			t.Errorf("%d of %d streams resumed at %s, want at most twice an even share, and none at the lost endpoint", n, len(resumedAt), id)
 		}
 	}
 	t.Logf("%v", perEndpoint)
--- a/balance/spread_test.go
+++ b/balance/spread_test.go
@@ -9,7 +9,7 @@
 	"ivyridge/balance"
 )
 
-// A prefill is a prompt whose prefill completes at a time.
+// A prefill is a prompt whose prefill completes at the time at.
 type prefill struct {
 	at time.Time
 	p  *balance.Placement
@@ -90,11 +90,11 @@
 		if id[len(id)-1]%3 == 0 {
 			took = took * 13 / 10
 		}
-		begins := busy[id]
-		if begins.Before(f.now) {
-			begins = f.now
+		start := busy[id]
+		if start.Before(f.now) {
+			start = f.now
 		}
-		busy[id] = begins.Add(took)
+		busy[id] = start.Add(took)
 		first := busy[id].Sub(f.now)
 		total++
 		count[id]++
@@ -109,10 +109,10 @@
 	}
 	t.Logf("%d of %d prompts late, %d engines used, at most %d at one", late, total, len(count), most)
 	if late > total/100 {
-		t.Errorf("%d of %d prompts start after %v while other engines are idle", late, total, maxDelay)
+		t.Errorf("%d of %d prompts get their first event after more than %v while other engines are idle, want at most a hundredth", late, total, maxDelay)
 	}
 	if mean := total / len(count); most > 8*mean {
-		t.Errorf("%d prompts at one engine, the mean of %d engines is %d", most, len(count), mean)
+		t.Errorf("%d prompts at one engine, want at most 8 times the mean of %d engines, %d", most, len(count), mean)
 	}
 }
 
--- a/balance/starvation.go
+++ b/balance/starvation.go
@@ -14,13 +14,12 @@
 )
 
 const (
-	// starvationWindow is the time over which refusals are counted, here and by callers.
+	// starvationWindow is the time over which refusals are counted.
 	starvationWindow = 5 * time.Second
 	// tallyBucket is the resolution of a tally.
 	tallyBucket  = 500 * time.Millisecond
 	tallyBuckets = int64(starvationWindow / tallyBucket)
-	// starvedRefusalRate is the share of refused requests above which a level is starved. It is
-	// below one in twelve, above which callers count themselves as starved.
+	// starvedRefusalRate is the share of refused requests above which a level is starved.
 	starvedRefusalRate = 1.0 / 16
 	// minStarvedRefusals is the minimum number of refusals, since one or two are not significant.
 	minStarvedRefusals = 3
--- a/balance/suspect.go
+++ b/balance/suspect.go
@@ -1,8 +1,8 @@
 package balance
 
-// This file places suspects: requests that were running at an endpoint when it terminated.
+// This file places suspects: requests that were running at an endpoint when it crashed.
 //
-// Any of them may terminate the next endpoint too, so they are placed where a crash would cost
+// Any of them may crash the next endpoint too, so they are placed where a crash would cost
 // least, on separate endpoints if possible. They are not delayed, since nearly all are harmless.
 
 import "time"
--- a/balance/urgency.go
+++ b/balance/urgency.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// count records whether a request was refused. A crowded request, which the whole backlog at its
-// best endpoint would delay beyond its objective, also counts against the least urgent level: it
-// starts in time elsewhere, but at an endpoint where streams stall.
+// count records whether a request was refused. A request is crowded if the whole backlog at its
+// cheapest endpoint would delay it beyond its objective. If admitted, it makes only the least
+// urgent level yield: it starts in time, but possibly at another endpoint where streams stall.
 func (r *levelPressures) count(now time.Time, level int, refused, crowded bool) {
 	for i := level; i < levels; i++ {
 		value := 0.0
@@ -70,8 +70,8 @@
 	return waits[d.level()] > refuseThreshold*d.maxWait(prefillTime)
 }
 
-// chooseInTime returns best, or an endpoint that starts the request in time if best does not. It
-// applies to levels above the least urgent one. Without it, streams queue for slots at the few
+// chooseInTime returns best unless it starts the request late and another endpoint does not. For
+// the least urgent level, it always returns best. Without it, streams queue for slots at the few
 // engines with the least prefill while others have free slots.
 func (b *Balancer) chooseInTime(endpoints []*discovery.Endpoint, best *Placement, d *Demand, now time.Time, by requester) *Placement {
 	if d.level() == levels-1 || !best.load.late(d, best.prefillTime, b.reportInterval, now) {
@@ -85,7 +85,7 @@
 	return best
 }
 
-// remoteTokensByLevel returns the prompt tokens that others placed after then, by urgency level.
+// remoteTokensByLevel is remoteTokensSince by urgency level, without dropping placements.
 func (l *load) remoteTokensByLevel(then time.Time) (tokens [levels]int) {
 	for _, n := range l.remotePlacements {
 		if n.at.After(then) {
--- a/balance/urgency_test.go
+++ b/balance/urgency_test.go
@@ -69,16 +69,16 @@
 			rounds := int(speed) * engines / 10 // half a second
 			streams, medium, long := f.mixedLoad(f.b, rounds, speed)
 			if streams > 0 || medium > 0 {
-				t.Errorf("%d engines of %.0f tokens/ms, %d long prompts: %d streams and %d medium requests refused", engines, speed, admitted, streams, medium)
+				t.Errorf("%d engines of %.0f tokens/ms, %d long prompts: %d streams and %d medium requests refused, want none", engines, speed, admitted, streams, medium)
 			}
 			if long < rounds/4 {
-				t.Errorf("%d engines of %.0f tokens/ms: %d of %d long prompts refused under overload", engines, speed, long, rounds)
+				t.Errorf("%d engines of %.0f tokens/ms: %d of %d long prompts refused under overload, want at least a quarter", engines, speed, long, rounds)
 			}
 		}
 	}
 }
 
-// The same if another instance placed the long prompts and reported them.
+// Guards against ignoring the urgency of long prompts that another instance placed and reported.
 func TestRemoteUrgencyIsReported(t *testing.T) {
 	for _, via := range []string{"notices", "reports"} {
 		f := newFixture(4)
@@ -94,7 +94,7 @@
 			f.now = f.now.Add(100 * time.Millisecond) // the notices have expired
 		}
 		if streams, medium, _ := f.mixedLoad(b, 10, 50); streams > 0 || medium > 0 {
-			t.Errorf("reported by %s: %d streams and %d medium requests refused", via, streams, medium)
+			t.Errorf("long prompts reported by %s: %d streams and %d medium requests refused, want none", via, streams, medium)
 		}
 	}
 }
