--- a/limit/allocator.go
+++ b/limit/allocator.go
@@ -41,7 +41,7 @@
 const Levels = 6
 
 // A bucket is a token bucket of permits. It starts empty, since an instance that takes over from
-// another doesn't know what that has granted.
+// another doesn't know what the other has granted.
 type bucket struct {
 	tokens       float64
 	updatedAt    time.Time         // time of tokens and requests; zero before the first request
@@ -60,8 +60,8 @@
 	b.updatedAt = now
 }
 
-// take spends a token and returns zero, or returns the delay until the client may ask again. Chance
-// is random, from 0 to 1.
+// take spends a token and returns zero, or returns the delay until the client may ask again. The
+// random number chance, from 0 to 1, scales the random part of the delay.
 func (b *bucket) take(rate float64, level int, now time.Time, chance float64) (wait time.Duration) {
 	b.refill(rate, now)
 	b.requests++
@@ -116,9 +116,9 @@
 	State   State         // the allocator's knowledge of the limit; without a limit no permits are needed
 }
 
-// Ask handles a request for a permit to send one request of a level to an endpoint. State is the
-// client's knowledge of the limit. Share is the fraction of the rate that this allocator may grant,
-// from 0 to 1; at 0 it grants nothing. Chance is random, from 0 to 1.
+// Ask handles a request for a permit to send one request of urgency level to endpoint. state is the
+// client's knowledge of the limit. share is the fraction of the rate that this allocator may grant;
+// at 0 it grants nothing. chance is a random number from 0 to 1.
 func (a *Allocator) Ask(endpoint uint32, state State, share float64, level int, now time.Time, chance float64) Answer {
 	a.sweep(now)
 	if a.endpoints == nil {
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -16,7 +16,7 @@
 type State struct {
 	Limited bool      // the endpoint has a limit
 	Rate    float64   // if Limited: requests per second from all instances together
-	AsOf    time.Time // when the endpoint stated this, or later; zero: never
+	AsOf    time.Time // the State is not older than this; zero: unknown
 }
 
 func (s *State) Known() bool { return !s.AsOf.IsZero() }
@@ -29,9 +29,9 @@
 	return changed
 }
 
-// Lift records a response without a limit to a request sent at an instant, and reports whether that
-// lifts a limit. It has no effect unless the request is newer than the limit, since responses
-// overtake each other.
+// Lift records a response without a limit and reports whether that lifts a limit. It has no effect
+// unless the request, sent at the time sent, is newer than the limit, since responses overtake each
+// other.
 func (s *State) Lift(sent time.Time) (changed bool) {
 	if !s.Known() || !sent.After(s.AsOf) {
 		return false
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -79,7 +79,7 @@
 				}
 			}
 			if s.Limited != newest.Limited || s.Rate != newest.Rate {
-				t.Fatalf("got %+v, want %+v", s, newest)
+				t.Fatalf("merged State is %+v, want the newest, %+v", s, newest)
 			}
 		}
 	})
@@ -104,7 +104,7 @@
 	requests int
 }
 
-// simulate has clients request permits for a duration. A client waits for pause after each request,
+// simulate has clients request permits for duration. A client waits for pause after each request,
 // or for the delay that it is told if that is longer.
 func simulate(allocator *limit.Allocator, rate, share float64, clients []client, pause, duration time.Duration, rng *rand.Rand) (out result) {
 	state := limit.State{Limited: true, Rate: rate, AsOf: start}
@@ -128,7 +128,7 @@
 	return out
 }
 
-// maxWithin returns the highest number of times within any span.
+// maxWithin returns the highest number of elements of at within any interval of length span.
 func maxWithin(at []time.Time, span time.Duration) (n int) {
 	first := 0
 	for i := range at {
@@ -148,13 +148,13 @@
 			t.Run(fmt.Sprintf("%v per second, %d clients", rate, clients), func(t *testing.T) {
 				got := simulate(new(limit.Allocator), rate, 1, make([]client, clients), 0, duration, rand.New(rand.NewPCG(1, 2)))
 				if n := maxWithin(got.granted, span); float64(n) > 1.2*rate*span.Seconds()+4 {
-					t.Errorf("%d permits in %v", n, span)
+					t.Errorf("%d permits within %v, want at most 1.2 times the limit plus 4", n, span)
 				}
 				if used := float64(len(got.granted)) / duration.Seconds(); used < 0.9*rate || rate == 0 && used < 0.4 {
-					t.Errorf("%.2f permits per second", used)
+					t.Errorf("%.2f permits per second, want at least 0.9 of the rate, or 0.4 at a rate of 0", used)
 				}
 				if requests := float64(got.requests) / duration.Seconds(); requests > max(1000, 8*rate) {
-					t.Errorf("%.0f permit requests per second", requests)
+					t.Errorf("%.0f permit requests per second, want at most the larger of 1000 and 8 times the rate", requests)
 				}
 			})
 		}
@@ -168,7 +168,7 @@
 	}
 	got := simulate(new(limit.Allocator), 6, 1, clients, 0, 60*time.Second, rand.New(rand.NewPCG(1, 2)))
 	if n := len(got.granted); got.byLevel[0] < n*95/100 {
-		t.Errorf("the more urgent half got %d of %d permits", got.byLevel[0], n)
+		t.Errorf("the more urgent half of the clients got %d of %d permits, want at least 0.95", got.byLevel[0], n)
 	}
 	// With one urgent request every two seconds, less urgent ones get the other permits.
 	for i := range clients {
@@ -193,7 +193,7 @@
 		}
 	}
 	if urgent < 13 || urgent+other < 160 {
-		t.Errorf("%d urgent requests in 30 s, and %d others, at 6 per second", urgent, other)
+		t.Errorf("%d permits for urgent requests and %d for others in 30 s at 6 per second, want at least 13, and 160 together", urgent, other)
 	}
 }
 
@@ -201,10 +201,10 @@
 func TestAllocatorWithoutShare(t *testing.T) {
 	allocator := new(limit.Allocator)
 	if a := allocator.Ask(7, limit.State{Limited: true, Rate: 50, AsOf: start}, 0, 0, start.Add(time.Minute), 0); a.Granted || a.Wait != limit.NoShareWait {
-		t.Errorf("got %+v", a)
+		t.Errorf("answer without a share: %+v, want no permit and a wait of NoShareWait", a)
 	}
 	if a := allocator.Ask(7, limit.State{AsOf: start.Add(time.Second)}, 0, 0, start.Add(time.Minute), 0); !a.Granted || a.State.Limited {
-		t.Errorf("got %+v", a)
+		t.Errorf("answer for an endpoint without a limit: %+v, want a permit and a State without a limit", a)
 	}
 }
 
@@ -225,7 +225,7 @@
 		}
 		shuffled := rapid.Permutation(all).Draw(t, "order")
 		if again := shuffled[limit.AllocatorOf(endpoint, dataCentre, shuffled)]; again != first {
-			t.Fatalf("got %+v in one order, %+v in another", first, again)
+			t.Fatalf("allocator is %+v in one order of candidates, %+v in another, want the same", first, again)
 		}
 		for i, c := range all {
 			if c == first {
--- a/limit/order.go
+++ b/limit/order.go
@@ -12,8 +12,8 @@
 	DataCentre string
 }
 
-// AllocatorOf returns the index of the candidate that allocates the limit of an endpoint in a data
-// centre, or -1 if there are none. It prefers that data centre, since an instance that can't reach it
+// AllocatorOf returns the index of the candidate that allocates the limit of endpoint, or -1 if
+// there are none. It prefers dataCentre, that of the endpoint, since an instance that can't reach it
 // can't send to the endpoint either. Rendezvous hashing spreads limits evenly.
 func AllocatorOf(endpoint uint32, dataCentre string, candidates []Candidate) int {
 	best := -1
@@ -36,9 +36,9 @@
 	return score(endpoint, x) > score(endpoint, y)
 }
 
-func score(endpoint uint32, name uint64) uint64 {
+func score(endpoint uint32, candidate uint64) uint64 {
 	var b [12]byte
 	binary.LittleEndian.PutUint32(b[:], endpoint)
-	binary.LittleEndian.PutUint64(b[4:], name)
+	binary.LittleEndian.PutUint64(b[4:], candidate)
 	return xxhash.Sum64(b[:])
 }
