--- a/poison/confirm.go
+++ b/poison/confirm.go
@@ -10,8 +10,8 @@
 //   - Crashes that a confirmed request explains don't count against others.
 //   - A suspect is confirmed when fewer than maxChance of the requests in flight at the first crash
 //     are expected to have the other strikes by chance. In a large fleet that takes three crashes.
-//     If a small fleet crashes all the time, chance can't be ruled out, and sufficientStrikes
-//     applies.
+//     If endpoints of a small fleet crash all the time, chance can't be ruled out, and
+//     sufficientStrikes applies.
 //
 // Weighting a crash by the number of requests in flight doesn't separate a poison request from one
 // that was in flight twice. Requiring another strike for each crash without the suspect doesn't
@@ -126,19 +126,19 @@
 }
 
 // expectedByChance returns how many of the requests in flight at the first strike are expected to
-// have the other strikes by chance, if that many endpoints of the service crashed meanwhile.
-func expectedByChance(strikes []Strike, crashed int) float64 {
+// have the other strikes by chance, given the number of crashes of the service meanwhile.
+func expectedByChance(strikes []Strike, crashes int) float64 {
 	span := max(minSpan, strikes[len(strikes)-1].CrashedAt.Sub(strikes[0].CrashedAt)).Seconds()
 	expected := float64(max(1, strikes[0].InFlight))
 	for _, s := range strikes[1:] {
 		residence := max(minResidence, s.CrashedAt.Sub(s.SentAt)).Seconds()
-		expected *= min(1, float64(crashed)*residence/(float64(max(1, s.ListedEndpoints))*span))
+		expected *= min(1, float64(crashes)*residence/(float64(max(1, s.ListedEndpoints))*span))
 	}
 	return expected
 }
 
-// consecutive returns the strikes that count, by time: accepted, not void, and of a request that was
-// sent after the previous one.
+// consecutive returns the strikes that count, by time: those that accept allows, that are not void,
+// and whose request was sent after the previous one.
 func (e *Entry) consecutive(accept func(Strike) bool) (out []Strike) {
 	sorted := slices.Clone(e.Strikes)
 	slices.SortFunc(sorted, func(a, b Strike) int { return a.CrashedAt.Compare(b.CrashedAt) })
--- a/poison/fleet_test.go
+++ b/poison/fleet_test.go
@@ -130,7 +130,7 @@
 	}
 	for team := range sim.table.SlowedTeams(sim.now) {
 		if team.Team != "flood" {
-			sim.t.Errorf("after %d crashes team %q is slowed", sim.crashCount, team.Team)
+			sim.t.Errorf("after %d crashes team %q is slowed, want only the flooding team", sim.crashCount, team.Team)
 		}
 	}
 	for _, r := range lost {
@@ -179,7 +179,7 @@
 	return fmt.Sprint("team ", sim.rng.IntN(10))
 }
 
-// spread returns the fraction of the running endpoints, except one, at which a team has requests.
+// spread returns the fraction of the running endpoints other than except at which team has requests.
 func spread(running [][]*testRequest, team string, except, down int) float64 {
 	n := 0.5
 	for e := range running {
@@ -268,7 +268,7 @@
 		}
 		for _, id := range ids {
 			if sim.table.Standing(id) != poison.Confirmed || sim.crashesByID[id] > maxCrashes {
-				t.Errorf("seed %d, %d endpoints: one of %d poison requests has crashed %d endpoints, confirmed: %v, want at most %d", seed, len(sim.running), poisonous, sim.crashesByID[id], sim.table.Standing(id) == poison.Confirmed, maxCrashes)
+				t.Errorf("seed %d, %d endpoints: one of %d poison requests has crashed %d endpoints, confirmed: %v, want it confirmed after at most %d", seed, len(sim.running), poisonous, sim.crashesByID[id], sim.table.Standing(id) == poison.Confirmed, maxCrashes)
 			}
 		}
 	}
@@ -296,7 +296,7 @@
 			}
 		}
 		if slowedAfter == 0 || slowedAfter > maxCrashes {
-			t.Errorf("seed %d, %d endpoints: the team is slowed after %d crashes of %d", seed, len(sim.running), slowedAfter, sim.crashCount)
+			t.Errorf("seed %d, %d endpoints: the flooding team is slowed after %d of %d crashes (0: never), want 1 to 12, or to 30 for fewer than 20 endpoints", seed, len(sim.running), slowedAfter, sim.crashCount)
 		}
 	}
 }
@@ -337,7 +337,7 @@
 		}
 		for i := range tables[1:] {
 			if a, b := tables[0].Digest(), tables[i+1].Digest(); a != b {
-				t.Errorf("seed %d: tables differ: %s", seed, fmt.Sprint(tables[0].Entries(), tables[i+1].Entries()))
+				t.Errorf("seed %d: tables that received the same updates differ: %s", seed, fmt.Sprint(tables[0].Entries(), tables[i+1].Entries()))
 			}
 		}
 	}
--- a/poison/identity_test.go
+++ b/poison/identity_test.go
@@ -21,7 +21,7 @@
 		a, b := draw("a"), draw("b")
 		same := a.Team == b.Team && a.Method == b.Method && a.Host == b.Host && a.Target == b.Target && string(a.Body) == string(b.Body)
 		if got := a.ID() == b.ID(); got != same {
-			t.Fatalf("%+v and %+v: same ID: %v", a, b, got)
+			t.Fatalf("%+v and %+v: same ID: %v, want the same only if all fields are equal", a, b, got)
 		}
 		if same && a.Outline() != b.Outline() {
 			t.Fatalf("%+v: equal requests have different outlines", a)
@@ -41,11 +41,11 @@
 	r := request(10)
 	id, err := poison.ParseID(r.ID().String())
 	if err != nil || id != r.ID() {
-		t.Errorf("got %s, %v", id, err)
+		t.Errorf("ParseID of an ID's text returned %s, %v, want the ID and no error", id, err)
 	}
 	for _, text := range []string{"", "xy", r.ID().String() + "00"} {
 		if _, err := poison.ParseID(text); err == nil {
-			t.Errorf("ParseID(%q) succeeded", text)
+			t.Errorf("ParseID(%q) succeeded, want an error", text)
 		}
 	}
 }
--- a/poison/table.go
+++ b/poison/table.go
@@ -13,7 +13,7 @@
 const (
 	// MostSuspects is the maximum number of suspects, each of about 0.3 KB.
 	MostSuspects = 2048
-	// MostStrikes is the maximum number of strikes of a suspect, more than confirm it.
+	// MostStrikes is the maximum number of strikes kept of a suspect, more than sufficientStrikes.
 	MostStrikes = 12
 	// sameCrashWindow is the time within which two reports of a crash of an endpoint mean the same
 	// one. An endpoint takes some seconds to restart.
@@ -21,7 +21,7 @@
 	// suspectTTL is how long a suspect is kept after its latest event. It exceeds the pause of
 	// callers that retry by hand or in a periodic job.
 	suspectTTL = 10 * time.Minute
-	// clearedTTL is the same for a cleared suspect. Other instances report it for less time.
+	// clearedTTL is how long a cleared suspect is kept. Other instances report it for less time.
 	clearedTTL = time.Minute
 	// seenInterval is the least time between reports that a confirmed request was received again.
 	seenInterval = time.Minute
@@ -34,7 +34,7 @@
 	mu             sync.RWMutex
 	suspects       map[ID]*Entry
 	outlines       map[Outline]int           // number of suspects by outline
-	slowed         map[ServiceTeam]time.Time // until when
+	slowed         map[ServiceTeam]time.Time // end of slowing, by team
 	teamsCheckedAt time.Time                 // when checkTeams last ran
 	digest         uint64
 	digestValid    bool // digest is up to date
@@ -209,7 +209,7 @@
 	return e.Last().Add(suspectTTL)
 }
 
-// The caller holds t.mu.
+// put adds or replaces a suspect. The caller holds t.mu.
 func (t *Table) put(e *Entry) {
 	if t.suspects[e.ID] == nil {
 		t.outlines[e.Outline]++
@@ -219,7 +219,7 @@
 	t.digestValid = false
 }
 
-// The caller holds t.mu.
+// drop removes a suspect. The caller holds t.mu.
 func (t *Table) drop(id ID) {
 	e := t.suspects[id]
 	delete(t.suspects, id)
@@ -274,8 +274,8 @@
 	return changed
 }
 
-// add reports whether it added a strike. At MostStrikes it replaces the oldest void strike if that
-// is older.
+// add adds a strike and reports whether it did. At MostStrikes it replaces the oldest void strike,
+// if that is older.
 func (e *Entry) add(s Strike) bool {
 	if len(e.Strikes) < MostStrikes {
 		e.Strikes = append(e.Strikes, s)
@@ -323,7 +323,7 @@
 	return ids
 }
 
-// current returns the entries of distinct suspects. The caller holds t.mu.
+// current returns the entries of the distinct suspects in ids. The caller holds t.mu.
 func (t *Table) current(ids []ID) (out []Entry) {
 	seen := make(map[ID]bool, len(ids))
 	for _, id := range ids {
--- a/poison/teams.go
+++ b/poison/teams.go
@@ -31,8 +31,8 @@
 	// spreadMargin is a safety factor for Strike.TeamSpread: some of the endpoints counted are
 	// down, and their load is at the others.
 	spreadMargin = 1.2
-	// teamCheckInterval limits checks of all teams. When a rack is lost, updates arrive in dozens
-	// of messages.
+	// teamCheckInterval is the least time between checks of all teams. Without it, each of the
+	// dozens of messages that report the loss of a rack would cause a check.
 	teamCheckInterval = 100 * time.Millisecond
 )
 
@@ -105,8 +105,8 @@
 	m[key][i] = v
 }
 
-// teamChance returns an upper bound of the probability of being present by chance at that many of
-// the crashes, given the probability of presence at each.
+// teamChance returns an upper bound of the probability that a team is present by chance at
+// len(spreads) of the crashes, given in spreads the probability of its presence at each.
 func teamChance(spreads map[int]float64, crashes int) float64 {
 	all, _ := math.Lgamma(float64(crashes + 1))
 	in, _ := math.Lgamma(float64(len(spreads) + 1))
