--- a/fair/fair.go
+++ b/fair/fair.go
@@ -77,7 +77,7 @@
 	Chance     float64 // random, from 0 to 1
 }
 
-// Above reports whether a team's use at a level is above the fair rate.
+// Above reports whether a team's use at level and more urgent ones is above the fair rate.
 func (s *Shares) Above(now time.Time, team uint32, level int) bool {
 	p := &s.pools[level]
 	if p.rate == 0 || now.Sub(p.adjustedAt) > staleAfter {
@@ -129,7 +129,7 @@
 	return true
 }
 
-// urgentUse returns a team's use at more urgent levels, each limited to the fair rate.
+// urgentUse returns a team's use at levels more urgent than level, each limited to the fair rate.
 func (s *Shares) urgentUse(now time.Time, level int, team uint32) float64 {
 	sum := 0.0
 	for u := range level {
@@ -143,7 +143,7 @@
 	return sum
 }
 
-// use returns a team's use at a level, as counted here and reported by other instances.
+// use returns a team's use at level, as counted here and reported by other instances.
 func (s *Shares) use(now time.Time, level int, team uint32) float64 {
 	p := &s.pools[level]
 	use := s.peers.rate(now, level, team)
@@ -153,7 +153,7 @@
 	return use
 }
 
-// soleUser reports whether a team has nearly all use at a level and more urgent ones.
+// soleUser reports whether a team has nearly all use at level and more urgent ones.
 func (s *Shares) soleUser(now time.Time, level int, team uint32) bool {
 	sum := 0.0
 	for l := range level + 1 {
@@ -162,7 +162,7 @@
 	return sum > soleUserFraction*s.total(now, level)
 }
 
-// total returns the use of all teams at a level and more urgent ones.
+// total returns the use of all teams at level and more urgent ones.
 func (s *Shares) total(now time.Time, level int) float64 {
 	sum := 0.0
 	for l := range level + 1 {
@@ -203,7 +203,7 @@
 	}
 }
 
-// collectUses fills s.uses with the use of each tracked team at a level and more urgent ones, and
+// collectUses fills s.uses with the use of each tracked team at level and more urgent ones, and
 // returns the largest.
 func (s *Shares) collectUses(now time.Time, level int) (largest float64) {
 	p := &s.pools[level]
@@ -223,7 +223,7 @@
 	return largest
 }
 
-// minRate returns the lowest permitted fair rate of a level: an equal share of the total use, or the
+// minRate returns the lowest permitted fair rate of level: an equal share of the total use, or the
 // rate that leaves minGrantedFraction of the recently granted work. It requires collectUses.
 func (s *Shares) minRate(now time.Time, level int) float64 {
 	total := s.total(now, level)
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -10,8 +10,8 @@
 	"ivyridge/fair"
 )
 
-// A request is refused only if its team is above the fair rate, never while there is spare capacity,
-// for a sole team, or if it is Unlimited.
+// A request is refused only if its team is above the fair rate, there are other teams, there is no
+// spare capacity, and the request is not Unlimited.
 func TestOnlyUseAboveTheFairRateIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -31,7 +31,7 @@
 			}
 			over, refused := s.Offer(now, r)
 			if refused && (spare || teams == 1 || r.Unlimited || over <= 1) {
-				t.Fatalf("refused at %.2f times the fair rate: %+v", over, r)
+				t.Fatalf("request refused at %.2f times the fair rate, want it served: %+v", over, r)
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "pause")) * time.Millisecond)
 		}
@@ -148,7 +148,7 @@
 			baseline, got := r.run(1), r.run(r.factor)
 			t.Logf("served %.3f without and %.3f with the surge", baseline, got)
 			if got < 0.95*baseline {
-				t.Errorf("served %.3f, want 0.95 of %.3f", got, baseline)
+				t.Errorf("other teams are served %.3f of their requests, want at least 0.95 of %.3f", got, baseline)
 			}
 		})
 	}
@@ -190,7 +190,7 @@
 			t.Errorf("%d teams tracked, want at most 64", len(l.Teams))
 		}
 		if l.Limited > 0 {
-			t.Errorf("%d of 23,000 equal teams are limited", l.Limited)
+			t.Errorf("%d of 23,000 equal teams are limited, want none", l.Limited)
 		}
 	}
 }
@@ -234,7 +234,7 @@
 	}
 	offer(50, 3)
 	if !s.Above(now, 1, 0) || s.Above(now, 2, 0) || s.Above(now, 3, 0) {
-		t.Errorf("above the fair rate: %v at use 10, %v at use 1, %v at use 0", s.Above(now, 1, 0), s.Above(now, 2, 0), s.Above(now, 3, 0))
+		t.Errorf("above the fair rate: %v at use 10, %v at use 1, %v at use 0, want only the first", s.Above(now, 1, 0), s.Above(now, 2, 0), s.Above(now, 3, 0))
 	}
 	if now = now.Add(time.Minute); s.Above(now, 1, 0) {
 		t.Error("a fair rate is valid after a minute without requests")
--- a/fair/peers.go
+++ b/fair/peers.go
@@ -73,7 +73,7 @@
 	return uses
 }
 
-// Merge replaces the report of another instance. It keeps the slice.
+// Merge replaces the report of another instance by uses, which it keeps.
 func (s *Shares) Merge(now time.Time, instance uint64, uses []Usage) {
 	p := &s.peers
 	if p.reports == nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// rate returns a team's use at a level, as reported by other instances.
+// rate returns a team's use at level, as reported by other instances.
 func (p *peers) rate(now time.Time, level int, team uint32) float64 {
 	p.refresh(now)
 	return p.rates[level][team]
--- a/fair/sketch.go
+++ b/fair/sketch.go
@@ -37,7 +37,7 @@
 	granted   float64
 
 	unitAt time.Time // time of unit
-	unit   float64   // what a count of one adds at unitAt
+	unit   float64   // what one unit of work, or one request, adds at unitAt
 }
 
 // scale returns the unit at now. It is cached, as a request needs it several times.
