--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -225,7 +225,7 @@
 	return nil
 }
 
-// Service returns the service with a name, or nil.
+// Service returns the service called name, or nil if there is none.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
 // NeedsKey reports whether requests on r must carry a team's API key.
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -24,11 +24,11 @@
 		"/": "/", "/a": "/", "/a/": "/a/", "/a/bc": "/a/", "/a/b/": "/a/b/", "/a/b/c/d": "/a/b/", "/x": "/",
 	} {
 		if r := c.Route("H:8080", path); r == nil || r.Name != want {
-			t.Errorf("%s goes to %v, want %s", path, r, want)
+			t.Errorf("path %s goes to route %v, want %s", path, r, want)
 		}
 	}
 	if r := c.Route("unknown", "/a/"); r != nil {
-		t.Errorf("an undeclared host is routed to %s", r.Name)
+		t.Errorf("an undeclared host goes to route %s, want none", r.Name)
 	}
 }
 
@@ -44,7 +44,7 @@
 		"is not declared": unknown, "is negative": negative,
 	} {
 		if _, err := catalog.Compile(document(r)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want %q", err, want)
+			t.Errorf("Compile returned error %v, want one that contains %q", err, want)
 		}
 	}
 }
@@ -57,11 +57,11 @@
 		count[r.Target(hash)]++
 	}
 	if count["a"] != 900 || count["b"] != 100 {
-		t.Errorf("weights of 90 and 10 give shares of %v", count)
+		t.Errorf("weights of 90 and 10 divide 1000 hashes as %v, want 900 and 100", count)
 	}
 	r.Targets[0].Weight, r.Targets[1].Weight = 0, 0
 	if got := r.Target(7); got != "a" {
-		t.Errorf("with zero weights the target is %s, want the first", got)
+		t.Errorf("with zero weights the target is %s, want the first, a", got)
 	}
 }
 
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	if !withTeams.NeedsKey(withTeams.Route("h", "/a/")) || withTeams.NeedsKey(withTeams.Route("h", "/open/")) {
-		t.Error("keys are required on the wrong routes")
+		t.Error("want a key required on /a/, and not on /open/, which is anonymous")
 	}
 }
 
@@ -93,10 +93,10 @@
 	preferred, other := &catalog.Team{Priority: &first}, &catalog.Team{Priority: &second}
 	urgent, background := &catalog.Route{Priority: 0}, &catalog.Route{Priority: 2}
 	if u, l := catalog.Rank(urgent, other), catalog.Rank(background, preferred); u >= l {
-		t.Errorf("the urgent route has rank %d, a less urgent one of a preferred team %d", u, l)
+		t.Errorf("the urgent route has rank %d, a less urgent one of a preferred team %d, want a higher rank for the latter", u, l)
 	}
 	if f, o := catalog.Rank(urgent, preferred), catalog.Rank(urgent, other); f >= o {
-		t.Errorf("a preferred team has rank %d, another %d on the same route", f, o)
+		t.Errorf("a preferred team has rank %d, another %d on the same route, want a higher rank for the latter", f, o)
 	}
 	if got := catalog.Rank(&catalog.Route{Priority: 40}, nil); got != 9 {
 		t.Errorf("a route of priority 40 has rank %d, want 9", got)
--- a/catalog/residency_test.go
+++ b/catalog/residency_test.go
@@ -29,12 +29,12 @@
 		}
 		for _, region := range c.allowed {
 			if !residency.Allows(region) {
-				t.Errorf("%s: %q is not allowed", c.name, region)
+				t.Errorf("%s: region %q is denied, want it allowed", c.name, region)
 			}
 		}
 		for _, region := range c.denied {
 			if residency.Allows(region) {
-				t.Errorf("%s: %q is allowed", c.name, region)
+				t.Errorf("%s: region %q is allowed, want it denied", c.name, region)
 			}
 		}
 	}
