--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -30,8 +30,8 @@
 	// reserveRatio is the fraction of a deposit that raises the capacity rather than the balance.
 	reserveRatio = 0.3
 
-	slots        = 5
-	slotDuration = recentWindow / slots
+	depositSlots = 5
+	slotDuration = recentWindow / depositSlots
 )
 
 // A RetryBudget is a token bucket filled by the requests that its holder serves. It starts empty.
@@ -39,9 +39,9 @@
 // requests with each failed endpoint. It is not safe for concurrent use.
 type RetryBudget struct {
 	tokens   float64
-	start    time.Time      // of the first slot
-	recent   [slots]float64 // deposits by slot
-	lastSlot int64          // newest slot used
+	start    time.Time             // of the first slot
+	recent   [depositSlots]float64 // deposits by slot
+	lastSlot int64                 // newest slot used
 }
 
 // Deposit deposits n tokens for one request. It does nothing unless n and base are positive.
@@ -50,7 +50,7 @@
 		return
 	}
 	b.expire(now)
-	b.recent[b.lastSlot%slots] += n
+	b.recent[b.lastSlot%depositSlots] += n
 	b.tokens = min(b.capacity(base, now), b.tokens+(1-reserveRatio)*n)
 }
 
@@ -59,8 +59,8 @@
 		b.start = now
 	}
 	current := int64(now.Sub(b.start) / slotDuration) // monotonic clock
-	for i := max(b.lastSlot+1, current-slots+1); i <= current; i++ {
-		b.recent[i%slots] = 0
+	for i := max(b.lastSlot+1, current-depositSlots+1); i <= current; i++ {
+		b.recent[i%depositSlots] = 0
 	}
 	b.lastSlot = max(b.lastSlot, current)
 }
--- a/quota/partition_test.go
+++ b/quota/partition_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Losing one data centre of three or six leaves the share whole. The last instance keeps a part, and
-// gets the whole after a while if no data centres are configured.
+// Losing one data centre or one instance of six leaves the share whole. The last instance keeps a
+// part, and gets the whole after a while if no data centres are configured.
 func TestInstanceLossKeepsShare(t *testing.T) {
 	for _, v := range []quota.PartitionView{
 		{Heard: 83, MaxPeerHeard: 83, DataCentres: 5, ConfiguredDataCentres: 6},
@@ -46,7 +46,7 @@
 		var c quota.PartitionClaim
 		stabilize(&c, quota.PartitionView{Heard: 6 * v.Heard / 5, MaxPeerHeard: 6 * v.Heard / 5, DataCentres: v.ConfiguredDataCentres, ConfiguredDataCentres: v.ConfiguredDataCentres}, start)
 		if share := c.Share(v, start.Add(3*time.Second)); share != 1 {
-			t.Errorf("%+v: share %.2f, want 1", v, share)
+			t.Errorf("share after the loss of instances, with %+v: %.2f, want 1", v, share)
 		}
 	}
 	var c quota.PartitionClaim
@@ -103,6 +103,6 @@
 		sum += stabilize(&c, quota.PartitionView{Heard: 40, MaxPeerHeard: 60, DataCentres: 2, ConfiguredDataCentres: 3}, start)
 	}
 	if sum > 1.4+1e-9 {
-		t.Errorf("total share %.2f of two that hear the same others, want at most 1.4", sum)
+		t.Errorf("total share %.2f of two instances that hear the same others but not each other, want at most 1.4", sum)
 	}
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -70,7 +70,7 @@
 				}
 			}
 			if float64(retries) > deposit*float64(max(now, before))+2*base {
-				t.Fatalf("%v: %d retries since step %d, %d requests, and %d before", path, retries, i, now, before)
+				t.Fatalf("%v: %d retries since step %d, with %d requests since then and %d in the 10 s before, want at most 3 times the larger number plus 0.6", path, retries, i, now, before)
 			}
 		}
 	}
@@ -119,10 +119,10 @@
 		pooled := limit.PooledCapacity(1, dataCentres, instances)
 		total := separateCapacity*float64(separate) + instanceCapacity*float64(instances-separate) + pooled*quota.MaxTotalShare(dataCentres)
 		if total > limit.Extra+1e-9 {
-			t.Fatalf("%v: capacity of all buckets is %.2f", limit, total)
+			t.Fatalf("%v: capacity of all buckets is %.2f, want at most Extra", limit, total)
 		}
 		if pooledDeposit, fullDeposit := limit.PooledDeposit(quota.DepositRemainder), limit.PooledDeposit(quota.DepositFull); instanceDeposit+pooledDeposit > limit.Ratio || fullDeposit > limit.Ratio {
-			t.Fatalf("%v: a request deposits %.3f or %.3f", limit, instanceDeposit+pooledDeposit, fullDeposit)
+			t.Fatalf("%v: a request deposits %.3f in two buckets (DepositRemainder) or %.3f in one (DepositFull), want at most Ratio each", limit, instanceDeposit+pooledDeposit, fullDeposit)
 		}
 	})
 }
--- a/quota/retries.go
+++ b/quota/retries.go
@@ -62,9 +62,9 @@
 	return 0
 }
 
-// PooledCapacity returns the base capacity of the bucket of a scheduler with a share of the limit,
-// where dataCentres divide the limit and the scheduler hears that many instances. It leaves out what
-// the instances' own buckets hold, which is less if there are too many instances for these.
+// PooledCapacity returns the base capacity of the bucket of a scheduler with share of the limit. It
+// is given the numbers of data centres that divide the limit and of instances that the scheduler
+// hears. It leaves out what the instances' own buckets hold, which is less if these are too many.
 func (r RetryLimit) PooledCapacity(share float64, dataCentres, instances int) float64 {
 	reserved := instanceExtra
 	if _, capacity := r.InstanceBudget(instances / maxPartitions); capacity <= 0 && instances >= maxPartitions {
