--- a/length/length.go
+++ b/length/length.go
@@ -139,11 +139,11 @@
 	}
 }
 
-// Class returns the distribution of a whole class, or nil without observations.
+// Class returns the distribution of all teams in class, or nil without observations.
 func (ds *Distributions) Class(class string) *Dist { return ds.classes[class] }
 
-// Dist returns the distribution to use for a request of a class and team, or nil if nothing was
-// observed for its class.
+// Dist returns the distribution to use for a request of class and team, or nil if nothing was
+// observed for class.
 func (ds *Distributions) Dist(class, team string) *Dist {
 	if teamDist := ds.teams[teamKey{class, team}]; teamDist != nil && teamDist.seen >= minTeamSamples {
 		return teamDist
--- a/length/length_test.go
+++ b/length/length_test.go
@@ -16,10 +16,10 @@
 	}
 	for q, want := range map[float64]float64{0.5: 100, 0.9: 190, 0.99: 320} {
 		if got := d.Quantile(q); math.Abs(got-want) > 0.15*want {
-			t.Errorf("Quantile(%g) = %.0f, want about %.0f", q, got, want)
+			t.Errorf("Quantile(%g) = %.0f, want %.0f with an error of at most 0.15 of it", q, got, want)
 		}
 		if fraction := d.Within(d.Quantile(q)); math.Abs(fraction-q) > 0.01 {
-			t.Errorf("Within(quantile) = %.3f, want about %g", fraction, q)
+			t.Errorf("Within(Quantile(q)) = %.3f, want q = %g with an error of at most 0.01", fraction, q)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 		ds.Observe("letter", "short", 10)
 	}
 	if got := ds.Dist("letter", "short").Quantile(0.9); got > 20 {
-		t.Errorf("quantile %.0f of the team with short responses, want at most 20", got)
+		t.Errorf("Quantile(0.9) = %.0f for the team with responses of 10 tokens, want at most 20", got)
 	}
 	if ds.Dist("letter", "unknown") != ds.Class("letter") || ds.Dist("chat", "short") != nil {
 		t.Error("Dist does not return the distribution of the class, or nil without one")
