--- a/engine/engine.go
+++ b/engine/engine.go
@@ -207,7 +207,7 @@
 
 func newCache(capacity int) cache { return cache{capacity: capacity, sizes: make(map[uint64]int)} }
 
-// hit returns the number of cached leading prompt tokens, and marks the prefix as used.
+// hit returns how many of the first n prompt tokens are cached as prefix, and marks it as used.
 func (c *cache) hit(prefix uint64, n int) int {
 	if prefix == 0 || c.sizes[prefix] == 0 {
 		return 0
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -44,7 +44,7 @@
 	e.Add(low)
 	e.Add(high)
 	if _, finished := run(e); finished[0] != high {
-		t.Error("the sequence of lower priority finished first")
+		t.Error("the sequence of priority 2 finished first, want that of priority 0")
 	}
 }
 
