--- a/memory/memory.go
+++ b/memory/memory.go
@@ -85,8 +85,8 @@
 	return (1 - maxBuffered) * float64(a.limit), float64(a.used - a.held[Buffered])
 }
 
-// fits reports whether n more bytes of kind k keep the memory for that kind within threshold. The
-// caller holds a.mu.
+// fits reports whether n more bytes of kind k keep the shared memory within threshold, or Buffered
+// memory within maxBuffered. The caller holds a.mu.
 func (a *Account) fits(k Kind, n int64, threshold float64) bool {
 	if a.limit <= 0 {
 		return true
@@ -98,7 +98,7 @@
 	return used+float64(n) <= threshold*limit
 }
 
-// acquire counts n bytes if they fit. The caller holds a.mu.
+// acquire counts n bytes of kind k if they fit, and reports whether they do. The caller holds a.mu.
 func (a *Account) acquire(k Kind, team uint64, n int64, threshold float64) bool {
 	if !a.fits(k, n, threshold) {
 		return false
@@ -112,7 +112,7 @@
 	return true
 }
 
-// The caller holds a.mu.
+// release subtracts n bytes of kind k. The caller holds a.mu.
 func (a *Account) release(k Kind, team uint64, n int64) {
 	a.used -= n
 	a.held[k] -= n
--- a/memory/memory_test.go
+++ b/memory/memory_test.go
@@ -49,7 +49,7 @@
 			}
 		}
 		if _, got := a.Admit(c.team, c.priority, mb/10); got != c.want {
-			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: Admit returned cause %q, want %q", c.name, got, c.want)
 		}
 	}
 }
@@ -90,18 +90,18 @@
 				}
 				held[r] = sums
 			}
-			check(t, a, held)
+			checkStats(t, a, held)
 		}
 		for _, r := range open {
 			r.Close()
 		}
 		if s := a.Stats(); s.Used != 0 || s.Teams != 0 {
-			t.Fatalf("memory in use after closing all reservations: %+v", s)
+			t.Fatalf("after closing all reservations: %+v, want no memory in use and no teams", s)
 		}
 	})
 }
 
-func check(t *rapid.T, a *memory.Account, held map[*memory.Reservation][6]int64) {
+func checkStats(t *rapid.T, a *memory.Account, held map[*memory.Reservation][6]int64) {
 	s := a.Stats()
 	var want, kinds int64
 	for _, sums := range held {
@@ -113,7 +113,7 @@
 		kinds += n
 	}
 	if s.Used != want || kinds != want || s.Used > s.Limit {
-		t.Fatalf("used %d, by kinds %d, want %d within %d", s.Used, kinds, want, s.Limit)
+		t.Fatalf("%d bytes used, %d by kind, want %d for both, within the limit of %d", s.Used, kinds, want, s.Limit)
 	}
 }
 
@@ -136,6 +136,6 @@
 	}
 	wg.Wait()
 	if s := a.Stats(); s.Peak > s.Limit || s.Used != 0 || s.Teams != 0 {
-		t.Errorf("limit exceeded or memory in use at the end: %+v", s)
+		t.Errorf("at the end: %+v, want the peak within the limit, no memory in use and no teams", s)
 	}
 }
