--- a/platformclient/platformclient.go
+++ b/platformclient/platformclient.go
@@ -76,5 +76,5 @@
 		}
 		return p, nil
 	}
-	return nil, errors.Errorf("publish: %s answered with status %d", k, resp.Status)
+	return nil, errors.Errorf("publish: request for %s answered with status %d", k, resp.Status)
 }
--- a/platformclient/platformclient_test.go
+++ b/platformclient/platformclient_test.go
@@ -27,6 +27,6 @@
 	defer server.Close()
 	got, err := NewClient(strings.TrimPrefix(server.URL, "http://")).Watch(context.Background(), Config, 1, 0)
 	if err != nil || got.Revision != 2 || got.Value != value {
-		t.Fatalf("got %v, %v", got, err)
+		t.Fatalf("Watch returned %v, error %v, want revision 2 with the whole value", got, err)
 	}
 }
