--- a/balance/admit.go
+++ b/balance/admit.go
@@ -63,7 +63,7 @@
 type Refusal struct {
 	Cause      Cause
 	Wait       time.Duration       // estimated wait at the best endpoint, or until one is available
-	Pressure   float64             // on the level that it yields to, or on its own level
+	Pressure   float64             // on the level that it yields to, or its own; for TeamOverShare: multiple of the fair rate
 	RetryAfter time.Duration       // relative to now
 	Scheduler  string              // instance that refused it; empty: this one
 	Limited    *discovery.Endpoint // endpoint to request a permit for; nil: none
@@ -76,7 +76,7 @@
 	at    time.Time
 }
 
-func (p *pressure) of(now time.Time) float64 {
+func (p *pressure) valueAt(now time.Time) float64 {
 	return p.value * math.Exp(-float64(now.Sub(p.at))/float64(pressureWindow))
 }
 
@@ -153,7 +153,7 @@
 // hasObjective reports whether the request is for an engine and has a latency objective.
 func (d *Demand) hasObjective() bool { return d.Service.Engine != nil && d.Objective > 0 }
 
-// admitInTime returns an endpoint that starts the request in time, preferably first, or a refusal.
+// admitInTime returns a placement that starts the request in time, preferably first, or a refusal.
 // The caller holds b.mu.
 func (b *Balancer) admitInTime(endpoints []*discovery.Endpoint, d *Demand, first *Placement, now time.Time, by requester) (*Placement, *Refusal) {
 	best := b.chooseInTime(endpoints, first, d, now, by)
@@ -202,8 +202,8 @@
 // yieldRefusal returns a refusal if requests of level must yield to more urgent ones, or nil.
 func (s *serviceStats) yieldRefusal(level int, now time.Time) *Refusal {
 	for moreUrgent := range level {
-		pressure := s.pressures[moreUrgent][level].of(now)
-		if pressure > yieldThreshold || s.refusalRates[moreUrgent][level].of(now) > yieldRefusalRate {
+		pressure := s.pressures[moreUrgent][level].valueAt(now)
+		if pressure > yieldThreshold || s.refusalRates[moreUrgent][level].valueAt(now) > yieldRefusalRate {
 			return &Refusal{Pressure: pressure}
 		}
 	}
--- a/balance/backoff_test.go
+++ b/balance/backoff_test.go
@@ -28,7 +28,7 @@
 	f.requestBackoff(b, 0, 3*time.Second)
 	for end := f.now.Add(3 * time.Second); f.now.Before(end); f.now = f.now.Add(50 * time.Millisecond) {
 		if p := b.Place(f.endpoints, f.stream()); p.Endpoint != f.endpoints[1] {
-			t.Fatalf("%s before the end of the back-off, a request is placed at the endpoint", end.Sub(f.now))
+			t.Fatalf("%s before the end of its back-off, an endpoint is chosen", end.Sub(f.now))
 		} else {
 			p.Done(balance.Served)
 		}
@@ -212,13 +212,13 @@
 		t.Errorf("granted %+v to the instance in back-off, want neither endpoint nor refusal", c)
 	}
 	if c := scheduler.Grant(8, f.endpoints, f.stream()); c.Endpoint == 0 {
-		t.Error("not granted to another instance")
+		t.Error("endpoint is not granted to an instance that it did not ask to back off")
 	} else if p, _ := instance.Adopt(c, f.endpoints, f.stream()); p != nil {
-		t.Error("grant adopted by the instance in back-off")
+		t.Error("instance that was asked to back off adopts a grant of the endpoint")
 	}
 	f.now = f.now.Add(3*time.Second + maxJitter)
 	if c := scheduler.Grant(7, f.endpoints, f.stream()); c.Endpoint == 0 {
-		t.Error("not granted after the back-off")
+		t.Error("endpoint is not granted after its back-off to the instance that it asked")
 	}
 }
 
@@ -246,7 +246,7 @@
 	old := b.Place(f.restarted(1000), f.stream())
 	next := f.restarted(2000)
 	if b.Place(next, f.stream()) == nil {
-		t.Fatal("restarted process is ineligible")
+		t.Fatal("restarted process is ineligible before any request to back off")
 	}
 	old.RecordBackoff(time.Second) // the response may come from either process
 	if b.Place(next, f.stream()) != nil {
@@ -274,15 +274,15 @@
 	sums, _ := receiver.AggregateReports(func(uint64) bool { return false }, true, 0)
 	for _, s := range sums {
 		if s.Draining {
-			t.Error("drain reported by an excluded instance is included in the sum")
+			t.Error("drain reported by an excluded instance is included in the aggregate")
 		}
 	}
 	f.now = f.now.Add(20 * time.Second)
 	if reporter.Place(f.endpoints[:1], f.stream()) != nil {
-		t.Error("drain announced by the endpoint is forgotten")
+		t.Error("draining endpoint is chosen 20 s after it announced the drain")
 	}
 	if receiver.Place(f.endpoints[:1], f.stream()) == nil {
-		t.Error("drain reported by another instance does not expire")
+		t.Error("endpoint is still ineligible 20 s after another instance last reported its drain")
 	}
 }
 
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -63,7 +63,7 @@
 		t.Fatalf("adopted %+v, want a cold endpoint", p)
 	}
 	if again := scheduler.Grant(7, f.endpoints, d); again.Endpoint != 0 {
-		t.Fatal("granted a second request immediately")
+		t.Fatal("scheduler grants two requests at once to a cold endpoint, want one")
 	}
 }
 
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -109,7 +109,7 @@
 func (b *Balancer) plainCost(e *discovery.Endpoint, l *load, params *choiceParams, now time.Time) float64 {
 	running := float64(l.running + l.others.Requests)
 	observed := l.observed
-	slow := l.slowness.of(now)
+	slow := l.slowness.valueAt(now)
 	utilization := slow * (running + 1) / float64(max(1, e.Slots))
 	cost := plainCost*lateness(utilization) + failureCost*observed.excess(params.failureRate)
 	cost += rotationCost * observed.Completed * slow
--- a/balance/fair.go
+++ b/balance/fair.go
@@ -142,9 +142,9 @@
 
 // congestion returns the service's congestion for requests of level; fair shares apply from 1.
 func (s *serviceStats) congestion(level int, now time.Time) float64 {
-	c := s.pressures[level][level].of(now) / shareThreshold
+	c := s.pressures[level][level].valueAt(now) / shareThreshold
 	for urgent := range level {
-		c = max(c, s.pressures[urgent][level].of(now)/shareYieldThreshold)
+		c = max(c, s.pressures[urgent][level].valueAt(now)/shareYieldThreshold)
 	}
 	return c
 }
@@ -159,7 +159,7 @@
 // sample records one value with fixed weight, however sparse, so that one refusal has little
 // effect.
 func (p *pressure) sample(now time.Time, value float64) {
-	previous := p.of(now)
+	previous := p.valueAt(now)
 	p.value = previous + sampleWeight*(value-previous)
 	p.at = now
 }
@@ -211,11 +211,11 @@
 	}
 	running := float64(own) + float64(others)*hold/(hold+endReportDelay)
 	stats.occupancy.add(now, running/float64(slots))
-	occupied := stats.occupancy.of(now) - plainLevelStep*float64(levels-1-d.level())
+	occupied := stats.occupancy.valueAt(now) - plainLevelStep*float64(levels-1-d.level())
 	wait := plainWaitShare * milliseconds(d.Objective) / hold
 	c := occupied / (1 + min(max(wait, minPlainWait), maxPlainWait))
 	if occupied > 1 {
-		c = max(c, stats.plainRefusalRate.of(now)/plainRefusalThreshold)
+		c = max(c, stats.plainRefusalRate.valueAt(now)/plainRefusalThreshold)
 	}
 	return c
 }
--- a/balance/grant_test.go
+++ b/balance/grant_test.go
@@ -106,11 +106,11 @@
 	f.now = f.now.Add(4 * time.Second)
 	for range 4 {
 		if p := b.Place(f.endpoints, d); p.Endpoint.ID != "e1" {
-			t.Fatal("placed at an endpoint that another instance found gone")
+			t.Fatal("request placed at an endpoint that another instance reported as gone, want e1")
 		}
 	}
 	if p := b.Place(f.endpoints[:1], d); p != nil {
-		t.Fatal("placed at an endpoint that is gone, as a last resort")
+		t.Fatal("request placed at an endpoint that is gone, as a last resort")
 	}
 	// Repeated reports between instances don't extend the time.
 	for range 20 {
@@ -121,7 +121,7 @@
 		}
 	}
 	if p := b.Place(f.endpoints[:1], d); p == nil {
-		t.Fatal("endpoint counts as gone forever")
+		t.Fatal("endpoint is still skipped 6 s after it was found gone, in spite of goneTTL")
 	}
 }
 
@@ -153,17 +153,17 @@
 		got[scheduler.Place(f.endpoints, d).Endpoint.ID] = true
 	}
 	if !got["e0"] {
-		t.Fatal("endpoint skipped although only one instance can't reach it")
+		t.Fatal("endpoint that only one instance can't reach got none of 6 requests")
 	}
 	report(2, unreachable())
 	for range 6 {
 		if p := scheduler.Place(f.endpoints, d); p.Endpoint.ID == "e0" {
-			t.Fatal("placed at an endpoint that two instances can't reach")
+			t.Fatal("request placed at an endpoint that two instances can't reach")
 		}
 	}
 	f.now = f.now.Add(3 * time.Second)
 	if p := scheduler.Place(f.endpoints[:1], d); p == nil {
-		t.Fatal("endpoint is skipped forever")
+		t.Fatal("endpoint is still skipped 3 s after two instances could not reach it")
 	}
 	if down := first.Unreachable(); len(down) != 0 {
 		t.Fatalf("endpoints %v still count as unreachable after 3 s, want none", down)
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -35,15 +35,15 @@
 		t.Fatalf("BeginPermitRequest returned limit %+v, ok %v, want a limit of 1.2 and true", known, ok)
 	}
 	if _, _, again := b.BeginPermitRequest(refusal.Limited, urgency); again {
-		t.Error("two permit requests in flight")
+		t.Error("BeginPermitRequest allows a second request while one is in flight")
 	}
 	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
 	p, refusal = b.Admit(f.endpoints, f.stream())
 	if refusal != nil || !p.MaySend() {
-		t.Fatalf("refused with a permit: %+v", refusal)
+		t.Fatalf("request got refusal %+v while a permit is held, want none", refusal)
 	}
 	if p.MaySend() {
-		t.Error("permit is used twice")
+		t.Error("request may be sent a second time with one permit")
 	}
 	if _, refusal = b.Admit(f.endpoints, f.stream()); refusal == nil || refusal.Cause != balance.PermitWanted {
 		t.Errorf("second request got %+v, want cause PermitWanted", refusal)
@@ -104,7 +104,7 @@
 	early, _ := b.Admit(f.endpoints, f.stream())
 	f.announceLimit(b, 0, 1.2)
 	if early.MaySend() {
-		t.Error("request may be sent without a permit")
+		t.Error("request placed before the limit was announced may be sent without a permit")
 	}
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
 	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
@@ -112,11 +112,11 @@
 	p.Done(balance.Unknown) // connection failed
 	p, refusal := b.Admit(f.endpoints, f.stream())
 	if refusal != nil {
-		t.Fatalf("unused permit is lost: %+v", refusal)
+		t.Fatalf("request got refusal %+v, want the unused permit of an earlier request", refusal)
 	}
 	f.now = f.now.Add(time.Second)
 	if p.MaySend() {
-		t.Error("permit is still valid after a second")
+		t.Error("request may be sent with a permit that is a second old")
 	}
 }
 
@@ -187,7 +187,7 @@
 	restarted := listed
 	restarted.Born = 61000
 	if _, refusal := b.Admit([]*discovery.Endpoint{&restarted}, f.stream()); refusal != nil {
-		t.Errorf("request to a restarted process refused: %+v", refusal)
+		t.Errorf("request to a restarted process got refusal %+v, want none", refusal)
 	}
 }
 
@@ -255,7 +255,7 @@
 						all = all[1:]
 					}
 					if len(all) == 0 {
-						rt.Fatalf("request sent to %s without a permit", p.Endpoint.ID)
+						rt.Fatalf("request may be sent to %s without a permit granted within 500 ms", p.Endpoint.ID)
 					}
 					granted[endpoint] = all[1:]
 				}
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -26,7 +26,7 @@
 	p  *balance.Placement
 }
 
-// load places rate requests per second for a time d, each running for lasts. It returns the number
+// load places rate requests per second for duration d, each running for lasts. It returns the number
 // of requests per endpoint and the longest wait.
 func (f *fixture) load(b *balance.Balancer, rate int, d, lasts time.Duration, request func() *balance.Demand) (at map[string]int, longest time.Duration) {
 	at = make(map[string]int)
@@ -139,7 +139,7 @@
 		perEndpoint, _ = f.load(b, 200, time.Second, 20*time.Millisecond, f.lookup)
 		for _, e := range f.endpoints {
 			if e.Draining && perEndpoint[e.ID] > 0 {
-				t.Fatalf("draining endpoint %s is used", e.ID)
+				t.Fatalf("requests are placed at draining endpoint %s", e.ID)
 			}
 		}
 		if set := b.WorkingSets()[0]; set.Used > 450 || set.Used < 200 {
@@ -177,7 +177,7 @@
 		}
 	}
 	if p := b.Place(f.endpoints, d); p == nil || p.Endpoint != f.endpoints[1234] {
-		t.Errorf("the only eligible endpoint of %d is not found", len(f.endpoints))
+		t.Errorf("request is not placed at the only eligible endpoint of %d, which is outside the working set", len(f.endpoints))
 	}
 }
 
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -103,7 +103,7 @@
 	b.markChanged(p.load)
 }
 
-// failingExcess is the excess over the service's failure rate above which an endpoint is failing.
+// failingExcess is the failure rate above the service's from which an endpoint counts as failing.
 const failingExcess = 0.12
 
 // Suspect reports whether the endpoint fails significantly more often than its service.
--- a/balance/popular.go
+++ b/balance/popular.go
@@ -31,7 +31,7 @@
 	accruedCrossCost float64   // accumulated cost of using the part in other regions, as of at
 }
 
-func (u useCount) of(now time.Time) float64 {
+func (u useCount) valueAt(now time.Time) float64 {
 	return u.value * math.Exp(-float64(now.Sub(u.at))/float64(usesWindow))
 }
 
@@ -46,7 +46,7 @@
 
 func (u useCount) rate(now time.Time) float64 {
 	window := usesWindow.Seconds() * (1 - math.Exp(-float64(now.Sub(u.since))/float64(usesWindow)))
-	return u.of(now) / max(window, minUsesWindow.Seconds())
+	return u.valueAt(now) / max(window, minUsesWindow.Seconds())
 }
 
 // uses counts uses of first parts of prompts, by ID. Later parts belong to one session.
@@ -62,7 +62,7 @@
 	if !known {
 		previous.since = now
 	}
-	u[id] = useCount{value: previous.of(now) + 1, at: now, since: previous.since, accruedCrossCost: previous.accruedCrossCostAt(now)}
+	u[id] = useCount{value: previous.valueAt(now) + 1, at: now, since: previous.since, accruedCrossCost: previous.accruedCrossCostAt(now)}
 }
 
 // costShare returns the share of the prefill cost of the first part that is charged to one
@@ -106,7 +106,7 @@
 
 func (u uses) forget(now time.Time) {
 	for id, count := range u {
-		if count.of(now) < minUses {
+		if count.valueAt(now) < minUses {
 			delete(u, id)
 		}
 	}
--- a/balance/residency_test.go
+++ b/balance/residency_test.go
@@ -109,10 +109,10 @@
 				continue
 			}
 			if chosen != "" && !p.allows(allowed, chosen) {
-				t.Fatalf("chose %s in region %q, allowed %q", chosen, p.regions[chosen[:3]], allowed)
+				t.Fatalf("chose endpoint %s in region %q, want one in the allowed regions %q", chosen, p.regions[chosen[:3]], allowed)
 			}
 			if donor != "" && !p.allows(allowed, donor) {
-				t.Fatalf("fetches from %s in region %q, allowed %q", donor, p.regions[donor[:3]], allowed)
+				t.Fatalf("fetches parts from %s in region %q, want a donor in the allowed regions %q", donor, p.regions[donor[:3]], allowed)
 			}
 			if len(running) > 0 && rapid.Bool().Draw(t, "one ends") {
 				if rapid.Bool().Draw(t, "unreachable") {
@@ -146,7 +146,7 @@
 		}
 		for i, n := range disclosed {
 			if len(n.Parts) > 0 && !notices[i].Residency.Allows(region) {
-				t.Fatalf("region %q is sent parts %v, allowed %v", region, n.Parts, notices[i].Residency.Regions())
+				t.Fatalf("region %q is sent parts %v, want them sent only to the allowed regions %v", region, n.Parts, notices[i].Residency.Regions())
 			}
 			if n.Endpoint != notices[i].Endpoint || n.Uncached != notices[i].Uncached {
 				t.Fatalf("RedactParts returned notice %+v, want endpoint and load of %+v", n, notices[i])
--- a/balance/restart_test.go
+++ b/balance/restart_test.go
@@ -28,7 +28,7 @@
 	running.RecordStart()
 	f.now = f.now.Add(time.Second)
 	if p := b.Place(previous, f.long(55)); p.Cached == 0 {
-		t.Fatal("no part is cached after a prompt")
+		t.Fatal("no part of a repeated prompt is presumed cached")
 	}
 	next := f.restarted(2000)
 	before := b.Place(next, f.long(55))
@@ -47,7 +47,7 @@
 		t.Errorf("unreachable: %v, want only the previous process", got)
 	}
 	if p := b.Place(next, f.long(55)); p == nil || p.Endpoint.Born != 2000 {
-		t.Errorf("restarted process is not used: %+v", p)
+		t.Errorf("placed %+v, want a placement at the restarted process", p)
 	}
 
 	// Reports about the previous process are ignored.
@@ -57,13 +57,13 @@
 		[]balance.Report{{Endpoint: balance.EndpointHash(previous[0].Incarnation()), Gone: time.Second, Running: balance.Running{Requests: 64}}}, true)
 	f.now = f.now.Add(10 * time.Second)
 	if p := other.Place(next, &balance.Demand{Service: f.engines, Objective: time.Second, Prompt: 100, Output: 10}); p == nil || p.Backlog > 0 {
-		t.Errorf("reports about the previous process apply to the restarted one: %+v", p)
+		t.Errorf("placed %+v, want no backlog, since reports were about the previous process", p)
 	}
 
 	// A choice made by an instance that only knows the previous process is not adopted.
 	choice := b.Grant(7, previous, f.long(9))
 	if p, _ := other.Adopt(choice, next, f.long(9)); p != nil {
-		t.Errorf("choice of the previous process adopted for the restarted one: %+v", p)
+		t.Errorf("adopted %+v, want none, since the previous process was chosen", p)
 	}
 }
 
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// granted returns how many retries of a kind are granted until one is denied.
+// granted returns how many retries of the given kind are granted until one is denied.
 func (f *fixture) granted(t *testing.T, b *balance.Balancer, kind balance.Retry) int {
 	t.Helper()
 	for n := 0; ; n++ {
@@ -123,7 +123,7 @@
 		d.Retry, d.Sent, d.Avoid = balance.RetryStream, true, []uint32{balance.EndpointHash(lost.ID)}
 		p, refusal := b.Admit(f.endpoints, d)
 		if p == nil {
-			t.Fatalf("stream %d is not resumed: %+v", i, refusal)
+			t.Fatalf("stream %d got refusal %+v, want it resumed at another endpoint", i, refusal)
 		}
 		resumedAt = append(resumedAt, p.Endpoint.ID)
 	}
--- a/balance/slowness.go
+++ b/balance/slowness.go
@@ -33,8 +33,8 @@
 	at    time.Time
 }
 
-// of returns the expected duration of work at the endpoint relative to normal.
-func (s *slowness) of(now time.Time) float64 {
+// valueAt returns the expected duration of work at the endpoint relative to normal.
+func (s *slowness) valueAt(now time.Time) float64 {
 	if s.ratio == 0 {
 		return 1
 	}
--- a/balance/starvation_test.go
+++ b/balance/starvation_test.go
@@ -84,6 +84,6 @@
 	}
 	f.now = f.now.Add(1600 * time.Millisecond)
 	if p, refusal := b.Admit(f.endpoints, f.long(5)); p == nil {
-		t.Errorf("less urgent request refused 5.6 s after urgent ones were starved: %+v", refusal)
+		t.Errorf("less urgent request got refusal %+v 5.6 s after urgent ones were starved, want none", refusal)
 	}
 }
--- a/balance/suspect_test.go
+++ b/balance/suspect_test.go
@@ -48,7 +48,7 @@
 		// Granted suspects count too.
 		c := a.Grant(7, f.endpoints[3:], suspect())
 		if p := a.Place(f.endpoints[3:], suspect()); balance.EndpointHash(p.Endpoint.ID) == c.Endpoint {
-			t.Errorf("%s: suspect placed where another was just granted", service)
+			t.Errorf("%s: suspect placed at the endpoint just granted to another suspect", service)
 		}
 	}
 }
--- a/balance/urgency_test.go
+++ b/balance/urgency_test.go
@@ -24,7 +24,7 @@
 		}
 		admitted++
 	}
-	t.Fatal("a thousand concurrent long prompts admitted")
+	t.Fatal("1000 concurrent long prompts admitted, want one refused")
 	return 0
 }
 
