--- a/limit/allocator.go
+++ b/limit/allocator.go
@@ -49,7 +49,7 @@
 	requests     float64           // recent permit requests, decayed
 }
 
-// refill updates the bucket to now, at a rate in tokens per second.
+// refill updates the bucket to now. The rate is in tokens per second.
 func (b *bucket) refill(rate float64, now time.Time) {
 	if b.updatedAt.IsZero() {
 		b.updatedAt = now
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -16,7 +16,7 @@
 type State struct {
 	Limited bool      // the endpoint has a limit
 	Rate    float64   // if Limited: requests per second from all instances together
-	AsOf    time.Time // the State is not older than this; zero: unknown
+	AsOf    time.Time // approximate time when the endpoint stated this; zero: never
 }
 
 func (s *State) Known() bool { return !s.AsOf.IsZero() }
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -17,10 +17,10 @@
 func TestNewestStateWins(t *testing.T) {
 	var s limit.State
 	if s.Known() || s.Lift(start) {
-		t.Error("a zero State is known or has a limit")
+		t.Error("Known() or Lift() of a zero State is true, want false")
 	}
 	if !s.Set(1.2, start) || s.Set(1.2, start.Add(time.Second)) {
-		t.Error("Set reports a change other than for a new limit")
+		t.Error("Set must report a change for a new limit, and none for the same limit again")
 	}
 	if s.Lift(start.Add(500 * time.Millisecond)) {
 		t.Error("a response to a request sent before the limit was stated lifts it")
@@ -55,7 +55,7 @@
 		a.Merge(limit.Received(b.Limited, b.Rate, age, now))
 	}
 	if !a.Lift(start.Add(time.Second)) || !b.Merge(a) {
-		t.Errorf("States of %v and %v are not replaced by a newer one", a.AsOf, b.AsOf)
+		t.Errorf("States as of %v and %v are not replaced by one as of a second after the limit was announced", a.AsOf, b.AsOf)
 	}
 }
 
@@ -238,7 +238,7 @@
 		}
 	})
 	if limit.AllocatorOf(1, "a", nil) >= 0 {
-		t.Error("AllocatorOf returns an index without candidates")
+		t.Error("AllocatorOf without candidates returns an index, want -1")
 	}
 }
 
