--- a/poison/fleet_test.go
+++ b/poison/fleet_test.go
@@ -332,7 +332,7 @@
 				}
 			}
 			if len(updates) > 100_000 {
-				t.Fatalf("seed %d: merging does not reach a stable state", seed)
+				t.Fatalf("seed %d: tables still change after 100,000 updates were merged", seed)
 			}
 		}
 		for i := range tables[1:] {
