--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -230,13 +230,13 @@
 	}
 	offer(400, 0)
 	if s.Above(now, 1, 0) {
-		t.Error("a team is above the fair rate without congestion")
+		t.Error("Above is true for a team without congestion, want false")
 	}
 	offer(50, 3)
 	if !s.Above(now, 1, 0) || s.Above(now, 2, 0) || s.Above(now, 3, 0) {
 		t.Errorf("above the fair rate: %v at use 10, %v at use 1, %v at use 0, want only the first", s.Above(now, 1, 0), s.Above(now, 2, 0), s.Above(now, 3, 0))
 	}
 	if now = now.Add(time.Minute); s.Above(now, 1, 0) {
-		t.Error("a fair rate is valid after a minute without requests")
+		t.Error("Above is true for a team after a minute without requests, want false")
 	}
 }
