--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -167,7 +167,7 @@
 	}
 	for i := range d.Routes {
 		if err := c.addRoute(&d.Routes[i]); err != nil {
-			return nil, errors.Wrapf(err, "version %d", d.Version)
+			return nil, errors.Wrapf(err, "configuration version %d", d.Version)
 		}
 	}
 	for i := range d.Teams {
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	if noTeams.NeedsKey(noTeams.Route("h", "/a/")) {
-		t.Error("a key is required though there are no teams")
+		t.Error("NeedsKey is true without teams, want false")
 	}
 	d.Teams = []catalog.Team{{Name: "t", Keys: []string{"k"}}}
 	withTeams, err := catalog.Compile(d)
--- a/catalog/residency_test.go
+++ b/catalog/residency_test.go
@@ -39,6 +39,6 @@
 		}
 	}
 	if catalog.ResidencyOf(&catalog.Route{}, nil).Restricted() {
-		t.Error("an unrestricted route without a team is restricted")
+		t.Error("residency of an unrestricted route without a team is restricted")
 	}
 }
