--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -18,11 +18,11 @@
 	}
 	at := start.Add(900 * time.Millisecond)
 	if lease.Share(at) != 0.5 || lease.Renew(0.25, at) {
-		t.Error("a share expired within 0.9 s")
+		t.Error("a share has expired 0.9 s after it was renewed, want it valid for 1 s")
 	}
 	at = at.Add(1100 * time.Millisecond)
 	if lease.Share(at) != 0 || !lease.Renew(0.25, at) {
-		t.Error("a share is still valid after 1.1 s")
+		t.Error("a share is valid 1.1 s after it was renewed, want it expired after 1 s")
 	}
 }
 
