--- a/length/length_test.go
+++ b/length/length_test.go
@@ -47,6 +47,6 @@
 		t.Errorf("Quantile(0.9) = %.0f for the team with responses of 10 tokens, want at most 20", got)
 	}
 	if ds.Dist("letter", "unknown") != ds.Class("letter") || ds.Dist("chat", "short") != nil {
-		t.Error("Dist does not return the distribution of the class, or nil without one")
+		t.Error("Dist must return the distribution of the class for an unknown team, and nil for an unknown class")
 	}
 }
