--- a/speed/speed.go
+++ b/speed/speed.go
@@ -42,7 +42,7 @@
 	Log    float64 // of milliseconds per token
 }
 
-// Add adds a time per token in milliseconds. It ignores times and weights that are not positive.
+// Add adds ms, a time per token in milliseconds. It ignores times and weights that are not positive.
 func (s *Samples) Add(ms, weight float64) {
 	if ms <= 0 || weight <= 0 {
 		return
