--- a/engine/engine.go
+++ b/engine/engine.go
@@ -57,13 +57,13 @@
 
 // An Engine simulates one engine. Use New to create one. It is not safe for concurrent use.
 type Engine struct {
-	params   Params
-	Slowness float64 // factor of the duration of iterations; one if healthy
-	waiting  []*Sequence
-	running  []*Sequence
-	used     int
-	lastID   uint64
-	cache    cache
+	params     Params
+	Slowness   float64 // factor of the duration of iterations; one if healthy
+	waiting    []*Sequence
+	running    []*Sequence
+	usedTokens int
+	lastID     uint64
+	cache      cache
 	// Computed is the number of decoded tokens, Prefilled of prefilled prompt tokens, and
 	// Preempted of sequences preempted for lack of memory.
 	Computed, Prefilled, Preempted int64
@@ -86,7 +86,7 @@
 	s.cancelled = true
 	if i := index(e.running, s); i >= 0 {
 		e.running = append(e.running[:i], e.running[i+1:]...)
-		e.used -= s.size()
+		e.usedTokens -= s.size()
 	}
 	if i := index(e.waiting, s); i >= 0 {
 		e.waiting = append(e.waiting[:i], e.waiting[i+1:]...)
@@ -132,7 +132,7 @@
 			e.cache.add(s.Prefix, s.PrefixLen)
 		}
 		s.Produced++
-		e.used++
+		e.usedTokens++
 		out = append(out, s)
 	}
 	e.Computed += int64(len(out))
@@ -157,13 +157,13 @@
 	})
 	n := 0
 	for _, s := range e.waiting {
-		if len(e.running) >= e.params.MaxRunning || e.used+s.size() > e.params.MemoryTokens && len(e.running) > 0 {
+		if len(e.running) >= e.params.MaxRunning || e.usedTokens+s.size() > e.params.MemoryTokens && len(e.running) > 0 {
 			break
 		}
 		e.lastID++
 		s.admission = e.lastID
 		s.prefill = max(1, s.size()-e.cache.hit(s.Prefix, s.PrefixLen))
-		e.used += s.size()
+		e.usedTokens += s.size()
 		e.running = append(e.running, s)
 		n++
 	}
@@ -172,7 +172,7 @@
 
 // preempt returns sequences to the queue while memory is exceeded.
 func (e *Engine) preempt() {
-	for e.used > e.params.MemoryTokens && len(e.running) > 1 {
+	for e.usedTokens > e.params.MemoryTokens && len(e.running) > 1 {
 		victim := e.running[0]
 		for _, s := range e.running {
 			if s.Priority > victim.Priority || s.Priority == victim.Priority && s.admission > victim.admission {
@@ -190,7 +190,7 @@
 	kept := e.running[:0]
 	for _, s := range e.running {
 		if s.Produced >= s.Length {
-			e.used -= s.size()
+			e.usedTokens -= s.size()
 			continue
 		}
 		kept = append(kept, s)
