--- a/memory/memory_test.go
+++ b/memory/memory_test.go
@@ -35,17 +35,17 @@
 	} {
 		a := memory.New(100 * mb * 100 / 85) // 0.15 of the limit is reserved for Buffered
 		if a.Reserve(memory.Buffered, 17*mb) == nil {
-			t.Fatalf("%s: Buffered memory refused", c.name)
+			t.Fatalf("%s: setup: Buffered memory of 17 MB refused", c.name)
 		}
 		if c.teamHeld > 0 {
 			if r, cause := a.Admit(1, 0, c.teamHeld*mb); r == nil {
-				t.Fatalf("%s: team refused at the start: %s", c.name, cause)
+				t.Fatalf("%s: setup: first request of the team refused with cause %s", c.name, cause)
 			}
 		}
 		if c.used > c.teamHeld { // held by another team
 			r, _ := a.Admit(7, 0, mb)
 			if r == nil || !r.Grow(memory.Bodies, (c.used-c.teamHeld-1)*mb) {
-				t.Fatalf("%s: setup request refused", c.name)
+				t.Fatalf("%s: setup: request or memory of another team refused", c.name)
 			}
 		}
 		if _, got := a.Admit(c.team, c.priority, mb/10); got != c.want {
