--- a/clock/steady_test.go
+++ b/clock/steady_test.go
@@ -74,7 +74,7 @@
 			t.Errorf("step %d: %s elapsed, want %s", i, got, elapsed)
 		}
 		if now.Before(last) {
-			t.Errorf("step %d: the clock went back", i)
+			t.Errorf("step %d: Now returned an earlier time than before", i)
 		}
 		last = now
 	}
