--- a/balance/fair.go
+++ b/balance/fair.go
@@ -26,8 +26,8 @@
 	// yieldThreshold, so that less urgent requests yield first, and below refuseThreshold, so that
 	// teams within their share are not refused.
 	shareThreshold = 0.45
-	// shareYieldThreshold is the same for the pressure on more urgent levels. It is below
-	// yieldThreshold, at which all less urgent requests yield.
+	// shareYieldThreshold is the pressure on a more urgent level at which fair shares apply. It is
+	// below yieldThreshold, above which all less urgent requests yield.
 	shareYieldThreshold = 0.9 * yieldThreshold
 	// plainWaitShare is the share of the objective that a plain request may wait before fair shares
 	// apply. In requests per slot, the wait is clamped to minPlainWait and maxPlainWait, since the
@@ -38,11 +38,11 @@
 	// plainRefusalThreshold is the share of own requests refused by endpoints above which their
 	// queues count as full, if all slots are in use.
 	plainRefusalThreshold = 0.01
-	// plainLevelStep is how much later, in occupancy, fair shares apply per level of urgency, so
-	// that a team's less urgent requests are refused first.
+	// plainLevelStep is the increase, per more urgent level, of the occupancy at which fair shares
+	// apply, so that a team's less urgent requests are refused first.
 	plainLevelStep = 0.2
-	// sampleWeight is the weight of one request in the share that is refused. Fair shares apply for
-	// long only if several of the last fifty were refused.
+	// sampleWeight is the weight of one request in plainRefusalRate. Fair shares apply for long
+	// only if several of the last fifty requests were refused.
 	sampleWeight = 0.02
 	// endReportDelay is the mean time in ms that a completed request of another instance is still
 	// counted as running: half the report interval plus network delay.
@@ -86,7 +86,7 @@
 	}
 }
 
-// shareRefusal counts a request that asks for this much work at its best endpoint p, and returns a
+// shareRefusal counts a request that asks for requestedWork at its best endpoint p, and returns a
 // refusal if its team exceeds its share of an overloaded service, or nil. The caller holds b.mu.
 func (b *Balancer) shareRefusal(endpoints []*discovery.Endpoint, d *Demand, p *Placement, requestedWork float64, now time.Time) *Refusal {
 	if d.Counted {
@@ -114,8 +114,8 @@
 	return &Refusal{Cause: TeamOverShare, Pressure: over, Wait: time.Duration(p.Wait * float64(time.Millisecond)), RetryAfter: shareRetryAfter(d)}
 }
 
-// grantShare counts a placed request with the work counted in its team's demand, which may differ
-// from the work at the endpoint finally chosen. The caller holds b.mu.
+// grantShare counts a placed request with requestedWork, the work counted in its team's demand. The
+// work at the endpoint finally chosen may differ. The caller holds b.mu.
 func (b *Balancer) grantShare(d *Demand, requestedWork float64, now time.Time) {
 	b.sharesOf(d.Service.Name).Grant(now, d.Team, d.level(), requestedWork)
 }
@@ -140,11 +140,11 @@
 	return float64(max(0, d.Prompt-p.Cached))*p.Pace.PrefillPerToken + float64(d.Output)*token
 }
 
-// congestion returns the service's congestion for requests of a level; fair shares apply from 1.
+// congestion returns the service's congestion for requests of level; fair shares apply from 1.
 func (s *serviceStats) congestion(level int, now time.Time) float64 {
-	c := s.pressures[level][level].of(now) / shareThreshold
+	c := s.pressures[level][level].valueAt(now) / shareThreshold
 	for urgent := range level {
-		c = max(c, s.pressures[urgent][level].of(now)/shareYieldThreshold)
+		c = max(c, s.pressures[urgent][level].valueAt(now)/shareYieldThreshold)
 	}
 	return c
 }
@@ -159,7 +159,7 @@
 // sample records one value with fixed weight, however sparse, so that one refusal has little
 // effect.
 func (p *pressure) sample(now time.Time, value float64) {
-	previous := p.of(now)
+	previous := p.valueAt(now)
 	p.value = previous + sampleWeight*(value-previous)
 	p.at = now
 }
@@ -211,11 +211,11 @@
 	}
 	running := float64(own) + float64(others)*hold/(hold+endReportDelay)
 	stats.occupancy.add(now, running/float64(slots))
-	occupied := stats.occupancy.of(now) - plainLevelStep*float64(levels-1-d.level())
+	occupied := stats.occupancy.valueAt(now) - plainLevelStep*float64(levels-1-d.level())
 	wait := plainWaitShare * milliseconds(d.Objective) / hold
 	c := occupied / (1 + min(max(wait, minPlainWait), maxPlainWait))
 	if occupied > 1 {
-		c = max(c, stats.plainRefusalRate.of(now)/plainRefusalThreshold)
+		c = max(c, stats.plainRefusalRate.valueAt(now)/plainRefusalThreshold)
 	}
 	return c
 }
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -26,7 +26,7 @@
 	p  *balance.Placement
 }
 
-// load places rate requests per second for a time d, each running for lasts. It returns the number
+// load places rate requests per second for duration d, each running for lasts. It returns the number
 // of requests per endpoint and the longest wait.
 func (f *fixture) load(b *balance.Balancer, rate int, d, lasts time.Duration, request func() *balance.Demand) (at map[string]int, longest time.Duration) {
 	at = make(map[string]int)
@@ -74,11 +74,11 @@
 		set := b.WorkingSets()[0]
 		t.Logf("%d endpoints used: %+v", len(perEndpoint), set)
 		if len(perEndpoint) < 200 || len(perEndpoint) > 320 || set.Used > 320 || set.Listed != n {
-			t.Errorf("%d of %d endpoints used", len(perEndpoint), n)
+			t.Errorf("%d of %d endpoints used, want 200 to 320", len(perEndpoint), n)
 		}
 		for dataCentre, used := range usedPerDataCentre {
 			if used < 25 {
-				t.Errorf("%d of %d used endpoints are in data centre %d", used, len(perEndpoint), dataCentre)
+				t.Errorf("%d of %d used endpoints are in data centre %d, want at least 25", used, len(perEndpoint), dataCentre)
 			}
 		}
 	}
@@ -97,7 +97,7 @@
 		}
 	}
 	if common < len(second)*9/10 {
-		t.Errorf("of %d and %d endpoints used by two instances %d are the same", len(first), len(second), common)
+		t.Errorf("of %d and %d endpoints used by two instances %d are the same, want at least 0.9 of the second number", len(first), len(second), common)
 	}
 }
 
@@ -113,10 +113,10 @@
 	after := b.WorkingSets()[0].Used
 	t.Logf("%d endpoints used before, %d during and %d after the surge; longest wait %v", before, during, after, longest)
 	if longest > 150*time.Millisecond {
-		t.Errorf("request waits for %v while other endpoints are idle", longest)
+		t.Errorf("request waits for %v while other endpoints are idle, want at most 150ms", longest)
 	}
 	if during < 2*before || after > 2*before {
-		t.Errorf("%d endpoints used before, %d during and %d after the surge", before, during, after)
+		t.Errorf("%d endpoints used before, %d during and %d after the surge, want at least twice the first number during and at most twice after", before, during, after)
 	}
 }
 
@@ -139,7 +139,7 @@
 		perEndpoint, _ = f.load(b, 200, time.Second, 20*time.Millisecond, f.lookup)
 		for _, e := range f.endpoints {
 			if e.Draining && perEndpoint[e.ID] > 0 {
-				t.Fatalf("draining endpoint %s is used", e.ID)
+				t.Fatalf("requests are placed at draining endpoint %s", e.ID)
 			}
 		}
 		if set := b.WorkingSets()[0]; set.Used > 450 || set.Used < 200 {
@@ -177,7 +177,7 @@
 		}
 	}
 	if p := b.Place(f.endpoints, d); p == nil || p.Endpoint != f.endpoints[1234] {
-		t.Errorf("the only eligible endpoint of %d is not found", len(f.endpoints))
+		t.Errorf("request is not placed at the only eligible endpoint of %d, which is outside the working set", len(f.endpoints))
 	}
 }
 
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -167,7 +167,7 @@
 	}
 	for i := range d.Routes {
 		if err := c.addRoute(&d.Routes[i]); err != nil {
-			return nil, errors.Wrapf(err, "version %d", d.Version)
+			return nil, errors.Wrapf(err, "configuration version %d", d.Version)
 		}
 	}
 	for i := range d.Teams {
@@ -225,7 +225,7 @@
 	return nil
 }
 
-// Service returns the service with a name, or nil.
+// Service returns the service called name, or nil if there is none.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
 // NeedsKey reports whether requests on r must carry a team's API key.
