--- a/inventory/blocked.go
+++ b/inventory/blocked.go
@@ -12,8 +12,7 @@
 	"ivyridge/internal/fetch"
 )
 
-// BlockedPath is where an instance serves its Blocked report. DELETE BlockedPath/ID unblocks a
-// request.
+// BlockedPath serves a Blocked report. DELETE BlockedPath/ID unblocks the request with that ID.
 const BlockedPath = "/blocked.json"
 
 // A Blocked lists what an instance withholds from endpoints, and store entries that it can't use.
--- a/inventory/detail.go
+++ b/inventory/detail.go
@@ -62,9 +62,9 @@
 	PendingRestart   []string          `json:"waiting,omitempty"`    // changed settings that require a restart
 
 	Version     int64  `json:"version"`    // of the configuration in force
-	VersionMS   int64  `json:"version_ms"` // since that came into force
+	VersionMS   int64  `json:"version_ms"` // since Version came into force
 	Revision    int64  `json:"revision"`   // of the published state, which includes the teams' keys
-	ValidatedMS int64  `json:"proof_ms"`   // since that was last validated as current; negative: never
+	ValidatedMS int64  `json:"proof_ms"`   // since Revision was last validated as current; negative: never
 	Ready       bool   `json:"ready"`
 	ReadyMS     int64  `json:"ready_ms"`        // since Ready last changed
 	NotReady    string `json:"not_ready"`       // reason; empty if ready
--- a/inventory/fleet.go
+++ b/inventory/fleet.go
@@ -124,23 +124,24 @@
 	return out
 }
 
-// An Outlier is an instance that differs from the most common group, with the differences.
+// An Outlier is an instance that Outliers returns, with the reasons.
 type Outlier struct {
 	Instance
 	Differs []string `json:"differs"`
 }
 
 const (
-	differsBuild        = "build"
-	differsSettings     = "settings"
-	differsConfig       = "configuration"
-	differsRefused      = "new settings refused"
-	differsNeedsRestart = "settings wait for a restart"
-	differsNotReported  = "does not tell"
-	differsLost         = "not heard"
+	differsBuild           = "build"
+	differsSettings        = "settings"
+	differsConfig          = "configuration"
+	differsSettingsRefused = "new settings refused"
+	differsNeedsRestart    = "settings wait for a restart"
+	differsNotReported     = "does not tell"
+	differsLost            = "not heard"
 )
 
-// Outliers returns the instances that differ from the largest group, report nothing, or are lost.
+// Outliers returns the instances that differ from the largest group, have refused settings or
+// settings that wait for a restart, report no Summary, or are lost.
 func (f *Fleet) Outliers() []Outlier {
 	groups := f.Groups()
 	var out []Outlier
@@ -171,7 +172,7 @@
 		{differsBuild, inst.Build != common.Build},
 		{differsSettings, inst.Settings != common.Settings},
 		{differsConfig, inst.Version != common.Version},
-		{differsRefused, inst.Refused},
+		{differsSettingsRefused, inst.Refused},
 		{differsNeedsRestart, inst.NeedsRestart},
 	} {
 		if c.differs {
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -27,11 +27,11 @@
 		data := s.Append(nil)
 		got, ok := inventory.DecodeSummary(data)
 		if !ok || got != s {
-			t.Fatalf("got %+v, %t, want %+v", got, ok, s)
+			t.Fatalf("decoded summary is %+v, %t, want %+v and true", got, ok, s)
 		}
 		// Newer builds may append data.
 		if more, ok := inventory.DecodeSummary(append(data, 1, 2, 3)); !ok || more != s {
-			t.Fatalf("with trailing data: got %+v, %t", more, ok)
+			t.Fatalf("with trailing data: got %+v, %t, want the same summary and true", more, ok)
 		}
 		if _, ok := inventory.DecodeSummary(data[:rapid.IntRange(0, 9).Draw(t, "cut")]); ok {
 			t.Fatal("a truncated summary was decoded")
@@ -43,7 +43,7 @@
 func TestSummarySize(t *testing.T) {
 	const frameOverhead = 3
 	if n := frameOverhead + len(inventory.Summary{Build: 1 << 31, Settings: 1 << 31, Version: 1<<28 - 1}.Append(nil)); n > 16 {
-		t.Errorf("%d bytes, want 16 at most", n)
+		t.Errorf("a summary takes %d bytes, want 16 at most", n)
 	}
 }
 
@@ -55,7 +55,7 @@
 			return
 		}
 		if again, ok := inventory.DecodeSummary(s.Append(nil)); !ok || again != s {
-			t.Fatalf("got %+v, %t, want %+v", again, ok, s)
+			t.Fatalf("summary encoded again decodes to %+v, %t, want %+v and true", again, ok, s)
 		}
 	})
 }
@@ -67,7 +67,7 @@
 	}
 	for _, other := range []map[string]string{{"x": "1", "y": "3", "z": ""}, {"x": "1", "y": "2"}, {"x": "1\"=\"y", "z": ""}} {
 		if inventory.HashFields(other) == a {
-			t.Errorf("%v has the same hash", other)
+			t.Errorf("fields %v have the same hash as different fields", other)
 		}
 	}
 }
@@ -142,7 +142,7 @@
 	}
 	want := map[string]string{"a1": "s", "a2": "t", "a3": "t", "a4": "s", "b1": "t"}
 	if !reflect.DeepEqual(got, want) || len(f.Outliers()) == 0 {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("settings by instance after Merge are %v, want %v, and at least one outlier", got, want)
 	}
 }
 
@@ -153,7 +153,7 @@
 		{Path: "log.level", A: "info"}, {Path: "promises.revoke_ms", A: "5000", B: "4000", AffectsResponses: true}, {Path: "store", B: "s", AffectsResponses: true},
 	}
 	if got := inventory.Diff(a, b); !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("differences are %+v, want %+v", got, want)
 	}
 }
 
