--- a/discovery/changelog.go
+++ b/discovery/changelog.go
@@ -1,7 +1,7 @@
 package discovery
 
-// This file logs recent endpoint changes, so that an instance can be sent a delta. Sending thousands
-// of endpoints at each change would saturate a small machine during a rolling release.
+// This file records recent endpoint changes, so that an instance can be sent a delta. Sending
+// thousands of endpoints at each change would saturate a small machine during a rolling release.
 
 import (
 	"encoding/binary"
@@ -19,7 +19,7 @@
 // A change records that an endpoint was added, changed or deleted.
 type change struct {
 	id       string
-	revision int64 // of the first view that contains it
+	revision int64 // of the first view that contains the change
 	at       time.Time
 }
 
@@ -48,13 +48,13 @@
 	c.entries = c.entries[n:] // append reclaims the space when it reallocates
 }
 
-// reset empties the log. Changes up to the revision are then unknown.
+// reset empties the log. Changes up to revision are then unknown.
 func (c *changeLog) reset(revision int64) {
 	c.entries = nil
 	c.baseRevision = revision
 }
 
-// after returns the distinct IDs changed after a revision. ok is false if the log starts later.
+// after returns the distinct IDs changed after revision. ok is false if the log starts later.
 func (c *changeLog) after(revision int64) (ids []string, ok bool) {
 	if revision < c.baseRevision {
 		return nil, false
@@ -69,7 +69,7 @@
 	return ids, true
 }
 
-// Since returns the changes after a revision, for another instance that has all earlier ones. ok is
+// Since returns the changes after revision, for an instance that has all changes up to it. ok is
 // false if revision is not positive or precedes the change log.
 func (t *Table) Since(revision int64) (u *Update, ok bool) {
 	t.mu.Lock()
@@ -90,15 +90,15 @@
 	return u, true
 }
 
-// Digest returns a hash of the IDs and revisions of all listed endpoints, and the revision of the
-// view that it belongs to.
+// Digest returns the revision of the current view, and a hash of the IDs and revisions of all
+// endpoints listed in it, without those in their grace period.
 func (t *Table) Digest() (revision int64, digest uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.view.Load().Revision, t.digest
 }
 
-// digest returns the entry's part of Table.digest, the xor of all entries; zero in grace period.
+// digest returns the entry's hash, or zero in its grace period. Table.digest is the xor of these.
 func (e *entry) digest() uint64 {
 	if !e.graceUntil.IsZero() {
 		return 0
--- a/discovery/changelog_test.go
+++ b/discovery/changelog_test.go
@@ -61,11 +61,11 @@
 			r1, d1 := source.Digest()
 			r2, d2 := follower.Digest()
 			if r1 != r2 || d1 != d2 {
-				t.Fatalf("lists differ at revisions %d and %d, full update: %v", r1, r2, update.Full)
+				t.Fatalf("source at revision %d and follower at revision %d differ after an update, full: %v", r1, r2, update.Full)
 			}
 			for id := range listed {
 				if !follower.HasIncarnation(id) {
-					t.Fatalf("the follower lacks %s", id)
+					t.Fatalf("the follower lacks listed endpoint %s", id)
 				}
 			}
 		}
@@ -100,7 +100,7 @@
 		}
 		delta, ok := table.Since(1)
 		if !ok || len(delta.Endpoints) != 2 || len(delta.Deleted) != 1 || delta.Full {
-			t.Errorf("delta is %+v, %v", delta, ok)
+			t.Errorf("delta is %+v, %v; want two endpoints, one deletion and true", delta, ok)
 		}
 		_ = table.Apply(&discovery.Update{Revision: 3, ValidatedAt: clock.current})
 		if unchanged := table.View().Endpoints("s"); &unchanged[0] != &after[0] {
@@ -117,11 +117,11 @@
 		_ = table.Apply(&discovery.Update{Revision: revision, ValidatedAt: clock.current, Endpoints: []discovery.Record{record(fmt.Sprint(revision), revision)}})
 	}
 	if _, ok := table.Since(5); ok {
-		t.Error("changes made 45 s ago are still in the log")
+		t.Error("a change older than changeLogTTL is still in the log")
 	}
 	u, ok := table.Since(40)
 	if !ok || len(u.Endpoints) != 10 {
-		t.Errorf("delta is %+v, %v; want 10 endpoints", u, ok)
+		t.Errorf("delta is %+v, %v; want 10 endpoints and true", u, ok)
 	}
 	if _, ok := table.Since(0); ok {
 		t.Error("an instance without state is sent a delta")
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -170,7 +170,7 @@
 	outageSince atomic.Int64 // start of the store outage, in nanoseconds after epoch; zero: none
 
 	// applyMu serializes updates. mu is not held while a configuration is compiled, which takes
-	// tens of milliseconds, as gossip reads and renews the validation time.
+	// tens of milliseconds, since gossip needs it to read and renew the validation time.
 	applyMu         sync.Mutex
 	compileFunc     func(catalog.Document) (*catalog.Catalog, error)
 	rejectedVersion int64 // the newest version that failed to compile
@@ -214,7 +214,7 @@
 	return t.now().Sub(t.epoch) - time.Duration(validatedAt), true
 }
 
-// A Validation states that no change after Revision had been made at the instant At.
+// A Validation states that by the time At, no change after Revision had been made.
 type Validation struct {
 	Revision int64
 	At       time.Time
@@ -237,7 +237,7 @@
 }
 
 // Confirm records another instance's validation. It has an effect only if the table has a
-// configuration and is at that revision or a later one.
+// configuration and is at revision or a later one.
 func (t *Table) Confirm(revision int64, validatedAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -258,13 +258,13 @@
 	}
 }
 
-// MarkStoreUp records that the store is available again. Call it after Apply.
+// MarkStoreUp ends an outage. It must follow Apply, which grants grace periods during an outage.
 func (t *Table) MarkStoreUp() { t.outageSince.Store(0) }
 
 // storeUnavailable reports whether the store has been unavailable since it was last read.
 func (t *Table) storeUnavailable() bool { return t.outageSince.Load() != 0 }
 
-// validatedSinceOutage reports whether state validated at an instant was read after the outage began.
+// validatedSinceOutage reports whether validatedAt is later than the start of the outage, if any.
 func (t *Table) validatedSinceOutage(validatedAt time.Time) bool {
 	return int64(validatedAt.Sub(t.epoch)) > t.outageSince.Load()
 }
@@ -291,9 +291,9 @@
 	return err
 }
 
-// markValidated records that a source knew of no change after a revision at an instant. This
-// validates later revisions too. Otherwise, the whole fleet would appear stale while changes arrive
-// faster than responses.
+// markValidated records that at validatedAt, a source knew of no change after revision. It also
+// counts if the table is at a later revision by now. Otherwise, the whole fleet would appear stale
+// while changes arrive faster than responses.
 func (t *Table) markValidated(revision int64, validatedAt time.Time) {
 	if revision > t.view.Load().Revision {
 		return
@@ -343,7 +343,7 @@
 	return u
 }
 
-// HasIncarnation reports whether an endpoint process is listed or in its grace period.
+// HasIncarnation reports whether the process incarnation is listed or in its grace period.
 func (t *Table) HasIncarnation(incarnation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/discovery/evacuate_test.go
+++ b/discovery/evacuate_test.go
@@ -36,7 +36,7 @@
 	}
 	for _, e := range table.View().Endpoints("s") {
 		if e.RejectsNew() != slices.Contains(want, e.DataCentre) {
-			t.Errorf("endpoint %s in %s: RejectsNew() = %t", e.ID, e.DataCentre, e.RejectsNew())
+			t.Errorf("endpoint %s in %s: RejectsNew() = %t, want true only in evacuated data centres", e.ID, e.DataCentre, e.RejectsNew())
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	mustApply(t, table, &discovery.Update{Revision: 5, Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 5, Over: true}}})
 	for _, e := range table.View().Endpoints("s") {
 		if e.Cold(c.now()) != (e.DataCentre == "a") {
-			t.Errorf("endpoint %s: Cold() = %t", e.ID, e.Cold(c.now()))
+			t.Errorf("endpoint %s: Cold() = %t, want true only in the evacuated data centre a", e.ID, e.Cold(c.now()))
 		}
 	}
 	c.advance(3*time.Second + 1)
--- a/discovery/follow.go
+++ b/discovery/follow.go
@@ -33,7 +33,7 @@
 	Source  Source
 }
 
-// eventName returns the counter name of a call.
+// eventName returns the event to count for call at the source.
 func (s *NamedSource) eventName(call string) string {
 	if s.IsStore {
 		return call
@@ -238,8 +238,8 @@
 	}
 }
 
-// outageAge is the validation age from which the store counts as unavailable, since standby
-// validators act at standbyValidationAge. Followers of an instance have no other sign of an outage.
+// outageAge is the validation age from which the store counts as unavailable. By then a standby
+// validator has called it. Followers of an instance have no other sign of an outage.
 const outageAge = 2500 * time.Millisecond
 
 // Apply applies an update to a Table, and logs and counts the changes.
@@ -283,7 +283,7 @@
 // maxLoggedEndpoints bounds the log lines of one update; an initial state may contain thousands.
 const maxLoggedEndpoints = 100
 
-// logEndpoints logs the endpoints that were changed after a revision or deleted.
+// logEndpoints logs the endpoints in u that changed after revision after, and the deletions.
 func logEndpoints(s NamedSource, u *Update, after int64, log *zap.Logger, outage bool) {
 	logged := 0
 	for i := range u.Endpoints {
--- a/discovery/follow_test.go
+++ b/discovery/follow_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	if maxCoalesceDelay > time.Second {
-		t.Errorf("changes are delayed by up to %v", maxCoalesceDelay)
+		t.Errorf("changes are delayed by up to %v, want at most 1 s", maxCoalesceDelay)
 	}
 }
 
@@ -33,7 +33,7 @@
 	}
 	for rank := 1; rank < 400; rank++ {
 		if validationAgeFor(rank) < validationAgeFor(rank-1) || validationAgeFor(rank) > maxValidationAge {
-			t.Errorf("rank %d validates at %v, rank %d at %v", rank, validationAgeFor(rank), rank-1, validationAgeFor(rank-1))
+			t.Errorf("rank %d validates at an age of %v, rank %d at %v, want no decrease and at most maxValidationAge", rank, validationAgeFor(rank), rank-1, validationAgeFor(rank-1))
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	v := &Validator{Turn: func() ValidationTurn { return ValidationTurn{Unranked: 1} }}
 	now := time.Unix(1000, 0)
 	if v.due(now, maxValidationAge-time.Millisecond) || !v.due(now, maxValidationAge) {
-		t.Fatal("want it to be due exactly from the maximum validation age on")
+		t.Fatal("due before the maximum validation age, or not due at it")
 	}
 }
 
@@ -100,7 +100,7 @@
 	return &Update{Revision: revision, Full: true, Config: &catalog.Document{Version: revision}, ValidatedAt: time.Now()}
 }
 
-// blockingWatch blocks until ctx is done or the watch is superseded.
+// blockingWatch blocks, unless q.Wait is zero, until ctx is done or the watch is superseded.
 func blockingWatch(ctx context.Context, q Query) (*Update, error) {
 	if q.Wait == 0 {
 		return &Update{Revision: 1, ValidatedAt: time.Now()}, nil
@@ -162,7 +162,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("not within 5 s: %s", what)
+	t.Fatalf("waited 5 s in vain for %s", what)
 }
 
 func TestUpstreamReplacesStore(t *testing.T) {
@@ -171,7 +171,7 @@
 	table := startFollower(t, store, upstream, neverNewer)
 	eventually(t, "a watch at the upstream", func() bool { return upstream.watches.Load() == 1 })
 	if table.View().Revision != 1 || store.loads.Load()+store.watches.Load() != 0 {
-		t.Fatalf("revision %d, %d calls to the store", table.View().Revision, store.loads.Load()+store.watches.Load())
+		t.Fatalf("revision %d, %d calls to the store, want 1 and none", table.View().Revision, store.loads.Load()+store.watches.Load())
 	}
 }
 
@@ -202,7 +202,7 @@
 	eventually(t, "a new watch", func() bool { return store.watches.Load() == 3 })
 	time.Sleep(300 * time.Millisecond)
 	if got := store.watches.Load(); got != 3 {
-		t.Fatalf("%d watches, want the abandoned one, one without wait, and one with wait", got)
+		t.Fatalf("%d watches, want 3: the abandoned one, one without wait, and one with wait", got)
 	}
 }
 
@@ -229,7 +229,7 @@
 	close(published)
 	eventually(t, "the configuration", func() bool { return table.View().Catalog != nil })
 	if loads := store.loads.Load(); loads != 1 {
-		t.Fatalf("%d loads, want one", loads)
+		t.Fatalf("%d loads of the full state, want one", loads)
 	}
 }
 
@@ -269,7 +269,7 @@
 	})
 	eventually(t, "a watch at the peer", func() bool { return peer.watches.Load() == 1 })
 	if table.View().Revision != 1 || store.loads.Load()+store.watches.Load() != 0 {
-		t.Fatalf("revision %d, %d calls to the store", table.View().Revision, store.loads.Load()+store.watches.Load())
+		t.Fatalf("revision %d, %d calls to the store, want 1 and none", table.View().Revision, store.loads.Load()+store.watches.Load())
 	}
 }
 
@@ -310,7 +310,7 @@
 	table := startFollowerWithPeers(t, store, func() []NamedSource { return []NamedSource{{Name: "peer", Source: peer}} }, neverNewer, noUpstream)
 	eventually(t, "state from the store", func() bool { return table.View().Revision == 1 })
 	if n := peer.loads.Load(); n > 5 {
-		t.Errorf("a failing peer was called %d times within 300ms", n)
+		t.Errorf("a failing peer was called %d times within 300 ms, want at most 5", n)
 	}
 }
 
@@ -357,13 +357,13 @@
 	v := &Validator{Turn: func() ValidationTurn { return ValidationTurn{} }, Receiving: func() bool { return arriving }}
 	now := time.Unix(1000, 0)
 	if v.due(now, maxValidationAge-time.Millisecond) {
-		t.Error("due while a response arrives")
+		t.Error("due below the maximum validation age while a response arrives")
 	}
 	if !v.due(now, maxValidationAge) {
-		t.Error("not due at the maximum validation age")
+		t.Error("not due at the maximum validation age while a response arrives")
 	}
 	arriving = false
 	if !v.due(now, validationInterval) {
-		t.Error("not due though no response arrives")
+		t.Error("not due at the validation interval though no response arrives")
 	}
 }
--- a/discovery/restart_test.go
+++ b/discovery/restart_test.go
@@ -8,7 +8,7 @@
 	"ivyridge/discovery"
 )
 
-// recordBornAt returns a record with a start time in Unix milliseconds; zero: not sent.
+// recordBornAt returns a record whose start time is at, in Unix milliseconds; zero: not sent.
 func recordBornAt(id string, revision, at int64) discovery.Record {
 	r := record(id, revision)
 	r.Born = at
@@ -22,11 +22,11 @@
 	earlier.Draining = true
 	_ = table.Apply(&discovery.Update{Revision: 2, Endpoints: []discovery.Record{earlier}, ValidatedAt: c.now()})
 	if e := table.View().Endpoints("s")[0]; e.Born != 2000 || e.Draining {
-		t.Errorf("an earlier process replaced the current one: %+v", e)
+		t.Errorf("got %+v, want the process born at 2000, not draining", e)
 	}
 	_ = table.Apply(&discovery.Update{Revision: 3, Endpoints: []discovery.Record{recordBornAt("a", 3, 3000)}, ValidatedAt: c.now()})
 	if e := table.View().Endpoints("s")[0]; e.Born != 3000 {
-		t.Errorf("a later process did not replace the earlier one: %+v", e)
+		t.Errorf("got %+v, want the later process, born at 3000", e)
 	}
 }
 
@@ -53,10 +53,10 @@
 			_ = table.Apply(&discovery.Update{Revision: revision, Full: rapid.Bool().Draw(t, "whole"), Endpoints: []discovery.Record{r}, ValidatedAt: c.now()})
 			endpoints := table.View().Endpoints("s")
 			if len(endpoints) != 1 {
-				t.Fatalf("%d endpoints, want one", len(endpoints))
+				t.Fatalf("%d endpoints listed, want one", len(endpoints))
 			}
 			if endpoints[0].Born < last {
-				t.Fatalf("born %d after %d", endpoints[0].Born, last)
+				t.Fatalf("start time %d replaced the later %d", endpoints[0].Born, last)
 			}
 			last = endpoints[0].Born
 		}
