--- a/gossip/aggregates.go
+++ b/gossip/aggregates.go
@@ -13,7 +13,8 @@
 	"ivyridge/balance"
 )
 
-// fullAggregateInterval must be shorter than the time after which received aggregates expire.
+// fullAggregateInterval is the interval between complete aggregates. It must be shorter than
+// balance's remoteTTL, after which a receiver ignores an aggregate.
 const fullAggregateInterval = 2 * time.Second
 
 // publishAggregates sends the load of this data centre's ordinary instances, if this instance is
--- a/gossip/aggregates_test.go
+++ b/gossip/aggregates_test.go
@@ -10,7 +10,7 @@
 	"ivyridge/discovery"
 )
 
-// requestsAt returns how many requests n sees from a data centre's instances at an endpoint.
+// requestsAt returns how many requests of dataCentre's instances n counts at endpoint.
 func (n *node) requestsAt(dataCentre, endpoint string) int {
 	ids := map[uint64]bool{aggregateKey(dataCentre): true}
 	for _, other := range n.sim.nodes {
--- a/gossip/broadcast.go
+++ b/gossip/broadcast.go
@@ -219,7 +219,7 @@
 	g.send(m, addresses(to))
 }
 
-// probe contacts candidates, and seeds while starting, as a scheduler, or if not connected.
+// probe contacts candidates, and also seeds during startup, on a scheduler, or if not connected.
 func (g *Gossip) probe(now time.Time, r *roles) {
 	interval := probeInterval
 	starting := now.Sub(g.startedAt) < startupPeriod
--- a/gossip/cold_share_test.go
+++ b/gossip/cold_share_test.go
@@ -34,11 +34,11 @@
 	for _, c := range []struct{ n, dataCentres, holders int }{{6, 3, 6}, {60, 3, 3}, {295, 5, 10}} {
 		w := newSimulation(t, c.n, c.dataCentres)
 		if sum, _ := w.coldShares(); sum != 0 {
-			t.Errorf("%d instances: shares sum to %.2f at the start", c.n, sum)
+			t.Errorf("%d instances: cold shares sum to %.2f at the start, want 0", c.n, sum)
 		}
 		w.run(12 * time.Second)
 		if sum, holders := w.coldShares(); sum < 0.99 || sum > maxShareSum || holders != c.holders {
-			t.Errorf("%d instances: %d hold shares of %.2f in sum, want %d holders and 1", c.n, holders, sum, c.holders)
+			t.Errorf("%d instances: %d hold cold shares of %.2f in sum, want %d holders and 1", c.n, holders, sum, c.holders)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	w.lost = func(a, b *node) bool { return a == first || b == first }
 	w.run(8 * time.Second)
 	if sum, _ := w.coldShares(); sum > maxShareSum {
-		t.Errorf("shares sum to %.2f while one instance is isolated", sum)
+		t.Errorf("cold shares sum to %.2f while one instance is isolated, want at most maxShareSum", sum)
 	}
 	w.start(0, 9999, "dc0", 0.8)
 	w.lost = func(a, b *node) bool { return a == w.nodes[0] || b == w.nodes[0] }
@@ -60,7 +60,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if share := n.members.coldShare(w.now, n.members.currentRoles(w.now), 0); share != 0 {
-		t.Errorf("instance that started isolated holds a share of %.2f", share)
+		t.Errorf("instance that started isolated holds a cold share of %.2f, want 0", share)
 	}
 }
 
@@ -70,12 +70,12 @@
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.run(100 * time.Millisecond)
 		if sum, holders := w.coldShares(); sum > limit+1e-9 {
-			w.t.Fatalf("%d instances hold shares of %.2f in sum", holders, sum)
+			w.t.Fatalf("%d instances hold cold shares of %.2f in sum, more than the limit", holders, sum)
 		}
 	}
 }
 
-// isolate partitions the given instances from all others and drops 2% of the datagrams.
+// isolate partitions each given instance from all others and drops 2% of the other datagrams.
 func (w *simulation) isolate(rng *rand.Rand, instances ...int) {
 	isolated := make(map[*node]bool)
 	for _, i := range instances {
@@ -149,7 +149,7 @@
 			for end := w.now.Add(time.Duration(rapid.IntRange(1, 6).Draw(rt, "s")) * time.Second); w.now.Before(end); {
 				w.run(100 * time.Millisecond)
 				if sum, holders := w.coldShares(); sum > 1+2/float64(dataCentres)+1e-9 {
-					rt.Fatalf("%d instances hold shares of %.2f in sum", holders, sum)
+					rt.Fatalf("%d instances hold cold shares of %.2f in sum, want at most 1 plus those of two data centres", holders, sum)
 				}
 			}
 		}
--- a/gossip/endpoint_backoff_test.go
+++ b/gossip/endpoint_backoff_test.go
@@ -31,7 +31,7 @@
 	// Later requests no longer name them.
 	time.Sleep(1100 * time.Millisecond)
 	if named := d.client.newRequest(d.demand).Avoid; len(named) != 0 {
-		t.Fatalf("requests still name %d endpoints", len(named))
+		t.Fatalf("requests still name %d endpoints to avoid, want none", len(named))
 	}
 	reports, _ := d.client.Balancer.Reports(true, 0)
 	m, err := Decode((&Message{Sender: d.client.id, Reports: reports, Complete: true}).Append(nil))
@@ -41,11 +41,11 @@
 	d.scheduler.Balancer.Merge(m.Sender, nil, m.Reports, m.Complete)
 	d.wantLastEndpoint(t, "in load reports")
 	if n := rejected.Load(); n > 0 {
-		t.Errorf("%d grants rejected", n)
+		t.Errorf("%d grants rejected, want none", n)
 	}
 }
 
-// otherHashes returns the hashes of all endpoints but one.
+// otherHashes returns the hashes of all endpoints but the one with the given ID.
 func otherHashes(d *dataCentre, id string) (out []uint32) {
 	for _, e := range d.endpoints {
 		if e.ID != id {
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -92,7 +92,7 @@
 	retryShare     float64 // of the retry budget
 	limits         limitAllocation
 
-	lastTeamsLog time.Time // last check for rate-limited teams
+	lastTeamsLog time.Time // last check for teams limited to their share
 	crossRegion  crossRegion
 	link         link
 	suspectSync  suspectSync
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -157,7 +157,7 @@
 		m := drawMessage(t)
 		got, err := Decode(m.Append(nil))
 		if err != nil || !reflect.DeepEqual(got, m) {
-			t.Fatalf("got %+v, %v, want %+v", got, err, m)
+			t.Fatalf("decoded message is %+v, error %v, want %+v", got, err, m)
 		}
 	})
 }
@@ -205,7 +205,7 @@
 	}
 }
 
-// findsFault pauses the receiver while a message is in flight.
+// findsFault reports whether confirmationTime understates a state's age after a delay in flight.
 func findsFault(confirmationTime func(*Gossip, *Message) time.Time) bool {
 	a, b := newTestInstance(ignoreFatal{}, 0, 1), newTestInstance(ignoreFatal{}, time.Hour, 2)
 	confirmedAt := a.clock
@@ -257,7 +257,7 @@
 			}
 		}
 		if age, ok := b.table.Age(); ok && age < now-lastRead {
-			t.Fatalf("b computes an age of %v, want at least %v", age, now-lastRead)
+			t.Fatalf("instance b computes a state age of %v, want at least %v", age, now-lastRead)
 		}
 	}
 }
@@ -293,11 +293,11 @@
 		return n
 	}
 	if count() != 1 {
-		t.Fatalf("%d live, want 1: an advertised address is no live instance", count())
+		t.Fatalf("%d live members, want 1: an advertised address is no live member", count())
 	}
 	now = now.Add(time.Minute)
 	if timedOut := s.prune(now); !reflect.DeepEqual(timedOut, []uint64{2}) || len(s.byAddress) != 0 {
-		t.Fatalf("pruned %v, %d left", timedOut, len(s.byAddress))
+		t.Fatalf("members timed out: %v, members left: %d, want [2] and 0", timedOut, len(s.byAddress))
 	}
 }
 
@@ -309,7 +309,7 @@
 		joined bool
 	}{{2, true}, {2, false}, {3, true}} {
 		if got := s.observe(now, "a", &Message{Sender: c.id}, time.Time{}); got != c.joined {
-			t.Fatalf("sender %d new = %v, want %v", c.id, got, c.joined)
+			t.Fatalf("observe(sender %d) reports a new sender: %v, want %v", c.id, got, c.joined)
 		}
 	}
 }
--- a/gossip/home_regions_test.go
+++ b/gossip/home_regions_test.go
@@ -47,7 +47,7 @@
 		}
 	}
 	if p := scheduler.Balancer.Place(endpoints, restrictedDemand("north")); p == nil || p.Endpoint.ID != "e-north" {
-		t.Fatalf("placed at %+v", p)
+		t.Fatalf("placement is %+v, want one at e-north", p)
 	}
 	scheduler.tick()
 	for _, datagram := range w.inFlight {
@@ -88,9 +88,9 @@
 	ordinary.mu.Unlock()
 	w.inFlight = nil
 	if _, _, ok := ordinary.requestPlacement(t.Context(), restrictedDemand("north")); ok || len(w.inFlight) != 0 {
-		t.Fatalf("restricted request: answered %t, %d datagrams, want 0", ok, len(w.inFlight))
+		t.Fatalf("restricted request: answered %t, %d datagrams sent, want false and 0", ok, len(w.inFlight))
 	}
 	if _, _, ok := ordinary.requestPlacement(t.Context(), &balance.Demand{Service: &catalog.Service{Name: "m"}}); ok || len(w.inFlight) != 1 {
-		t.Fatalf("unrestricted request: answered %t, %d datagrams, want 1", ok, len(w.inFlight))
+		t.Fatalf("unrestricted request: answered %t, %d datagrams sent, want false and 1", ok, len(w.inFlight))
 	}
 }
--- a/gossip/inventory.go
+++ b/gossip/inventory.go
@@ -13,7 +13,6 @@
 const (
 	// lostTTL is how long a member that timed out stays listed as lost, for operators to see.
 	lostTTL = 2 * time.Minute
-	// maxLost bounds the number of lost members listed.
 	maxLost = 1024
 	// summaryInterval is how often a summary is repeated, for lost datagrams and new receivers.
 	summaryInterval = 15 * time.Second
@@ -60,7 +59,7 @@
 	return &m
 }
 
-// recordLost records a member that timed out, and evicts the oldest one beyond maxLost.
+// recordLost records a member that timed out, and evicts the longest silent one beyond maxLost.
 func (s *members) recordLost(m *Member) {
 	if s.lost == nil {
 		s.lost = make(map[string]*Member)
@@ -78,7 +77,7 @@
 	delete(s.lost, oldest.Address)
 }
 
-// Inventory returns the other live instances, and lost ones heard from within two minutes.
+// Inventory returns the other live instances, and lost ones heard from within lostTTL.
 func (g *Gossip) Inventory() []InstanceInfo {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gossip/inventory_test.go
+++ b/gossip/inventory_test.go
@@ -9,7 +9,7 @@
 	"ivyridge/inventory"
 )
 
-// setSummary sets the settings that an instance announces.
+// setSummary sets the settings that n announces.
 func (n *node) setSummary(settings uint32) {
 	n.Summary = func() inventory.Summary {
 		return inventory.Summary{Build: 1, Settings: settings, Version: 7, Ready: true}
@@ -60,7 +60,7 @@
 	w.run(12 * time.Second)
 	scheduler := w.nodes[0]
 	if got, unannounced, lost := scheduler.summaryCounts(); got[1] != n-2 || unannounced != 1 || lost != 0 {
-		t.Fatalf("at start: %v, %d without a summary, %d lost, want %d, 1, 0", got, unannounced, lost, n-2)
+		t.Fatalf("at start: instances by settings %v, %d without a summary, %d lost, want %d with settings 1, 1 and 0", got, unannounced, lost, n-2)
 	}
 	for i := 20; i < 35; i++ {
 		w.nodes[i].setSummary(2)
@@ -74,7 +74,7 @@
 	w.run(missedHeartbeats*heartbeatInterval(n) + time.Second)
 	got, unannounced, lost := scheduler.summaryCounts()
 	if got[1] != n-2-15-1-1 || got[2] != 15 || got[3] != 1 || unannounced != 1 || lost != 1 {
-		t.Errorf("after changes: %v, %d without a summary, %d lost, want %d of 1, 15 of 2, 1 of 3, 1 without a summary, 1 lost", got, unannounced, lost, n-2-15-1-1)
+		t.Errorf("after changes: instances by settings %v, %d without a summary, %d lost, want %d with settings 1, 15 with 2, 1 with 3, 1 without a summary, 1 lost", got, unannounced, lost, n-2-15-1-1)
 	}
 }
 
@@ -96,6 +96,6 @@
 	without, with := crossBytes(false), crossBytes(true)
 	t.Logf("between data centres in 15 s: %d bytes without summaries, %d with", without, with)
 	if float64(with) > 1.08*float64(without) {
-		t.Errorf("%d bytes with summaries, %d without", with, without)
+		t.Errorf("%d bytes between data centres with summaries, %d without, want at most 1.08 times as many", with, without)
 	}
 }
--- a/gossip/late_permit_test.go
+++ b/gossip/late_permit_test.go
@@ -23,7 +23,7 @@
 	}
 	endpoint, rateLimit, ok := d.client.Balancer.BeginPermitRequest(p.Endpoint, 0)
 	if !ok {
-		t.Fatal("no permit needed")
+		t.Fatal("endpoint needs no permit, want one to be needed")
 	}
 	requestedAt := d.client.Now()
 	request := &PermitRequest{Endpoint: endpoint, Limit: reportedLimit(&rateLimit, requestedAt)}
@@ -36,14 +36,14 @@
 	}
 	late := &PermitResponse{Number: request.Number, Granted: true, Limit: balance.ReportedLimit{Known: true, Limited: true, Rate: 1}}
 	d.client.handlePermitResponse(late)
-	d.client.handlePermitResponse(late) // duplicate
+	d.client.handlePermitResponse(late)
 	if p, refusal := d.client.Balancer.Admit(d.endpoints, d.demand); p == nil || !p.MaySend() {
-		t.Errorf("late permit not used: %+v", refusal)
+		t.Errorf("request refused or without a permit after a late one arrived: refusal %+v", refusal)
 	}
 	if p, _ := d.client.Balancer.Admit(d.endpoints, d.demand); p != nil {
 		t.Error("duplicate permit counted twice")
 	}
 	if n := len(d.client.limits.abandoned); n != 0 {
-		t.Errorf("%d requests still tracked", n)
+		t.Errorf("%d abandoned requests remembered after their response, want none", n)
 	}
 }
--- a/gossip/link.go
+++ b/gossip/link.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// linkQueueWindow, whose minimum is the current round trip, has a sample per remote scheduler.
+	// linkQueueWindow is the window whose minimum is the current round trip. It holds about one
+	// sample from each scheduler of the other regions.
 	linkQueueWindow = time.Second
 	// linkBaseWindow is the window whose minimum is the propagation delay.
 	linkBaseWindow = time.Minute
@@ -31,7 +32,7 @@
 	current, previous time.Duration
 }
 
-// add records a value and returns the minimum of the window.
+// add records v at now and returns the minimum of the window.
 func (l *windowedMin) add(now time.Time, v time.Duration) time.Duration {
 	passed := now.Sub(l.halfStart)
 	switch {
--- a/gossip/members.go
+++ b/gossip/members.go
@@ -106,14 +106,14 @@
 	}
 }
 
-// search returns the index of an address in sorted, or the index at which it would be inserted.
+// search returns the index of address in sorted, or the index at which it would be inserted.
 func (s *members) search(address string) (at int, found bool) {
 	return slices.BinarySearchFunc(s.sorted, address, func(m *Member, address string) int { return strings.Compare(m.Address, address) })
 }
 
-// count returns the number of live instances that this one receives from, itself included, and
-// the largest number that any instance reports. Only the first is announced: announcing reported
-// numbers would keep lost instances in the count forever.
+// count returns the number of live instances that this one receives from or that other regions
+// report as theirs, itself included, and the largest number known to any instance. Only the first
+// is announced: announcing reported numbers would keep lost instances in the count forever.
 func (s *members) count(now time.Time) (direct, total int) {
 	direct = 1
 	reported := 0
@@ -129,7 +129,7 @@
 	return direct, max(direct, reported)
 }
 
-// observe records a message, and reports whether its sender is new.
+// observe records message m from the address from, and reports whether its sender is new.
 func (s *members) observe(now time.Time, from string, m *Message, confirmedAt time.Time) (joined bool) {
 	if m.Sender == s.self.ID || from == s.self.Address {
 		return false
@@ -198,7 +198,7 @@
 	return timedOut
 }
 
-// candidates returns advertised addresses, and the seeds if seeds is set, not yet heard from.
+// candidates returns advertised addresses not heard from yet and, if seeds is set, unknown seeds.
 func (s *members) candidates(seeds bool) []string {
 	var out []string
 	for address, m := range s.byAddress {
@@ -230,7 +230,8 @@
 	return out[:min(len(out), maxInitialPeers)]
 }
 
-// connected reports whether the live schedulers make contacting seeds unnecessary.
+// connected reports whether this instance knows enough schedulers to need no seeds: another one in
+// its region if regions use gateways, otherwise one in another data centre.
 func (s *members) connected() bool {
 	if s.roles.useGateways && len(s.roles.regionRemoteSchedulers) == 0 {
 		return len(s.roles.regionSchedulers) > 0
--- a/gossip/members_test.go
+++ b/gossip/members_test.go
@@ -37,15 +37,15 @@
 		s.eachLive(now, func(m *Member) {
 			got = append(got, m.Address)
 			if m.ID != want[m.Address] || s.byAddress[m.Address] != m {
-				t.Fatalf("%s is %d, want %d", m.Address, m.ID, want[m.Address])
+				t.Fatalf("member at %s has ID %d, want %d, and the same entry in byAddress", m.Address, m.ID, want[m.Address])
 			}
 		})
 		if addresses := slices.Sorted(maps.Keys(want)); !slices.Equal(got, addresses) {
-			t.Fatalf("visited %v, want %v", got, addresses)
+			t.Fatalf("eachLive visits %v, want %v", got, addresses)
 		}
 		n := 0
 		if allocs := testing.AllocsPerRun(10, func() { s.eachLive(now, func(*Member) { n++ }) }); allocs > 0 {
-			t.Fatalf("eachLive allocates %v times", allocs)
+			t.Fatalf("eachLive allocates %v times, want none", allocs)
 		}
 	})
 }
--- a/gossip/message.go
+++ b/gossip/message.go
@@ -28,7 +28,7 @@
 
 	// Aggregates are the load of the ordinary instances of AggregatesOf, or of all of Region.
 	Aggregates         []balance.Report
-	AggregatesOf       string // data centre that Aggregates cover; empty: none
+	AggregatesOf       string // data centre that Aggregates cover; empty: they cover Region, or there are none
 	AggregatesComplete bool   // Aggregates are complete and replace earlier ones
 
 	Cores      float64            // of the sender's machine
--- a/gossip/old_builds_test.go
+++ b/gossip/old_builds_test.go
@@ -17,13 +17,13 @@
 	"ivyridge/discovery"
 )
 
-// newOldBuildRelay returns a relay to a server of a recorded response.
+// newOldBuildRelay returns a Relay to a server that replays the recorded response in file name.
 func newOldBuildRelay(t *testing.T, name string) *Relay {
-	answer, err := os.ReadFile(filepath.Join("testdata", "builds", name))
+	response, err := os.ReadFile(filepath.Join("testdata", "builds", name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(answer) }))
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(response) }))
 	t.Cleanup(server.Close)
 	return &Relay{
 		Address: strings.TrimPrefix(server.URL, "http://"), HTTP: http.DefaultClient, Now: time.Now,
@@ -48,7 +48,7 @@
 				u, err := read()
 				switch {
 				case missing == "" && (err != nil || u.Config == nil || len(u.Endpoints) != 1):
-					t.Errorf("%s of a complete response: %v", call, err)
+					t.Errorf("%s of a complete response: error %v, want none, a configuration and one endpoint", call, err)
 				case missing != "" && err == nil:
 					t.Errorf("%s of a response without %s succeeded: %+v", call, missing, u.Config)
 				case missing != "" && !strings.Contains(err.Error(), missing):
--- a/gossip/pack.go
+++ b/gossip/pack.go
@@ -44,10 +44,10 @@
 	evacuations []discovery.Evacuation
 }
 
-// maxPartial is the number of changed endpoints above which the compressed full list is no larger.
-const maxPartial = 1000
+// maxPartialChanges bounds partial responses. With more changes the compressed list is no larger.
+const maxPartialChanges = 1000
 
-// pack returns the encoded state: the changes since a revision if partial is set and they are
+// pack returns the encoded state: the changes since revision after if partial is set and they are
 // known, and otherwise everything.
 func (p *packer) pack(after int64, partial bool) (packed, error) {
 	p.mu.Lock()
@@ -72,13 +72,13 @@
 	return *p.full, nil
 }
 
-// packChanges returns the changes since a revision; ok is false if they are unknown or too many.
+// packChanges returns the changes since revision after; ok is false if unknown or too many.
 func (p *packer) packChanges(after int64) (part packed, ok bool, err error) {
 	if part, ok = p.partials[after]; ok {
 		return part, true, nil
 	}
 	u, ok := p.table.Since(after)
-	if !ok || len(u.Endpoints)+len(u.Deleted) > maxPartial {
+	if !ok || len(u.Endpoints)+len(u.Deleted) > maxPartialChanges {
 		return packed{}, false, nil
 	}
 	part = packed{revision: u.Revision, document: u.Config, partial: true, removed: u.Deleted, digest: u.Digest, evacuations: u.Evacuations}
--- a/gossip/pack_test.go
+++ b/gossip/pack_test.go
@@ -33,10 +33,10 @@
 	r, _ := relayOf(t, largeTable(t), 0)
 	u, err := r.Load(context.Background())
 	if err != nil || len(u.Config.Routes) != 2800 {
-		t.Fatalf("got %+v, %v", u, err)
+		t.Fatalf("load returned %+v, error %v, want 2800 routes", u, err)
 	}
 	if u.Bytes > 100_000 {
-		t.Fatalf("%d bytes for %d routes", u.Bytes, len(u.Config.Routes))
+		t.Fatalf("response takes %d bytes for %d routes, want at most 100,000", u.Bytes, len(u.Config.Routes))
 	}
 }
 
@@ -53,14 +53,14 @@
 	}
 	first := respond(0, 0, false)
 	if again := respond(0, 0, true); &again.Present[0] != &first.Present[0] || &again.Config[0] != &first.Config[0] {
-		t.Fatal("encoded again without a change")
+		t.Fatal("state encoded again without a change")
 	}
 	if err := table.Apply(&discovery.Update{Revision: 6, ValidatedAt: time.Now(), Endpoints: []discovery.Record{{Endpoint: catalog.Endpoint{ID: "e"}, Revision: 6}}}); err != nil {
 		t.Fatal(err)
 	}
 	changed := respond(0, 0, false)
 	if changed.Revision != 6 || &changed.Present[0] == &first.Present[0] {
-		t.Fatal("changed endpoints not sent")
+		t.Fatal("response is not at revision 6, or reuses the earlier encoding of endpoints")
 	}
 	if &changed.Config[0] != &first.Config[0] {
 		t.Fatal("configuration encoded again though only endpoints changed")
@@ -73,10 +73,10 @@
 		t.Fatal("change encoded again for another caller")
 	}
 	if full := respond(5, 3, false); full.Partial || full.Present == nil {
-		t.Fatalf("response to a caller without partial support: %+v", full)
+		t.Fatalf("response to a caller without partial support is %+v, want the full list", full)
 	}
 	if full := respond(4, 3, true); full.Partial || full.Present == nil {
-		t.Fatalf("response to a caller behind the remembered changes: %+v", full)
+		t.Fatalf("response to a caller behind the remembered changes is %+v, want the full list", full)
 	}
 }
 
@@ -84,7 +84,7 @@
 	for _, data := range [][]byte{{}, []byte("{}"), {0x1f, 0x8b}} {
 		var u discovery.Update
 		if err := (&stateResponse{Config: data}).unpack(&u); err == nil {
-			t.Errorf("%q accepted", data)
+			t.Errorf("corrupt configuration %q accepted", data)
 		}
 	}
 }
--- a/gossip/permit.go
+++ b/gossip/permit.go
@@ -27,8 +27,8 @@
 	maxPermitHops = 2
 )
 
-// requestPermit requests a permit and passes the response to the balancer. It returns the hash of
-// the endpoint if the permit was granted, and zero otherwise.
+// requestPermit requests a permit for e and passes the response to the balancer. It returns the
+// hash of e if the permit was granted, and zero otherwise.
 func (g *Gossip) requestPermit(ctx context.Context, e *discovery.Endpoint, urgency int) uint32 {
 	endpoint, rateLimit, ok := g.Balancer.BeginPermitRequest(e, urgency)
 	if !ok {
@@ -86,8 +86,8 @@
 	return now.Sub(r.sentAt) > balance.PermitDuration
 }
 
-// finishPermitRequest removes a pending request. A request that was sent and not answered is
-// remembered, since the allocator may have charged a permit for it.
+// finishPermitRequest removes a pending request. unanswered is set if it was sent but got no
+// response. It is then remembered, since the allocator may have charged a permit for it.
 func (g *Gossip) finishPermitRequest(req *PermitRequest, allocator string, sentAt time.Time, unanswered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// requestPermitFrom sends a permit request, and reports whether a response arrived in time.
+// requestPermitFrom sends request to address, and reports whether a response arrived in time.
 func (g *Gossip) requestPermitFrom(ctx context.Context, address string, request *PermitRequest) (response PermitResponse, answered bool) {
 	g.mu.Lock()
 	to, ok := g.resolve(address)
@@ -140,7 +140,7 @@
 	return true
 }
 
-// allocate decides a permit request, or returns the address of the allocator if that is another.
+// allocate decides a permit request, or returns the allocator's address if it isn't this instance.
 func (g *Gossip) allocate(request *PermitRequest) (answer limit.Answer, allocator string) {
 	now := g.Now()
 	rateLimit := request.Limit.State(now)
--- a/gossip/permit_test.go
+++ b/gossip/permit_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// request has an instance request a permit from the allocator that it knows, and follow redirects.
+// request has n request a permit from the allocator that it knows, and follow redirects.
 func (c *permitClients) request(n *node) {
 	req := &PermitRequest{Endpoint: permitEndpoint, DataCentre: "dc1", Urgency: 2, Limit: balance.ReportedLimit{Known: true, Limited: true, Rate: c.rate}}
 	n.mu.Lock()
@@ -78,7 +78,7 @@
 	c.retryAt[n] = c.w.now.Add(answer.Wait)
 }
 
-// byAddress returns the live instance at an address, or nil.
+// byAddress returns the live instance at address, or nil.
 func (w *simulation) byAddress(address string) *node {
 	for _, n := range w.nodes {
 		if n.address.String() == address && !n.dead && !n.paused {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// reaches reports whether a datagram would arrive.
+// reaches reports whether a datagram of from would arrive at to.
 func (w *simulation) reaches(from, to *node) bool {
 	return from == to || w.lost == nil || !w.lost(from, to)
 }
@@ -109,7 +109,7 @@
 	return permitTolerance*c.rate*permitWindow.Seconds() + permitSlack
 }
 
-// used returns the fraction of the limit that was granted since a time.
+// used returns the fraction of the limit that was granted after since.
 func (c *permitClients) used(since time.Time) float64 {
 	n := 0
 	for _, at := range c.permits {
@@ -148,28 +148,28 @@
 				clients.run(20 * time.Second)
 				sent = clients.requests
 				if used := clients.used(began); used < 0.9 || used > 1.1 {
-					t.Errorf("%.2f of the limit used", used)
+					t.Errorf("clients used %.2f of the limit, want 0.9 to 1.1", used)
 				}
 				if perSecond := float64(sent) / 20; perSecond > 1000 {
-					t.Errorf("%.0f requests per second", perSecond)
+					t.Errorf("%.0f permit requests per second, want at most 1000", perSecond)
 				}
 				for _, only := range []*node{w.nodes[0], w.nodes[c.n-1]} {
 					clients.demand = func(n *node) bool { return n == only }
 					began = w.now
 					clients.run(10 * time.Second)
 					if used := clients.used(began); used < 0.8 {
-						t.Errorf("%.2f of the limit used with all demand at one instance", used)
+						t.Errorf("%.2f of the limit used with all demand at one instance, want at least 0.8", used)
 					}
 				}
 				if n := clients.maxInWindow(); float64(n) > clients.allowed() {
-					t.Errorf("%d permits in 4 s, at most %.0f allowed", n, clients.allowed())
+					t.Errorf("%d permits granted within 4 s, want at most %.0f", n, clients.allowed())
 				}
 			})
 		}
 	}
 }
 
-// Another instance takes over the limits of a lost allocator; a joining one reduces no utilization.
+// Limits stay in use after their allocator is lost, and while an instance joins.
 func TestLimitUtilizationDuringChurn(t *testing.T) {
 	t.Parallel()
 	w := newSimulation(t, 24, 3)
@@ -187,17 +187,17 @@
 		began := w.now
 		clients.run(10 * time.Second)
 		if used := clients.used(began); used < 0.9 {
-			t.Errorf("%.2f of the limit used 4 s after the allocator was lost", used)
+			t.Errorf("%.2f of the limit used from 4 s after the allocator was lost, want at least 0.9", used)
 		}
 		began = w.now
 		w.start(slices.Index(w.nodes, lost), clients.rng.Uint64()|1, lost.DataCentre, lost.Cores)
 		clients.run(12 * time.Second)
 		if used := clients.used(began); used < 0.85 {
-			t.Errorf("%.2f of the limit used while an instance joins", used)
+			t.Errorf("%.2f of the limit used while an instance joins, want at least 0.85", used)
 		}
 	}
 	if n := clients.maxInWindow(); float64(n) > clients.allowed() {
-		t.Errorf("%d permits in 4 s, at most %.0f allowed", n, clients.allowed())
+		t.Errorf("%d permits granted within 4 s, want at most %.0f", n, clients.allowed())
 	}
 }
 
@@ -211,19 +211,19 @@
 	began := w.now
 	clients.run(20 * time.Second)
 	if used := clients.used(began); used < 0.9 || used > 1.1 {
-		t.Errorf("%.2f of the limit used", used)
+		t.Errorf("clients used %.2f of the limit, want 0.9 to 1.1", used)
 	}
 	w.lost = func(a, b *node) bool { return regions[a.DataCentre] != regions[b.DataCentre] }
 	clients.run(10 * time.Second)
 	began = w.now
 	clients.run(60 * time.Second)
 	if used := clients.used(began); used < 0.9 || used > 1.1 {
-		t.Errorf("%.2f of the limit used while the regions are partitioned", used)
+		t.Errorf("%.2f of the limit used while the regions are partitioned, want 0.9 to 1.1", used)
 	}
 	w.lost = nil
 	clients.run(10 * time.Second)
 	if n := clients.maxInWindow(); float64(n) > clients.allowed() {
-		t.Errorf("%d permits in 4 s, at most %.0f allowed", n, clients.allowed())
+		t.Errorf("%d permits granted within 4 s, want at most %.0f", n, clients.allowed())
 	}
 }
 
@@ -272,7 +272,7 @@
 		}
 		clients.run(time.Duration(rapid.IntRange(1, 6).Draw(rt, "s")) * time.Second)
 		if n := clients.maxInWindow(); float64(n) > clients.allowed() {
-			rt.Fatalf("%d permits in 4 s, at most %.0f allowed", n, clients.allowed())
+			rt.Fatalf("%d permits granted within 4 s, want at most %.0f", n, clients.allowed())
 		}
 	}
 }
@@ -290,17 +290,17 @@
 		PermitRequest: &PermitRequest{Number: 7, Endpoint: 99, DataCentre: "b", Urgency: 2, Limit: lim}}
 	got, err := Decode(m.Append(nil))
 	if err != nil || !got.AllocatesLimits || *got.PermitRequest != *m.PermitRequest {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("decoded message is %+v, error %v, want the encoded one", got, err)
 	}
 	m = &Message{Sender: 1, PermitResponse: &PermitResponse{Number: 7, Granted: true, Wait: time.Second, Allocator: "10.0.0.1:1", Limit: lim},
 		Reports: []balance.Report{{Endpoint: 5, Limit: lim}, {Endpoint: 6}}}
 	got, err = Decode(m.Append(nil))
 	if err != nil || *got.PermitResponse != *m.PermitResponse || got.Reports[0].Limit != lim || got.Reports[1].Limit.Known {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("decoded message is %+v, error %v, want the encoded one", got, err)
 	}
 	m.PermitResponse.Limit.Rate = -1
 	if got, err = Decode(m.Append(nil)); err != nil || got.PermitResponse.Limit.Known {
-		t.Errorf("got %+v, %v", got.PermitResponse, err)
+		t.Errorf("response with a negative rate decodes to %+v, error %v, want no known limit", got.PermitResponse, err)
 	}
 }
 
--- a/gossip/placement.go
+++ b/gossip/placement.go
@@ -90,7 +90,7 @@
 	return p, refusal, charged
 }
 
-// withoutCharges returns a copy of d that leaves the retry budget alone: a scheduler charged it.
+// withoutCharges returns a copy of d that charges no retry budget: a scheduler has already done so.
 func withoutCharges(d *balance.Demand) *balance.Demand {
 	uncharged := *d
 	uncharged.Deposit, uncharged.Retry = quota.DepositNone, balance.NoRetry
@@ -135,7 +135,7 @@
 	requestAnswered
 )
 
-// requestFrom sends a placement request to an address, and waits up to timeout for the response.
+// requestFrom sends request to address, and waits up to timeout for the response.
 func (g *Gossip) requestFrom(ctx context.Context, address string, request *PlacementRequest, timeout time.Duration) (balance.Choice, requestOutcome) {
 	g.mu.Lock()
 	to, ok := g.resolve(address)
@@ -184,7 +184,7 @@
 	delete(g.pending, number)
 }
 
-// nextScheduler returns the scheduler address to send requests to, or "". The caller holds g.mu.
+// nextScheduler returns the address of the scheduler to ask, "" if none. The caller holds g.mu.
 func (g *Gossip) nextScheduler(now time.Time) string {
 	for _, m := range g.members.currentRoles(now).schedulerOrder {
 		if b := g.backoffs[m.Address]; b == nil || !now.Before(b.until) {
--- a/gossip/placement_test.go
+++ b/gossip/placement_test.go
@@ -24,7 +24,7 @@
 func newDataCentre(t *testing.T) *dataCentre {
 	t.Helper()
 	d := &dataCentre{scheduler: listen(t, 1), client: listen(t, 9)}
-	// Add further schedulers that never answer, so that the second instance isn't a scheduler.
+	// Add further schedulers that never answer, so that the client isn't a scheduler.
 	now := time.Now()
 	m := &Message{Sender: 1, DataCentre: "z", Cores: 3, WarmedUp: true, NextWithin: time.Minute}
 	d.client.members.observe(now, d.scheduler.conn.(*net.UDPConn).LocalAddr().String(), m, time.Time{})
@@ -67,17 +67,17 @@
 	for range 8 {
 		p, _ := d.client.Place(context.Background(), d.endpoints, d.demand)
 		if p == nil {
-			t.Fatal("request not placed")
+			t.Fatal("request not placed, want it placed at an endpoint")
 		}
 		placed[p.Endpoint.ID]++
 	}
 	for id, n := range placed {
 		if n != 2 {
-			t.Errorf("%d of 8 requests at endpoint %s, want 2: %v", n, id, placed)
+			t.Errorf("%d of 8 requests placed at endpoint %s, want 2; by endpoint: %v", n, id, placed)
 		}
 	}
 	if _, upTo := d.scheduler.Balancer.Reports(false, 0); upTo != 0 {
-		t.Error("scheduler reports granted requests as its own load")
+		t.Error("scheduler reports granted requests as its own load, want no reports")
 	}
 }
 
@@ -129,6 +129,6 @@
 	go d.client.receive()
 	p, refusal := d.client.Place(context.Background(), d.endpoints, d.demand)
 	if p != nil || refusal == nil || refusal.RetryAfter <= 0 || refusal.Wait <= 0 {
-		t.Fatalf("got %+v, %+v, want a refusal with a retry delay", p, refusal)
+		t.Fatalf("placement %+v, refusal %+v, want a refusal with a wait and a retry delay", p, refusal)
 	}
 }
--- a/gossip/regions.go
+++ b/gossip/regions.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// knownRegion reports whether a region is configured. State of unknown regions is not kept.
+// knownRegion reports whether region is configured. State of unknown regions is not kept.
 func (g *Gossip) knownRegion(region string) bool {
 	for _, r := range g.Regions {
 		if r == region {
@@ -116,7 +116,6 @@
 	return false
 }
 
-// partition splits members by isRemote.
 func partition(all []*Member, isRemote func(*Member) bool) (local, remote []*Member) {
 	for _, m := range all {
 		if isRemote(m) {
@@ -139,7 +138,8 @@
 	loggedGatewayCount int    // number of other regions' gateways, as last logged
 }
 
-// queueForGateways queues notices if this instance is the gateway. The caller holds g.mu.
+// queueForGateways queues notices for other regions if this instance is the gateway, and empties
+// the queue otherwise. The caller holds g.mu.
 func (g *Gossip) queueForGateways(r *roles, notices []balance.Notice) {
 	if !r.isGateway || len(r.otherGateways) == 0 {
 		g.crossRegion.notices = nil
--- a/gossip/regions_test.go
+++ b/gossip/regions_test.go
@@ -36,7 +36,7 @@
 		}
 		r := s.currentRoles(now)
 		useGateways := protocol >= protocolRegions
-		direct := 3 // schedulers sent to directly
+		direct := 3 // schedulers of the other region that get messages directly instead of through a gateway
 		if useGateways {
 			direct = 0
 		}
@@ -200,16 +200,16 @@
 
 // run advances time with the given number of requests per second.
 func (g *trafficGenerator) run(d time.Duration, rate int) {
-	each := rate * int(simulationStep) / int(time.Second)
+	perStep := rate * int(simulationStep) / int(time.Second)
 	for range d / simulationStep {
-		for range each {
+		for range perStep {
 			g.request(g.w.nodes[g.placed%len(g.w.nodes)])
 		}
-		if most := rate; len(g.open) > most {
-			for _, p := range g.open[:len(g.open)-most] {
+		if maxOpen := rate; len(g.open) > maxOpen {
+			for _, p := range g.open[:len(g.open)-maxOpen] {
 				p.Done(balance.Served)
 			}
-			g.open = g.open[len(g.open)-most:]
+			g.open = g.open[len(g.open)-maxOpen:]
 		}
 		g.w.run(simulationStep)
 	}
@@ -252,7 +252,7 @@
 			t.Logf("%d instances, gateways %v: %d KB/s between regions, %s", c.instances, useGateways, sum[i]/2000, kinds)
 		}
 		if 4*sum[1] > sum[0] {
-			t.Errorf("%d instances: %d bytes between regions, want less than a quarter of %d", c.instances, sum[1], sum[0])
+			t.Errorf("%d instances: %d bytes between regions with gateways, want at most a quarter of the %d without", c.instances, sum[1], sum[0])
 		}
 	}
 }
@@ -265,14 +265,14 @@
 			w := newRegionSimulation(t, 24, len(c.regions), c.regions, true)
 			w.run(12 * time.Second)
 			if sum, _ := w.coldShares(); sum < 0.99 {
-				t.Errorf("%s: shares sum to %.2f once settled, want 1", c.name, sum)
+				t.Errorf("%s: cold shares sum to %.2f once settled, want 1", c.name, sum)
 			}
 			w.lost = func(from, to *node) bool {
 				return w.inDifferentRegions(from, to) && (!oneWay || w.regions[from.DataCentre] == "a")
 			}
 			w.coldSharesNeverExceed(1, 15*time.Second)
 			if sum, _ := w.coldShares(); sum < 0.99 {
-				t.Errorf("%s: shares sum to %.2f during the partition, want both regions to keep theirs", c.name, sum)
+				t.Errorf("%s: cold shares sum to %.2f during the partition, want 1, as both regions keep theirs", c.name, sum)
 			}
 			w.lost = nil
 			w.coldSharesNeverExceed(1, 8*time.Second)
@@ -296,7 +296,7 @@
 		}
 		placed := 0
 		for _, n := range w.nodes {
-			// Place from the gateway and from another scheduler of its region.
+			// Place from each scheduler of dc0, one of which is the region's gateway.
 			if r := n.members.currentRoles(w.now); n.DataCentre == "dc0" && r.isScheduler && n.Balancer.Place(traffic.endpoints[:1], d) != nil {
 				placed++
 			}
@@ -341,7 +341,7 @@
 				}
 			}
 			if len(n.crossRegion.notices) != c.queued || redacted != c.redacted {
-				t.Errorf("protocol %d, restricted %v: %d queued, %d without parts elsewhere, want %d and %d", c.protocol, c.restricted, len(n.crossRegion.notices), redacted, c.queued, c.redacted)
+				t.Errorf("protocol %d, restricted %v: %d notices queued, %d without parts for the other region, want %d and %d", c.protocol, c.restricted, len(n.crossRegion.notices), redacted, c.queued, c.redacted)
 			}
 		}
 	}
@@ -369,7 +369,7 @@
 	w.run(2 * simulationStep)
 	for _, m := range other.Members() {
 		if m.ID == lone.id && !m.Leaving {
-			t.Errorf("instance of the other region not known to be leaving")
+			t.Errorf("the instance of the other region is not known to be leaving")
 		}
 	}
 }
--- a/gossip/relay_bench_test.go
+++ b/gossip/relay_bench_test.go
@@ -85,10 +85,10 @@
 		data, _ := json.Marshal(b)
 		sizes[n] = len(data)
 		if !strings.Contains(string(data), listedRecord(5, 0).ID) || len(b.Gone) != 1 {
-			t.Errorf("response %s", data)
+			t.Errorf("response is %s, want the changed endpoint and one deletion", data)
 		}
 	}
 	if sizes[4000] > sizes[1000]*11/10 {
-		t.Errorf("partial update has %d bytes with 1,000 endpoints and %d with 4,000", sizes[1000], sizes[4000])
+		t.Errorf("partial update has %d bytes with 1,000 endpoints and %d with 4,000, want at most a tenth more", sizes[1000], sizes[4000])
 	}
 }
--- a/gossip/relay_test.go
+++ b/gossip/relay_test.go
@@ -27,7 +27,7 @@
 	return relayOf(t, table, version)
 }
 
-// relayOf returns a Relay to a table, for a reader with the given configuration version.
+// relayOf returns a Relay to table for a reader with the given configuration version, and table.
 func relayOf(t *testing.T, table *discovery.Table, version int64) (*Relay, *discovery.Table) {
 	t.Helper()
 	server := httptest.NewServer(StateHandler(table, zap.NewNop()))
@@ -42,7 +42,7 @@
 	r, _ := relayTo(t, 0)
 	u, err := r.Load(context.Background())
 	if err != nil || u.Revision != 5 || !u.Full || u.Config == nil || len(u.Endpoints) != 1 {
-		t.Fatalf("got %+v, %v", u, err)
+		t.Fatalf("update %+v, error %v, want a full one at revision 5, with a configuration and one endpoint", u, err)
 	}
 }
 
@@ -50,14 +50,14 @@
 	r, table := relayTo(t, 3)
 	u, err := r.Watch(context.Background(), discovery.Query{After: 5, Wait: 50 * time.Millisecond})
 	if err != nil || u.Revision != 5 || u.Full || len(u.Endpoints) != 0 {
-		t.Fatalf("without a change: %+v, %v", u, err)
+		t.Fatalf("without a change: update %+v, error %v, want no changes at revision 5", u, err)
 	}
 	time.AfterFunc(50*time.Millisecond, func() {
 		_ = table.Apply(&discovery.Update{Revision: 6, ValidatedAt: time.Now(), Deleted: []discovery.Deletion{{ID: "e", Revision: 6}}})
 	})
 	u, err = r.Watch(context.Background(), discovery.Query{After: 5, Wait: 10 * time.Second})
 	if err != nil || u.Revision != 6 || u.Full || len(u.Endpoints) != 0 || len(u.Deleted) != 1 || u.Deleted[0].ID != "e" || u.Config != nil {
-		t.Fatalf("after a change: %+v, %v, want no configuration that the reader has", u, err)
+		t.Fatalf("after a change: update %+v, error %v, want the deletion of e at revision 6, and no configuration", u, err)
 	}
 }
 
@@ -66,7 +66,7 @@
 	r, _ := relayTo(t, 3)
 	u, err := r.Watch(context.Background(), discovery.Query{After: 9, Wait: 0})
 	if err != nil || u.Full || u.Revision != 5 {
-		t.Fatalf("got %+v, %v", u, err)
+		t.Fatalf("update %+v, error %v, want no full one, at revision 5", u, err)
 	}
 }
 
@@ -77,7 +77,7 @@
 	confirmedAt := time.Now().Add(-before)
 	u, err := r.Watch(context.Background(), discovery.Query{After: 5, Wait: 100 * time.Millisecond})
 	if err != nil || u.ValidatedAt.After(confirmedAt) {
-		t.Fatalf("state dated %v, want at most %v: %v", u.ValidatedAt, confirmedAt, err)
+		t.Fatalf("state dated %v, want at most %v; error %v", u.ValidatedAt, confirmedAt, err)
 	}
 }
 
@@ -86,11 +86,11 @@
 	table := discovery.NewTable(time.Now)
 	r, _ := relayOf(t, table, 0)
 	if u, err := r.Load(context.Background()); err == nil {
-		t.Fatalf("instance without state served %+v", u)
+		t.Fatalf("instance without state served %+v, want an error", u)
 	}
 	_ = table.Apply(&discovery.Update{Revision: 5, Full: true, ValidatedAt: time.Now()})
 	u, err := r.Load(context.Background())
 	if err != nil || u.Revision != 5 || u.Config != nil {
-		t.Fatalf("got %+v, %v, want revision 5 without a configuration", u, err)
+		t.Fatalf("update %+v, error %v, want revision 5 without a configuration", u, err)
 	}
 }
--- a/gossip/remote_lender_test.go
+++ b/gossip/remote_lender_test.go
@@ -44,12 +44,12 @@
 	p, refusal := d.client.Place(context.Background(), d.endpoints, d.demand)
 	time.Sleep(2 * roundTrip)
 	if charged := grantedRetries(lender); p == nil || charged != 1 {
-		t.Errorf("%d retries charged in the other region, request refused with %+v", charged, refusal)
+		t.Errorf("%d retries charged in the other region, refusal %+v, want one retry and a placement", charged, refusal)
 	}
 	d.client.mu.Lock()
 	defer d.client.mu.Unlock()
 	if d.client.backoffs[address] != nil {
-		t.Errorf("lender that answered after %v is in backoff", roundTrip)
+		t.Errorf("lender that answered after %v is in backoff, want no backoff", roundTrip)
 	}
 }
 
@@ -80,6 +80,6 @@
 	elapsed.Store(int64(borrowBackoff))
 	d.client.borrow(context.Background(), d.demand)
 	if n := asked.Load(); n != 2 {
-		t.Errorf("lender asked %d times, want once and again after %v", n, borrowBackoff)
+		t.Errorf("lender asked %d times, want 2: at first, and again after %v", n, borrowBackoff)
 	}
 }
--- a/gossip/retries_test.go
+++ b/gossip/retries_test.go
@@ -90,7 +90,7 @@
 	return retryBound.InstanceBudget(s.maxSeen[n])
 }
 
-// serve processes requests at an instance and, if retriesAllowed is set, sends all retries it may.
+// serve processes requests at n and, if retriesAllowed is set, sends all retries it may.
 func (s *retryFleet) serve(n *node, requests int, retriesAllowed bool) {
 	step := &s.counts[len(s.counts)-1]
 	deposit, capacity := s.ownBucket(n)
@@ -207,7 +207,7 @@
 			}
 		}
 		if over := s.excess(); over > 0 {
-			rt.Fatalf("%.1f retries over the bound within a window", over)
+			rt.Fatalf("%.1f retries over the bound within a window, want none", over)
 		}
 	})
 }
@@ -236,7 +236,7 @@
 		t.Errorf("instances of one data centre were granted %d retries at once, want at least half of 180", got)
 	}
 	if over := s.excess(); over > 0 {
-		t.Errorf("%.1f retries over the bound", over)
+		t.Errorf("%.1f retries over the bound within a window, want none", over)
 	}
 }
 
@@ -315,7 +315,7 @@
 		return true
 	}
 	if c.chargedLocally+c.chargedAtLender == 0 && (refusal == nil || refusal.Cause != balance.RetryBudgetExhausted) || c.chargedLocally+c.chargedAtLender == 1 && p == nil {
-		t.Errorf("%s: got %+v, %+v", c.name, p, refusal)
+		t.Errorf("%s: placement %+v, refusal %+v, want a placement only if a retry is charged", c.name, p, refusal)
 	}
 	if got != c.chargedLocally || charged != c.chargedAtLender {
 		t.Errorf("%s: %d retries charged locally and %d at the lender, want %d and %d", c.name, got, charged, c.chargedLocally, c.chargedAtLender)
--- a/gossip/retry_borrowing.go
+++ b/gossip/retry_borrowing.go
@@ -64,7 +64,7 @@
 	return false
 }
 
-// mayBorrow reports whether lenders may be asked for a retry of a service. The pause after a
+// mayBorrow reports whether lenders may be asked for a retry of service. The pause after a
 // failure keeps each request of a failing service from asking all of them.
 func (g *Gossip) mayBorrow(service string, now time.Time) bool {
 	g.mu.Lock()
--- a/gossip/roles.go
+++ b/gossip/roles.go
@@ -20,7 +20,7 @@
 const (
 	// schedulersPerDataCentre includes spares that receive the same reports as the ones in use.
 	schedulersPerDataCentre = 3
-	// instancesPerScheduler is the size of a data centre for which one active scheduler suffices.
+	// instancesPerScheduler is how many instances of a data centre require another active scheduler.
 	instancesPerScheduler = 48
 	// warmupPeriod is how long a scheduler receives load reports before it outranks others.
 	warmupPeriod = 5 * time.Second
@@ -153,7 +153,7 @@
 // activeSchedulerCount returns how many schedulers of a data centre of n instances are in use.
 func activeSchedulerCount(n int) int { return 1 + n/instancesPerScheduler }
 
-// orderSchedulers rotates schedulers, so that n instances spread requests over the active ones.
+// orderSchedulers rotates schedulers by id, so that n instances spread over the active ones.
 func orderSchedulers(schedulers []*Member, id uint64, n int) []*Member {
 	first := int(id % uint64(min(activeSchedulerCount(n), len(schedulers))))
 	out := append([]*Member(nil), schedulers[first:]...)
--- a/gossip/roles_test.go
+++ b/gossip/roles_test.go
@@ -37,7 +37,7 @@
 	for _, s := range newFleetViews(now, 7, 3, unchanged) {
 		r := s.currentRoles(now)
 		if !r.isScheduler || len(r.schedulers) != 6 || len(r.schedulerOrder)+len(r.localPeers)+len(r.remotePeers) != 0 {
-			t.Fatalf("instance %d: %+v", s.self.ID, r)
+			t.Fatalf("roles of instance %d are %+v, want a scheduler among 6 others and no ordinary instances", s.self.ID, r)
 		}
 	}
 }
@@ -59,15 +59,15 @@
 			continue
 		}
 		if len(r.schedulers) != 3*schedulersPerDataCentre {
-			t.Fatalf("instance %d knows %d schedulers", i, len(r.schedulers))
+			t.Fatalf("instance %d knows %d schedulers, want schedulersPerDataCentre in each of 3 data centres", i, len(r.schedulers))
 		}
 		if r.schedulerOrder[0].DataCentre != s.self.DataCentre || r.schedulerOrder[0].Cores != 0.8 {
-			t.Fatalf("instance %d of %s sends requests to %+v", i, s.self.DataCentre, r.schedulerOrder[0])
+			t.Fatalf("instance %d of %s sends requests to %+v, want a scheduler of its data centre with 0.8 cores", i, s.self.DataCentre, r.schedulerOrder[0])
 		}
 		receivers[r.schedulerOrder[0].Address] = true
 	}
 	if schedulers != 3*schedulersPerDataCentre || len(receivers) != 3 {
-		t.Fatalf("%d schedulers, %d receive requests", schedulers, len(receivers))
+		t.Fatalf("%d schedulers, of which %d receive requests, want schedulersPerDataCentre in each of 3 data centres, and 3", schedulers, len(receivers))
 	}
 }
 
@@ -83,7 +83,7 @@
 	s := newFleetViews(now, 30, 1, change)[20]
 	for _, m := range s.currentRoles(now).schedulerOrder {
 		if !m.WarmedUp {
-			t.Fatalf("sends requests to %s, which is not warmed up", m.Address)
+			t.Fatalf("instance 20 sends requests to %s, which is not warmed up", m.Address)
 		}
 	}
 	leaving := func(i int, m *Message) {
@@ -92,7 +92,7 @@
 	}
 	s = newFleetViews(now, 30, 1, leaving)[20]
 	if first := s.currentRoles(now).schedulerOrder[0]; first.Address != "11" {
-		t.Fatalf("sends requests to %s, want the next one that is warmed up", first.Address)
+		t.Fatalf("instance 20 sends requests to %s, want 11, the next one that is warmed up", first.Address)
 	}
 }
 
@@ -101,18 +101,18 @@
 	s := newMembers(Member{ID: 1, Address: "own", DataCentre: "z"}, nil)
 	s.currentRoles(now)
 	if s.self.WarmedUp {
-		t.Fatal("warmed up at the start")
+		t.Fatal("scheduler is warmed up at the start")
 	}
 	s.currentRoles(now.Add(warmupPeriod))
 	if !s.self.WarmedUp {
-		t.Fatalf("not warmed up after %v", warmupPeriod)
+		t.Fatalf("scheduler is not warmed up after %v", warmupPeriod)
 	}
 }
 
 // The send rate of an instance hardly grows with the fleet.
 func TestSendRateBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
-	for _, c := range []struct{ instances, dataCentres, most int }{{7, 3, 150}, {80, 3, 80}, {390, 6, 40}} {
+	for _, c := range []struct{ instances, dataCentres, maxRate int }{{7, 3, 150}, {80, 3, 80}, {390, 6, 40}} {
 		s := newFleetViews(now, c.instances, c.dataCentres, unchanged)[c.instances-1]
 		r := s.currentRoles(now)
 		perSecond := func(n int, interval time.Duration) float64 {
@@ -123,8 +123,8 @@
 		if r.isScheduler {
 			rate = perSecond(len(r.schedulers), r.tickInterval())
 		}
-		if rate > float64(c.most) {
-			t.Errorf("one of %d instances sends %.0f datagrams per second, want at most %d", c.instances, rate, c.most)
+		if rate > float64(c.maxRate) {
+			t.Errorf("one of %d instances sends %.0f datagrams per second, want at most %d", c.instances, rate, c.maxRate)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 		}
 	}
 	if len(receivers) != 3 {
-		t.Fatalf("schedulers of 100 instances: %v", receivers)
+		t.Fatalf("requests of 100 instances go to the schedulers %v, want three", receivers)
 	}
 }
 
@@ -153,7 +153,7 @@
 				readers[s.self.DataCentre]++
 			}
 			if r.storeReaders != 3 {
-				t.Errorf("one of %d instances counts %d readers", n, r.storeReaders)
+				t.Errorf("one of %d instances counts %d store readers, want 3", n, r.storeReaders)
 			}
 			for _, m := range r.predecessors {
 				if m.DataCentre != s.self.DataCentre {
@@ -162,7 +162,7 @@
 			}
 		}
 		if len(readers) != 3 || readers["0"]+readers["1"]+readers["2"] != 3 {
-			t.Errorf("%d instances: readers %v", n, readers)
+			t.Errorf("%d instances: store readers by data centre are %v, want one in each of three", n, readers)
 		}
 	}
 }
--- a/gossip/rolling_release_test.go
+++ b/gossip/rolling_release_test.go
@@ -105,7 +105,7 @@
 			rate := float64(c.bytes[1]) / duration.Seconds()
 			t.Logf("%d endpoints: %d bytes at the start, %.0f B/s during the release", n, start, rate)
 			if rate > maxRate {
-				t.Errorf("%.0f B/s sent per follower", rate)
+				t.Errorf("%.0f B/s sent per follower, want at most maxRate", rate)
 			}
 			c.now = c.now.Add(time.Minute)
 			_ = c.reader.Apply(&discovery.Update{Revision: revision + 1, ValidatedAt: c.now})
@@ -113,7 +113,7 @@
 			_, want := c.reader.Digest()
 			for i, table := range c.followers {
 				if _, got := table.Digest(); got != want {
-					t.Errorf("follower %d has other endpoints than the reader", i)
+					t.Errorf("follower %d lists other endpoints than the reader", i)
 				}
 			}
 		})
--- a/gossip/simulation_test.go
+++ b/gossip/simulation_test.go
@@ -55,11 +55,11 @@
 // A node is one instance. It implements its own packetConn.
 type node struct {
 	*Gossip
-	sim     *simulation
-	address netip.AddrPort
-	next    time.Time
-	dead    bool
-	paused  bool // it does nothing, and datagrams to it are lost
+	sim      *simulation
+	address  netip.AddrPort
+	nextTick time.Time
+	dead     bool
+	paused   bool // it does nothing, and datagrams to it are lost
 }
 
 func (n *node) WriteToUDPAddrPort(data []byte, to netip.AddrPort) (int, error) {
@@ -114,10 +114,10 @@
 // start starts or restarts instance i with the given ID.
 func (w *simulation) start(i int, id uint64, dataCentre string, cores float64) {
 	now := func() time.Time { return w.now }
-	n := &node{sim: w, address: address(i), next: w.now.Add(time.Duration(i%2) * simulationStep)}
+	n := &node{sim: w, address: address(i), nextTick: w.now.Add(time.Duration(i%2) * simulationStep)}
 	table := discovery.NewTable(now)
 	_ = table.Apply(&discovery.Update{Revision: 1, Full: true, ValidatedAt: w.now, Config: &catalog.Document{Version: 1}})
-	// The seeds are ordinary instances if there are any.
+	// Seeds are ordinary instances if the fleet has any.
 	var seeds []string
 	for s := range 3 {
 		seeds = append(seeds, address(w.size*2/3+s).String())
@@ -142,7 +142,6 @@
 	w.byAddr[n.address] = n
 }
 
-// run advances time.
 func (w *simulation) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(simulationStep) {
 		inFlight := w.inFlight
@@ -166,9 +165,9 @@
 			call()
 		}
 		for _, n := range w.nodes {
-			if !n.dead && !n.paused && !w.now.Before(n.next) {
+			if !n.dead && !n.paused && !w.now.Before(n.nextTick) {
 				n.tick()
-				n.next = w.now.Add(n.tickInterval())
+				n.nextTick = w.now.Add(n.tickInterval())
 			}
 		}
 	}
@@ -202,7 +201,7 @@
 		}
 	}
 	if len(schedulers) != dataCentres*schedulersPerDataCentre {
-		w.t.Errorf("%d schedulers, want %d", len(schedulers), dataCentres*schedulersPerDataCentre)
+		w.t.Errorf("fleet has %d schedulers, want %d", len(schedulers), dataCentres*schedulersPerDataCentre)
 	}
 	for i, n := range w.nodes {
 		if n.dead {
@@ -218,7 +217,7 @@
 		}
 		for _, m := range others {
 			if !schedulers[m.ID] {
-				w.t.Errorf("instance %d has %d as a scheduler, which it is not", i, m.ID)
+				w.t.Errorf("instance %d takes the member with ID %d for a scheduler, which it is not", i, m.ID)
 			}
 		}
 		if n.fleetSize != live {
@@ -281,7 +280,7 @@
 	small, large := rate(40), rate(160)
 	t.Logf("40 instances: %.0f KB/s, 160 instances: %.0f KB/s", small/1e3, large/1e3)
 	if large > 2.5*small {
-		t.Errorf("four times the instances send %.1f times the traffic between data centres", large/small)
+		t.Errorf("four times the instances send %.1f times the traffic between data centres, want at most 2.5 times", large/small)
 	}
 }
 
@@ -301,7 +300,7 @@
 	for i, n := range w.nodes {
 		age, _ := n.State.Age()
 		if age > time.Second || age < w.now.Sub(confirmedAt) {
-			t.Errorf("instance %d computes an age of %v, want at least %v and at most 1 s", i, age, w.now.Sub(confirmedAt))
+			t.Errorf("instance %d computes a state age of %v, want at least %v and at most 1 s", i, age, w.now.Sub(confirmedAt))
 		}
 	}
 }
--- a/gossip/single_instance_region_test.go
+++ b/gossip/single_instance_region_test.go
@@ -18,7 +18,7 @@
 		share, others := n.retryShare, len(n.members.currentRoles(w.now).schedulers)
 		n.mu.Unlock()
 		if share != 0.5 {
-			t.Errorf("gateways %v: share %.2f, want 0.5; %d schedulers live", useGateways, share, others)
+			t.Errorf("gateways %v: retry share is %.2f, want 0.5; %d other schedulers known", useGateways, share, others)
 		}
 	}
 }
--- a/gossip/suspects.go
+++ b/gossip/suspects.go
@@ -162,8 +162,8 @@
 	g.forwardSuspects(g.Now(), entries, "")
 }
 
-// forwardSuspects sends suspects to the instances that this one forwards to, without the address
-// except. The caller holds g.mu.
+// forwardSuspects sends suspects to the instances that this one forwards to, other than the one at
+// the address except. The caller holds g.mu.
 func (g *Gossip) forwardSuspects(now time.Time, entries []poison.Entry, except string) {
 	r := g.members.currentRoles(now)
 	to := r.localSchedulers
@@ -234,7 +234,7 @@
 
 // A suspectSync tracks digests that differ from the local one.
 type suspectSync struct {
-	localDigest uint64 // the other fields are valid while the local digest is this one
+	localDigest uint64 // local digest for which firstSeen and redundant are valid
 	firstSeen   map[uint64]time.Time
 	lastPull    time.Time
 	fetching    bool
@@ -244,7 +244,7 @@
 // maxDigests bounds the digests tracked; when it is reached, tracking restarts.
 const maxDigests = 256
 
-// seenFor returns for how long a digest has been seen while the local one was unchanged.
+// seenFor returns for how long digest has been seen while localDigest was unchanged.
 func (s *suspectSync) seenFor(now time.Time, localDigest, digest uint64) time.Duration {
 	if localDigest != s.localDigest || s.firstSeen == nil || len(s.firstSeen) >= maxDigests {
 		s.localDigest, s.firstSeen, s.redundant = localDigest, make(map[uint64]time.Time), make(map[uint64]bool)
--- a/gossip/suspects_test.go
+++ b/gossip/suspects_test.go
@@ -15,7 +15,7 @@
 	"ivyridge/poison"
 )
 
-// pull serves the suspect table of the instance at an address.
+// pull returns the suspect table of the instance at address, as fetched by from.
 func (w *simulation) pull(from *node, address string) ([]byte, error) {
 	for _, n := range w.nodes {
 		if n.address.String() != address {
@@ -38,7 +38,7 @@
 	return id
 }
 
-// reportEndpointFailure reports a crash of an endpoint that served a request and some others.
+// reportEndpointFailure has instance report a crash of endpoint with request and others in flight.
 func (w *simulation) reportEndpointFailure(instance, endpoint, request, others int) {
 	n := w.nodes[instance]
 	entries := []poison.Entry{{ID: suspectID(request), Outline: poison.Outline(request), Service: "m", Route: "chat", Team: "team"}}
@@ -52,7 +52,7 @@
 	n.SendSuspects(n.Suspects.EndpointCrashed(w.now, entries))
 }
 
-// countKnown counts the live instances at which a request is known to crash endpoints.
+// countKnown counts the live instances, and those at which request is known to crash endpoints.
 func (w *simulation) countKnown(request int) (known, live int) {
 	for _, n := range w.nodes {
 		if n.dead {
@@ -69,7 +69,7 @@
 func (w *simulation) wantSuspectKnown(when string, request int) {
 	w.t.Helper()
 	if known, live := w.countKnown(request); known != live {
-		w.t.Errorf("%s: suspect known at %d of %d instances", when, known, live)
+		w.t.Errorf("%s: suspect confirmed at %d of %d live instances, want all", when, known, live)
 	}
 }
 
@@ -114,7 +114,7 @@
 			sent, pulls := w.suspectBytes, w.pulls
 			w.run(8 * time.Second)
 			if w.suspectBytes != sent || w.pulls != pulls {
-				t.Errorf("%d bytes sent and %d tables fetched in 8 s without new suspects", w.suspectBytes-sent, w.pulls-pulls)
+				t.Errorf("%d bytes sent and %d tables fetched in 8 s without new suspects, want none", w.suspectBytes-sent, w.pulls-pulls)
 			}
 			t.Logf("3 crashes with 41 requests each: %d bytes sent per instance, %d tables of %d bytes fetched in total",
 				sent/c.instances, pulls, w.pullBytes/max(1, pulls))
@@ -135,7 +135,7 @@
 	w.reportEndpointFailure(0, 3, 1, 5)
 	w.run(time.Second)
 	if known, _ := w.countKnown(1); known != 0 {
-		t.Errorf("suspect known at %d instances, though each region has seen fewer than three crashes", known)
+		t.Errorf("suspect confirmed at %d instances, want none: each region has seen fewer than three crashes", known)
 	}
 	w.lost = nil
 	w.run(5 * time.Second)
@@ -143,7 +143,7 @@
 	w.nodes[7].SendSuspects(w.nodes[7].Suspects.Clear(suspectID(1)))
 	w.run(time.Second)
 	if known, live := w.countKnown(1); known != 0 {
-		t.Errorf("suspect known at %d of %d instances after one has seen it answered", known, live)
+		t.Errorf("suspect confirmed at %d of %d live instances after one has cleared it, want none", known, live)
 	}
 }
 
@@ -164,7 +164,7 @@
 	size := len(EncodeSuspects(w.now, w.nodes[5].Suspects))
 	t.Logf("table has %d bytes, %d sent per instance, %d tables fetched", size, w.suspectBytes/60, w.pulls)
 	if size > 100_000 {
-		t.Errorf("table of a thousand suspects has %d bytes", size)
+		t.Errorf("table of a thousand suspects has %d bytes, want at most 100,000", size)
 	}
 }
 
@@ -203,7 +203,7 @@
 			t.Fatal(err)
 		}
 		if a, b := fmt.Sprintf("%+v", e), fmt.Sprintf("%+v", got); a != b {
-			t.Fatalf("got\n%s, want\n%s", b, a)
+			t.Fatalf("decoded suspect is\n%s, want\n%s", b, a)
 		}
 	})
 }
@@ -226,11 +226,11 @@
 		return
 	}
 	if len(e.Strikes) > poison.MostStrikes {
-		t.Fatalf("%d strikes", len(e.Strikes))
+		t.Fatalf("decoded entry has %d strikes, want at most poison.MostStrikes", len(e.Strikes))
 	}
 	again, err := DecodeSuspect(now, AppendSuspect(nil, now, &e))
 	if err != nil || fmt.Sprintf("%+v", again) != fmt.Sprintf("%+v", e) {
-		t.Fatalf("%+v decodes again to %+v, %v", e, again, err)
+		t.Fatalf("encoding of %+v decodes to %+v, error %v, want the same entry", e, again, err)
 	}
 	table := poison.NewTable()
 	changed := table.Merge(now, []poison.Entry{e})
--- a/gossip/teams.go
+++ b/gossip/teams.go
@@ -26,8 +26,7 @@
 	teamsIntervalPerScheduler = 25 * time.Millisecond
 	// teamsLogInterval is the pause between checks for teams that start or stop being limited.
 	teamsLogInterval = 500 * time.Millisecond
-	// maxTeamUses bounds the uses in a message.
-	maxTeamUses = 64
+	maxTeamUses      = 64 // in a message
 )
 
 // rateUnit is the encoding resolution of rates: a thousandth of a slot, or a microsecond of
@@ -64,8 +63,8 @@
 	}
 }
 
-// splitTeams cuts off as many uses as fit a message. It keeps the uses of a service together,
-// since a message replaces what was sent for the service before.
+// splitTeams cuts off as many uses as fit a message. It keeps the uses of a service together if
+// they fit one, since a message replaces what was sent for the service before.
 func splitTeams(uses []balance.TeamUse) (first, rest []balance.TeamUse) {
 	n := min(len(uses), maxTeamUses)
 	for n < len(uses) && n > 0 && uses[n].Service == uses[n-1].Service {
--- a/gossip/teams_test.go
+++ b/gossip/teams_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(m.Teams, uses) {
-		t.Errorf("got %+v, want %+v", m.Teams, uses)
+		t.Errorf("decoded uses are %+v, want %+v", m.Teams, uses)
 	}
 }
 
@@ -42,7 +42,7 @@
 		group := appendUint(nil, fieldTeamLevel, c.level)
 		m, err := Decode(appendBytes((&Message{Sender: 1}).Append(nil), fieldTeams, appendBytes(group, fieldTeamRates, c.rates)))
 		if (err != nil) != c.fails || len(m.Teams) > 0 {
-			t.Errorf("%s: got %v, %+v", c.name, err, m.Teams)
+			t.Errorf("%s: error is %v and uses are %+v, want no uses, and an error if malformed", c.name, err, m.Teams)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 		var first []balance.TeamUse
 		first, uses = splitTeams(uses)
 		if len(first) == 0 || len(first) > maxTeamUses || seen[first[0].Service] {
-			t.Fatalf("message %d has %d uses, from service %d on", sent, len(first), first[0].Service)
+			t.Fatalf("message %d has %d uses, from service %d on, want 1 to maxTeamUses of services not sent before", sent, len(first), first[0].Service)
 		}
 		for _, u := range first {
 			seen[u.Service] = true
@@ -99,10 +99,10 @@
 	for i, n := range w.nodes[:2] {
 		shares := n.Balancer.Shares()
 		if len(shares) != 1 || len(shares[0].Levels) != 1 {
-			t.Fatalf("scheduler %d has shares %+v", i, shares)
+			t.Fatalf("scheduler %d has shares %+v, want one service with one priority level", i, shares)
 		}
 		if s := shares[0].Levels[0].Teams[0]; s.Team != heavy || s.Others < s.Asked/2 {
-			t.Errorf("scheduler %d knows %+v of the team with the highest demand", i, s)
+			t.Errorf("first team of scheduler %d is %+v, want heavy with at least half its demand at others", i, s)
 		}
 	}
 	if messages == 0 {
@@ -112,6 +112,6 @@
 	messages = 0
 	w.run(5 * time.Second)
 	if messages > 0 {
-		t.Errorf("%d team messages sent after demand ended", messages)
+		t.Errorf("%d team messages sent after demand ended, want none", messages)
 	}
 }
