--- a/inventory/blocked.go
+++ b/inventory/blocked.go
@@ -76,7 +76,7 @@
 	return b, c.get(ctx, address, BlockedPath, nil, b)
 }
 
-// Unblock has the instance with the given metrics address unblock a request and notify the others.
+// Unblock has the instance with the given metrics address unblock request id and notify the others.
 func (c *Client) Unblock(ctx context.Context, address, id string) error {
 	target := url.URL{Scheme: "http", Host: address, Path: BlockedPath + "/" + id}
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, target.String(), nil)
--- a/inventory/summary.go
+++ b/inventory/summary.go
@@ -62,7 +62,7 @@
 	}, true
 }
 
-// Hash returns a hash of a text, such as that of a build.
+// Hash returns a hash of text, such as the description of a build.
 func Hash(text string) uint32 { return uint32(xxhash.Sum64String(text)) }
 
 // HashText formats a hash as 8 hexadecimal digits.
