--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -35,7 +35,7 @@
 	Revision int64
 }
 
-// A Deletion records that the entry of an endpoint was deleted at a revision.
+// A Deletion records that the entry of an endpoint was deleted at Revision.
 type Deletion struct {
 	ID       string
 	Revision int64
--- a/discovery/entries.go
+++ b/discovery/entries.go
@@ -99,8 +99,8 @@
 	return changed
 }
 
-// removeEntry deletes an entry, or starts its grace period if the store is or was just
-// unavailable. A draining endpoint has left on purpose and gets no grace period.
+// removeEntry deletes e or, during an outage and in the first update after it, starts its grace
+// period. A draining endpoint has left on purpose and gets none.
 func (t *Table) removeEntry(e *entry) {
 	if t.storeUnavailable() && !e.Draining {
 		t.markChanged(e.ID)
--- a/discovery/validate.go
+++ b/discovery/validate.go
@@ -69,7 +69,7 @@
 	return !now.Before(v.randomDue)
 }
 
-// validationAgeFor returns the validation age at which the instance with this rank calls the store.
+// validationAgeFor returns the validation age at which the instance of that rank calls the store.
 func validationAgeFor(rank int) time.Duration {
 	if rank == 0 {
 		return validationInterval
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -26,7 +26,7 @@
 	delete(t.inGrace, e.ID)
 }
 
-// markChanged adds an endpoint to the change log and schedules its rebuild. The caller holds t.mu.
+// markChanged adds endpoint id to the change log and schedules its rebuild. The caller holds t.mu.
 func (t *Table) markChanged(id string) {
 	t.dirty[id] = true
 	t.changeLog.add(id, t.nextRevision, t.now())
