--- a/gossip/broadcast.go
+++ b/gossip/broadcast.go
@@ -204,8 +204,8 @@
 	g.send(m, []string{address})
 }
 
-// heartbeat sends liveness, state age and some member addresses, if the interval has passed or a
-// changed summary is urgent.
+// heartbeat sends liveness, state age and some addresses of peers, if the interval has passed for
+// group or a changed summary is urgent.
 func (g *Gossip) heartbeat(now time.Time, group *receiverGroup, to []*Member, interval time.Duration, peers []*Member) {
 	summary := g.ownSummary()
 	if len(to) == 0 || now.Sub(group.lastSent) < interval && !group.sentSummary.urgent(summary) {
@@ -240,7 +240,7 @@
 	g.send(m, to)
 }
 
-// sendInitialPeers sends the addresses of schedulers to a new member. The caller holds g.mu.
+// sendInitialPeers sends schedulers' addresses to the new member at address. The caller holds g.mu.
 func (g *Gossip) sendInitialPeers(now time.Time, address string) {
 	m := g.newMessage(now)
 	m.NextWithin = heartbeatInterval(g.fleetSize)
--- a/gossip/link.go
+++ b/gossip/link.go
@@ -56,7 +56,7 @@
 	return link{recent: windowedMin{window: linkQueueWindow}, base: windowedMin{window: linkBaseWindow}}
 }
 
-// add records a round trip, and returns the propagation delay and the present queueing delay.
+// add records the round trip rtt, and returns the propagation delay and the present queueing delay.
 func (l *link) add(now time.Time, rtt time.Duration) (propagation, queueing time.Duration) {
 	propagation = l.base.add(now, rtt)
 	l.rtt = l.recent.add(now, rtt)
--- a/gossip/members.go
+++ b/gossip/members.go
@@ -169,7 +169,7 @@
 	return joined
 }
 
-// addCandidate records an address that another instance advertised.
+// addCandidate records that another instance advertised address.
 func (s *members) addCandidate(now time.Time, address string) {
 	if address == s.self.Address {
 		return
--- a/gossip/permit.go
+++ b/gossip/permit.go
@@ -81,7 +81,7 @@
 	sentAt    time.Time
 }
 
-// expired reports whether a permit granted in a response would no longer be valid.
+// expired reports whether a permit that a response at now grants would no longer be valid.
 func (r *abandonedRequest) expired(now time.Time) bool {
 	return now.Sub(r.sentAt) > balance.PermitDuration
 }
--- a/gossip/placement.go
+++ b/gossip/placement.go
@@ -97,7 +97,7 @@
 	return &uncharged
 }
 
-// requiredProtocol returns the protocol version that a scheduler must support to place a request.
+// requiredProtocol returns the protocol version that a scheduler must support to place d.
 func requiredProtocol(d *balance.Demand) int {
 	switch {
 	case d.Retry != balance.NoRetry:
--- a/gossip/regions.go
+++ b/gossip/regions.go
@@ -242,7 +242,7 @@
 	return func(id uint64) bool { return ids[id] }
 }
 
-// sendRegionState sends the load and the notices of a region in as many datagrams as needed.
+// sendRegionState sends the load and the notices of region in as many datagrams as needed.
 func (g *Gossip) sendRegionState(now time.Time, region string, aggregates []balance.Report, full bool, notices []balance.Notice, to []*Member) {
 	for first := true; first || len(aggregates) > 0 || len(notices) > 0; first = false {
 		m := g.newMessage(now)
--- a/gossip/schema.go
+++ b/gossip/schema.go
@@ -34,7 +34,7 @@
 	return xxhash.Sum64String(strings.Join(names, " "))
 })
 
-// listFields appends the paths of a type's exported fields to names.
+// listFields appends the paths of t's exported fields, below path, to names.
 func listFields(t reflect.Type, path string, names *[]string) {
 	if t = elementType(t); t.Kind() != reflect.Struct {
 		return
--- a/gossip/teams.go
+++ b/gossip/teams.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// teamName returns the name of a team, or its hash if the name is unknown.
+// teamName returns the name of the team with the given hash, or the hash in hex if it is unknown.
 func (g *Gossip) teamName(hash uint32) string {
 	var known []catalog.Team
 	if c := g.State.View().Catalog; c != nil {
