--- a/gossip/link.go
+++ b/gossip/link.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// linkQueueWindow, whose minimum is the current round trip, has a sample per remote scheduler.
+	// linkQueueWindow is the window whose minimum is the current round trip. It holds about one
+	// sample from each scheduler of the other regions.
 	linkQueueWindow = time.Second
 	// linkBaseWindow is the window whose minimum is the propagation delay.
 	linkBaseWindow = time.Minute
@@ -31,7 +32,7 @@
 	current, previous time.Duration
 }
 
-// add records a value and returns the minimum of the window.
+// add records v at now and returns the minimum of the window.
 func (l *windowedMin) add(now time.Time, v time.Duration) time.Duration {
 	passed := now.Sub(l.halfStart)
 	switch {
@@ -55,7 +56,7 @@
 	return link{recent: windowedMin{window: linkQueueWindow}, base: windowedMin{window: linkBaseWindow}}
 }
 
-// add records a round trip, and returns the propagation delay and the present queueing delay.
+// add records the round trip rtt, and returns the propagation delay and the present queueing delay.
 func (l *link) add(now time.Time, rtt time.Duration) (propagation, queueing time.Duration) {
 	propagation = l.base.add(now, rtt)
 	l.rtt = l.recent.add(now, rtt)
