--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -18,103 +18,103 @@
 )
 
 // mayRetry reports whether a retry after err is allowed, apart from the retry budget.
-func (f *exchange) mayRetry(err *verdict.Error) bool {
+func (ex *exchange) mayRetry(err *verdict.Error) bool {
 	switch err.Reason {
 	case verdict.NoEndpoint, verdict.NoHomeEndpoint, verdict.EndpointsInBackoff, verdict.EndpointsLimited, verdict.OverCapacity, verdict.TeamLimit, verdict.RetryBudget, verdict.ResponseNoMemory, verdict.CallerGone, verdict.CallerSlow:
 		return false
 	}
-	if err.Verdict != verdict.NotRun && !f.route.Retryable() {
+	if err.Verdict != verdict.NotRun && !ex.route.Retryable() {
 		return false
 	}
-	if f.headSent && !f.route.Resumable {
+	if ex.headSent && !ex.route.Resumable {
 		return false
 	}
 	switch err.Reason {
 	case verdict.EndpointConnect, verdict.EndpointGone:
-		return f.attempts < maxConnectAttempts
+		return ex.attempts < maxConnectAttempts
 	case verdict.EndpointInBackoff:
-		return f.attempts < maxUnsentAttempts
+		return ex.attempts < maxUnsentAttempts
 	}
-	return len(f.tried) < f.route.MaxAttempts
+	return len(ex.tried) < ex.route.MaxAttempts
 }
 
 // maxConnectAttempts bounds attempts at endpoints that are unreachable or whose address was reused.
 const maxConnectAttempts = 4
 
-// maxUnsentAttempts bounds attempts that are not sent as the endpoint just asked for a back-off.
+// maxUnsentAttempts bounds attempts that are not sent because the endpoint has just asked for a back-off.
 const maxUnsentAttempts = 16
 
 // attempt sends the request to one endpoint and relays the response. It returns nil if the
 // response was relayed completely.
-func (f *exchange) attempt(ctx context.Context) *verdict.Error {
-	f.attempts++
-	view := f.proxy.State.View()
-	d := f.demand()
-	placement, refusal := f.place(ctx, view.Endpoints(f.service.Name), d)
-	if refusal != nil && refusal.Cause == balance.RetryBudgetExhausted && f.retry.cause != nil {
-		return f.retryDenied(refusal)
+func (ex *exchange) attempt(ctx context.Context) *verdict.Error {
+	ex.attempts++
+	view := ex.proxy.State.View()
+	d := ex.demand()
+	placement, refusal := ex.place(ctx, view.Endpoints(ex.service.Name), d)
+	if refusal != nil && refusal.Cause == balance.RetryBudgetExhausted && ex.retry.cause != nil {
+		return ex.retryDenied(refusal)
 	}
-	f.placement = placement
+	ex.placement = placement
 	if refusal != nil {
-		f.scheduler = refusal.Scheduler
-		return placementError(f.service.Name, refusal)
+		ex.scheduler = refusal.Scheduler
+		return placementError(ex.service.Name, refusal)
 	}
-	if f.placement == nil {
+	if ex.placement == nil {
 		return noEndpointError(d)
 	}
-	f.retryGranted()
-	f.scheduler = f.placement.Scheduler
-	f.proxy.Counters.placed(f.placement)
-	f.placedAt = f.proxy.Now()
-	f.inFlight.assignment.Store(f.currentAssignment())
-	timeout := f.responseTimeout()
-	overdueTimer := time.AfterFunc(timeout, f.placement.RecordOverdue)
+	ex.retryGranted()
+	ex.scheduler = ex.placement.Scheduler
+	ex.proxy.Counters.placed(ex.placement)
+	ex.placedAt = ex.proxy.Now()
+	ex.inFlight.assignment.Store(ex.currentAssignment())
+	timeout := ex.responseTimeout()
+	overdueTimer := time.AfterFunc(timeout, ex.placement.RecordOverdue)
 	defer overdueTimer.Stop()
-	attemptCtx, cancel := f.withResponseTimeout(ctx, timeout)
+	attemptCtx, cancel := ex.withResponseTimeout(ctx, timeout)
 	defer cancel()
-	x, err := f.proxy.Pool.Do(attemptCtx, f.upstreamRequest(f.placement.Endpoint), f.mismatched)
+	x, err := ex.proxy.Pool.Do(attemptCtx, ex.upstreamRequest(ex.placement.Endpoint), ex.mismatched)
 	overdueTimer.Stop()
 	if err != nil {
 		e := verdict.Of(err)
 		if errors.Is(context.Cause(attemptCtx), errResponseTimeout) && ctx.Err() == nil {
-			e = verdict.Fail(e.Verdict, verdict.EndpointSilent, "%s: no answer in %s", f.placement.Endpoint.ID, timeout)
+			e = verdict.Fail(e.Verdict, verdict.EndpointSilent, "%s: no answer in %s", ex.placement.Endpoint.ID, timeout)
 		}
 		switch e.Reason {
 		case verdict.EndpointInBackoff:
-			f.proxy.Counters.feedback(feedbackNotSent, f.service.Name)
-			f.placement.Done(balance.Unknown)
+			ex.proxy.Counters.feedback(feedbackNotSent, ex.service.Name)
+			ex.placement.Done(balance.Unknown)
 			return e.WithRetryAfter(retryAfterShort)
 		case verdict.EndpointConnect:
-			f.placement.RecordUnreachable()
+			ex.placement.RecordUnreachable()
 		default:
-			f.markSent()
+			ex.markSent()
 		}
-		f.placement.Done(f.outcome(ctx))
+		ex.placement.Done(ex.outcome(ctx))
 		return e
 	}
-	f.markSent()
-	f.placement.RecordStart()
-	f.responseStarted()
-	return f.handleResponse(ctx, x)
+	ex.markSent()
+	ex.placement.RecordStart()
+	ex.responseStarted()
+	return ex.handleResponse(ctx, x)
 }
 
-func (f *exchange) currentAssignment() *assignment {
-	p := &assignment{service: f.service.Name, endpoint: f.placement.Endpoint.ID}
-	if f.team != nil {
-		p.team = f.team.Name
+func (ex *exchange) currentAssignment() *assignment {
+	p := &assignment{service: ex.service.Name, endpoint: ex.placement.Endpoint.ID}
+	if ex.team != nil {
+		p.team = ex.team.Name
 	}
 	return p
 }
 
-func (f *exchange) markSent() {
-	f.tried = append(f.tried, f.placement.Endpoint.ID)
-	f.avoid = append(f.avoid, balance.EndpointHash(f.placement.Endpoint.Incarnation()))
+func (ex *exchange) markSent() {
+	ex.tried = append(ex.tried, ex.placement.Endpoint.ID)
+	ex.avoid = append(ex.avoid, balance.EndpointHash(ex.placement.Endpoint.Incarnation()))
 }
 
 // unmarkSent reverts markSent if a different endpoint received the request and did not run it.
-func (f *exchange) unmarkSent() {
-	f.tried = f.tried[:len(f.tried)-1]
-	f.avoid = f.avoid[:len(f.avoid)-1]
+func (ex *exchange) unmarkSent() {
+	ex.tried = ex.tried[:len(ex.tried)-1]
+	ex.avoid = ex.avoid[:len(ex.avoid)-1]
 }
 
 var refusalReasons = map[balance.Cause]verdict.Reason{
@@ -165,19 +165,19 @@
 )
 
 // responseTimeout returns how long the endpoint may take to send the response head.
-func (f *exchange) responseTimeout() time.Duration {
-	if f.route.Objective == 0 {
+func (ex *exchange) responseTimeout() time.Duration {
+	if ex.route.Objective == 0 {
 		return defaultResponseTimeout
 	}
-	if f.canReroute() && f.service.Engine == nil {
-		return time.Duration(reroutableTimeoutFactor * float64(f.route.Objective))
+	if ex.canReroute() && ex.service.Engine == nil {
+		return time.Duration(reroutableTimeoutFactor * float64(ex.route.Objective))
 	}
-	return time.Duration(timeoutFactor * float64(f.route.Objective))
+	return time.Duration(timeoutFactor * float64(ex.route.Objective))
 }
 
 // canReroute reports whether the request may be sent to another endpoint after this one.
-func (f *exchange) canReroute() bool {
-	return f.route.Retryable() && !f.headSent && len(f.tried)+1 < f.route.MaxAttempts
+func (ex *exchange) canReroute() bool {
+	return ex.route.Retryable() && !ex.headSent && len(ex.tried)+1 < ex.route.MaxAttempts
 }
 
 // errResponseTimeout is the cancellation cause of an attempt that timed out.
@@ -186,16 +186,16 @@
 // withResponseTimeout returns a context that is cancelled if the endpoint does not respond within
 // timeout and the request can be retried elsewhere. A model request is cancelled only if the
 // endpoint fails other requests too, since a retry discards the prompt processing done so far.
-func (f *exchange) withResponseTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
+func (ex *exchange) withResponseTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	stop := func() { cancel(nil) }
-	f.responseStarted = func() {}
-	if !f.canReroute() || !f.placement.RetryAvailable && !f.proxy.retryBudgets.available(f.service.Name) {
+	ex.responseStarted = func() {}
+	if !ex.canReroute() || !ex.placement.RetryAvailable && !ex.proxy.retryBudgets.available(ex.service.Name) {
 		return attemptCtx, stop
 	}
-	placement, isModel := f.placement, f.service.Engine != nil
+	placement, isModel := ex.placement, ex.service.Engine != nil
 	started := make(chan struct{})
-	f.responseStarted = sync.OnceFunc(func() { close(started) })
+	ex.responseStarted = sync.OnceFunc(func() { close(started) })
 	go func() {
 		timer := time.NewTimer(timeout)
 		defer timer.Stop()
@@ -211,75 +211,75 @@
 				cancel(errResponseTimeout)
 				return
 			}
-			timer.Reset(suspectCheckInterval)
+			timer.Reset(failureCheckInterval)
 		}
 	}()
 	return attemptCtx, stop
 }
 
-// suspectCheckInterval is how often a late endpoint is checked for failures of other requests.
-const suspectCheckInterval = 100 * time.Millisecond
+// failureCheckInterval is how often a late endpoint is checked for failures of other requests.
+const failureCheckInterval = 100 * time.Millisecond
 
 // outcome returns the outcome of a failed attempt: Unknown if the caller disconnected before the
 // endpoint was late, Failed otherwise.
-func (f *exchange) outcome(ctx context.Context) balance.Outcome {
-	waited := f.proxy.Now().Sub(f.placedAt)
-	if errors.Is(ctx.Err(), context.Canceled) && (f.headSent || waited < f.route.Objective) {
+func (ex *exchange) outcome(ctx context.Context) balance.Outcome {
+	waited := ex.proxy.Now().Sub(ex.placedAt)
+	if errors.Is(ctx.Err(), context.Canceled) && (ex.headSent || waited < ex.route.Objective) {
 		return balance.Unknown
 	}
 	return balance.Failed
 }
 
 // mismatched reports whether a response belongs to another request.
-func (f *exchange) mismatched(h http.Header) bool {
-	id := f.proxy.Codec.DecodeResponse(http.StatusOK, h).RequestID
-	return id != "" && id != f.call.ID
+func (ex *exchange) mismatched(h http.Header) bool {
+	id := ex.proxy.Codec.DecodeResponse(http.StatusOK, h).RequestID
+	return id != "" && id != ex.call.ID
 }
 
-func (f *exchange) upstreamRequest(endpoint *discovery.Endpoint) *upstream.Request {
+func (ex *exchange) upstreamRequest(endpoint *discovery.Endpoint) *upstream.Request {
 	forward := Forward{
 		Endpoint:    endpoint.ID,
-		Remaining:   f.deadline.Sub(f.proxy.Now()),
-		Rank:        catalog.Rank(f.route, f.team),
-		LastEventID: f.call.LastEventID,
+		Remaining:   ex.deadline.Sub(ex.proxy.Now()),
+		Rank:        catalog.Rank(ex.route, ex.team),
+		LastEventID: ex.call.LastEventID,
 	}
-	if f.team != nil {
-		forward.Team = f.team.Name
+	if ex.team != nil {
+		forward.Team = ex.team.Name
 	}
-	if donor := f.placement.Donor; donor != nil {
+	if donor := ex.placement.Donor; donor != nil {
 		forward.FetchFrom = donor.Address
 	}
 	return &upstream.Request{
 		Endpoint: endpoint.Incarnation(),
 		Address:  endpoint.Address,
-		Method:   f.call.Method,
-		Host:     f.call.Host,
-		Target:   f.call.Target,
-		Header:   f.proxy.Codec.Encode(f.call, forward),
-		Body:     f.call.Body,
-		MaySend:  f.placement.MaySend,
+		Method:   ex.call.Method,
+		Host:     ex.call.Host,
+		Target:   ex.call.Target,
+		Header:   ex.proxy.Codec.Encode(ex.call, forward),
+		Body:     ex.call.Body,
+		MaySend:  ex.placement.MaySend,
 	}
 }
 
-func (f *exchange) demand() *balance.Demand {
+func (ex *exchange) demand() *balance.Demand {
 	d := &balance.Demand{
-		Service:   f.service,
-		Residency: catalog.ResidencyOf(f.route, f.team),
-		Priority:  f.route.Priority,
-		Deposit:   f.attemptDeposit(),
-		Retry:     f.retry.kind,
-		Sent:      f.headSent || len(f.tried) > 0 || f.call.LastEventID != "",
-		Objective: f.route.Objective,
-		MaxGap:    f.route.PauseObjective,
-		Deadline:  f.deadline.Sub(f.proxy.Now()),
-		Bytes:     len(f.call.Body),
-		Suspect:   f.suspected,
+		Service:   ex.service,
+		Residency: catalog.ResidencyOf(ex.route, ex.team),
+		Priority:  ex.route.Priority,
+		Deposit:   ex.attemptDeposit(),
+		Retry:     ex.retry.kind,
+		Sent:      ex.headSent || len(ex.tried) > 0 || ex.call.LastEventID != "",
+		Objective: ex.route.Objective,
+		MaxGap:    ex.route.PauseObjective,
+		Deadline:  ex.deadline.Sub(ex.proxy.Now()),
+		Bytes:     len(ex.call.Body),
+		Suspect:   ex.suspected,
 	}
-	if f.team != nil {
-		d.Team = balance.TeamHash(f.team.Name)
+	if ex.team != nil {
+		d.Team = balance.TeamHash(ex.team.Name)
 	}
-	d.Avoid = append(d.Avoid, f.avoid...)
-	if g := f.call.Generation; g != nil {
+	d.Avoid = append(d.Avoid, ex.avoid...)
+	if g := ex.call.Generation; g != nil {
 		d.Prompt = g.PromptTokens
 		d.Output = g.MaxTokens
 		if g.OutputHint > 0 {
--- a/entry/body.go
+++ b/entry/body.go
@@ -23,33 +23,33 @@
 	initialBodyBytes = 4 << 10
 )
 
-func (f *exchange) readBody() *verdict.Error {
-	limits := f.proxy.State.View().Catalog.Limits()
-	length, limit := f.r.ContentLength, int64(limits.MaxBodyBytes)
+func (ex *exchange) readBody() *verdict.Error {
+	limits := ex.proxy.State.View().Catalog.Limits()
+	length, limit := ex.r.ContentLength, int64(limits.MaxBodyBytes)
 	if limit > 0 && length > limit {
 		return verdict.Refuse(verdict.TooLarge, "the body has %d bytes, %d are allowed", length, limit)
 	}
 	if length == 0 {
 		return nil
 	}
-	body := &callerBody{r: f.r.Body, control: http.NewResponseController(f.w), stallTimeout: limits.HeaderTimeout, deadline: f.deadline, now: f.proxy.Now}
+	body := &callerBody{r: ex.r.Body, control: http.NewResponseController(ex.w), stallTimeout: limits.HeaderTimeout, deadline: ex.deadline, now: ex.proxy.Now}
 	if body.stallTimeout <= 0 {
 		body.stallTimeout = defaultBodyStall
 	}
-	data, err := f.readLimited(body, length, limit)
+	data, err := ex.readLimited(body, length, limit)
 	body.clearDeadline()
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		f.w.Header().Set("Connection", "close")
-		return verdict.Refuse(verdict.BodySlow, "%d bytes of the body came, the last %s ago", body.bytesRead, f.proxy.Now().Sub(body.lastRead).Round(time.Millisecond))
+		ex.w.Header().Set("Connection", "close")
+		return verdict.Refuse(verdict.BodySlow, "%d bytes of the body came, the last %s ago", body.bytesRead, ex.proxy.Now().Sub(body.lastRead).Round(time.Millisecond))
 	case err == errBodyMemory:
-		return f.noMemory("the body")
+		return ex.noMemory("the body")
 	case err != nil:
 		return verdict.Refuse(verdict.BodyCut, "the body broke off")
 	case limit > 0 && int64(len(data)) > limit:
 		return verdict.Refuse(verdict.TooLarge, "the body has more than %d bytes", limit)
 	}
-	f.call.Body = data
+	ex.call.Body = data
 	return nil
 }
 
@@ -57,9 +57,9 @@
 
 // readLimited reads a body of the given length (negative: unknown), at most limit+1 bytes
 // (zero: no limit).
-func (f *exchange) readLimited(body io.Reader, length, limit int64) ([]byte, error) {
+func (ex *exchange) readLimited(body io.Reader, length, limit int64) ([]byte, error) {
 	if length > 0 {
-		if !f.mem.Grow(memory.Bodies, length) {
+		if !ex.mem.Grow(memory.Bodies, length) {
 			return nil, errBodyMemory
 		}
 		data := make([]byte, length)
@@ -73,12 +73,12 @@
 	for {
 		if len(data) == cap(data) {
 			size := max(initialBodyBytes, 2*cap(data))
-			if !f.mem.Grow(memory.Bodies, int64(size)) {
+			if !ex.mem.Grow(memory.Bodies, int64(size)) {
 				return nil, errBodyMemory
 			}
 			oldCap := cap(data)
 			data = append(make([]byte, 0, size), data...)
-			f.mem.Shrink(memory.Bodies, int64(oldCap))
+			ex.mem.Shrink(memory.Bodies, int64(oldCap))
 		}
 		n, err := body.Read(data[len(data):cap(data)])
 		data = data[:len(data)+n]
--- a/entry/chunk_source.go
+++ b/entry/chunk_source.go
@@ -19,15 +19,15 @@
 
 // An eventSource returns the events of a stream that the caller does not have yet.
 type eventSource struct {
-	f      *exchange
+	ex     *exchange
 	events *eventReader
 	timing *streamTiming
 }
 
-func (f *exchange) newEventSource(body io.Reader) *eventSource {
+func (ex *exchange) newEventSource(body io.Reader) *eventSource {
 	events := newEventReader(body)
-	events.mem = f.mem
-	return &eventSource{f, events, f.newStreamTiming()}
+	events.mem = ex.mem
+	return &eventSource{ex, events, ex.newStreamTiming()}
 }
 
 func (s *eventSource) next() ([]byte, error) {
@@ -39,12 +39,12 @@
 		if err != nil {
 			return nil, err
 		}
-		s.timing.recordEvent(s.f.proxy.Now())
-		if alreadySent(event.id, s.f.call.LastEventID) {
+		s.timing.recordEvent(s.ex.proxy.Now())
+		if alreadySent(event.id, s.ex.call.LastEventID) {
 			continue
 		}
 		if event.id != "" {
-			s.f.call.LastEventID = event.id
+			s.ex.call.LastEventID = event.id
 		}
 		return event.data, nil
 	}
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -25,7 +25,7 @@
 const (
 	// crashCollectDelay is how long the other requests that a crash has broken off are collected.
 	crashCollectDelay = 5 * time.Millisecond
-	// uncountedEndpoints accounts for endpoints at which a team's requests are not counted yet.
+	// uncountedEndpoints is added to a team's endpoints for those where its requests are not counted yet.
 	uncountedEndpoints = 0.5
 	// restartTimeout allows a restarted endpoint two heartbeats to be listed with its new start time.
 	restartTimeout = 3 * time.Second
@@ -49,7 +49,7 @@
 	service         string
 	placement       *balance.Placement
 	detectedAt      time.Time     // when the first request broke off
-	listedEndpoints int           // of the service, when the first request broke
+	listedEndpoints int           // of the service, when the first request broke off
 	done            chan struct{} // closed once resolved is set and the requests are recorded
 
 	requests      []poison.Entry // in progress at the endpoint; guarded by crashTracker.mu
@@ -71,16 +71,16 @@
 
 // trackCrash records an attempt that failed with err. It returns nil unless the connection broke
 // and the endpoint is listed and not draining.
-func (f *exchange) trackCrash(ctx context.Context, err *verdict.Error) *suspectedCrash {
-	if err.Reason != verdict.EndpointCut || ctx.Err() != nil || f.placement == nil {
+func (ex *exchange) trackCrash(ctx context.Context, err *verdict.Error) *suspectedCrash {
+	if err.Reason != verdict.EndpointCut || ctx.Err() != nil || ex.placement == nil {
 		return nil
 	}
-	endpoints := f.proxy.State.View().Endpoints(f.service.Name)
-	current := findEndpoint(endpoints, f.placement.Endpoint.ID)
+	endpoints := ex.proxy.State.View().Endpoints(ex.service.Name)
+	current := findEndpoint(endpoints, ex.placement.Endpoint.ID)
 	if current == nil || current.Draining || !current.GraceUntil.IsZero() {
 		return nil
 	}
-	return f.proxy.crashes.add(f, len(endpoints))
+	return ex.proxy.crashes.add(ex, len(endpoints))
 }
 
 func findEndpoint(endpoints []*discovery.Endpoint, id string) *discovery.Endpoint {
@@ -93,27 +93,27 @@
 }
 
 // add records a request that its endpoint broke off, and starts a probe for the first one.
-func (t *crashTracker) add(f *exchange, listedEndpoints int) *suspectedCrash {
-	r := f.poisonRequest()
+func (t *crashTracker) add(ex *exchange, listedEndpoints int) *suspectedCrash {
+	r := ex.poisonRequest()
 	suspect := poison.Entry{
-		ID: f.requestPoisonID(), Outline: r.Outline(), Service: f.service.Name, Route: f.route.Name, Team: r.Team,
-		Strikes: []poison.Strike{{Endpoint: balance.EndpointHash(f.placement.Endpoint.ID), CrashedAt: f.proxy.Now(), SentAt: f.placedAt, ListedEndpoints: listedEndpoints}},
+		ID: ex.requestPoisonID(), Outline: r.Outline(), Service: ex.service.Name, Route: ex.route.Name, Team: r.Team,
+		Strikes: []poison.Strike{{Endpoint: balance.EndpointHash(ex.placement.Endpoint.ID), CrashedAt: ex.proxy.Now(), SentAt: ex.placedAt, ListedEndpoints: listedEndpoints}},
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	crash := t.byEndpoint[f.placement.Endpoint.ID]
-	sentAfter := crash != nil && f.placedAt.After(crash.detectedAt)
+	crash := t.byEndpoint[ex.placement.Endpoint.ID]
+	sentAfter := crash != nil && ex.placedAt.After(crash.detectedAt)
 	switch {
 	case crash == nil || crash.awaitsRestart && sentAfter:
-		crash = &suspectedCrash{endpoint: f.placement.Endpoint, service: f.service.Name, placement: f.placement, detectedAt: suspect.Strikes[0].CrashedAt, listedEndpoints: listedEndpoints, done: make(chan struct{})}
+		crash = &suspectedCrash{endpoint: ex.placement.Endpoint, service: ex.service.Name, placement: ex.placement, detectedAt: suspect.Strikes[0].CrashedAt, listedEndpoints: listedEndpoints, done: make(chan struct{})}
 		if !sentAfter {
 			t.byEndpoint[crash.endpoint.ID] = crash
 		}
-		go f.proxy.probeEndpoint(crash, !sentAfter)
+		go ex.proxy.probeEndpoint(crash, !sentAfter)
 	case crash.resolved && crash.crashed && sentAfter:
 		return nil // no process was there to run it
 	case crash.resolved && crash.crashed:
-		f.proxy.recordStrikes(crash, []poison.Entry{suspect}) // its connection broke later than the others
+		ex.proxy.recordStrikes(crash, []poison.Entry{suspect}) // its connection broke later than the others
 		return crash
 	}
 	crash.requests = append(crash.requests, suspect)
@@ -122,46 +122,46 @@
 
 // probeEndpoint determines whether an endpoint has crashed. If mayRestart is set, a later start
 // time counts as a crash too, since a proxy may accept connections in the endpoint's place.
-func (e *Proxy) probeEndpoint(crash *suspectedCrash, mayRestart bool) {
-	result := e.Pool.Probe(context.Background(), crash.endpoint.Incarnation(), crash.endpoint.Address)
-	crashed := result == upstream.ProbeRefused || e.restartedSince(crash)
+func (p *Proxy) probeEndpoint(crash *suspectedCrash, mayRestart bool) {
+	result := p.Pool.Probe(context.Background(), crash.endpoint.Incarnation(), crash.endpoint.Address)
+	crashed := result == upstream.ProbeRefused || p.restartedSince(crash)
 	if crashed {
 		crash.placement.RecordUnreachable()
 		time.Sleep(crashCollectDelay)
 	}
 	mayRestart = mayRestart && crash.endpoint.Born != 0
-	e.resolveCrash(crash, crashed, mayRestart)
+	p.resolveCrash(crash, crashed, mayRestart)
 	close(crash.done)
 	if !crashed && mayRestart {
-		e.awaitRestart(crash)
+		p.awaitRestart(crash)
 	}
 }
 
-func (e *Proxy) resolveCrash(crash *suspectedCrash, crashed, mayRestart bool) {
-	e.crashes.mu.Lock()
-	defer e.crashes.mu.Unlock()
+func (p *Proxy) resolveCrash(crash *suspectedCrash, crashed, mayRestart bool) {
+	p.crashes.mu.Lock()
+	defer p.crashes.mu.Unlock()
 	crash.resolved, crash.crashed, crash.awaitsRestart = true, crashed, mayRestart && !crashed
 	switch {
 	case crashed:
-		e.crashes.byEndpoint[crash.endpoint.ID] = crash
-		time.AfterFunc(crashWindow, func() { e.crashes.remove(crash) })
-		e.reportCrash(crash)
-	case !mayRestart && e.crashes.byEndpoint[crash.endpoint.ID] == crash:
-		delete(e.crashes.byEndpoint, crash.endpoint.ID)
+		p.crashes.byEndpoint[crash.endpoint.ID] = crash
+		time.AfterFunc(crashWindow, func() { p.crashes.remove(crash) })
+		p.reportCrash(crash)
+	case !mayRestart && p.crashes.byEndpoint[crash.endpoint.ID] == crash:
+		delete(p.crashes.byEndpoint, crash.endpoint.ID)
 	}
 }
 
 // awaitRestart waits for a newer start time, which reveals a crash that the probe missed.
-func (e *Proxy) awaitRestart(crash *suspectedCrash) {
-	defer e.crashes.remove(crash)
+func (p *Proxy) awaitRestart(crash *suspectedCrash) {
+	defer p.crashes.remove(crash)
 	timer := time.NewTimer(restartTimeout)
 	defer timer.Stop()
 	for {
-		changed := e.State.Changed()
-		if e.restartedSince(crash) {
-			e.crashes.mu.Lock()
-			defer e.crashes.mu.Unlock()
-			e.reportCrash(crash)
+		changed := p.State.Changed()
+		if p.restartedSince(crash) {
+			p.crashes.mu.Lock()
+			defer p.crashes.mu.Unlock()
+			p.reportCrash(crash)
 			return
 		}
 		select {
@@ -173,20 +173,20 @@
 }
 
 // restartedSince reports whether the endpoint is listed with a newer start time by now.
-func (e *Proxy) restartedSince(crash *suspectedCrash) bool {
-	current := findEndpoint(e.State.View().Endpoints(crash.service), crash.endpoint.ID)
+func (p *Proxy) restartedSince(crash *suspectedCrash) bool {
+	current := findEndpoint(p.State.View().Endpoints(crash.service), crash.endpoint.ID)
 	return current != nil && crash.endpoint.Born != 0 && current.Born > crash.endpoint.Born
 }
 
 // reportCrash logs a crash and records strikes against its requests. The caller holds
-// e.crashes.mu.
-func (e *Proxy) reportCrash(crash *suspectedCrash) {
+// p.crashes.mu.
+func (p *Proxy) reportCrash(crash *suspectedCrash) {
 	requests := crash.requests
 	crash.requests = nil
-	e.Counters.poison.Add("ended", 1)
-	e.Log.Warn("endpoint crashed", zap.String("endpoint", crash.endpoint.ID), zap.String("address", crash.endpoint.Address),
-		zap.String("service", crash.service), zap.Int("in_hand", len(requests)), zap.Duration("after", e.Now().Sub(crash.detectedAt)))
-	e.recordStrikes(crash, requests)
+	p.Counters.poison.Add("ended", 1)
+	p.Log.Warn("endpoint crashed", zap.String("endpoint", crash.endpoint.ID), zap.String("address", crash.endpoint.Address),
+		zap.String("service", crash.service), zap.Int("in_hand", len(requests)), zap.Duration("after", p.Now().Sub(crash.detectedAt)))
+	p.recordStrikes(crash, requests)
 }
 
 // remove removes a crash, unless a newer one has replaced it.
@@ -199,40 +199,40 @@
 }
 
 // recordStrikes adds requests to the poison table and sends what changed to the other instances.
-func (e *Proxy) recordStrikes(crash *suspectedCrash, requests []poison.Entry) {
+func (p *Proxy) recordStrikes(crash *suspectedCrash, requests []poison.Entry) {
 	if len(requests) == 0 {
 		return
 	}
-	byTeam := e.inFlight.endpointsByTeam(crash.service, crash.endpoint.ID)
-	running := max(1, crash.listedEndpoints-e.Poison.DownEndpoints(e.Now(), crash.service))
+	byTeam := p.inFlight.endpointsByTeam(crash.service, crash.endpoint.ID)
+	running := max(1, crash.listedEndpoints-p.Poison.DownEndpoints(p.Now(), crash.service))
 	for i := range requests {
 		// Assumes that the other instances run as many of the team's requests.
-		teamEndpoints := (float64(byTeam[requests[i].Team]) + uncountedEndpoints) * float64(e.retryBudgets.instanceCount())
+		teamEndpoints := (float64(byTeam[requests[i].Team]) + uncountedEndpoints) * float64(p.retryBudgets.instanceCount())
 		requests[i].Strikes[0].TeamSpread = min(1, teamEndpoints/float64(running))
 		requests[i].Strikes[0].CrashedAt = crash.detectedAt
 		requests[i].Strikes[0].InFlight = len(requests)
 	}
-	e.Counters.poison.Add("suspected", int64(len(requests)))
-	changed := e.Poison.EndpointCrashed(e.Now(), requests)
-	e.logPoison(changed)
-	e.publishPoison(changed)
+	p.Counters.poison.Add("suspected", int64(len(requests)))
+	changed := p.Poison.EndpointCrashed(p.Now(), requests)
+	p.logPoison(changed)
+	p.publishPoison(changed)
 }
 
 // LogPoisonUpdate logs and counts entries from other instances that changed the poison table.
-func (e *Proxy) LogPoisonUpdate(entries []poison.Entry) { e.logPoison(entries) }
+func (p *Proxy) LogPoisonUpdate(entries []poison.Entry) { p.logPoison(entries) }
 
 // logPoison logs and counts suspects that were confirmed or cleared.
-func (e *Proxy) logPoison(entries []poison.Entry) {
+func (p *Proxy) logPoison(entries []poison.Entry) {
 	for i := range entries {
 		s := &entries[i]
 		switch {
 		case s.Confirmed:
-			e.Counters.poison.Add("known", 1)
-			e.Log.Warn("poison request identified", zap.Stringer("same_as", s.ID), zap.String("team", s.Team), zap.String("route", s.Route),
+			p.Counters.poison.Add("known", 1)
+			p.Log.Warn("poison request identified", zap.Stringer("same_as", s.ID), zap.String("team", s.Team), zap.String("route", s.Route),
 				zap.Int("strikes", s.CountedStrikes()), zap.Uint32s("endpoints", s.Endpoints()))
 		case s.Cleared():
-			e.Counters.poison.Add("cleared", 1)
-			e.Log.Info("poison suspect cleared", zap.Stringer("same_as", s.ID), zap.String("team", s.Team), zap.String("route", s.Route))
+			p.Counters.poison.Add("cleared", 1)
+			p.Log.Info("poison suspect cleared", zap.Stringer("same_as", s.ID), zap.String("team", s.Team), zap.String("route", s.Route))
 		}
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -55,7 +55,7 @@
 	Log      *zap.Logger
 	Counters *Counters
 	Now      func() time.Time
-	// Settings returns the name of the settings in force, for the log; may be nil.
+	// Settings returns the hash of the effective settings, for the log; may be nil.
 	Settings func() string
 	Memory   *memory.Account // nil: no limit
 	Poison   *poison.Table   // nil: an empty table
@@ -91,58 +91,58 @@
 	if o.Poison == nil {
 		o.Poison = poison.NewTable()
 	}
-	e := &Proxy{Options: o, crashes: newCrashTracker(), monitor: newRelayMonitor(o.Now), origin: o.Now().Add(-time.Nanosecond), retryBudgets: newRetryBudgets(o.Bounds.RetryRatio, o.Bounds.RetryExtra, o.Now)}
-	e.SetBounds(o.Bounds)
-	return e
+	p := &Proxy{Options: o, crashes: newCrashTracker(), monitor: newRelayMonitor(o.Now), origin: o.Now().Add(-time.Nanosecond), retryBudgets: newRetryBudgets(o.Bounds.RetryRatio, o.Bounds.RetryExtra, o.Now)}
+	p.SetBounds(o.Bounds)
+	return p
 }
 
 // SetBounds replaces the bounds. Requests in progress use the new ones too.
-func (e *Proxy) SetBounds(b Bounds) {
-	e.bounds.Store(&b)
-	e.retryBudgets.setBounds(b.RetryRatio, b.RetryExtra)
+func (p *Proxy) SetBounds(b Bounds) {
+	p.bounds.Store(&b)
+	p.retryBudgets.setBounds(b.RetryRatio, b.RetryExtra)
 }
 
 // SetInstances sets how many instances, including this one, share the retry budget; zero: unknown.
-func (e *Proxy) SetInstances(n int) { e.retryBudgets.setInstances(n) }
+func (p *Proxy) SetInstances(n int) { p.retryBudgets.setInstances(n) }
 
 // drainDelay is how long a leaving instance accepts requests, until its load balancer has noticed.
 const drainDelay = 2600 * time.Millisecond
 
 // Leave makes Ready return false. Requests are accepted for drainDelay more.
-func (e *Proxy) Leave() { e.leaving.CompareAndSwap(0, int64(e.Now().Sub(e.origin))) }
+func (p *Proxy) Leave() { p.leaving.CompareAndSwap(0, int64(p.Now().Sub(p.origin))) }
 
 // Leaving reports whether Leave was called, and whether new requests are rejected by now.
-func (e *Proxy) Leaving() (leaving, stopped bool) {
-	at := e.leaving.Load()
+func (p *Proxy) Leaving() (leaving, stopped bool) {
+	at := p.leaving.Load()
 	if at == 0 {
 		return false, false
 	}
-	return true, e.Now().Sub(e.origin)-time.Duration(at) > drainDelay
+	return true, p.Now().Sub(p.origin)-time.Duration(at) > drainDelay
 }
 
 // Ready reports whether a load balancer should send requests to this instance.
-func (e *Proxy) Ready() bool {
-	if leaving, _ := e.Leaving(); leaving {
+func (p *Proxy) Ready() bool {
+	if leaving, _ := p.Leaving(); leaving {
 		return false
 	}
-	return e.State.View().Catalog != nil && e.configFresh()
+	return p.State.View().Catalog != nil && p.configFresh()
 }
 
 // configFresh reports whether the configuration is recent enough to authenticate callers.
-func (e *Proxy) configFresh() bool {
-	age, ok := e.State.Age()
-	b := e.bounds.Load()
+func (p *Proxy) configFresh() bool {
+	age, ok := p.State.Age()
+	b := p.bounds.Load()
 	return ok && (!b.StrictRevoke || age < b.Revoke-revokeMargin)
 }
 
 // Open returns the number of requests being handled.
-func (e *Proxy) Open() int { return int(e.open.Load()) }
+func (p *Proxy) Open() int { return int(p.open.Load()) }
 
 // Wait returns when no request is being handled or ctx is done.
-func (e *Proxy) Wait(ctx context.Context) {
+func (p *Proxy) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		e.handlers.Wait()
+		p.handlers.Wait()
 		close(done)
 	}()
 	select {
@@ -153,31 +153,31 @@
 
 // atLimit reports whether MaxRunning is reached. Requests whose bodies are still being read do
 // not count; the connection limit bounds them.
-func (e *Proxy) atLimit() bool {
-	limit := e.bounds.Load().MaxRunning
-	return limit > 0 && int(e.running.Load()) >= limit
+func (p *Proxy) atLimit() bool {
+	limit := p.bounds.Load().MaxRunning
+	return limit > 0 && int(p.running.Load()) >= limit
 }
 
 // acquireRunning counts a request as running until releaseRunning. It returns false if MaxRunning
 // is exceeded, since several bodies may have been completed after atLimit was checked.
-func (e *Proxy) acquireRunning() bool {
-	n, limit := int(e.running.Add(1)), e.bounds.Load().MaxRunning
+func (p *Proxy) acquireRunning() bool {
+	n, limit := int(p.running.Add(1)), p.bounds.Load().MaxRunning
 	if limit > 0 && n > limit {
-		e.releaseRunning()
+		p.releaseRunning()
 		return false
 	}
 	return true
 }
 
-func (e *Proxy) releaseRunning() { e.running.Add(-1) }
+func (p *Proxy) releaseRunning() { p.running.Add(-1) }
 
-func (e *Proxy) overloaded() *verdict.Error {
-	return verdict.Refuse(verdict.Overloaded, "%d requests in hand", e.Open()).WithRetryAfter(retryAfterLong)
+func (p *Proxy) overloaded() *verdict.Error {
+	return verdict.Refuse(verdict.Overloaded, "%d requests in hand", p.Open()).WithRetryAfter(retryAfterLong)
 }
 
 // stallTimeout returns how long a caller may read nothing of its response.
-func (e *Proxy) stallTimeout() time.Duration {
-	if d := e.bounds.Load().StallTimeout; d > 0 {
+func (p *Proxy) stallTimeout() time.Duration {
+	if d := p.bounds.Load().StallTimeout; d > 0 {
 		return d
 	}
 	return defaultStallTimeout
@@ -185,30 +185,30 @@
 
 // ServeHTTP handles a caller's request. It panics with http.ErrAbortHandler to close the
 // connection if the response was truncated, so that the caller notices.
-func (e *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e.handlers.Add(1)
-	defer e.handlers.Done()
-	defer e.open.Add(-1)
-	e.open.Add(1)
-	leaving, stopped := e.Leaving()
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	p.handlers.Add(1)
+	defer p.handlers.Done()
+	defer p.open.Add(-1)
+	p.open.Add(1)
+	leaving, stopped := p.Leaving()
 	if leaving {
 		w.Header().Set("Connection", "close")
 	}
-	f := &exchange{proxy: e, w: w, r: r, arrived: e.Now()}
-	call, err := e.Codec.Decode(r)
-	f.call = call
+	ex := &exchange{proxy: p, w: w, r: r, arrived: p.Now()}
+	call, err := p.Codec.Decode(r)
+	ex.call = call
 	switch {
 	case err != nil:
-		f.refuse(verdict.Of(err))
+		ex.refuse(verdict.Of(err))
 	case stopped:
-		f.refuse(verdict.Refuse(verdict.Leaving, "this instance stops").WithRetryAfter(retryAfterShort))
-	case e.atLimit():
-		f.refuse(e.overloaded())
+		ex.refuse(verdict.Refuse(verdict.Leaving, "this instance stops").WithRetryAfter(retryAfterShort))
+	case p.atLimit():
+		ex.refuse(p.overloaded())
 	default:
-		f.serve()
+		ex.serve()
 	}
-	f.logRequest()
-	if f.truncated {
+	ex.logRequest()
+	if ex.truncated {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -78,59 +78,59 @@
 	err            *verdict.Error
 }
 
-func (f *exchange) serve() {
-	f.awaitConfiguration()
-	if err := f.admit(); err != nil {
-		f.refuse(err)
+func (ex *exchange) serve() {
+	ex.awaitConfiguration()
+	if err := ex.admit(); err != nil {
+		ex.refuse(err)
 		return
 	}
-	f.deposit = f.proxy.retryBudgets.deposit(f.service.Name)
-	f.setDeadline()
-	ctx, cancel := f.register()
+	ex.deposit = ex.proxy.retryBudgets.deposit(ex.service.Name)
+	ex.setDeadline()
+	ctx, cancel := ex.register()
 	defer cancel()
-	if err := f.reserveMemory(); err != nil {
-		f.refuse(err)
+	if err := ex.reserveMemory(); err != nil {
+		ex.refuse(err)
 		return
 	}
-	defer f.releaseMemory()
-	if err := f.readBody(); err != nil {
-		f.refuse(err)
+	defer ex.releaseMemory()
+	if err := ex.readBody(); err != nil {
+		ex.refuse(err)
 		return
 	}
-	if !f.proxy.acquireRunning() {
-		f.refuse(f.proxy.overloaded())
+	if !ex.proxy.acquireRunning() {
+		ex.refuse(ex.proxy.overloaded())
 		return
 	}
-	defer f.proxy.releaseRunning()
-	if err := f.reserveExchangeMemory(); err != nil {
-		f.refuse(err)
+	defer ex.proxy.releaseRunning()
+	if err := ex.reserveExchangeMemory(); err != nil {
+		ex.refuse(err)
 		return
 	}
-	f.run(ctx)
+	ex.run(ctx)
 }
 
 // configurationWait is how long a request waits for the first configuration.
 const configurationWait = 150 * time.Millisecond
 
-func (f *exchange) awaitConfiguration() {
-	if f.proxy.State.View().Catalog != nil {
+func (ex *exchange) awaitConfiguration() {
+	if ex.proxy.State.View().Catalog != nil {
 		return
 	}
-	if f.proxy.OnConfigurationWait != nil {
-		f.proxy.OnConfigurationWait()
+	if ex.proxy.OnConfigurationWait != nil {
+		ex.proxy.OnConfigurationWait()
 	}
 	timer := time.NewTimer(configurationWait)
 	defer timer.Stop()
-	for f.proxy.State.View().Catalog == nil {
-		changed := f.proxy.State.Changed()
-		if f.proxy.State.View().Catalog != nil {
+	for ex.proxy.State.View().Catalog == nil {
+		changed := ex.proxy.State.Changed()
+		if ex.proxy.State.View().Catalog != nil {
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
 			return
-		case <-f.r.Context().Done():
+		case <-ex.r.Context().Done():
 			return
 		}
 	}
@@ -138,116 +138,116 @@
 
 // admit resolves the request's route, team and service, or returns why it is rejected. It is
 // called again before every retry, as the configuration may have changed.
-func (f *exchange) admit() *verdict.Error {
-	e := f.proxy
-	view := e.State.View()
-	age, validated := e.State.Age()
+func (ex *exchange) admit() *verdict.Error {
+	p := ex.proxy
+	view := p.State.View()
+	age, validated := p.State.Age()
 	if view.Catalog == nil || !validated {
 		return verdict.Refuse(verdict.NoConfiguration, "no configuration is known yet").WithRetryAfter(retryAfterLong)
 	}
-	f.version, f.configAge = view.Catalog.Version(), age
-	f.route = view.Catalog.Route(f.call.Host, f.call.Path)
-	if f.route == nil {
-		return f.retryableIfStale(verdict.Refuse(verdict.UnknownRoute, "no route"))
+	ex.version, ex.configAge = view.Catalog.Version(), age
+	ex.route = view.Catalog.Route(ex.call.Host, ex.call.Path)
+	if ex.route == nil {
+		return ex.retryableIfStale(verdict.Refuse(verdict.UnknownRoute, "no route"))
 	}
-	f.team = view.Catalog.Team(f.call.Key)
-	if f.team == nil && view.Catalog.NeedsKey(f.route) {
-		return f.retryableIfStale(verdict.Refuse(verdict.Unauthenticated, "the key is not known"))
+	ex.team = view.Catalog.Team(ex.call.Key)
+	if ex.team == nil && view.Catalog.NeedsKey(ex.route) {
+		return ex.retryableIfStale(verdict.Refuse(verdict.Unauthenticated, "the key is not known"))
 	}
-	if f.team != nil && !e.configFresh() {
+	if ex.team != nil && !p.configFresh() {
 		return verdict.Refuse(verdict.StaleState, "keys were proved %s ago", age).WithRetryAfter(retryAfterLong)
 	}
-	f.service = view.Catalog.Service(f.route.Target(xxhash.Sum64String(f.call.ID)))
+	ex.service = view.Catalog.Service(ex.route.Target(xxhash.Sum64String(ex.call.ID)))
 	return nil
 }
 
 // retryableIfStale returns refusal, or a retryable error if the configuration is so old that a newer
 // one may differ.
-func (f *exchange) retryableIfStale(refusal *verdict.Error) *verdict.Error {
-	if f.configAge <= f.proxy.bounds.Load().Propagation {
+func (ex *exchange) retryableIfStale(refusal *verdict.Error) *verdict.Error {
+	if ex.configAge <= ex.proxy.bounds.Load().Propagation {
 		return refusal
 	}
-	return verdict.Refuse(verdict.StaleState, "%s, as of %s ago", refusal.Detail, f.configAge).WithRetryAfter(retryAfterLong)
+	return verdict.Refuse(verdict.StaleState, "%s, as of %s ago", refusal.Detail, ex.configAge).WithRetryAfter(retryAfterLong)
 }
 
-func (f *exchange) setDeadline() {
-	limit := f.call.Deadline
-	if t := f.route.Timeout; t > 0 && (limit == 0 || t < limit) {
+func (ex *exchange) setDeadline() {
+	limit := ex.call.Deadline
+	if t := ex.route.Timeout; t > 0 && (limit == 0 || t < limit) {
 		limit = t
 	}
 	if limit == 0 {
 		limit = defaultTimeout
 	}
-	f.deadline = f.arrived.Add(limit)
-	f.setWriteDeadline(f.arrived)
+	ex.deadline = ex.arrived.Add(limit)
+	ex.setWriteDeadline(ex.arrived)
 }
 
 // setWriteDeadline bounds writes, so that a caller that does not read cannot block the handler. It
 // allows stallTimeout after the request's deadline, or after now if that is later, so that a
 // complete response can still be delivered.
-func (f *exchange) setWriteDeadline(now time.Time) {
-	deadline := f.deadline
+func (ex *exchange) setWriteDeadline(now time.Time) {
+	deadline := ex.deadline
 	if now.After(deadline) {
 		deadline = now
 	}
-	_ = http.NewResponseController(f.w).SetWriteDeadline(clock.Deadline(f.proxy.Now, deadline.Add(f.proxy.stallTimeout())))
+	_ = http.NewResponseController(ex.w).SetWriteDeadline(clock.Deadline(ex.proxy.Now, deadline.Add(ex.proxy.stallTimeout())))
 }
 
 // run makes attempts until one succeeds or no retry is allowed.
-func (f *exchange) run(ctx context.Context) {
-	if refusal := f.checkPoison(); refusal != nil {
-		f.fail(refusal)
+func (ex *exchange) run(ctx context.Context) {
+	if refusal := ex.checkPoison(); refusal != nil {
+		ex.fail(refusal)
 		return
 	}
 	for {
-		err := f.attempt(ctx)
+		err := ex.attempt(ctx)
 		if err == nil {
-			f.clearSuspect()
+			ex.clearSuspect()
 			return
 		}
-		crash := f.trackCrash(ctx, err)
-		if err.Reason == verdict.RetryBudget && f.retry.cause != nil {
-			f.finish(ctx, f.retry.cause)
+		crash := ex.trackCrash(ctx, err)
+		if err.Reason == verdict.RetryBudget && ex.retry.cause != nil {
+			ex.finish(ctx, ex.retry.cause)
 			return
 		}
-		if ctx.Err() != nil || !f.mayRetry(err) {
-			f.finish(ctx, err)
+		if ctx.Err() != nil || !ex.mayRetry(err) {
+			ex.finish(ctx, err)
 			return
 		}
-		f.mayHaveRun = f.mayHaveRun || err.Verdict != verdict.NotRun
+		ex.mayHaveRun = ex.mayHaveRun || err.Verdict != verdict.NotRun
 		crash.wait(ctx)
-		if refusal := f.checkPoison(); refusal != nil {
-			f.fail(refusal)
+		if refusal := ex.checkPoison(); refusal != nil {
+			ex.fail(refusal)
 			return
 		}
 		if err.Reason == verdict.EndpointConnect || err.Reason == verdict.EndpointInBackoff {
-			f.retry = retryState{cause: err} // nothing was sent: no budget is charged
+			ex.retry = retryState{cause: err} // nothing was sent: no budget is charged
 		} else {
-			f.reserveRetry(err)
+			ex.reserveRetry(err)
 		}
-		if rejected := f.admit(); rejected != nil {
-			f.fail(rejected)
+		if rejected := ex.admit(); rejected != nil {
+			ex.fail(rejected)
 			return
 		}
 	}
 }
 
 // finish fails the request with the last attempt's error, or the context's if that is done.
-func (f *exchange) finish(ctx context.Context, err *verdict.Error) {
+func (ex *exchange) finish(ctx context.Context, err *verdict.Error) {
 	if ctx.Err() != nil {
-		err = f.contextError(err)
+		err = ex.contextError(err)
 	}
-	f.fail(err)
+	ex.fail(err)
 }
 
 // contextError returns err with the reason that the deadline has passed or the caller has
 // disconnected.
-func (f *exchange) contextError(err *verdict.Error) *verdict.Error {
+func (ex *exchange) contextError(err *verdict.Error) *verdict.Error {
 	if err.Reason == verdict.CallerSlow {
 		return err
 	}
 	reason := verdict.TimeLimit
-	if f.r.Context().Err() != nil {
+	if ex.r.Context().Err() != nil {
 		reason = verdict.CallerGone
 	} else if err.Verdict == verdict.NotRun {
 		reason = verdict.DeadlineMissed
@@ -256,8 +256,8 @@
 }
 
 // fail sends an error response, or truncates the response if it was begun.
-func (f *exchange) fail(err *verdict.Error) {
-	if f.mayHaveRun && err.Verdict == verdict.NotRun {
+func (ex *exchange) fail(err *verdict.Error) {
+	if ex.mayHaveRun && err.Verdict == verdict.NotRun {
 		// The last endpoint did not run the request; an earlier one may have.
 		reason := verdict.EndpointCut
 		if err.Reason == verdict.CrashesEndpoints {
@@ -265,36 +265,36 @@
 		}
 		err = verdict.Fail(verdict.MayHaveRun, reason, "%s", err.Detail)
 	}
-	if f.headSent {
-		f.err = err
-		f.truncated = true
-		f.proxy.Counters.refused(err.Reason)
+	if ex.headSent {
+		ex.err = err
+		ex.truncated = true
+		ex.proxy.Counters.refused(err.Reason)
 		return
 	}
 	if err.Reason == verdict.CallerGone {
-		f.err = err
-		f.truncated = true // nobody reads a response
-		f.proxy.Counters.refused(err.Reason)
+		ex.err = err
+		ex.truncated = true // nobody reads a response
+		ex.proxy.Counters.refused(err.Reason)
 		return
 	}
 	if err.Verdict == verdict.NotRun && err.Reason == verdict.EndpointConnect {
 		// A 502 would not tell the caller that a retry is safe.
 		err = verdict.Refuse(verdict.NoEndpoint, "%s", err.Detail).WithRetryAfter(retryAfterShort)
 	}
-	f.refuse(err)
+	ex.refuse(err)
 }
 
 // refuse sends an error response and counts it.
-func (f *exchange) refuse(err *verdict.Error) {
-	f.err = err
-	f.status = err.Reason.Status()
-	f.proxy.Counters.refused(err.Reason)
+func (ex *exchange) refuse(err *verdict.Error) {
+	ex.err = err
+	ex.status = err.Reason.Status()
+	ex.proxy.Counters.refused(err.Reason)
 	id := ""
-	if f.call != nil {
-		id = f.call.ID
+	if ex.call != nil {
+		id = ex.call.ID
 	}
-	f.drain()
-	f.proxy.Codec.WriteError(f.w, id, err)
+	ex.drain()
+	ex.proxy.Codec.WriteError(ex.w, id, err)
 }
 
 // maxDrainBytes is how much of an unread body is read before an error response, as in net/http.
@@ -302,80 +302,80 @@
 
 // drain reads the rest of a short body if the connection closes after the response. net/http does
 // not, and a caller that is still writing would get a connection reset instead of the response.
-func (f *exchange) drain() {
-	if f.r.Close || f.leaving() {
-		_, _ = io.CopyN(io.Discard, f.r.Body, maxDrainBytes)
+func (ex *exchange) drain() {
+	if ex.r.Close || ex.leaving() {
+		_, _ = io.CopyN(io.Discard, ex.r.Body, maxDrainBytes)
 	}
 }
 
 // leaving reports whether the instance is shutting down and closes connections after a response.
-func (f *exchange) leaving() bool {
-	leaving, _ := f.proxy.Leaving()
+func (ex *exchange) leaving() bool {
+	leaving, _ := ex.proxy.Leaving()
 	return leaving
 }
 
 // logRequest logs the request and counts it if it was answered.
-func (f *exchange) logRequest() {
-	took := f.proxy.Now().Sub(f.arrived)
-	if f.err == nil {
-		f.proxy.Counters.responded(f.status)
-		f.proxy.Counters.firstByte.record(f.firstByteAfter)
-		f.proxy.Counters.total.record(took)
+func (ex *exchange) logRequest() {
+	took := ex.proxy.Now().Sub(ex.arrived)
+	if ex.err == nil {
+		ex.proxy.Counters.responded(ex.status)
+		ex.proxy.Counters.firstByte.record(ex.firstByteAfter)
+		ex.proxy.Counters.total.record(took)
 	}
 	fields := make([]zap.Field, 0, 28)
-	fields = append(fields, zap.String("id", f.call.ID), zap.Int("status", f.status),
-		zap.Duration("took", took), zap.Int64("version", f.version), zap.Duration("belief_age", f.configAge))
-	if f.proxy.Settings != nil {
-		fields = append(fields, zap.String("settings", f.proxy.Settings()))
+	fields = append(fields, zap.String("id", ex.call.ID), zap.Int("status", ex.status),
+		zap.Duration("took", took), zap.Int64("version", ex.version), zap.Duration("belief_age", ex.configAge))
+	if ex.proxy.Settings != nil {
+		fields = append(fields, zap.String("settings", ex.proxy.Settings()))
 	}
-	if f.route != nil {
-		fields = append(fields, zap.String("route", f.route.Name))
+	if ex.route != nil {
+		fields = append(fields, zap.String("route", ex.route.Name))
 	}
-	if f.team != nil {
-		fields = append(fields, zap.String("team", f.team.Name))
+	if ex.team != nil {
+		fields = append(fields, zap.String("team", ex.team.Name))
 	}
-	if f.service != nil {
-		fields = append(fields, zap.String("service", f.service.Name), zap.Int("rank", catalog.Rank(f.route, f.team)), zap.Int("attempts", f.attempts), zap.Strings("sent_to", f.tried))
+	if ex.service != nil {
+		fields = append(fields, zap.String("service", ex.service.Name), zap.Int("rank", catalog.Rank(ex.route, ex.team)), zap.Int("attempts", ex.attempts), zap.Strings("sent_to", ex.tried))
 	}
-	if f.scheduler != "" {
-		fields = append(fields, zap.String("scheduler", f.scheduler))
+	if ex.scheduler != "" {
+		fields = append(fields, zap.String("scheduler", ex.scheduler))
 	}
-	if p := f.placement; p != nil {
+	if p := ex.placement; p != nil {
 		fields = append(fields, zap.String("endpoint", p.Endpoint.ID), zap.Bool("granted", p.Granted), zap.Float64("cost", p.Cost), zap.Int("cached", p.Cached), zap.Int("fetched", p.Fetched),
-			zap.Duration("backlog", p.Backlog), zap.Duration("first", f.firstByteAfter), zap.Duration("expected", p.Expected()), zap.Duration("heard_after", f.firstEventAfter), zap.Duration("pause", f.longestPause), zap.Float64("read_us", 1e3*p.Pace.PrefillPerToken))
+			zap.Duration("backlog", p.Backlog), zap.Duration("first", ex.firstByteAfter), zap.Duration("expected", p.Expected()), zap.Duration("heard_after", ex.firstEventAfter), zap.Duration("pause", ex.longestPause), zap.Float64("read_us", 1e3*p.Pace.PrefillPerToken))
 	}
-	if f.chargedBudget != "" {
-		fields = append(fields, zap.String("retry", f.chargedBudget))
+	if ex.chargedBudget != "" {
+		fields = append(fields, zap.String("retry", ex.chargedBudget))
 	}
-	if p := f.placement; p != nil && p.Distance == balance.OtherRegion {
-		fields = append(fields, zap.Stringer("distance", p.Distance), zap.Float64("crossing", p.CrossRegionCost), zap.Int("body", len(f.call.Body)))
+	if p := ex.placement; p != nil && p.Distance == balance.OtherRegion {
+		fields = append(fields, zap.Stringer("distance", p.Distance), zap.Float64("crossing", p.CrossRegionCost), zap.Int("body", len(ex.call.Body)))
 	}
-	if p := f.placement; p != nil && p.Cold {
+	if p := ex.placement; p != nil && p.Cold {
 		fields = append(fields, zap.Bool("cold", true))
 	}
-	if p := f.placement; p != nil && p.Donor != nil {
+	if p := ex.placement; p != nil && p.Donor != nil {
 		fields = append(fields, zap.String("donor", p.Donor.ID))
 	}
-	if f.backoff > 0 {
-		fields = append(fields, zap.Duration("asked_rest", f.backoff))
+	if ex.backoff > 0 {
+		fields = append(fields, zap.Duration("asked_rest", ex.backoff))
 	}
-	if f.rateLimit != nil {
-		fields = append(fields, zap.Float64("named_limit", float64(*f.rateLimit)))
+	if ex.rateLimit != nil {
+		fields = append(fields, zap.Float64("named_limit", float64(*ex.rateLimit)))
 	}
-	if p := f.placement; p != nil {
+	if p := ex.placement; p != nil {
 		if rate, age, allocator, ok := p.Limit(); ok {
 			fields = append(fields, zap.Float64("limit", rate), zap.Duration("limit_age", age), zap.String("limit_divider", allocator))
 		}
 	}
-	if f.peakBuffered > 0 {
-		fields = append(fields, zap.Int("waited_bytes", f.peakBuffered))
+	if ex.peakBuffered > 0 {
+		fields = append(fields, zap.Int("waited_bytes", ex.peakBuffered))
 	}
-	if f.poisonID != (poison.ID{}) {
-		fields = append(fields, zap.Stringer("same_as", f.poisonID), zap.Bool("suspected", f.suspected))
+	if ex.poisonID != (poison.ID{}) {
+		fields = append(fields, zap.Stringer("same_as", ex.poisonID), zap.Bool("suspected", ex.suspected))
 	}
-	if f.err != nil {
-		fields = append(fields, zap.String("reason", string(f.err.Reason)), zap.Stringer("verdict", f.err.Verdict),
-			zap.String("detail", f.err.Detail), zap.Bool("cut", f.truncated))
+	if ex.err != nil {
+		fields = append(fields, zap.String("reason", string(ex.err.Reason)), zap.Stringer("verdict", ex.err.Verdict),
+			zap.String("detail", ex.err.Detail), zap.Bool("cut", ex.truncated))
 	}
-	f.proxy.Log.Info("request", fields...)
+	ex.proxy.Log.Info("request", fields...)
 }
--- a/entry/feedback.go
+++ b/entry/feedback.go
@@ -24,58 +24,58 @@
 	feedbackWaited      = "awaited"    // a request waited for a back-off to end
 )
 
-func (f *exchange) applyFeedback(head *ResponseHead) {
-	f.backoff, f.rateLimit = head.Backoff, head.RateLimit
+func (ex *exchange) applyFeedback(head *ResponseHead) {
+	ex.backoff, ex.rateLimit = head.Backoff, head.RateLimit
 	if head.Misdirected {
 		return // sent by a different endpoint
 	}
-	f.applyLimit(head)
-	f.applyLoad(head)
-	if head.Leaving && f.placement.RecordDraining() {
-		f.proxy.Counters.feedback(feedbackLeaving, f.service.Name)
-		f.proxy.Log.Info("endpoint announced its shutdown", zap.String("id", f.placement.Endpoint.ID), zap.String("service", f.service.Name), zap.String("request", f.call.ID))
+	ex.applyLimit(head)
+	ex.applyLoad(head)
+	if head.Leaving && ex.placement.RecordDraining() {
+		ex.proxy.Counters.feedback(feedbackLeaving, ex.service.Name)
+		ex.proxy.Log.Info("endpoint announced its shutdown", zap.String("id", ex.placement.Endpoint.ID), zap.String("service", ex.service.Name), zap.String("request", ex.call.ID))
 	}
 	if head.Backoff == 0 {
 		return
 	}
-	f.proxy.Counters.feedback(feedbackBackoff, f.service.Name)
-	if f.placement.RecordBackoff(head.Backoff) {
-		f.proxy.Log.Info("endpoint asked for a back-off", zap.String("id", f.placement.Endpoint.ID), zap.String("service", f.service.Name), zap.Duration("rest", head.Backoff), zap.String("request", f.call.ID))
+	ex.proxy.Counters.feedback(feedbackBackoff, ex.service.Name)
+	if ex.placement.RecordBackoff(head.Backoff) {
+		ex.proxy.Log.Info("endpoint asked for a back-off", zap.String("id", ex.placement.Endpoint.ID), zap.String("service", ex.service.Name), zap.Duration("rest", head.Backoff), zap.String("request", ex.call.ID))
 	}
 }
 
 // applyLimit applies a rate limit. Only a response of the endpoint itself can lift one.
-func (f *exchange) applyLimit(head *ResponseHead) {
+func (ex *exchange) applyLimit(head *ResponseHead) {
 	switch {
 	case head.RateLimit != nil:
-		f.proxy.Counters.feedback(feedbackLimit, f.service.Name)
-		if f.placement.RecordLimit(float64(*head.RateLimit)) {
-			f.logLimitChange("endpoint announced a rate limit", zap.Float64("per_second", float64(*head.RateLimit)))
+		ex.proxy.Counters.feedback(feedbackLimit, ex.service.Name)
+		if ex.placement.RecordLimit(float64(*head.RateLimit)) {
+			ex.logLimitChange("endpoint announced a rate limit", zap.Float64("per_second", float64(*head.RateLimit)))
 		}
 	case head.Sealed || head.NotRun:
-		if f.placement.RecordNoLimit() {
-			f.proxy.Counters.feedback(feedbackLimitLifted, f.service.Name)
-			f.logLimitChange("endpoint withdrew its rate limit")
+		if ex.placement.RecordNoLimit() {
+			ex.proxy.Counters.feedback(feedbackLimitLifted, ex.service.Name)
+			ex.logLimitChange("endpoint withdrew its rate limit")
 		}
 	}
 }
 
-func (f *exchange) applyLoad(head *ResponseHead) {
+func (ex *exchange) applyLoad(head *ResponseHead) {
 	if head.Load != nil {
-		f.placement.RecordLoad(*head.Load)
+		ex.placement.RecordLoad(*head.Load)
 	}
 	if !head.InvalidLoad {
 		return
 	}
-	f.proxy.Counters.feedback(feedbackInvalidLoad, f.service.Name)
-	f.proxy.invalidLoadLogged.Do(func() {
-		f.proxy.Log.Warn("endpoint sent an invalid load header", zap.String("id", f.placement.Endpoint.ID), zap.String("service", f.service.Name), zap.String("request", f.call.ID))
+	ex.proxy.Counters.feedback(feedbackInvalidLoad, ex.service.Name)
+	ex.proxy.invalidLoadLogged.Do(func() {
+		ex.proxy.Log.Warn("endpoint sent an invalid load header", zap.String("id", ex.placement.Endpoint.ID), zap.String("service", ex.service.Name), zap.String("request", ex.call.ID))
 	})
 }
 
-func (f *exchange) logLimitChange(message string, extra ...zap.Field) {
-	fields := append(extra, zap.String("id", f.placement.Endpoint.ID), zap.String("service", f.service.Name), zap.String("request", f.call.ID))
-	f.proxy.Log.Info(message, fields...)
+func (ex *exchange) logLimitChange(message string, extra ...zap.Field) {
+	fields := append(extra, zap.String("id", ex.placement.Endpoint.ID), zap.String("service", ex.service.Name), zap.String("request", ex.call.ID))
+	ex.proxy.Log.Info(message, fields...)
 }
 
 const (
@@ -87,21 +87,21 @@
 
 // place chooses an endpoint. If all have asked for a back-off or are at their rate limits, it waits
 // for the first one to become available, if that is soon.
-func (f *exchange) place(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
-	waitUntil := f.proxy.Now().Add(time.Duration(backoffWaitShare * float64(f.route.Objective)))
+func (ex *exchange) place(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal) {
+	waitUntil := ex.proxy.Now().Add(time.Duration(backoffWaitShare * float64(ex.route.Objective)))
 	for {
-		p, refusal := f.proxy.Placer.Place(ctx, endpoints, d)
+		p, refusal := ex.proxy.Placer.Place(ctx, endpoints, d)
 		if refusal == nil || refusal.Cause != balance.EndpointsInBackoff && refusal.Cause != balance.EndpointsLimited {
 			return p, refusal
 		}
 		wait := refusal.Wait + time.Duration(d.Priority)*priorityWaitStep
-		if f.proxy.Now().Add(wait).After(waitUntil) || !sleep(ctx, wait) {
+		if ex.proxy.Now().Add(wait).After(waitUntil) || !sleep(ctx, wait) {
 			return p, refusal
 		}
-		f.proxy.Counters.feedback(feedbackWaited, f.service.Name)
+		ex.proxy.Counters.feedback(feedbackWaited, ex.service.Name)
 		d.Counted = refusal.Cause == balance.EndpointsLimited
-		endpoints = f.proxy.State.View().Endpoints(f.service.Name)
-		d.Deadline = f.deadline.Sub(f.proxy.Now())
+		endpoints = ex.proxy.State.View().Endpoints(ex.service.Name)
+		d.Deadline = ex.deadline.Sub(ex.proxy.Now())
 	}
 }
 
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -22,26 +22,26 @@
 	assignment atomic.Pointer[assignment] // nil: not placed yet
 }
 
-// A assignment identifies the endpoint that a request was sent to, and the request's team.
+// An assignment identifies the endpoint that a request was sent to, and the request's team.
 type assignment struct {
 	service, team, endpoint string
 }
 
 // register adds the request to the set. The returned context is done when the caller
 // disconnects or the deadline passes; the returned function removes the request.
-func (f *exchange) register() (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(f.r.Context(), f.deadline.Sub(f.proxy.Now()))
-	t := &f.proxy.inFlight
+func (ex *exchange) register() (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(ex.r.Context(), ex.deadline.Sub(ex.proxy.Now()))
+	t := &ex.proxy.inFlight
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.requests == nil {
 		t.requests = make(map[*inFlightRequest]struct{})
 	}
-	f.inFlight = &inFlightRequest{deadline: f.deadline, cancel: cancel}
-	t.requests[f.inFlight] = struct{}{}
+	ex.inFlight = &inFlightRequest{deadline: ex.deadline, cancel: cancel}
+	t.requests[ex.inFlight] = struct{}{}
 	return ctx, func() {
 		t.mu.Lock()
-		delete(t.requests, f.inFlight)
+		delete(t.requests, ex.inFlight)
 		t.mu.Unlock()
 		cancel()
 	}
@@ -49,11 +49,11 @@
 
 // HandleResume must be called after the machine was suspended. It cancels requests at their
 // deadlines, since the runtime's timers do not count the suspension.
-func (e *Proxy) HandleResume() {
-	now := e.Now()
-	e.inFlight.mu.Lock()
-	defer e.inFlight.mu.Unlock()
-	for h := range e.inFlight.requests {
+func (p *Proxy) HandleResume() {
+	now := p.Now()
+	p.inFlight.mu.Lock()
+	defer p.inFlight.mu.Unlock()
+	for h := range p.inFlight.requests {
 		time.AfterFunc(max(0, h.deadline.Sub(now)), h.cancel)
 	}
 }
--- a/entry/memory.go
+++ b/entry/memory.go
@@ -8,7 +8,7 @@
 	"ivyridge/verdict"
 )
 
-// Estimated memory of a request besides its body and response, with garbage not yet collected.
+// Estimated memory of a request besides its body and response, including garbage not yet collected.
 const (
 	// ConnectionBytes is the memory of a caller's connection, with or without a request.
 	ConnectionBytes = 8 << 10
@@ -18,33 +18,33 @@
 	exchangeBytes = 20 << 10
 )
 
-func (f *exchange) reserveMemory() *verdict.Error {
+func (ex *exchange) reserveMemory() *verdict.Error {
 	team := uint64(0)
-	if f.team != nil {
-		team = uint64(balance.TeamHash(f.team.Name))
+	if ex.team != nil {
+		team = uint64(balance.TeamHash(ex.team.Name))
 	}
-	mem, cause := f.proxy.Memory.Admit(team, f.route.Priority, requestBytes)
+	mem, cause := ex.proxy.Memory.Admit(team, ex.route.Priority, requestBytes)
 	if mem == nil {
-		return f.noMemory(string(cause))
+		return ex.noMemory(string(cause))
 	}
-	f.mem = mem
+	ex.mem = mem
 	return nil
 }
 
-func (f *exchange) noMemory(cause string) *verdict.Error {
-	s := f.proxy.Memory.Stats()
+func (ex *exchange) noMemory(cause string) *verdict.Error {
+	s := ex.proxy.Memory.Stats()
 	return verdict.Refuse(verdict.MemoryFull, "%s: %d of %d bytes held", cause, s.Used, s.Limit).WithRetryAfter(retryAfterLong)
 }
 
-func (f *exchange) reserveExchangeMemory() *verdict.Error {
-	if !f.mem.Grow(memory.Requests, exchangeBytes) {
-		return f.noMemory("the exchange")
+func (ex *exchange) reserveExchangeMemory() *verdict.Error {
+	if !ex.mem.Grow(memory.Requests, exchangeBytes) {
+		return ex.noMemory("the exchange")
 	}
 	return nil
 }
 
-func (f *exchange) releaseMemory() {
-	if f.mem != nil {
-		f.mem.Close()
+func (ex *exchange) releaseMemory() {
+	if ex.mem != nil {
+		ex.mem.Close()
 	}
 }
--- a/entry/poison.go
+++ b/entry/poison.go
@@ -14,43 +14,43 @@
 )
 
 // poisonRequest returns what identifies repetitions of the request. The body must have been read.
-func (f *exchange) poisonRequest() poison.Request {
-	r := poison.Request{Method: f.call.Method, Host: f.call.Host, Target: f.call.Target, Body: f.call.Body}
-	if f.team != nil {
-		r.Team = f.team.Name
+func (ex *exchange) poisonRequest() poison.Request {
+	r := poison.Request{Method: ex.call.Method, Host: ex.call.Host, Target: ex.call.Target, Body: ex.call.Body}
+	if ex.team != nil {
+		r.Team = ex.team.Name
 	}
 	return r
 }
 
 // requestPoisonID returns the ID that all repetitions of the request share.
-func (f *exchange) requestPoisonID() poison.ID {
-	if f.poisonID == (poison.ID{}) {
-		r := f.poisonRequest()
-		f.poisonID = r.ID()
+func (ex *exchange) requestPoisonID() poison.ID {
+	if ex.poisonID == (poison.ID{}) {
+		r := ex.poisonRequest()
+		ex.poisonID = r.ID()
 	}
-	return f.poisonID
+	return ex.poisonID
 }
 
 // checkPoison returns an error if the request is known to crash endpoints or its team is
 // throttled. The former error has no RetryAfter, as a retry is pointless.
-func (f *exchange) checkPoison() *verdict.Error {
-	if refusal := f.checkTeamThrottle(); refusal != nil {
+func (ex *exchange) checkPoison() *verdict.Error {
+	if refusal := ex.checkTeamThrottle(); refusal != nil {
 		return refusal
 	}
-	r := f.poisonRequest()
-	if !f.proxy.Poison.MayContain(&r) {
-		f.suspected = false
+	r := ex.poisonRequest()
+	if !ex.proxy.Poison.MayContain(&r) {
+		ex.suspected = false
 		return nil
 	}
-	id := f.requestPoisonID()
-	standing := f.proxy.Poison.Standing(id)
-	f.suspected = standing == poison.Suspected
+	id := ex.requestPoisonID()
+	standing := ex.proxy.Poison.Standing(id)
+	ex.suspected = standing == poison.Suspected
 	if standing != poison.Confirmed {
 		return nil
 	}
-	f.proxy.publishPoison(f.proxy.Poison.Seen(f.proxy.Now(), id))
-	known, _ := f.proxy.Poison.Entry(id)
-	return verdict.Refuse(verdict.CrashesEndpoints, "%d endpoints ended that ran this request, %s", known.CountedStrikes(), id)
+	ex.proxy.publishPoison(ex.proxy.Poison.Seen(ex.proxy.Now(), id))
+	suspect, _ := ex.proxy.Poison.Entry(id)
+	return verdict.Refuse(verdict.CrashesEndpoints, "%d endpoints ended that ran this request, %s", suspect.CountedStrikes(), id)
 }
 
 // A throttled team is admitted at a rate at which at most throttleLossShare of the service's
@@ -66,17 +66,17 @@
 }
 
 // checkTeamThrottle returns an error if the request's team is throttled and has used up its rate.
-func (f *exchange) checkTeamThrottle() *verdict.Error {
-	e := f.proxy
-	if f.team == nil || f.mayHaveRun || !e.Poison.Slowed(e.Now(), f.service.Name, f.team.Name) {
+func (ex *exchange) checkTeamThrottle() *verdict.Error {
+	p := ex.proxy
+	if ex.team == nil || ex.mayHaveRun || !p.Poison.Slowed(p.Now(), ex.service.Name, ex.team.Name) {
 		return nil
 	}
-	interval := throttleInterval(e.retryBudgets.instanceCount(), len(e.State.View().Endpoints(f.service.Name)))
-	wait := e.throttles.acquire(f.service.Name+"/"+f.team.Name, e.Now(), interval)
+	interval := throttleInterval(p.retryBudgets.instanceCount(), len(p.State.View().Endpoints(ex.service.Name)))
+	wait := p.throttles.acquire(ex.service.Name+"/"+ex.team.Name, p.Now(), interval)
 	if wait <= 0 {
 		return nil
 	}
-	return verdict.Refuse(verdict.TeamLimit, "service %s: requests of the team end endpoints", f.service.Name).WithRetryAfter(wait)
+	return verdict.Refuse(verdict.TeamLimit, "service %s: requests of the team end endpoints", ex.service.Name).WithRetryAfter(wait)
 }
 
 // teamThrottles holds when each throttled team may send its next request, by service and team.
@@ -100,31 +100,31 @@
 }
 
 // clearSuspect clears a suspect that an endpoint has answered and thus does not crash endpoints.
-func (f *exchange) clearSuspect() {
-	r := f.poisonRequest()
-	if !f.proxy.Poison.MayContain(&r) {
+func (ex *exchange) clearSuspect() {
+	r := ex.poisonRequest()
+	if !ex.proxy.Poison.MayContain(&r) {
 		return
 	}
-	if changed := f.proxy.Poison.Clear(f.requestPoisonID()); len(changed) > 0 {
-		f.proxy.logPoison(changed)
-		f.proxy.publishPoison(changed)
+	if changed := ex.proxy.Poison.Clear(ex.requestPoisonID()); len(changed) > 0 {
+		ex.proxy.logPoison(changed)
+		ex.proxy.publishPoison(changed)
 	}
 }
 
-func (e *Proxy) publishPoison(entries []poison.Entry) {
-	if e.PublishPoison != nil && len(entries) > 0 {
-		e.PublishPoison(entries)
+func (p *Proxy) publishPoison(entries []poison.Entry) {
+	if p.PublishPoison != nil && len(entries) > 0 {
+		p.PublishPoison(entries)
 	}
 }
 
 // ClearSuspect clears a suspect at an operator's request and tells the other instances. It
 // returns false if id is not a suspect.
-func (e *Proxy) ClearSuspect(id poison.ID) bool {
-	changed := e.Poison.Clear(id)
+func (p *Proxy) ClearSuspect(id poison.ID) bool {
+	changed := p.Poison.Clear(id)
 	if len(changed) == 0 {
 		return false
 	}
-	e.Log.Warn("poison suspect released by an operator", zap.Stringer("same_as", id))
-	e.publishPoison(changed)
+	p.Log.Warn("poison suspect released by an operator", zap.Stringer("same_as", id))
+	p.publishPoison(changed)
 	return true
 }
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -31,7 +31,7 @@
 
 // A relay forwards the response of one endpoint, which may be a part of a resumed stream.
 type relay struct {
-	f              *exchange
+	ex             *exchange
 	ctx            context.Context
 	x              *upstream.Exchange
 	head           ResponseHead
@@ -64,12 +64,12 @@
 }
 
 // relay forwards src, the body of x. On success it records successOutcome for the endpoint.
-func (f *exchange) relay(ctx context.Context, x *upstream.Exchange, head ResponseHead, src chunkSource, successOutcome balance.Outcome) *verdict.Error {
-	r := &relay{f: f, ctx: ctx, x: x, head: head, src: src, successOutcome: successOutcome, flush: http.NewResponseController(f.w), buffer: relayBuffer{mem: f.mem}}
+func (ex *exchange) relay(ctx context.Context, x *upstream.Exchange, head ResponseHead, src chunkSource, successOutcome balance.Outcome) *verdict.Error {
+	r := &relay{ex: ex, ctx: ctx, x: x, head: head, src: src, successOutcome: successOutcome, flush: http.NewResponseController(ex.w), buffer: relayBuffer{mem: ex.mem}}
 	r.changed.L = &r.mu
-	f.proxy.monitor.add(r)
+	ex.proxy.monitor.add(r)
 	err := r.run()
-	f.proxy.monitor.remove(r)
+	ex.proxy.monitor.remove(r)
 	r.close()
 	return err
 }
@@ -81,7 +81,7 @@
 		if err != nil {
 			return r.endRead(err)
 		}
-		r.f.sendHead(r.x)
+		r.ex.sendHead(r.x)
 		r.lastWrite++
 		r.currentWrite.Store(r.lastWrite)
 		err = r.writeChunk(chunk, true)
@@ -96,7 +96,7 @@
 }
 
 func (r *relay) writeChunk(chunk []byte, flush bool) error {
-	_, err := r.f.w.Write(chunk)
+	_, err := r.ex.w.Write(chunk)
 	if err == nil && flush {
 		err = r.flush.Flush()
 	}
@@ -140,7 +140,7 @@
 func (r *relay) startReader(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.f.proxy.Counters.slowCallers.Add("read-beside", 1)
+	r.ex.proxy.Counters.slowCallers.Add("read-beside", 1)
 	r.concurrent, r.writing = true, true
 	r.src.detach()
 	// From here on checkStall decides when the caller is disconnected, not the deadline.
@@ -270,7 +270,7 @@
 func (r *relay) releaseEndpoint(complete bool, o balance.Outcome) {
 	r.releaseOnce.Do(func() {
 		r.x.Close(complete, r.head.KeepAlive)
-		r.f.placement.Done(o)
+		r.ex.placement.Done(o)
 	})
 }
 
@@ -282,11 +282,11 @@
 		return nil
 	case errEventMemory:
 		r.releaseEndpoint(false, balance.Unknown)
-		return verdict.Fail(verdict.MayHaveRun, verdict.ResponseNoMemory, "%s: %s", r.f.placement.Endpoint.ID, err)
+		return verdict.Fail(verdict.MayHaveRun, verdict.ResponseNoMemory, "%s: %s", r.ex.placement.Endpoint.ID, err)
 	default:
-		r.releaseEndpoint(false, r.f.outcome(r.ctx))
+		r.releaseEndpoint(false, r.ex.outcome(r.ctx))
 	}
-	return verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "%s: %s", r.f.placement.Endpoint.ID, err)
+	return verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "%s: %s", r.ex.placement.Endpoint.ID, err)
 }
 
 // endWrite releases the endpoint after a write to the caller failed, and returns the error.
@@ -308,11 +308,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	complete := r.readerDone && r.readerResult == nil
-	disconnected := r.f.r.Context().Err() != nil
+	disconnected := r.ex.r.Context().Err() != nil
 	if r.closed || complete && !disconnected {
 		return
 	}
-	r.releaseEndpoint(false, r.f.outcome(r.ctx))
+	r.releaseEndpoint(false, r.ex.outcome(r.ctx))
 	r.abortWrite()
 }
 
@@ -328,12 +328,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
-	r.f.peakBuffered = max(r.f.peakBuffered, r.buffer.peak)
+	r.ex.peakBuffered = max(r.ex.peakBuffered, r.buffer.peak)
 	r.buffer.clear()
 	if r.concurrent {
 		r.stopDeadline()
 		if !r.aborted {
-			r.f.setWriteDeadline(r.f.proxy.Now())
+			r.ex.setWriteDeadline(r.ex.proxy.Now())
 		}
 	}
 }
--- a/entry/relay_bench_test.go
+++ b/entry/relay_bench_test.go
@@ -43,12 +43,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	e := New(Options{
+	p := New(Options{
 		State: table, Placer: fixedPlacer{balance.New("a", time.Now), &discovery.Endpoint{Endpoint: catalog.Endpoint{ID: "e", Address: server.Listener.Addr().String()}}},
 		Pool: upstream.NewPool(func(string) {}, time.Now), Codec: stubCodec{}, Log: zap.NewNop(),
 		Counters: NewCounters(new(expvar.Map).Init()), Now: time.Now, Bounds: Bounds{Propagation: time.Minute},
 	})
-	front := httptest.NewServer(e)
+	front := httptest.NewServer(p)
 	defer front.Close()
 	c, err := net.Dial("tcp", front.Listener.Addr().String())
 	if err != nil {
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -23,7 +23,7 @@
 // Guards against reporting a complete response when the relay was aborted after the reader
 // had read one more chunk, which it drops.
 func TestRelayReportsDroppedChunk(t *testing.T) {
-	r := &relay{f: &exchange{}, src: &singleChunk{}, concurrent: true, buffer: relayBuffer{mem: new(memory.Reservation)}}
+	r := &relay{ex: &exchange{}, src: &singleChunk{}, concurrent: true, buffer: relayBuffer{mem: new(memory.Reservation)}}
 	r.changed.L = &r.mu
 	r.releaseOnce.Do(func() {}) // as handleDeadline does
 	r.aborted = true            // as abortWrite does
--- a/entry/response.go
+++ b/entry/response.go
@@ -21,79 +21,79 @@
 const maxBuffered = 64 << 10
 
 // handleResponse forwards a response, or returns an error if it is not final.
-func (f *exchange) handleResponse(ctx context.Context, x *upstream.Exchange) *verdict.Error {
-	head := f.proxy.Codec.DecodeResponse(x.Status, x.Header)
-	f.applyFeedback(&head)
+func (ex *exchange) handleResponse(ctx context.Context, x *upstream.Exchange) *verdict.Error {
+	head := ex.proxy.Codec.DecodeResponse(x.Status, x.Header)
+	ex.applyFeedback(&head)
 	switch {
 	case head.Misdirected:
 		x.Close(false, 0)
-		f.placement.RecordGone()
-		f.placement.Done(balance.Unknown)
-		f.unmarkSent()
-		return verdict.Refuse(verdict.EndpointGone, "%s answered %d", f.placement.Endpoint.ID, x.Status).WithRetryAfter(retryAfterShort)
+		ex.placement.RecordGone()
+		ex.placement.Done(balance.Unknown)
+		ex.unmarkSent()
+		return verdict.Refuse(verdict.EndpointGone, "%s answered %d", ex.placement.Endpoint.ID, x.Status).WithRetryAfter(retryAfterShort)
 	case head.NotRun:
 		_, err := io.Copy(io.Discard, io.LimitReader(x.Body, maxBuffered))
 		x.Close(err == nil, head.KeepAlive)
-		f.placement.Done(balance.Refused)
-		return verdict.Refuse(verdict.EndpointRefused, "%s answered %d", f.placement.Endpoint.ID, x.Status).WithRetryAfter(retryAfterShort)
+		ex.placement.Done(balance.Refused)
+		return verdict.Refuse(verdict.EndpointRefused, "%s answered %d", ex.placement.Endpoint.ID, x.Status).WithRetryAfter(retryAfterShort)
 	case !head.Sealed || x.Header.Get("Content-Encoding") != "":
 		x.Close(false, 0)
-		f.placement.Done(balance.Failed)
-		return verdict.Fail(verdict.MayHaveRun, verdict.EndpointError, "%s sent what is no answer of its own (%d)", f.placement.Endpoint.ID, x.Status)
-	case f.route.Kind == catalog.Stream && x.Status == http.StatusOK:
-		return f.forwardStream(ctx, x, head)
-	case f.headSent:
+		ex.placement.Done(balance.Failed)
+		return verdict.Fail(verdict.MayHaveRun, verdict.EndpointError, "%s sent what is no answer of its own (%d)", ex.placement.Endpoint.ID, x.Status)
+	case ex.route.Kind == catalog.Stream && x.Status == http.StatusOK:
+		return ex.forwardStream(ctx, x, head)
+	case ex.headSent:
 		// The stream begun by an earlier endpoint cannot continue with this response.
 		x.Close(false, 0)
-		f.placement.Done(balance.Failed)
-		return verdict.Fail(verdict.Ran, verdict.EndpointError, "%s answered %d in the middle of a stream", f.placement.Endpoint.ID, x.Status)
+		ex.placement.Done(balance.Failed)
+		return verdict.Fail(verdict.Ran, verdict.EndpointError, "%s answered %d in the middle of a stream", ex.placement.Endpoint.ID, x.Status)
 	}
-	return f.forwardPlain(ctx, x, head)
+	return ex.forwardPlain(ctx, x, head)
 }
 
 // forwardPlain forwards a response that is not a stream.
-func (f *exchange) forwardPlain(ctx context.Context, x *upstream.Exchange, head ResponseHead) *verdict.Error {
-	data, complete, err := f.readPrefix(x)
+func (ex *exchange) forwardPlain(ctx context.Context, x *upstream.Exchange, head ResponseHead) *verdict.Error {
+	data, complete, err := ex.readPrefix(x)
 	if err != nil {
-		return f.responseBroken(ctx, x, err)
+		return ex.responseBroken(ctx, x, err)
 	}
 	failed := x.Status >= http.StatusInternalServerError
-	if complete && failed && f.route.Retryable() && len(f.tried) < f.route.MaxAttempts {
+	if complete && failed && ex.route.Retryable() && len(ex.tried) < ex.route.MaxAttempts {
 		x.Close(true, head.KeepAlive)
-		f.placement.Done(balance.Failed)
-		f.reserveRetry(verdict.Fail(verdict.Ran, verdict.EndpointError, "%s answered %d", f.placement.Endpoint.ID, x.Status))
-		if sent, err := f.retryFailedResponse(ctx); sent {
+		ex.placement.Done(balance.Failed)
+		ex.reserveRetry(verdict.Fail(verdict.Ran, verdict.EndpointError, "%s answered %d", ex.placement.Endpoint.ID, x.Status))
+		if sent, err := ex.retryFailedResponse(ctx); sent {
 			return err
 		}
-		return f.writeResponse(x, data)
+		return ex.writeResponse(x, data)
 	}
 	outcome := balance.Served
 	if failed {
 		outcome = balance.Failed
 	}
 	if !complete {
-		return f.relay(ctx, x, head, newBodySource(io.MultiReader(bytes.NewReader(data), x.Body)), outcome)
+		return ex.relay(ctx, x, head, newBodySource(io.MultiReader(bytes.NewReader(data), x.Body)), outcome)
 	}
 	x.Close(true, head.KeepAlive)
-	f.placement.Done(outcome)
-	return f.writeResponse(x, data)
+	ex.placement.Done(outcome)
+	return ex.writeResponse(x, data)
 }
 
 // retryFailedResponse retries a request after a server error. If it returns false, nothing was
 // sent, and the caller should get the error response.
-func (f *exchange) retryFailedResponse(ctx context.Context) (sent bool, err *verdict.Error) {
-	f.mayHaveRun = true
-	if err := f.admit(); err != nil {
+func (ex *exchange) retryFailedResponse(ctx context.Context) (sent bool, err *verdict.Error) {
+	ex.mayHaveRun = true
+	if err := ex.admit(); err != nil {
 		return false, err
 	}
-	sentBefore := len(f.tried)
-	err = f.attempt(ctx)
-	return err == nil || len(f.tried) > sentBefore, err
+	sentBefore := len(ex.tried)
+	err = ex.attempt(ctx)
+	return err == nil || len(ex.tried) > sentBefore, err
 }
 
-func (f *exchange) writeResponse(x *upstream.Exchange, data []byte) *verdict.Error {
-	f.sendHead(x)
-	if _, err := f.w.Write(data); err != nil {
+func (ex *exchange) writeResponse(x *upstream.Exchange, data []byte) *verdict.Error {
+	ex.sendHead(x)
+	if _, err := ex.w.Write(data); err != nil {
 		return verdict.Fail(verdict.Ran, verdict.CallerGone, "while the answer was passed on")
 	}
 	return nil
@@ -101,12 +101,12 @@
 
 // readPrefix reads up to maxBuffered bytes of the body, and reports whether that is all of it. It
 // reads nothing if there is no memory.
-func (f *exchange) readPrefix(x *upstream.Exchange) (data []byte, complete bool, err error) {
+func (ex *exchange) readPrefix(x *upstream.Exchange) (data []byte, complete bool, err error) {
 	size := maxBuffered
 	if length, err := strconv.Atoi(x.Header.Get("Content-Length")); err == nil && 0 <= length && length < maxBuffered {
 		size = length + 1 // one more byte, to read up to EOF
 	}
-	if !f.mem.Grow(memory.Buffered, int64(size)) {
+	if !ex.mem.Grow(memory.Buffered, int64(size)) {
 		return nil, false, nil
 	}
 	data = make([]byte, 0, size)
@@ -124,25 +124,25 @@
 }
 
 // responseBroken ends an exchange whose body could not be read.
-func (f *exchange) responseBroken(ctx context.Context, x *upstream.Exchange, err error) *verdict.Error {
+func (ex *exchange) responseBroken(ctx context.Context, x *upstream.Exchange, err error) *verdict.Error {
 	x.Close(false, 0)
-	f.placement.Done(f.outcome(ctx))
-	return verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "%s: %s", f.placement.Endpoint.ID, err)
+	ex.placement.Done(ex.outcome(ctx))
+	return verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "%s: %s", ex.placement.Endpoint.ID, err)
 }
 
 // sendHead sends the head of the response to the caller, once.
-func (f *exchange) sendHead(x *upstream.Exchange) {
-	if f.headSent {
+func (ex *exchange) sendHead(x *upstream.Exchange) {
+	if ex.headSent {
 		return
 	}
-	f.headSent = true
-	f.status = x.Status
-	f.firstByteAfter = f.proxy.Now().Sub(f.arrived)
-	f.proxy.Codec.CopyResponseHeaders(f.w.Header(), x.Header)
-	if f.leaving() {
-		f.w.Header().Set("Connection", "close")
+	ex.headSent = true
+	ex.status = x.Status
+	ex.firstByteAfter = ex.proxy.Now().Sub(ex.arrived)
+	ex.proxy.Codec.CopyResponseHeaders(ex.w.Header(), x.Header)
+	if ex.leaving() {
+		ex.w.Header().Set("Connection", "close")
 	}
-	f.w.WriteHeader(x.Status)
+	ex.w.WriteHeader(x.Status)
 }
 
 // alreadySent reports whether the caller has the event already, as when an endpoint restarts a
@@ -156,12 +156,12 @@
 	return err == nil && n <= m
 }
 
-func (f *exchange) forwardStream(ctx context.Context, x *upstream.Exchange, head ResponseHead) *verdict.Error {
+func (ex *exchange) forwardStream(ctx context.Context, x *upstream.Exchange, head ResponseHead) *verdict.Error {
 	// The stream may be made of complete events from several endpoints.
 	delete(x.Header, "Content-Length")
-	err := f.relay(ctx, x, head, f.newEventSource(x.Body), balance.Served)
+	err := ex.relay(ctx, x, head, ex.newEventSource(x.Body), balance.Served)
 	if err == nil {
-		f.sendHead(x) // a stream without events
+		ex.sendHead(x) // a stream without events
 	}
 	return err
 }
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -27,58 +27,58 @@
 }
 
 // reserveRetry charges the instance's budget, or has the next placement charge the fleet's.
-func (f *exchange) reserveRetry(err *verdict.Error) {
-	f.retry = retryState{cause: err, budget: budgetInstance}
-	if !f.proxy.retryBudgets.spend(f.service.Name) {
-		f.retry.budget, f.retry.kind = budgetFleet, f.retryKind()
+func (ex *exchange) reserveRetry(err *verdict.Error) {
+	ex.retry = retryState{cause: err, budget: budgetInstance}
+	if !ex.proxy.retryBudgets.spend(ex.service.Name) {
+		ex.retry.budget, ex.retry.kind = budgetFleet, ex.retryKind()
 	}
 }
 
 // attemptDeposit returns what the current attempt adds to the fleet's retry budget.
-func (f *exchange) attemptDeposit() quota.DepositKind {
-	if f.attempts > 1 {
+func (ex *exchange) attemptDeposit() quota.DepositKind {
+	if ex.attempts > 1 {
 		return quota.DepositNone
 	}
-	return f.deposit
+	return ex.deposit
 }
 
 // retryKind returns the kind of the retry, by which the fleet's budget ranks retries.
-func (f *exchange) retryKind() balance.Retry {
+func (ex *exchange) retryKind() balance.Retry {
 	switch {
-	case f.headSent:
+	case ex.headSent:
 		return balance.RetryStream
-	case f.route.Objective == 0 || f.proxy.Now().Sub(f.arrived) < f.route.Objective:
+	case ex.route.Objective == 0 || ex.proxy.Now().Sub(ex.arrived) < ex.route.Objective:
 		return balance.RetryInTime
 	}
 	return balance.RetryLate
 }
 
 // retryGranted records that the request was placed, and counts the retry if it is one.
-func (f *exchange) retryGranted() {
-	r := f.retry
-	f.retry = retryState{}
+func (ex *exchange) retryGranted() {
+	r := ex.retry
+	ex.retry = retryState{}
 	if r.cause == nil {
 		return
 	}
-	f.proxy.Counters.retried(r.cause.Reason)
+	ex.proxy.Counters.retried(r.cause.Reason)
 	if r.budget == "" {
 		return
 	}
-	f.chargedBudget = r.budget
-	f.proxy.Counters.retryCharged(r.budget, f.service.Name)
-	if f.proxy.retryBudgets.recordGranted(f.service.Name) {
-		f.proxy.Log.Info("retry budget available again", zap.String("service", f.service.Name))
+	ex.chargedBudget = r.budget
+	ex.proxy.Counters.retryCharged(r.budget, ex.service.Name)
+	if ex.proxy.retryBudgets.recordGranted(ex.service.Name) {
+		ex.proxy.Log.Info("retry budget available again", zap.String("service", ex.service.Name))
 	}
 }
 
 // retryDenied counts a retry that the fleet's budget denied, and returns the placement error.
-func (f *exchange) retryDenied(refusal *balance.Refusal) *verdict.Error {
-	f.attempts--
-	f.chargedBudget = budgetDenied
-	f.scheduler = refusal.Scheduler
-	f.proxy.Counters.retryCharged(budgetDenied, f.service.Name)
-	if f.proxy.retryBudgets.recordDenied(f.service.Name) {
-		f.proxy.Log.Warn("retry budget exhausted", zap.String("service", f.service.Name), zap.String("scheduler", refusal.Scheduler))
+func (ex *exchange) retryDenied(refusal *balance.Refusal) *verdict.Error {
+	ex.attempts--
+	ex.chargedBudget = budgetDenied
+	ex.scheduler = refusal.Scheduler
+	ex.proxy.Counters.retryCharged(budgetDenied, ex.service.Name)
+	if ex.proxy.retryBudgets.recordDenied(ex.service.Name) {
+		ex.proxy.Log.Warn("retry budget exhausted", zap.String("service", ex.service.Name), zap.String("scheduler", refusal.Scheduler))
 	}
-	return placementError(f.service.Name, refusal)
+	return placementError(ex.service.Name, refusal)
 }
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -47,8 +47,8 @@
 	if r.closed || r.aborted {
 		return
 	}
-	allowed := r.f.proxy.stallTimeout()
-	if now.After(r.f.deadline) {
+	allowed := r.ex.proxy.stallTimeout()
+	if now.After(r.ex.deadline) {
 		allowed = min(allowed, lateStallTimeout)
 	}
 	if r.stall.exceeded(now, r.progress(), r.writing, allowed) {
@@ -61,7 +61,7 @@
 
 // progress returns the progress so far. The caller holds r.mu.
 func (r *relay) progress() progress {
-	return progress{chunks: r.stall.chunks, acked: acked(r.f.r.Context())}
+	return progress{chunks: r.stall.chunks, acked: acked(r.ex.r.Context())}
 }
 
 type connKey struct{}
--- a/entry/stream_timing.go
+++ b/entry/stream_timing.go
@@ -7,35 +7,35 @@
 // A streamTiming records when the events of a stream arrive. It reports only streams that were not
 // resumed, as others are not comparable.
 type streamTiming struct {
-	f         *exchange
+	ex        *exchange
 	fromStart bool // the stream was not resumed
 	events    int
 	first     time.Time
 	last      time.Time
 }
 
-func (f *exchange) newStreamTiming() *streamTiming {
-	return &streamTiming{f: f, fromStart: f.call.LastEventID == ""}
+func (ex *exchange) newStreamTiming() *streamTiming {
+	return &streamTiming{ex: ex, fromStart: ex.call.LastEventID == ""}
 }
 
 func (t *streamTiming) recordEvent(now time.Time) {
 	t.events++
 	if t.events > 1 {
-		t.f.longestPause = max(t.f.longestPause, now.Sub(t.last))
+		t.ex.longestPause = max(t.ex.longestPause, now.Sub(t.last))
 		t.last = now
 		return
 	}
 	t.last = now
 	t.first = now
-	t.f.firstEventAfter = now.Sub(t.f.placedAt)
+	t.ex.firstEventAfter = now.Sub(t.ex.placedAt)
 	if t.fromStart {
-		t.f.placement.RecordFirstEvent(t.f.firstEventAfter)
+		t.ex.placement.RecordFirstEvent(t.ex.firstEventAfter)
 	}
 }
 
 // recordEnd reports the timing of a stream that is complete.
 func (t *streamTiming) recordEnd() {
 	if t.fromStart {
-		t.f.placement.RecordStreamEnd(t.events, t.last.Sub(t.first))
+		t.ex.placement.RecordStreamEnd(t.events, t.last.Sub(t.first))
 	}
 }
