--- a/instance/accept_test.go
+++ b/instance/accept_test.go
@@ -45,18 +45,18 @@
 	serve(t, l)
 	silent := dial(t, l)
 	if took := timeToClose(t, silent); took < header/2 || took > idle {
-		t.Errorf("connection without a header closed after %v", took)
+		t.Errorf("connection without a header closed after %v, want from half the header timeout to the idle timeout", took)
 	}
 	used := dial(t, l)
 	if !answers(used) {
-		t.Fatal("request not served")
+		t.Fatal("the first request of a connection is not served")
 	}
 	time.Sleep(2 * header)
 	if !answers(used) {
 		t.Error("connection closed before its idle timeout")
 	}
 	if took := timeToClose(t, used); took < idle/2 {
-		t.Errorf("idle connection closed after %v", took)
+		t.Errorf("idle connection closed after %v, want at least half the idle timeout", took)
 	}
 }
 
--- a/instance/account.go
+++ b/instance/account.go
@@ -5,8 +5,8 @@
 import "ivyridge/memory"
 
 const (
-	// limitFraction is the fraction of the machine's memory for accounted data, which is live. It is
-	// below 0.75, above which the garbage collector runs more often, since it could not free any.
+	// limitFraction is the fraction of the machine's memory for accounted data. All of that is live, so
+	// above 0.75 the garbage collector would run more often without freeing any.
 	limitFraction = 0.65
 	// baseFraction is the fraction reserved for the program, its configuration and gossip.
 	baseFraction = 0.125
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -44,7 +44,8 @@
 	maintenanceInterval = 500 * time.Millisecond
 )
 
-// A running request holds two descriptors: the caller's and the endpoint's.
+// maxRequestsPerDescriptor is the number of requests that may run per file descriptor. Each holds two,
+// the caller's and the endpoint's, which leaves a quarter for other uses.
 const maxRequestsPerDescriptor = 3.0 / 8
 
 // An Instance is one running instance.
@@ -110,7 +111,7 @@
 	i.log.Info("started", zap.String("data_centre", s.DataCentre), zap.String("callers", s.Listen.Callers),
 		zap.String("store", s.Store), zap.Strings("seeds", s.Seeds), zap.Int("pid", os.Getpid()),
 		zap.String("settings", i.status.settingsHash()), zap.Any("build", i.status.build))
-	counters.Set("bounds", expvar.Func(i.holdings))
+	counters.Set("bounds", expvar.Func(i.quotaStatus))
 	return i, nil
 }
 
--- a/instance/inventory.go
+++ b/instance/inventory.go
@@ -29,7 +29,7 @@
 }
 
 func (i *Instance) role() string {
-	if _, schedules := i.gossip.Schedulers(); schedules {
+	if _, isScheduler := i.gossip.Schedulers(); isScheduler {
 		return inventory.Scheduler
 	}
 	return inventory.Follower
--- a/instance/peers.go
+++ b/instance/peers.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// maxValidationAge is the age up to which another instance's validation counts as recent.
-	maxValidationAge = 2500 * time.Millisecond
+	// recentValidationAge is the age up to which another instance's validation counts as recent.
+	recentValidationAge = 2500 * time.Millisecond
 	// maxPeerSources limits the instances that are asked in turn for a newer revision.
 	maxPeerSources   = 2
 	relayIdleTimeout = 5 * time.Second
@@ -29,14 +29,14 @@
 // validationTurn returns the position of this instance in the order of validation. Schedulers with a
 // recent validation take turns. Other instances ask the store only if no scheduler can, unordered.
 func (i *Instance) validationTurn() discovery.ValidationTurn {
-	schedulers, schedules := i.gossip.Schedulers()
-	if !schedules {
+	schedulers, isScheduler := i.gossip.Schedulers()
+	if !isScheduler {
 		return discovery.ValidationTurn{Unranked: i.gossip.OrdinaryInstances()}
 	}
 	rank := 0
 	now := i.now()
 	for _, m := range schedulers {
-		if m.ID < i.gossip.ID() && !m.Leaving && now.Sub(m.ValidatedAt) < maxValidationAge {
+		if m.ID < i.gossip.ID() && !m.Leaving && now.Sub(m.ValidatedAt) < recentValidationAge {
 			rank++
 		}
 	}
@@ -52,18 +52,18 @@
 }
 
 // upstream returns the instance to fetch updates from, or false for the store: the first candidate
-// validated recently and, if the current source is superseded, at the newest revision. Without one,
-// the first candidate is kept unless superseded: the store is probably down, and needs no more load.
-func (i *Instance) upstream(superseded bool) (discovery.NamedSource, bool) {
+// validated recently and, if the current source is lagging, at the newest revision. Without one,
+// the first candidate is kept unless lagging: the store is probably down, and needs no more load.
+func (i *Instance) upstream(lagging bool) (discovery.NamedSource, bool) {
 	now := i.now()
 	upstreams, newest := i.gossip.Upstreams()
 	upstreams = i.excludeOlderBuilds(upstreams)
 	for _, m := range upstreams {
-		if now.Sub(m.ValidatedAt) < maxValidationAge && (!superseded || m.Revision >= newest) {
+		if now.Sub(m.ValidatedAt) < recentValidationAge && (!lagging || m.Revision >= newest) {
 			return i.relay(&m), true
 		}
 	}
-	if superseded || len(upstreams) == 0 || upstreams[0].ValidatedAt.IsZero() {
+	if lagging || len(upstreams) == 0 || upstreams[0].ValidatedAt.IsZero() {
 		return discovery.NamedSource{}, false
 	}
 	return i.relay(&upstreams[0]), true
--- a/instance/holdings.go
+++ b/instance/quota_status.go
@@ -25,15 +25,15 @@
 	return n
 }
 
-// shareHoldings lists the quota shares of this instance and the retry shares of the others.
-type shareHoldings struct {
+// quotaStatus lists the quota shares of this instance and the retry shares of the others.
+type quotaStatus struct {
 	balance.QuotaShares
 	Holders map[string]float64 `json:"holders"` // last reported, by gossip address
 }
 
-// holdings returns the value of the "bounds" metric.
-func (i *Instance) holdings() any {
-	h := shareHoldings{QuotaShares: i.balancer.QuotaShares(), Holders: make(map[string]float64)}
+// quotaStatus returns the value of the "bounds" metric.
+func (i *Instance) quotaStatus() any {
+	h := quotaStatus{QuotaShares: i.balancer.QuotaShares(), Holders: make(map[string]float64)}
 	for _, m := range i.gossip.Members() {
 		if m.RetryShare > 0 {
 			h.Holders[m.Address] = m.RetryShare
--- a/instance/reload_test.go
+++ b/instance/reload_test.go
@@ -25,6 +25,6 @@
 		t.Errorf("effective: %+v, want %+v", effective, want)
 	}
 	if got := bounds(effective); got.MaxRunning != bounds(start).MaxRunning || got.RetryExtra != 20 {
-		t.Errorf("bounds: %+v", got)
+		t.Errorf("bounds: %+v, want the MaxRunning of the start and RetryExtra 20", got)
 	}
 }
--- a/instance/settings_test.go
+++ b/instance/settings_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	if s.Name != "front-ams-a-1" || len(s.Seeds) != 2 || s.Promises.GraceS != 8 || s.Log.Level != "info" {
-		t.Errorf("got %+v", s)
+		t.Errorf("got %+v, want name front-ams-a-1, two seeds, grace_s 8 and log level info", s)
 	}
 }
 
