--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -25,7 +25,7 @@
 	keepAliveInterval  = time.Second            // also the idle time before the first probe
 	keepAliveProbes    = 2
 	defaultIdleTimeout = 4 * time.Second        // if the endpoint states none
-	idleMargin         = 500 * time.Millisecond // connections are not reused so close to their idle timeout
+	idleMargin         = 500 * time.Millisecond // connections this close to their idle timeout are not reused
 	readBufferBytes    = 4 << 10
 	writeBufferBytes   = 2 << 10
 	maxIdlePerEndpoint = 12
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -87,7 +87,7 @@
 	c := newClient(t, addr)
 	for n := range 3 {
 		if got, err := c.do(fmt.Sprint(n), "GET", ""); err != nil || got != "ok" {
-			t.Fatalf("got %q, %v", got, err)
+			t.Fatalf("got %q, %v, want the response ok", got, err)
 		}
 	}
 	if c.events["dialled"] != 1 || c.events["reused"] != 2 {
@@ -188,7 +188,7 @@
 		}
 	})
 	if got, err := newClient(t, addr).do("1", "POST", ""); err != nil || got != "yours" {
-		t.Fatalf("got %q, %v", got, err)
+		t.Fatalf("got %q, %v, want the second response, yours", got, err)
 	}
 }
 
