--- a/operator/lang.go
+++ b/operator/lang.go
@@ -157,7 +157,7 @@
 func (a *Act) check() error {
 	drains := a.Verb == "drain" || a.Verb == "undrain"
 	if drains != (a.Kind == "instance") {
-		return &SyntaxError{a.Pos.Column, "an instance is drained, an endpoint is stopped"}
+		return &SyntaxError{a.Pos.Column, "drain and undrain need an instance, stop and start an endpoint"}
 	}
 	return nil
 }
--- a/operator/lang_test.go
+++ b/operator/lang_test.go
@@ -15,21 +15,21 @@
 		t.Fatal(err)
 	}
 	if w := s.Show; w.Subject != "refused" || len(w.By) != 2 || len(w.Where) != 2 || w.Where[0].Value != "agents zuid" || w.window.Seconds() != 30 {
-		t.Errorf("got %+v", w)
+		t.Errorf("show statement: got %+v, want subject refused with two fields, two conditions and a window of 30 s", w)
 	}
 	s, err = Parse("set class letter whole 40s")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c, ok := s.Command(); !ok || c != (command.Command{Op: command.SetClass, Target: "letter", Field: "whole", Value: "40s"}) {
-		t.Errorf("got %+v", c)
+		t.Errorf("set statement: got %+v, want whole of class letter set to 40s", c)
 	}
 	s, err = Parse("drain instance router-1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c, _ := s.Command(); c.Op != command.Drain || c.Target != "router-1" {
-		t.Errorf("got %+v", c)
+		t.Errorf("drain statement: got %+v, want a drain of router-1", c)
 	}
 }
 
@@ -71,7 +71,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse(text)
 		if (s == nil) == (err == nil) {
-			t.Errorf("%q: got %v and %v", text, s, err)
+			t.Errorf("%q: got statement %v and error %v, want one of them", text, s, err)
 		}
 	})
 }
--- a/operator/local.go
+++ b/operator/local.go
@@ -23,7 +23,7 @@
 			return nil, err
 		}
 		if s.Show == nil {
-			return nil, errors.New("only queries are answered by peers")
+			return nil, errors.New("peers answer only queries, not commands")
 		}
 		t := (&evaluator{n, s.Show}).eval()
 		return json.Marshal(t)
