--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -17,7 +17,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := settings.Parse("f", data)
 		if (s == nil) == (err == nil) {
-			t.Errorf("got %v and %v", s, err)
+			t.Errorf("got settings %v and error %v, want one of them", s, err)
 		}
 	})
 }
