--- a/command/command.go
+++ b/command/command.go
@@ -18,7 +18,7 @@
 	"ivyridge/decl"
 )
 
-// promiseTimeout is how long a promise is binding without its commit.
+// promiseTimeout is how long a promise is binding if its command is neither committed nor aborted.
 const promiseTimeout = 5 * time.Second
 
 // An Op is a kind of command.
