--- a/yamlfile/check_test.go
+++ b/yamlfile/check_test.go
@@ -29,7 +29,7 @@
 	unset := ""
 	new(Errors).CheckLogLevel(Pos{}, &unset)
 	if unset != DefaultLogLevel {
-		t.Errorf("an empty level becomes %q", unset)
+		t.Errorf("an empty level becomes %q, want the default", unset)
 	}
 }
 
