--- a/chart/chart_test.go
+++ b/chart/chart_test.go
@@ -38,7 +38,7 @@
 		for s := range c.States() {
 			at := chart.State(s)
 			if n := len(reachable(c, at)); n == 1 && !c.Final(at) {
-				t.Errorf("%s: %s is a dead end", c.Name, c.StateName(at))
+				t.Errorf("%s: state %s is not final, but no transition leaves it", c.Name, c.StateName(at))
 			}
 			for ev := range c.Events() {
 				if c.Final(at) && c.Next(at, chart.Event(ev)) != at {
@@ -75,7 +75,7 @@
 func TestLeavingEndpointIsFinal(t *testing.T) {
 	c := chart.Endpoint
 	if n := len(reachable(c, c.State("leaving"))); n != 1 {
-		t.Errorf("%d states are reachable from leaving", n-1)
+		t.Errorf("%d other states are reachable from leaving, want none", n-1)
 	}
 }
 
