--- a/internal/fetch/fetch_test.go
+++ b/internal/fetch/fetch_test.go
@@ -28,7 +28,7 @@
 	})
 	a, err := Do(http.DefaultClient, req, 5, HeaderWait{Timeout: time.Second})
 	if err != nil || a.Status != http.StatusGone || string(a.Body) != "whole" || a.TotalTime < a.HeaderTime {
-		t.Fatalf("got %+v, %v", a, err)
+		t.Fatalf("got %+v, %v, want status 410 and the whole body", a, err)
 	}
 }
 
@@ -43,7 +43,7 @@
 	_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Second})
 	var truncated *TruncatedError
 	if !errors.As(err, &truncated) || !truncated.HeaderReceived || truncated.Bytes != len("a part") || !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want a TruncatedError with the length of the part and the deadline as its cause", err)
 	}
 }
 
@@ -54,14 +54,14 @@
 	_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Second})
 	var truncated *TruncatedError
 	if !errors.As(err, &truncated) || truncated.HeaderReceived {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want a TruncatedError without a header", err)
 	}
 }
 
 func TestOversizedResponse(t *testing.T) {
 	req := newRequest(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("123456")) })
 	if _, err := Do(http.DefaultClient, req, 5, HeaderWait{Timeout: time.Second}); !errors.Is(err, ErrTooLong) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want ErrTooLong", err)
 	}
 }
 
@@ -79,7 +79,7 @@
 	time.AfterFunc(2*headerTimeout, func() { close(abandon) })
 	a, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: headerTimeout, Abandon: abandon})
 	if err != nil || len(a.Body) != 6*len("a part") || a.TotalTime < 2*headerTimeout {
-		t.Fatalf("got %+v, %v", a, err)
+		t.Fatalf("got %+v, %v, want all six parts after more than twice the header timeout", a, err)
 	}
 }
 
@@ -96,7 +96,7 @@
 			_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: 500 * time.Millisecond})
 			var truncated *TruncatedError
 			if !errors.Is(err, ErrIdle) || !errors.As(err, &truncated) || truncated.HeaderReceived != sendsHeader {
-				t.Fatalf("got %v", err)
+				t.Fatalf("got %v, want ErrIdle in a TruncatedError that says whether the header arrived", err)
 			}
 		})
 	}
@@ -109,6 +109,6 @@
 		<-r.Context().Done()
 	})
 	if _, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Minute, Abandon: abandon}); !errors.Is(err, ErrAbandoned) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want ErrAbandoned", err)
 	}
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -52,7 +52,7 @@
 func TestTCPForwards(t *testing.T) {
 	_, c := startEcho(t)
 	if got, err := roundTrip(t, c, "one\n"); got != "one\n" || err != nil {
-		t.Fatalf("got %q, %v", got, err)
+		t.Fatalf("got %q, %v, want the line back", got, err)
 	}
 }
 
@@ -66,7 +66,7 @@
 	l.Set(Conditions{})
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if got, err := bufio.NewReader(c).ReadString('\n'); got != "one\n" || err != nil {
-		t.Fatalf("after unblocking: got %q, %v", got, err)
+		t.Fatalf("after unblocking: got %q, %v, want the line back", got, err)
 	}
 }
 
--- a/internal/link/tcp.go
+++ b/internal/link/tcp.go
@@ -22,7 +22,7 @@
 	Delay        time.Duration // before each read chunk, each way
 	BlockForward bool          // data sent forward is held, not dropped
 	BlockBack    bool          // data sent back is held, not dropped
-	ResetAfter   int           // each connection is reset when more than this many bytes have come back; zero: never
+	ResetAfter   int           // bytes sent back above which a connection is reset; zero: never
 }
 
 // A TCP forwards connections to another address. It is safe for concurrent use.
--- a/internal/link/udp.go
+++ b/internal/link/udp.go
@@ -16,12 +16,12 @@
 // DatagramConditions are the properties of the path from one process to another. The zero value
 // forwards datagrams at once.
 type DatagramConditions struct {
-	Loss       float64       // fraction that is dropped
-	Duplicate  float64       // fraction that is duplicated
-	Jitter     time.Duration // each is delayed by a random time below this, which reorders them
-	Cut        bool          // all are dropped
-	Delay      time.Duration // fixed delay of each
-	Bottleneck *Bottleneck   // shared link that they pass; may be nil
+	Loss       float64       // fraction of datagrams dropped
+	Duplicate  float64       // fraction of datagrams duplicated
+	Jitter     time.Duration // upper limit of a random extra delay, which reorders datagrams
+	Cut        bool          // all datagrams are dropped
+	Delay      time.Duration // fixed delay of each datagram
+	Bottleneck *Bottleneck   // shared link on the path; may be nil
 }
 
 // A Switch forwards datagrams between processes. Other processes know each process by its front,
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// New returns a logger that writes lines of at least level, a name of zapcore, to out. Lines that find
-// the queue full are counted in dropped.
+// New returns a logger that writes lines to out if their level is at least level, as named by zapcore.
+// Lines that find the queue full are counted in dropped.
 func New(level string, format Format, out io.Writer, dropped *expvar.Int) (*zap.Logger, error) {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	if line.Msg != "request" || line.ID != "r1" || line.Took != 1500 {
-		t.Fatalf("got %+v", line)
+		t.Fatalf("got %+v, want message request, ID r1 and 1500 ms", line)
 	}
 }
 
