--- a/cmd/ivyload/main.go
+++ b/cmd/ivyload/main.go
@@ -25,7 +25,7 @@
 	workload, targets, out, control string
 	seed                            uint64
 	mark                            int
-	a, b                            string
+	reportA, reportB                string
 	dir, scenario, policies         string
 	without                         string
 	seeds                           int
@@ -47,8 +47,8 @@
 	run.Int(&o.mark, "k", "mark", "also print attainment in the 10 s before and after this second")
 	compare := flaggy.NewSubcommand("compare")
 	compare.Description = "print two reports side by side"
-	compare.AddPositionalValue(&o.a, "A", 1, true, "a report.json")
-	compare.AddPositionalValue(&o.b, "B", 2, true, "another")
+	compare.AddPositionalValue(&o.reportA, "A", 1, true, "a report.json")
+	compare.AddPositionalValue(&o.reportB, "B", 2, true, "another")
 	policy := flaggy.NewSubcommand("policy")
 	policy.Description = "measure policies in simulated time"
 	policy.String(&o.dir, "d", "dir", "directory with declarations and workloads")
@@ -135,11 +135,11 @@
 }
 
 func (o *options) compare() (int, error) {
-	a, err := load.ReadReport(o.a)
+	a, err := load.ReadReport(o.reportA)
 	if err != nil {
 		return cli.UsageError, err
 	}
-	b, err := load.ReadReport(o.b)
+	b, err := load.ReadReport(o.reportB)
 	if err != nil {
 		return cli.UsageError, err
 	}
