--- a/instance/instance.go
+++ b/instance/instance.go
@@ -83,8 +83,7 @@
 	wg            sync.WaitGroup
 }
 
-// Start opens an instance's listeners and starts it. Its counters are added to
-// counters. On error, no listener is left open.
+// Start starts an instance and adds its counters to counters. On error, no listener is left open.
 func Start(s *Settings, log *zap.Logger, counters *expvar.Map) (*Instance, error) {
 	c := clock.NewSteady()
 	return start(s, log, counters, c.Now, c.Refresh)
