--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -99,11 +99,11 @@
 }
 
 func (ex *exchange) currentAssignment() *assignment {
-	p := &assignment{service: ex.service.Name, endpoint: ex.placement.Endpoint.ID}
+	a := &assignment{service: ex.service.Name, endpoint: ex.placement.Endpoint.ID}
 	if ex.team != nil {
-		p.team = ex.team.Name
+		a.team = ex.team.Name
 	}
-	return p
+	return a
 }
 
 func (ex *exchange) markSent() {
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -206,7 +206,7 @@
 	byTeam := p.inFlight.endpointsByTeam(crash.service, crash.endpoint.ID)
 	running := max(1, crash.listedEndpoints-p.Poison.DownEndpoints(p.Now(), crash.service))
 	for i := range requests {
-		// Assumes that the other instances run as many of the team's requests.
+		// Assumes that each other instance runs the team's requests at as many endpoints.
 		teamEndpoints := (float64(byTeam[requests[i].Team]) + uncountedEndpoints) * float64(p.retryBudgets.instanceCount())
 		requests[i].Strikes[0].TeamSpread = min(1, teamEndpoints/float64(running))
 		requests[i].Strikes[0].CrashedAt = crash.detectedAt
@@ -224,15 +224,15 @@
 // logPoison logs and counts suspects that were confirmed or cleared.
 func (p *Proxy) logPoison(entries []poison.Entry) {
 	for i := range entries {
-		s := &entries[i]
+		suspect := &entries[i]
 		switch {
-		case s.Confirmed:
+		case suspect.Confirmed:
 			p.Counters.poison.Add("known", 1)
-			p.Log.Warn("poison request identified", zap.Stringer("same_as", s.ID), zap.String("team", s.Team), zap.String("route", s.Route),
-				zap.Int("strikes", s.CountedStrikes()), zap.Uint32s("endpoints", s.Endpoints()))
-		case s.Cleared():
+			p.Log.Warn("poison request identified", zap.Stringer("same_as", suspect.ID), zap.String("team", suspect.Team), zap.String("route", suspect.Route),
+				zap.Int("strikes", suspect.CountedStrikes()), zap.Uint32s("endpoints", suspect.Endpoints()))
+		case suspect.Cleared():
 			p.Counters.poison.Add("cleared", 1)
-			p.Log.Info("poison suspect cleared", zap.Stringer("same_as", s.ID), zap.String("team", s.Team), zap.String("route", s.Route))
+			p.Log.Info("poison suspect cleared", zap.Stringer("same_as", suspect.ID), zap.String("team", suspect.Team), zap.String("route", suspect.Route))
 		}
 	}
 }
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -53,8 +53,8 @@
 	now := p.Now()
 	p.inFlight.mu.Lock()
 	defer p.inFlight.mu.Unlock()
-	for h := range p.inFlight.requests {
-		time.AfterFunc(max(0, h.deadline.Sub(now)), h.cancel)
+	for r := range p.inFlight.requests {
+		time.AfterFunc(max(0, r.deadline.Sub(now)), r.cancel)
 	}
 }
 
@@ -64,13 +64,13 @@
 	defer t.mu.Unlock()
 	seen := make(map[assignment]bool)
 	teams := make(map[string]int)
-	for h := range t.requests {
-		p := h.assignment.Load()
-		if p == nil || p.service != service || p.endpoint == except || seen[*p] {
+	for r := range t.requests {
+		a := r.assignment.Load()
+		if a == nil || a.service != service || a.endpoint == except || seen[*a] {
 			continue
 		}
-		seen[*p] = true
-		teams[p.team]++
+		seen[*a] = true
+		teams[a.team]++
 	}
 	return teams
 }
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -22,7 +22,7 @@
 	concurrentWriteBytes = 8 << 10
 	// maxMismatched is how many responses to other requests are skipped.
 	maxMismatched = 2
-	// maxMismatchedBody is the size in bytes from which such a response fails the exchange.
+	// maxMismatchedBody is the body size from which a response to another request fails the exchange.
 	maxMismatchedBody = 64 << 10
 	// maxInformational is how many 1xx responses are skipped.
 	maxInformational = 5
