--- a/cmd/ivyload/main.go
+++ b/cmd/ivyload/main.go
@@ -104,12 +104,12 @@
 	client := load.NewClient(fmt.Sprintf("%s-%d", w.Name, o.seed), strings.Split(o.targets, ","))
 	arrivals := w.Arrivals(o.seed)
 	go progress(ctx, client, len(arrivals))
-	outs := client.Run(ctx, arrivals)
+	outcomes := client.Run(ctx, arrivals)
 	runLog, err := load.FetchRunLog(o.control)
 	if err != nil {
 		return cli.Failed, err
 	}
-	r := load.Summarize(w, o.seed, outs, runLog)
+	r := load.Summarize(w, o.seed, outcomes, runLog)
 	if err := r.Save(o.out); err != nil {
 		return cli.Failed, err
 	}
@@ -124,12 +124,12 @@
 }
 
 // progress prints the numbers of requests sent and answered while standard error is a terminal.
-func progress(ctx context.Context, c *load.Client, all int) {
+func progress(ctx context.Context, c *load.Client, total int) {
 	if info, err := os.Stderr.Stat(); err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return
 	}
 	for ctx.Err() == nil {
-		fmt.Fprintf(os.Stderr, "\rsent %d of %d, answered %d ", c.Sent.Load(), all, c.Done.Load())
+		fmt.Fprintf(os.Stderr, "\rsent %d of %d, answered %d ", c.Sent.Load(), total, c.Done.Load())
 		time.Sleep(time.Second)
 	}
 }
--- a/cmd/ivysoak/main.go
+++ b/cmd/ivysoak/main.go
@@ -22,7 +22,7 @@
 )
 
 func main() {
-	binary, out, seed, duration, instances, rate, net := "bin/ivyentry", "out/soak", uint64(1), 60*time.Second, 6, 80.0, 64
+	binary, out, seed, duration, instances, rate, subnet := "bin/ivyentry", "out/soak", uint64(1), 60*time.Second, 6, 80.0, 64
 	p := cli.Parser("ivysoak", "Runs instances under injected faults and checks what callers, endpoints and the store observe.")
 	p.String(&binary, "b", "binary", "path of the daemon")
 	p.String(&out, "o", "out", "directory for settings, logs and the report")
@@ -30,7 +30,7 @@
 	p.Duration(&duration, "f", "for", "how long faults are injected")
 	p.Int(&instances, "i", "instances", "number of instances")
 	p.Float64(&rate, "r", "rate", "requests per second")
-	p.Int(&net, "n", "net", "second octet of the loopback addresses, 1 to 254; concurrent soaks need different ones")
+	p.Int(&subnet, "n", "net", "second octet of the loopback addresses, 1 to 254; concurrent soaks need different ones")
 	var kinds []string
 	list := false
 	var older soak.Build
@@ -53,7 +53,7 @@
 		cli.Exit(cli.Failed, errors.Wrap(err, "soak"))
 	}
 	result, err := runSoak(soak.Params{
-		Seed: seed, Duration: duration, Instances: instances, Rate: rate, Binary: binary, Dir: dir, Subnet: net, Kinds: kinds, PreviousBuild: older,
+		Seed: seed, Duration: duration, Instances: instances, Rate: rate, Binary: binary, Dir: dir, Subnet: subnet, Kinds: kinds, PreviousBuild: older,
 	})
 	if err != nil {
 		cli.Exit(cli.Failed, err)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -120,8 +120,8 @@
 	})
 	d.peers = peer.NewServer(keys, d.node.Handler())
 	d.node.SetQuery(operator.QueryHandler(d.node))
-	disp := dispatch.New(d.node, subMap(counts, "retries"))
-	d.api = api.New(d.node, disp, api.Options{
+	dispatcher := dispatch.New(d.node, subMap(counts, "retries"))
+	d.api = api.New(d.node, dispatcher, api.Options{
 		MaxBody: int64(s.Limits.MaxBody),
 		MaxTime: s.Limits.MaxTime,
 		Open:    s.Limits.MaxOpenRequests,
