--- a/instance/quota_status.go
+++ b/instance/quota_status.go
@@ -33,11 +33,11 @@
 
 // quotaStatus returns the value of the "bounds" metric.
 func (i *Instance) quotaStatus() any {
-	h := quotaStatus{QuotaShares: i.balancer.QuotaShares(), Holders: make(map[string]float64)}
+	out := quotaStatus{QuotaShares: i.balancer.QuotaShares(), Holders: make(map[string]float64)}
 	for _, m := range i.gossip.Members() {
 		if m.RetryShare > 0 {
-			h.Holders[m.Address] = m.RetryShare
+			out.Holders[m.Address] = m.RetryShare
 		}
 	}
-	return h
+	return out
 }
