--- a/balance/admit.go
+++ b/balance/admit.go
@@ -90,7 +90,7 @@
 	p.at = now
 }
 
-// minPressureWeight is the minimum weight of one sample, so that sparse samples still count.
+// minPressureWeight is the minimum weight of a sample, even if it follows another one immediately.
 const minPressureWeight = 0.05
 
 // Admit chooses among a service's endpoints as Place does, but refuses requests that would only
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -43,7 +43,7 @@
 	Prompt        int           // tokens
 	Output        int           // expected tokens
 	Parts         []Part
-	Avoid         []uint32          // hashes of endpoints that already received the request or that its instance can't reach
+	Avoid         []uint32          // hashes of endpoints that already received the request, or that its instance can't use
 	Sent          bool              // an endpoint may have received the request, or its response has begun: it can't be refused any more
 	Bytes         int               // size of the body
 	Deposit       quota.DepositKind // deposit of the placement into the service's shared retry budget
@@ -214,8 +214,8 @@
 // self is the instance that owns the Balancer.
 const self requester = 0
 
-// loadState returns how many requests the requester runs at l, and whether l is known to be closed
-// to it. Limits are checked for self only: others name endpoints with closed limits in requests.
+// loadState returns how many requests a runs at l, and whether l is known to be closed to a, by a
+// back-off or, for self only, by its rate limit. Other instances list the latter kind in Avoid.
 func (a requester) loadState(l *load, urgency int, now time.Time) (running int, closed bool) {
 	if a == self {
 		return l.running, l.directive != nil && l.directive.backingOff(now) || l.limitState.closed(urgency, now)
--- a/balance/fair.go
+++ b/balance/fair.go
@@ -59,7 +59,7 @@
 	shareRetryDeadlineShare = 1.0 / 3
 )
 
-// The urgency levels of both packages must match.
+// The build fails unless fair and this package have the same number of urgency levels.
 var _ [fair.Levels]struct{} = [levels]struct{}{}
 
 // serviceHash identifies a service in messages about teams.
--- a/balance/load.go
+++ b/balance/load.go
@@ -246,7 +246,7 @@
 	return sum
 }
 
-// An endpoint below both values counts as idle, and its averages are reset.
+// observe resets both averages of an endpoint without a backlog if they are below these values.
 const (
 	minContention   = 1.0
 	minPrefillShare = 1e-3
--- a/balance/slowness_test.go
+++ b/balance/slowness_test.go
@@ -100,15 +100,15 @@
 	t.Logf("share of requests per half second: %.2f while slow, then %.2f", slow, recovered)
 	for _, share := range slow {
 		if share > 0.2 {
-			t.Errorf("the slow endpoint got a share of %.2f of the requests of half a second, want at most 0.2", share)
+			t.Errorf("the slow endpoint got a fraction of %.2f of the requests within half a second, want at most 0.2", share)
 		}
 	}
 	for i, share := range recovered {
 		if share > 0.5 {
-			t.Errorf("the recovering endpoint got a share of %.2f of the requests of half a second, want at most 0.5", share)
+			t.Errorf("the recovering endpoint got a fraction of %.2f of the requests within half a second, want at most 0.5", share)
 		}
 		if i >= 3 && share < 0.15 {
-			t.Errorf("from 1.5 s after recovery the endpoint got a share of %.2f of the requests of half a second, want at least 0.15", share)
+			t.Errorf("from 1.5 s after recovery the endpoint got a fraction of %.2f of the requests within half a second, want at least 0.15", share)
 		}
 	}
 }
