--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -93,10 +93,10 @@
 	preferred, other := &catalog.Team{Priority: &first}, &catalog.Team{Priority: &second}
 	urgent, background := &catalog.Route{Priority: 0}, &catalog.Route{Priority: 2}
 	if u, l := catalog.Rank(urgent, other), catalog.Rank(background, preferred); u >= l {
-		t.Errorf("the urgent route has rank %d, a less urgent one of a preferred team %d, want a higher rank for the latter", u, l)
+		t.Errorf("the urgent route has rank %d, a less urgent one of a preferred team %d, want a larger number for the latter", u, l)
 	}
 	if f, o := catalog.Rank(urgent, preferred), catalog.Rank(urgent, other); f >= o {
-		t.Errorf("a preferred team has rank %d, another %d on the same route, want a higher rank for the latter", f, o)
+		t.Errorf("a preferred team has rank %d, another %d on the same route, want a larger number for the latter", f, o)
 	}
 	if got := catalog.Rank(&catalog.Route{Priority: 40}, nil); got != 9 {
 		t.Errorf("a route of priority 40 has rank %d, want 9", got)
