--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -153,8 +153,8 @@
 func (d *Daemon) Node() *node.Node { return d.node }
 
 // Shutdown shuts the instance down gracefully. It reports not ready, accepts requests until the load
-// balancer has noticed, completes those in flight and queued, and hands over its cells and keys. It
-// returns an error if requests are still in flight after the drain_within setting.
+// balancer has noticed, completes those in flight and queued, and hands over its cells and its
+// records of idempotency keys. It returns an error if requests are in flight after drain_within.
 func (d *Daemon) Shutdown() error {
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTimeout)
 	defer cancel()
