--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -81,7 +81,7 @@
 	c.advance(100 * time.Millisecond)
 	_ = table.Apply(&discovery.Update{Revision: 25, ValidatedAt: sent})
 	if age, _ := table.Age(); age != 100*time.Millisecond {
-		t.Fatalf("age is %v, want 100ms since the earlier request was sent", age)
+		t.Fatalf("age is %v, want 100ms since the request for revision 25 was sent", age)
 	}
 }
 
