--- a/entry/entry.go
+++ b/entry/entry.go
@@ -159,7 +159,7 @@
 }
 
 // acquireRunning counts a request as running until releaseRunning. It returns false if MaxRunning
-// is exceeded, since several bodies may have been completed after atLimit was checked.
+// would be exceeded: atLimit is checked before the body is read, so too many requests may pass it.
 func (p *Proxy) acquireRunning() bool {
 	n, limit := int(p.running.Add(1)), p.bounds.Load().MaxRunning
 	if limit > 0 && n > limit {
