--- a/gossip/message.go
+++ b/gossip/message.go
@@ -14,7 +14,7 @@
 
 // A Message is the content of one datagram.
 type Message struct {
-	Sender     uint64        // changes with each start of a process
+	Sender     uint64        // random ID of the sending process; changes with each start
 	DataCentre string        // of the sender
 	Leaving    bool          // the sender is shutting down
 	Token      uint32        // returned as Echo
--- a/gossip/placement_message.go
+++ b/gossip/placement_message.go
@@ -24,7 +24,7 @@
 	Prompt      int
 	Output      int
 	Parts       []balance.Part
-	Avoid       []uint32 // hashes of endpoints that were already tried or are unreachable from the sender
+	Avoid       []uint32 // hashes of endpoints that were already tried, or that the sender can't use
 	Sent        bool     // the request was already sent once, so it must not be refused by admission control
 	Team        uint32   // balance.TeamHash
 	Residency   catalog.Residency
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -159,7 +159,7 @@
 	}, fetch.HeaderWait{Timeout: q.Wait + headerTimeout, Abandon: q.Superseded})
 }
 
-// read fetches state and dates it by the time the request was sent, less the age in the response.
+// read fetches state. Its ValidatedAt is when the request was sent, minus the age in the response.
 func (r *Relay) read(ctx context.Context, query url.Values, wait fetch.HeaderWait) (*discovery.Update, error) {
 	sent := r.Now()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.Address+StatePath+"?"+query.Encode(), nil)
