--- a/instance/settings_test.go
+++ b/instance/settings_test.go
@@ -62,7 +62,7 @@
 	} {
 		_, err := instance.ParseSettings("s.yaml", []byte(strings.Replace(validSettings, c.from, c.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("with %s: got %v, want %s", c.to, err, c.want)
+			t.Errorf("with %s: got %v, want an error that contains: %s", c.to, err, c.want)
 		}
 	}
 }
