--- a/quota/partition_test.go
+++ b/quota/partition_test.go
@@ -53,10 +53,10 @@
 	stabilize(&c, quota.PartitionView{Heard: 6, MaxPeerHeard: 6}, start)
 	last := quota.PartitionView{Heard: 1, MaxPeerHeard: 1}
 	if share := c.Share(last, start.Add(3*time.Second)); share < 0.2 {
-		t.Errorf("share %.2f of the last instance, want at least 0.2", share)
+		t.Errorf("share %.2f for the only instance left, right after the others are lost, want at least 0.2", share)
 	}
 	if share := stabilize(&c, last, start.Add(40*time.Second)); share != 1 {
-		t.Errorf("share %.2f of the last instance after a while, want 1", share)
+		t.Errorf("share %.2f for the only instance left, some time after the others are lost, want 1", share)
 	}
 }
 
