--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -66,7 +66,7 @@
 	now    func() time.Time
 
 	mu     sync.Mutex
-	idle   map[string][]*conn // by the endpoint's incarnation; most recently used last
+	idle   map[string][]*conn // by catalog.Endpoint.Incarnation; most recently used last
 	closed bool
 }
 
