--- a/home/estimate.go
+++ b/home/estimate.go
@@ -83,7 +83,7 @@
 }
 
 // latestStartTokens returns the answer length, in tokens, that must still fit between the latest
-// start and the deadline. Only expireRatio of the answers that fit within room seconds are shorter.
+// start and the deadline. A fraction expireRatio of the answers that fit within room are shorter.
 func (h *Home) latestStartTokens(a *Request, room, gap float64) float64 {
 	d := h.dist(a)
 	if d == nil {
@@ -92,7 +92,7 @@
 	return d.Quantile(expireRatio * d.Within(room/gap))
 }
 
-// onTimeProbability returns the fraction of requests like r that end on time if started after wait.
+// onTimeProbability estimates the probability that r ends on time if it starts wait from now.
 func (h *Home) onTimeProbability(r *queue.Request, a *Request, wait time.Duration) float64 {
 	c := h.classes[r.Class]
 	elapsed := wait + h.now - r.Arrival + seconds(h.startSeconds(r.Class))
@@ -116,7 +116,7 @@
 	return d.Within(room / h.meanGap())
 }
 
-// dist returns the distribution of answer lengths, or nil if none is known.
+// dist returns the answer length distribution for a's class and team, or nil if there is none.
 func (h *Home) dist(a *Request) *length.Dist {
 	if h.pool.Kind != decl.Model || !h.policy.Lengths {
 		return nil
@@ -124,7 +124,7 @@
 	return h.lengths.Dist(a.Class, a.Team)
 }
 
-// meanTokens returns the expected answer length up to the caller's limit, or zero for a service.
+// meanTokens returns the expected tokens of a's answer, at most a.MaxTokens, or zero for a service.
 func (h *Home) meanTokens(a *Request) float64 {
 	if h.pool.Kind != decl.Model {
 		return 0
@@ -219,12 +219,12 @@
 	s.bias = biasDecay*s.bias + (1-biasDecay)*max(biasMin, min(observed, biasMax))
 }
 
-// retryAfter predicts when a request like r would be admitted.
+// retryAfter returns the delay before a retry of a refused r: half r's predicted wait, clamped.
 func (h *Home) retryAfter(r *queue.Request) time.Duration {
 	return clampRetry(h.predictWait(r) / 2)
 }
 
-// observe updates the estimates and the state of the endpoint from a run that ended.
+// observe updates the estimates and the state of r's endpoint from rel, the report of r's end.
 func (h *Home) observe(r *run, rel *Release) {
 	s := &h.stats[r.class]
 	c := h.classes[r.class]
--- a/home/home.go
+++ b/home/home.go
@@ -106,8 +106,8 @@
 	waiting          map[Key]*queue.Request
 	running          map[Key]*run
 	byName           map[string]*endpoint
-	list             []*endpoint
-	nextIndex        int     // of the round robin in list
+	endpoints        []*endpoint
+	nextIndex        int     // of the round robin in endpoints
 	share            float64 // part of each concurrency limit that this instance may grant
 	decisions        []Decision
 	freeRequests     []*queue.Request
@@ -139,8 +139,8 @@
 	return h
 }
 
-// Configure applies new declarations. Waiting requests keep their order; those whose class no
-// longer exists are refused.
+// Configure applies the declarations in set, with pool as the cell's pool. Waiting requests keep
+// their order; those whose class no longer exists are refused.
 func (h *Home) Configure(now time.Duration, set *decl.Set, pool *decl.Pool) {
 	h.now = now
 	oldClasses, oldStats, oldIndex := h.classes, h.stats, h.classIndex
@@ -163,7 +163,7 @@
 	h.dispatch()
 }
 
-// reassignRuns counts the runs of a class that no longer exists under the first class.
+// reassignRuns recounts all runs by the new classes, those of a removed class under the first.
 func (h *Home) reassignRuns(oldClasses []*decl.Class) {
 	h.runsByTier = [decl.MaxTier + 1]int{}
 	for _, e := range h.byName {
@@ -199,7 +199,7 @@
 	h.dispatch()
 }
 
-// SetEndpoints sets the endpoints of the cell. An endpoint that is leaving,
+// SetEndpoints sets the endpoints of the cell to eps. An endpoint that is leaving,
 // stopped or absent receives no more requests; its runs continue.
 func (h *Home) SetEndpoints(now time.Duration, eps []Endpoint) {
 	h.now = now
@@ -222,9 +222,9 @@
 			}
 		}
 	}
-	h.list = h.list[:0]
+	h.endpoints = h.endpoints[:0]
 	for _, e := range eps {
-		h.list = append(h.list, h.byName[e.Name])
+		h.endpoints = append(h.endpoints, h.byName[e.Name])
 	}
 	h.dispatch()
 }
@@ -233,7 +233,7 @@
 // leaving, until they report or reportTimeout passes. Call it when this Home resumes deciding.
 func (h *Home) RequireReports(now time.Duration) {
 	h.now = now
-	for _, e := range h.list {
+	for _, e := range h.endpoints {
 		if now-e.reported > maxReportAge {
 			e.machine.Step(evRequireReports)
 			e.awaitingReportSince = now
@@ -241,7 +241,7 @@
 	}
 }
 
-// Submit submits a request, which is granted, refused or queued.
+// Submit grants, refuses or queues a. It ignores a request that already waits or runs.
 func (h *Home) Submit(now time.Duration, a Request) {
 	h.now = now
 	h.Counts.Asked++
@@ -292,7 +292,7 @@
 	return 1
 }
 
-// Cancel removes a waiting request. It does not end a granted one, which its entry releases.
+// Cancel removes the request key if it waits. A granted one is not ended: its entry releases it.
 func (h *Home) Cancel(now time.Duration, key Key) {
 	h.now = now
 	if r, ok := h.waiting[key]; ok {
@@ -302,7 +302,7 @@
 	}
 }
 
-// Done ends a run and updates the estimates from it.
+// Done ends the run that rel reports and updates the estimates from it.
 func (h *Home) Done(now time.Duration, rel Release) {
 	h.now = now
 	r := h.running[rel.Key]
@@ -340,8 +340,8 @@
 	h.runsByTier[h.classes[r.class].Tier] += delta
 }
 
-// Sync reports all runs of entry in this cell. Runs that it does not list are ended, and unknown
-// ones are added, from which a new home learns what runs in its cell.
+// Sync applies runs, all that entry has in this cell. Its other runs older than syncGrace are
+// ended, and unknown ones are added, from which a new home learns what runs in its cell.
 func (h *Home) Sync(now time.Duration, entry string, runs []ActiveRun) {
 	h.now = now
 	for _, x := range runs {
@@ -373,7 +373,7 @@
 	if h.policy.Admit {
 		h.q.Expire(now, h.refuseExpired)
 	}
-	for _, e := range h.list {
+	for _, e := range h.endpoints {
 		if e.machine.State() == stAwaitingReport && now-e.awaitingReportSince > reportTimeout {
 			e.machine.Step(evReportTimeout)
 		}
@@ -460,8 +460,8 @@
 
 // Endpoints returns the state of every endpoint of the cell.
 func (h *Home) Endpoints(now time.Duration) []EndpointStatus {
-	out := make([]EndpointStatus, len(h.list))
-	for i, e := range h.list {
+	out := make([]EndpointStatus, len(h.endpoints))
+	for i, e := range h.endpoints {
 		out[i] = EndpointStatus{e.spec.Name, e.machine.Name(), e.running, e.limit, e.lowLimit, e.foreign, e.gapDuration(), now - e.reported}
 	}
 	return out
--- a/home/home_test.go
+++ b/home/home_test.go
@@ -91,7 +91,7 @@
 	}
 	for _, d := range h.TakeDecisions() {
 		if d.Endpoint == "e0" {
-			t.Error("request granted on a leaving endpoint")
+			t.Error("got a grant on e0, which is leaving; want none")
 		}
 	}
 	eps[0].Leaving = false
@@ -99,7 +99,7 @@
 	h.Submit(0, newRequest(9, "letter"))
 	for _, d := range h.TakeDecisions() {
 		if d.Endpoint == "e0" {
-			t.Error("request granted on an endpoint that had left")
+			t.Error("got a grant on e0 after an outdated list said that it is not leaving; want none")
 		}
 	}
 }
@@ -125,7 +125,7 @@
 		}
 	}
 	if refused == 0 {
-		t.Error("none of 80 requests on two slots was refused on arrival")
+		t.Error("0 of 80 requests on two slots were refused on arrival; want at least 1")
 	}
 }
 
@@ -178,7 +178,7 @@
 
 func TestUnknownMechanism(t *testing.T) {
 	if _, err := home.ParsePolicy(home.Full, "magic"); err == nil {
-		t.Error("ParsePolicy accepted an unknown mechanism")
+		t.Error("ParsePolicy without mechanism magic succeeded; want an error, since it is unknown")
 	}
 }
 
--- a/home/limits.go
+++ b/home/limits.go
@@ -57,7 +57,7 @@
 	Leaving  bool
 }
 
-// Progress updates an endpoint's inter-token gaps and adjusts its limits.
+// Progress updates the inter-token gaps of p's endpoint and adjusts its limits.
 func (h *Home) Progress(now time.Duration, p Progress) {
 	h.now = now
 	e := h.byName[p.Endpoint]
@@ -167,7 +167,7 @@
 	return max(limit, h.share*min(n, maxForecastFactor*e.limit, float64(h.pool.MaxSlots)))
 }
 
-// nextLimit returns limit adjusted by the ratio of the gap to its target.
+// nextLimit returns limit, lowered if ratio exceeds high, or raised if below low at full load.
 func nextLimit(limit, busy, ratio, high, low, maxLimit float64) float64 {
 	switch {
 	case ratio > high:
@@ -208,11 +208,11 @@
 	return target
 }
 
-// medianGap returns the median gap of the cell, in seconds.
+// medianGap returns the median inter-token gap of the accepting endpoints, in seconds.
 func (h *Home) medianGap() float64 {
 	var buf [64]float64
 	gaps := buf[:0]
-	for _, e := range h.list {
+	for _, e := range h.endpoints {
 		if e.tokens > 0 && e.accepting() {
 			gaps = insertSorted(gaps, e.gap)
 		}
@@ -231,10 +231,10 @@
 	return s
 }
 
-// meanGap returns the mean gap of the serving endpoints, weighted by limit, in seconds.
+// meanGap returns the mean inter-token gap of the serving endpoints, weighted by limit, in seconds.
 func (h *Home) meanGap() float64 {
 	sum, weight := 0.0, 0.0
-	for _, e := range h.list {
+	for _, e := range h.endpoints {
 		if e.tokens > 0 && e.machine.State() == stServing {
 			sum += e.gap * e.limit
 			weight += e.limit
@@ -246,7 +246,7 @@
 	return sum / weight
 }
 
-// Report handles an endpoint's load report.
+// Report applies the load report l.
 func (h *Home) Report(now time.Duration, l Load) {
 	h.now = now
 	e := h.byName[l.Endpoint]
@@ -269,7 +269,7 @@
 	h.dispatch()
 }
 
-// Unreachable reports that an endpoint's load could not be read.
+// Unreachable records that the load of the endpoint called name could not be read.
 func (h *Home) Unreachable(now time.Duration, name string) {
 	h.now = now
 	if e := h.byName[name]; e != nil {
--- a/home/place.go
+++ b/home/place.go
@@ -129,7 +129,7 @@
 // slots returns the number of requests that the cell is expected to run at once.
 func (h *Home) slots(lowTier bool) float64 {
 	n := 0.0
-	for _, e := range h.list {
+	for _, e := range h.endpoints {
 		if e.mayAccept() {
 			n += max(1, h.forecastLimit(e, lowTier)-e.foreign)
 		}
@@ -181,7 +181,7 @@
 	var best *endpoint
 	lowest := 0.0
 	accepting := 0
-	for _, e := range h.list {
+	for _, e := range h.endpoints {
 		if !e.accepting() {
 			continue
 		}
@@ -200,7 +200,7 @@
 }
 
 func (h *Home) soleEndpoint(lowTier bool) *endpoint {
-	for _, e := range h.list {
+	for _, e := range h.endpoints {
 		if e.accepting() && h.freeSlots(e, lowTier) >= 1 {
 			return e
 		}
@@ -210,10 +210,10 @@
 
 // roundRobin returns the next endpoint with a free slot, for the baseline policy.
 func (h *Home) roundRobin(a *Request) *endpoint {
-	for i := range h.list {
-		e := h.list[(h.nextIndex+i)%len(h.list)]
-		if e.accepting() && h.freeSlots(e, false) >= 1 && (e.spec.Name != a.Avoid || len(h.list) == 1) {
-			h.nextIndex = (h.nextIndex + i + 1) % len(h.list)
+	for i := range h.endpoints {
+		e := h.endpoints[(h.nextIndex+i)%len(h.endpoints)]
+		if e.accepting() && h.freeSlots(e, false) >= 1 && (e.spec.Name != a.Avoid || len(h.endpoints) == 1) {
+			h.nextIndex = (h.nextIndex + i + 1) % len(h.endpoints)
 			return e
 		}
 	}
