--- a/queue/queue.go
+++ b/queue/queue.go
@@ -29,7 +29,7 @@
 	Tiers     bool // strict priority between tiers
 	Shares    bool // guaranteed shares
 	Deadlines bool // earliest latest-start first within a tier, else by arrival
-	Fair      bool // deficit round robin between teams, else by arrival
+	Fair      bool // deficit round robin between the teams of a class, else by arrival within it
 }
 
 // A Request is an entry of a Queue. Its exported fields must not change while it waits.
@@ -40,8 +40,7 @@
 	Arrival     time.Duration
 	LatestStart time.Duration // latest start that still meets the target
 	Cost        float64
-	// Pushed and Predicted are for the caller: when the request began to wait, and how long it
-	// should.
+	// Pushed and Predicted are for the caller: when the wait began, and its predicted duration.
 	Pushed    time.Duration
 	Predicted time.Duration
 	Payload   any // for the caller, not used by Queue
@@ -106,10 +105,10 @@
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.n }
 
-// ClassLen returns the number of waiting requests of a class.
+// ClassLen returns the number of waiting requests of the class with index class.
 func (q *Queue) ClassLen(class int) int { return q.classes[class].n }
 
-// TeamLen returns the number of waiting requests of a team in a class.
+// TeamLen returns the number of waiting requests of team in the class with index class.
 func (q *Queue) TeamLen(class int, team string) int {
 	if l := q.classes[class].queues[q.queueKey(team)]; l != nil {
 		return l.n
@@ -124,8 +123,8 @@
 	return ""
 }
 
-// Push adds r. Requests of one team are kept in order of arrival, so that one asked again after a
-// failure regains its position.
+// Push adds r. Requests of one team are kept in order of arrival, so that one submitted again
+// after a failure regains its position.
 func (q *Queue) Push(r *Request) {
 	c := q.classes[r.Class]
 	key := q.queueKey(r.Team)
@@ -347,7 +346,7 @@
 	own.credit = max(0, own.credit-r.Cost)
 }
 
-// Expire removes the requests whose latest start has passed and calls f with each. Requests of
+// Expire removes the requests whose latest start is before now and calls f with each. Requests of
 // classes with FinishLate stay.
 func (q *Queue) Expire(now time.Duration, f func(*Request)) {
 	for _, c := range q.classes {
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -23,7 +23,7 @@
 	q.Push(low)
 	q.Push(high)
 	if got := pop(q); got != high {
-		t.Error("the lower tier was served first")
+		t.Error("Pop returned the request of tier 1; want that of tier 0")
 	}
 }
 
@@ -60,7 +60,7 @@
 		}
 	}
 	if served != 5 {
-		t.Errorf("%d of 5 other teams were served within two rounds", served)
+		t.Errorf("%d of 5 other teams were served within two rounds; want 5", served)
 	}
 }
 
@@ -87,7 +87,7 @@
 	first := &queue.Request{Team: "a", Cost: 1, Arrival: 1}
 	q.Push(first)
 	if pop(q) != first {
-		t.Error("the earlier arrival was not served first")
+		t.Error("Pop returned the later arrival; want the earlier one")
 	}
 }
 
@@ -110,7 +110,7 @@
 		waiting := make(map[*queue.Request]bool)
 		remove := func(r *queue.Request) {
 			if !waiting[r] {
-				t.Fatal("a request left twice or was never pushed")
+				t.Fatal("a request that was not waiting left the queue; want each to leave once")
 			}
 			delete(waiting, r)
 		}
