--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -66,7 +66,7 @@
 	b.rows[r]++
 }
 
-// Sum returns the counts of the last window before now, in whole seconds up to 299 s. The current
+// Sum returns the counts of the window that ends at now, in whole seconds up to 299 s. The current
 // second counts too.
 func (l *Ledger) Sum(now, window time.Duration) map[Row]int64 {
 	l.mu.Lock()
