--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -90,7 +90,7 @@
 
 const maxAnswer = 16 << 20 // bytes
 
-// New returns a Dispatcher. Retries are counted by reason in retries.
+// New returns a Dispatcher on f. Retries are counted by reason in retries.
 func New(f Fleet, retries *expvar.Map) *Dispatcher {
 	return NewWithTransports(f, retries, transport(true), transport(false))
 }
@@ -121,7 +121,7 @@
 	recorder   *recorder // records the answer of a keyed request, else nil
 }
 
-// Do runs a request until it is answered, refused or failed, or ctx is done. A request with a key
+// Do runs req until it is answered, refused or failed, or ctx is done. A request with a key
 // that must not be repeated runs on after ctx is cancelled, up to its deadline.
 func (d *Dispatcher) Do(ctx context.Context, req *Request, sink Sink) Result {
 	d.budget.deposit()
@@ -235,8 +235,8 @@
 		r.d.fleet.Release(g, node.Outcome{})
 		return verdict.Refuse(verdict.GrantExpired, "the request waited longer than its key is held")
 	}
-	end, err := r.send(ctx, g)
-	r.d.fleet.Release(g, end)
+	outcome, err := r.send(ctx, g)
+	r.d.fleet.Release(g, outcome)
 	if err != nil {
 		r.avoid = g.Endpoint
 	}
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -30,12 +30,12 @@
 	RequestIDHeader = "X-Request-Id"
 )
 
-func transport(keep bool) *http.Transport {
+func transport(keepAlive bool) *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: connectTimeout}).DialContext,
 		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     20 * time.Second,
-		DisableKeepAlives:   !keep,
+		DisableKeepAlives:   !keepAlive,
 		DisableCompression:  true,
 	}
 }
@@ -57,24 +57,24 @@
 		return r.classifyError(ctx, connected, err)
 	}
 	defer res.Body.Close()
-	if end, err, failed := r.classifyStatus(res); failed {
-		return end, err
+	if outcome, err, failed := r.classifyStatus(res); failed {
+		return outcome, err
 	}
 	r.machine.Step(evHeaders)
 	timer.reset(stallTimeout)
-	var end node.Outcome
+	var outcome node.Outcome
 	if r.req.Stream && res.StatusCode == http.StatusOK {
-		end, err = r.stream(res, g, sent, timer)
+		outcome, err = r.stream(res, g, sent, timer)
 	} else {
-		end, err = r.readComplete(res, sent)
+		outcome, err = r.readComplete(res, sent)
 	}
 	if err != nil {
 		r.machine.Step(evCut)
-		end.Failed = end.Failed && caller.Err() == nil // not if the caller cancelled it
-		return end, err
+		outcome.Failed = outcome.Failed && caller.Err() == nil // not if the caller cancelled it
+		return outcome, err
 	}
 	r.machine.Step(evFinish)
-	return end, nil
+	return outcome, nil
 }
 
 var errStalled = errors.New("the endpoint fell silent")
@@ -112,7 +112,7 @@
 	}
 }
 
-// classifyError returns the outcome of an attempt without a response.
+// classifyError returns the outcome and error of an attempt that got no response because of err.
 func (r *run) classifyError(ctx context.Context, connected bool, err error) (node.Outcome, error) {
 	if !connected {
 		r.machine.Step(evUnsent)
@@ -128,9 +128,9 @@
 	return node.Outcome{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "no answer: %v", err)
 }
 
-// classifyStatus handles the status codes of a failed endpoint. Only 429 means that the request was
-// not run; after a 5xx it may have run.
-func (r *run) classifyStatus(res *http.Response) (end node.Outcome, err error, failed bool) {
+// classifyStatus handles status 429, which means that the request was not run, and 5xx, after which
+// it may have run. For any other status failed is false.
+func (r *run) classifyStatus(res *http.Response) (outcome node.Outcome, err error, failed bool) {
 	switch {
 	case res.StatusCode == http.StatusTooManyRequests:
 		r.machine.Step(evRefusedUnrun)
@@ -170,22 +170,22 @@
 	}
 	now := r.d.fleet.Now()
 	r.res.FirstToken = now - r.req.Arrived
-	end := node.Outcome{Complete: true, Late: r.lateAt(now, now)}
+	outcome := node.Outcome{Complete: true, Late: r.lateAt(now, now)}
 	if r.req.Pool.Kind == decl.Model {
 		var u usage
 		if json.Unmarshal(body, &u) == nil {
-			end.Tokens = u.Usage.CompletionTokens
+			outcome.Tokens = u.Usage.CompletionTokens
 		}
-		r.res.Tokens = end.Tokens
+		r.res.Tokens = outcome.Tokens
 	}
 	r.start(res.StatusCode, res.Header)
 	if err := r.sink.Write(body); err != nil {
-		return end, errors.Wrap(err, "caller")
+		return outcome, errors.Wrap(err, "caller")
 	}
-	return end, nil
+	return outcome, nil
 }
 
-// lateAt reports whether an answer with the given times misses its class's targets.
+// lateAt reports whether an answer whose first token came at first and which ended at end is late.
 func (r *run) lateAt(first, end time.Duration) bool {
 	c, at := r.req.Class, r.req.Arrived
 	return c.FirstToken > 0 && first-at > c.FirstToken || c.Whole > 0 && end-at > c.Whole
--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -72,7 +72,7 @@
 
 func (r *run) stream(res *http.Response, g *node.Grant, sent time.Duration, timer *watchdog) (node.Outcome, error) {
 	var scan Scanner
-	var end node.Outcome
+	var outcome node.Outcome
 	var lastEvent, reported time.Duration
 	var pendingTokens int
 	var pendingTime time.Duration
@@ -91,7 +91,7 @@
 			switch {
 			case !r.res.Started:
 				r.res.FirstToken = now - r.req.Arrived
-				end.FirstToken = now - sent
+				outcome.FirstToken = now - sent
 				lastEvent, reported = now, now
 				r.start(res.StatusCode, res.Header)
 			case events > 0:
@@ -104,19 +104,19 @@
 				}
 			}
 			if werr := r.sink.Write(buf[:n]); werr != nil {
-				return end, errors.Wrap(werr, "caller")
+				return outcome, errors.Wrap(werr, "caller")
 			}
 		}
 		if err == nil {
 			continue
 		}
-		end.Tokens, r.res.Tokens = scan.Events, scan.Events
+		outcome.Tokens, r.res.Tokens = scan.Events, scan.Events
 		if err != io.EOF || !scan.Done {
-			end.Failed = true
-			return end, verdict.Fail(verdict.Ran, verdict.EndpointCut, "the stream was cut after %d tokens", scan.Events)
+			outcome.Failed = true
+			return outcome, verdict.Fail(verdict.Ran, verdict.EndpointCut, "the stream was cut after %d tokens", scan.Events)
 		}
-		end.Complete = true
-		end.Late = r.lateAt(r.res.FirstToken+r.req.Arrived, r.d.fleet.Now())
-		return end, nil
+		outcome.Complete = true
+		outcome.Late = r.lateAt(r.res.FirstToken+r.req.Arrived, r.d.fleet.Now())
+		return outcome, nil
 	}
 }
--- a/dispatch/stream_test.go
+++ b/dispatch/stream_test.go
@@ -17,7 +17,7 @@
 			rest = rest[n:]
 		}
 		if s.Events != 2 || !s.Done {
-			t.Errorf("pieces of %d bytes: %d events, done %v", cut, s.Events, s.Done)
+			t.Errorf("pieces of %d bytes: got %d events, done %v; want 2, true", cut, s.Events, s.Done)
 		}
 	}
 }
@@ -26,7 +26,7 @@
 	var s Scanner
 	s.Scan([]byte("data: \"say data: [DONE]\"\n\n" + strings.Repeat("x", 100) + "data: [DONE]\n"))
 	if s.Events != 1 || s.Done {
-		t.Errorf("%d events, done %v", s.Events, s.Done)
+		t.Errorf("got %d events, done %v; want 1, false", s.Events, s.Done)
 	}
 }
 
@@ -37,13 +37,13 @@
 		n++
 	}
 	if n != maxSavedRetries {
-		t.Errorf("full budget allows %d retries", n)
+		t.Errorf("full budget allows %d retries; want maxSavedRetries", n)
 	}
 	for range requestsPerRetry {
 		b.deposit()
 	}
 	if !b.withdraw() || b.withdraw() {
-		t.Error("requestsPerRetry requests do not earn exactly one retry")
+		t.Error("requestsPerRetry requests earned no retry or more than one; want exactly one")
 	}
 }
 
@@ -59,7 +59,7 @@
 			at += n
 		}
 		if whole.Events != parts.Events || whole.Done != parts.Done {
-			t.Errorf("whole: %d %v, in pieces of %d: %d %v", whole.Events, whole.Done, cut, parts.Events, parts.Done)
+			t.Errorf("whole: %d events, done %v; in pieces of %d bytes: %d events, done %v; want the same", whole.Events, whole.Done, cut, parts.Events, parts.Done)
 		}
 	})
 }
