--- a/member/member.go
+++ b/member/member.go
@@ -62,7 +62,7 @@
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// A Heartbeat is the content of a heartbeat.
+// A Heartbeat is the state that an instance sends to its partners.
 type Heartbeat struct {
 	Incarnation       uint64
 	ConfigRevision    int64
@@ -120,7 +120,7 @@
 // Version returns a number that is incremented whenever the set of usable instances may change.
 func (t *Table) Version() uint64 { return t.version }
 
-// SetList applies a list and reports true, unless it is not newer than the list in force.
+// SetList applies l and reports true, unless l is not newer than the list in force.
 func (t *Table) SetList(now time.Duration, l List) bool {
 	if l.Revision <= t.list.Revision {
 		return false
@@ -150,8 +150,8 @@
 	return true
 }
 
-// HandleHeartbeat handles a heartbeat from a peer, or the answer to one. It reports whether the
-// sender is in the list.
+// HandleHeartbeat applies h, a heartbeat of the instance called from or its answer to one. It
+// reports whether that instance is in the list.
 func (t *Table) HandleHeartbeat(now time.Duration, from string, h Heartbeat) bool {
 	p := t.peers[from]
 	if p == nil {
@@ -184,7 +184,7 @@
 	t.step(p, evSilent)
 }
 
-// Suspect records that a direct call to an instance failed.
+// Suspect records that a direct call to the instance called name failed.
 func (t *Table) Suspect(now time.Duration, name string) {
 	if p := t.peers[name]; p != nil && name != t.self {
 		p.suspected = now
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -28,7 +28,7 @@
 	tb := member.New("n0")
 	tb.SetList(0, listOf(5, "n0", "n1"))
 	if tb.SetList(0, listOf(4, "n0")) || len(tb.Peers()) != 2 {
-		t.Error("SetList applied an older list")
+		t.Error("SetList applied revision 4 after revision 5; want it ignored")
 	}
 }
 
@@ -44,7 +44,7 @@
 	}
 	tb.HandleHeartbeat(2*time.Second, "n2", member.Heartbeat{})
 	if !tb.Peer("n2").Usable() {
-		t.Error("n2 is still suspected after a heartbeat")
+		t.Error("n2 is not usable after a heartbeat; want it usable")
 	}
 }
 
@@ -54,11 +54,11 @@
 	tb.HandleHeartbeat(time.Second, "n2", member.Heartbeat{})
 	tb.HandleHeartbeat(time.Second, "n1", member.Heartbeat{SuspectedBySender: []member.Suspicion{{Instance: "n2", Since: 500 * time.Millisecond}}})
 	if !tb.Peer("n2").Usable() {
-		t.Error("a suspicion older than the last heartbeat was applied")
+		t.Error("n2 is suspected, though heard since the suspicion began; want it usable")
 	}
 	tb.HandleHeartbeat(2*time.Second, "n1", member.Heartbeat{SuspectedBySender: []member.Suspicion{{Instance: "n2", Since: 1500 * time.Millisecond}}})
 	if tb.Peer("n2").Usable() {
-		t.Error("a newer suspicion was not applied")
+		t.Error("n2 is usable after a suspicion newer than its last heartbeat; want it suspected")
 	}
 }
 
@@ -70,7 +70,7 @@
 	tb.ResetSilence(time.Hour)
 	tb.Tick(time.Hour)
 	if !tb.Peer("n1").Usable() {
-		t.Error("a suspended instance suspects its peers")
+		t.Error("n1 is suspected after this instance was suspended; want it usable")
 	}
 }
 
@@ -118,7 +118,7 @@
 		if before != after {
 			moved++
 			if before != all[9] {
-				t.Fatalf("job %s moved from %s, which was not removed", job, before)
+				t.Fatalf("job %s moved from %s, which was not removed; want it to stay", job, before)
 			}
 		}
 	}
