--- a/owner/owner.go
+++ b/owner/owner.go
@@ -132,7 +132,7 @@
 	return a > b || a == b && nameA < nameB
 }
 
-// add inserts s if it is among the best.
+// add inserts s if it is among the best ownersPerPartition instances.
 func (c *dataCentre) add(s scored) {
 	i := len(c.instances)
 	for i > 0 && ranksBefore(s.score, c.instances[i-1].score, s.name, c.instances[i-1].name) {
@@ -224,7 +224,7 @@
 	return false
 }
 
-// Begin records an attempt to run a key. Revision is that of the caller's list. With Duplicate, it
+// Begin records the attempt r at its key. Revision is that of the caller's list. With Duplicate, it
 // returns the record of the other attempt.
 func (o *Owners) Begin(now time.Duration, r Record, revision int64) (Outcome, Record) {
 	switch {
@@ -258,13 +258,13 @@
 	return Unsettled
 }
 
-// Withdraw removes the record of an attempt that was not sent and never will be, so that the key
+// Withdraw removes the record of an attempt at k that was not and will not be sent, so that k
 // can be claimed again.
 func (o *Owners) Withdraw(k Key, entry string, attempt uint64) {
 	o.filter(k, func(r *Record) bool { return r.Entry != entry || r.Attempt != attempt })
 }
 
-// filter drops the attempts of a key for which keep returns false.
+// filter drops the attempts at k for which keep returns false.
 func (o *Owners) filter(k Key, keep func(r *Record) bool) {
 	known := o.records[k]
 	kept := known[:0]
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -67,7 +67,7 @@
 	return false
 }
 
-// begin claims a key at its reachable owners and reports whether a quorum recorded it.
+// begin claims k for entry at its owners in reachable and reports whether a quorum recorded it.
 func (c *cluster) begin(k owner.Key, entry string, reachable ...string) bool {
 	live := c.owners[reachable[0]].Live()
 	names := owner.Of(owner.PartitionOf(k), live)
@@ -105,10 +105,10 @@
 func TestAtMostOnce(t *testing.T) {
 	c := newCluster(t, instances...)
 	if n := c.beginAll("first", instances...); n != keys {
-		t.Errorf("%d of %d keys were recorded", n, keys)
+		t.Errorf("%d of %d keys were recorded; want all", n, keys)
 	}
 	if n := c.beginAll("second", instances...); n != 0 {
-		t.Errorf("%d keys were recorded twice", n)
+		t.Errorf("%d keys were recorded twice; want 0", n)
 	}
 }
 
@@ -128,7 +128,7 @@
 		for i := range keys {
 			x, y := c.begin(key(i), "left", left...), c.begin(key(i), "right", right...)
 			if x && y {
-				t.Fatalf("mask %b: %v was recorded on both sides", mask, key(i))
+				t.Fatalf("mask %b: key %v was recorded on both sides; want one at most", mask, key(i))
 			}
 			if x {
 				a++
@@ -138,7 +138,7 @@
 			}
 		}
 		if a+b != keys {
-			t.Errorf("mask %b: %d of %d keys were recorded on one side", mask, a+b, keys)
+			t.Errorf("mask %b: %d of %d keys were recorded on one side; want all", mask, a+b, keys)
 		}
 	}
 }
@@ -154,19 +154,19 @@
 		c.setList(names...)
 		c.settle()
 		if n := c.beginAll("second", names...); n != 0 {
-			t.Fatalf("after %d replacements %d keys were recorded twice", i+1, n)
+			t.Fatalf("after %d replacements %d keys were recorded twice; want 0", i+1, n)
 		}
 	}
 	if n := c.beginAll("second", names...); n != 0 {
-		t.Errorf("%d keys were recorded twice", n)
+		t.Errorf("%d keys were recorded twice; want 0", n)
 	}
 	for name, o := range c.owners {
 		if !o.Settled() {
-			t.Errorf("%s is not settled: still to pull: %v", name, o.ToPull())
+			t.Errorf("%s is not settled, and has still to pull %v; want it settled", name, o.ToPull())
 		}
 	}
 	if !c.begin(key(keys+1), "third", names...) {
-		t.Error("new key was not recorded though all partitions are settled")
+		t.Error("new key was not recorded; want it recorded, since all partitions are settled")
 	}
 }
 
@@ -181,14 +181,14 @@
 	c.now += time.Minute
 	c.settle()
 	if n := c.beginAll("second", instances...); n != 0 {
-		t.Errorf("%d keys were recorded twice", n)
+		t.Errorf("%d keys were recorded twice; want 0", n)
 	}
 	c.now += owner.Retention + time.Second
 	for _, o := range c.owners {
 		o.Tick(c.now)
 	}
 	if n := c.beginAll("third", instances...); n != keys {
-		t.Errorf("%d of %d keys were recorded after the quarantine", n, keys)
+		t.Errorf("%d of %d keys were recorded after the quarantine; want all", n, keys)
 	}
 }
 
@@ -210,7 +210,7 @@
 		o.Withdraw(key(1), "first", 1)
 	}
 	if !c.begin(key(1), "second", "a", "b", "c") {
-		t.Error("key is still claimed after its attempt was withdrawn")
+		t.Error("key was not recorded after its attempt was withdrawn; want it recorded")
 	}
 }
 
@@ -221,7 +221,7 @@
 	for _, o := range c.owners {
 		o.Tick(c.now)
 		if o.Len() != 0 {
-			t.Error("record kept longer than its retention")
+			t.Error("records are left after their retention; want none")
 		}
 	}
 }
@@ -233,7 +233,7 @@
 	for p := range owner.Partition(owner.Partitions) {
 		names := owner.Of(p, live)
 		if len(names) != 3 || dataCentreOf(names[0]) == dataCentreOf(names[1]) || dataCentreOf(names[1]) == dataCentreOf(names[2]) || dataCentreOf(names[0]) == dataCentreOf(names[2]) {
-			t.Fatalf("partition %d: owners %v are not in three data centres", p, names)
+			t.Fatalf("partition %d: owners = %v; want three in three data centres", p, names)
 		}
 	}
 	c.beginAll("first", instances...)
@@ -243,7 +243,7 @@
 	c.setList(left...)
 	c.settle()
 	if n := c.beginAll("second", left...); n != 0 {
-		t.Errorf("%d keys were recorded twice", n)
+		t.Errorf("%d keys were recorded twice; want 0", n)
 	}
 	n := 0
 	for i := range keys {
@@ -252,7 +252,7 @@
 		}
 	}
 	if n != keys {
-		t.Errorf("%d of %d new keys were recorded after the loss of a data centre", n, keys)
+		t.Errorf("%d of %d new keys were recorded after the loss of a data centre; want all", n, keys)
 	}
 }
 
@@ -273,7 +273,7 @@
 				}
 			}
 			if kept < 2 {
-				t.Fatalf("partition %d: only %d of %v remain owners without %s", p, kept, was, live[i].Name)
+				t.Fatalf("partition %d: %d of %v remain owners without %s; want at least 2", p, kept, was, live[i].Name)
 			}
 		}
 	}
@@ -287,7 +287,7 @@
 	names := owner.Of(p, c.owners["a"].Live())
 	first, second, third := names[0], names[1], names[2]
 	if !c.begin(k, "first", first, second) {
-		t.Fatal("a quorum did not record the key")
+		t.Fatal("key was not recorded by the first and second owner; want it recorded")
 	}
 	// The third owner holds only an attempt without a quorum.
 	if out, _ := c.owners[third].Begin(c.now, owner.Record{Key: k, Entry: "second", Attempt: 1}, c.revision); out != owner.Recorded {
@@ -315,7 +315,7 @@
 		o.Withdraw(k, "second", 1)
 	}
 	if out, _ := newOwner.Begin(c.now, owner.Record{Key: k, Entry: "third", Attempt: 1}, c.revision); out == owner.Recorded {
-		t.Error("a settled owner lost the record of a quorum")
+		t.Error("Begin by another attempt = Recorded; want another outcome, since a quorum recorded the first")
 	}
 }
 
@@ -329,11 +329,11 @@
 	c.setList(left...)
 	c.settle()
 	if n := c.beginAll("second", left...); n != 0 {
-		t.Errorf("%d keys were recorded twice", n)
+		t.Errorf("%d keys were recorded twice; want 0", n)
 	}
 	for i := range keys {
 		if !c.begin(key(keys+i), "third", left...) {
-			t.Fatalf("new key %d was not recorded", i)
+			t.Fatalf("new key %d was not recorded after a skipped revision; want it recorded", i)
 		}
 	}
 }
@@ -352,6 +352,6 @@
 	c.setList(instances...)
 	c.settle()
 	if n := c.beginAll("second", instances...); n != 0 {
-		t.Errorf("%d keys were recorded twice", n)
+		t.Errorf("%d keys were recorded twice; want 0", n)
 	}
 }
--- a/owner/settle.go
+++ b/owner/settle.go
@@ -93,7 +93,7 @@
 	return 0
 }
 
-// ownersAfter returns the owners of p under each list after a revision that was in force here. A
+// ownersAfter returns the owners of p under each list newer than after that was in force here. A
 // list that was in force nowhere has no records: two owners must have held it to record a key.
 func (o *Owners) ownersAfter(p Partition, after int64) [][]string {
 	var out [][]string
@@ -109,7 +109,7 @@
 	return out
 }
 
-// newPartition returns the state of a partition that this instance did not own before. Without an
+// newPartition returns the state of p, which this instance did not own before. Without an
 // earlier list, the instance may be new or may have restarted, so the owners under a list with it
 // and under one without it count as earlier ones.
 func (o *Owners) newPartition(now time.Duration, p Partition, owners []string, before []LiveInstance, skipped bool) *partitionState {
@@ -146,7 +146,7 @@
 	return out
 }
 
-// trySettle settles a partition if enough earlier owners have replied or the quarantine has passed.
+// trySettle settles p if enough earlier owners have replied or the quarantine has passed.
 func (o *Owners) trySettle(now time.Duration, p Partition, s *partitionState) {
 	if s.settled {
 		return
@@ -191,7 +191,7 @@
 	return s.replies[name].Intact
 }
 
-// allFresh reports whether, in a cold start, all owners of a partition are fresh, so that there are
+// allFresh reports whether, in a cold start, all owners of p are fresh, so that there are
 // no earlier records.
 func (o *Owners) allFresh(p Partition, s *partitionState) bool {
 	if !o.coldStart || o.everSettled[p] {
@@ -251,9 +251,9 @@
 	return names
 }
 
-// Pull returns the records of the given partitions. It answers only if the caller's revision is in
-// force here: under another, more records might be accepted that the caller would miss. MissedAfter
-// is the last revision before the ones that the caller missed, or zero.
+// Pull returns the records of parts. It answers only if revision, the caller's, is in force here:
+// under another, more records might be accepted that the caller would miss. MissedAfter is the last
+// revision before the ones that the caller missed, or zero.
 func (o *Owners) Pull(now time.Duration, revision, missedAfter int64, parts []Partition) (a PullReply, ok bool) {
 	if o.revision != revision {
 		return a, false
@@ -271,7 +271,7 @@
 	return a, true
 }
 
-// describe returns what this instance knows of a partition.
+// describe returns what this instance knows of p.
 func (o *Owners) describe(now time.Duration, p Partition, missedAfter int64) PartitionReport {
 	out := PartitionReport{Partition: p, Intact: o.everSettled[p]}
 	if missedAfter > 0 {
@@ -288,7 +288,7 @@
 	return out
 }
 
-// ApplyPull applies an instance's answer to a Pull for a revision.
+// ApplyPull applies a, the reply of the instance called from to a Pull under revision.
 func (o *Owners) ApplyPull(now time.Duration, from string, revision int64, a PullReply) {
 	if revision != o.revision {
 		return
