--- a/node/answers.go
+++ b/node/answers.go
@@ -61,7 +61,7 @@
 	a.attempts[attemptKey{k, attempt}] = &attemptAnswer{done: make(chan struct{})}
 }
 
-// drop removes an attempt that was not sent.
+// drop removes attempt at k, which was not sent.
 func (a *answerStore) drop(k owner.Key, attempt uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// StoreAnswer stores the answer of a claim's attempt for retries.
+// StoreAnswer stores ans as the answer of c's attempt, for retries.
 func (n *Node) StoreAnswer(c *Claim, ans *Answer) {
 	a := n.answers
 	a.mu.Lock()
@@ -99,8 +99,8 @@
 	x.answer = &Answer{Failure: verdict.Fail(verdict.Ran, verdict.Duplicate, "the request ran; its answer is no longer held")}
 }
 
-// expire removes answers that are older than any owner's record of them. A retry would take an
-// attempt that is missing earlier for one that was not sent.
+// expire removes answers that are older than any owner's record of them. If one were
+// removed earlier, a retry would take its attempt for one that was not sent.
 func (a *answerStore) expire(now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// wait waits for the answer of an attempt. It returns nil if the attempt was not sent.
+// wait waits for the answer of attempt at k. It returns nil if the attempt was not sent.
 func (a *answerStore) wait(ctx context.Context, k owner.Key, attempt uint64) (*Answer, error) {
 	a.mu.Lock()
 	x := a.attempts[attemptKey{k, attempt}]
@@ -134,12 +134,12 @@
 	return x.answer, nil
 }
 
-// Join waits for the answer of the attempt that holds a key. A nil answer means that
+// Join waits for the answer of r's attempt, which holds a key. A nil answer means that
 // the attempt was not sent, so the key may be claimed again.
 func (n *Node) Join(ctx context.Context, r *owner.Record) (*Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	n.count.joins.Add(1)
+	n.count.joinCalls.Add(1)
 	if r.Entry == n.opt.Name {
 		return n.joinLocal(ctx, r)
 	}
@@ -154,7 +154,7 @@
 			break
 		}
 	}
-	n.count.joinErrors.Add(1)
+	n.count.joinFailures.Add(1)
 	return nil, verdict.Fail(verdict.MayHaveRun, verdict.EntryLost, "instance %s, which had the request, does not answer: %v", r.Entry, err)
 }
 
--- a/node/ask.go
+++ b/node/ask.go
@@ -52,7 +52,7 @@
 // Acquire waits until an endpoint is granted. The error is a *verdict.Error of a
 // request that was not run, or wraps the error of ctx.
 func (n *Node) Acquire(ctx context.Context, r *Request) (*Grant, error) {
-	var last error
+	var lastErr error
 	for round := 0; round < maxAskRounds; round++ {
 		v := n.view.Load()
 		if !v.ready {
@@ -66,14 +66,14 @@
 		if err == nil || !again {
 			return g, err
 		}
-		last = err
-		n.count.askRetries.Add(1)
+		lastErr = err
+		n.count.acquireRetries.Add(1)
 		if !n.sleepContext(ctx, askRetryDelay) {
 			return nil, errors.Wrap(ctx.Err(), "ask")
 		}
 	}
-	n.count.asksFailed.Add(1)
-	return nil, verdict.Refuse(verdict.HomeLost, "no home kept the request: %v", last).WithRetryAfter(time.Second)
+	n.count.acquireFailures.Add(1)
+	return nil, verdict.Refuse(verdict.HomeLost, "no home kept the request: %v", lastErr).WithRetryAfter(time.Second)
 }
 
 func (n *Node) sleepContext(ctx context.Context, d time.Duration) bool {
@@ -121,7 +121,7 @@
 		}
 		return n.recordGrant(c, name, d, r), false, nil
 	}
-	n.count.fallbackAsks.Add(1)
+	n.count.fallbackRequests.Add(1)
 	d, moved, err := n.getCell(c, v).ask(ctx, n, n.newHomeRequest(r))
 	if err != nil || moved {
 		return nil, moved, err
@@ -161,14 +161,14 @@
 	}
 }
 
-// askHome asks one home, which may be this instance. The bool reports that another must be asked.
+// askHome asks the home called name, which may be this instance. If true, another must be asked.
 func (n *Node) askHome(ctx context.Context, v *view, c *cellView, name string, r *Request) (home.Decision, bool, error) {
 	a := n.newHomeRequest(r)
 	if name == n.opt.Name {
-		n.count.asksLocal.Add(1)
+		n.count.grantRequestsLocal.Add(1)
 		return n.getCell(c, v).ask(ctx, n, a)
 	}
-	n.count.asksSent.Add(1)
+	n.count.grantRequestsSent.Add(1)
 	n.out.addWaiting(name, 1)
 	defer n.out.addWaiting(name, -1)
 	ctx, cancel := context.WithCancel(ctx)
--- a/node/cell.go
+++ b/node/cell.go
@@ -1,8 +1,7 @@
 package node
 
-// This file serves this instance's cells. It wraps each home.Home with a lock, lets asks wait for
-// its decisions, and polls the load reports of the endpoints. An ask is a request for a grant, from
-// this or another instance.
+// This file serves this instance's cells. It wraps each home.Home with a lock, lets callers on this
+// and other instances wait for its decisions, and polls the load reports of the endpoints.
 
 import (
 	"context"
@@ -88,7 +87,7 @@
 	}
 }
 
-// update applies a view. The caller holds c.mu.
+// update applies v, in which cv describes c. The caller holds c.mu.
 func (c *cell) update(n *Node, cv *cellView, v *view) {
 	now := n.now()
 	rank := cv.rank(n.opt.Name)
@@ -129,8 +128,8 @@
 	}
 }
 
-// ask waits for the cell's decision. The result moved reports that this instance no longer serves
-// the cell and that another one must be asked.
+// ask submits a and waits for the decision. The result moved reports that this instance no longer
+// serves the cell and that another one must be asked.
 func (c *cell) ask(ctx context.Context, n *Node, a home.Request) (d home.Decision, moved bool, err error) {
 	ch := make(chan home.Decision, 1)
 	now := n.now()
@@ -149,7 +148,8 @@
 	}
 }
 
-// deliver answers the waiting asks and releases grants that have none. The caller holds c.mu.
+// deliver passes decisions to the callers that wait for them, and releases grants whose caller has
+// gone. The caller holds c.mu.
 func (c *cell) deliver() {
 	for {
 		var abandoned []home.Key // grants whose callers have gone
@@ -170,7 +170,7 @@
 	}
 }
 
-// cancel removes an ask whose caller has gone, and releases its grant if it has one.
+// cancel removes the request key, whose caller has gone, and releases its grant if it has one.
 func (c *cell) cancel(n *Node, key home.Key) {
 	now := n.now()
 	c.mu.Lock()
@@ -181,7 +181,7 @@
 	c.deliver()
 }
 
-// redirectWaiters makes the waiting asks move to the next home. The caller holds c.mu.
+// redirectWaiters makes the waiting callers ask the next home. The caller holds c.mu.
 func (c *cell) redirectWaiters() {
 	now := c.home.Now()
 	for key, ch := range c.waiters {
@@ -191,7 +191,7 @@
 	}
 }
 
-// redirectAllWaiters redirects the waiting asks of all cells and restarts their takeover period.
+// redirectAllWaiters redirects the waiting callers of all cells and restarts the takeover periods.
 func (n *Node) redirectAllWaiters(now time.Duration) {
 	for _, c := range n.allCells() {
 		c.mu.Lock()
@@ -243,7 +243,7 @@
 	}
 }
 
-// inUse reports whether this instance has served asks of the cell within cellIdleTimeout.
+// inUse reports whether the cell called name was used within cellIdleTimeout before now.
 func (n *Node) inUse(name string, now time.Duration) bool {
 	n.cellMu.Lock()
 	c := n.cells[name]
@@ -259,13 +259,13 @@
 func (n *Node) poll(c *cell, e home.Endpoint) {
 	ctx, cancel := context.WithTimeout(n.ctx, pollTimeout)
 	defer cancel()
-	n.count.polls.Add(1)
+	n.count.loadPolls.Add(1)
 	l, err := n.opt.Loads.Load(ctx, e.Name, e.Addr)
 	now := n.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		n.count.pollErrors.Add(1)
+		n.count.loadPollErrors.Add(1)
 		c.home.Unreachable(now, e.Name)
 	} else {
 		l.Endpoint = e.Name
@@ -278,7 +278,7 @@
 
 // Ask returns the decision of a cell served by this instance, and waits for it.
 func (s homeService) Ask(ctx context.Context, r *peerpb.AskRequest) (*peerpb.AskReply, error) {
-	s.count.asksServed.Add(1)
+	s.count.grantRequestsServed.Add(1)
 	v := s.view.Load()
 	cv := v.cells[r.Cell]
 	if cv == nil || s.isLeaving() {
--- a/node/claim.go
+++ b/node/claim.go
@@ -30,7 +30,7 @@
 	Holder *owner.Record
 }
 
-// Claim records an attempt with the key's owners. The error is a *verdict.Error of a
+// Claim records a new attempt at k with k's owners. The error is a *verdict.Error of a
 // request that was not run.
 func (n *Node) Claim(ctx context.Context, k owner.Key) (*Claim, error) {
 	start := n.now()
@@ -108,7 +108,7 @@
 	}
 }
 
-// beginAt sends Begin to one owner, which may be this instance. A failed call counts as Unknown.
+// beginAt sends Begin to the owner called name or handles it here. A failed call counts as Unknown.
 func (n *Node) beginAt(ctx context.Context, name string, rec *peerpb.Record, revision int64) *peerpb.BeginReply {
 	req := &peerpb.BeginRequest{Record: rec, ListRevision: revision}
 	if name == n.opt.Name {
@@ -117,16 +117,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, beginTimeout)
 	defer cancel()
-	n.count.begins.Add(1)
+	n.count.beginCalls.Add(1)
 	r, err := n.dial.To(n.view.Load().peers[name]).Begin(ctx, req)
 	if err != nil {
-		n.count.beginErrors.Add(1)
+		n.count.beginCallErrors.Add(1)
 		return &peerpb.BeginReply{}
 	}
 	return r
 }
 
-// Withdraw tells the owners that an attempt was not and will not be sent, so that
+// Withdraw tells the owners that c's attempt was not and will not be sent, so that
 // its key may be claimed again.
 func (n *Node) Withdraw(c *Claim) {
 	n.answers.drop(c.Key, c.Attempt)
--- a/node/commands.go
+++ b/node/commands.go
@@ -24,7 +24,7 @@
 	commandRetryDelay = 200 * time.Millisecond
 )
 
-// Command applies an operator's command on every instance and returns the command
+// Command applies the operator's command c on every instance and returns the command
 // that it replaced. On an error the command is not in force.
 func (n *Node) Command(ctx context.Context, c command.Command) (old command.Command, err error) {
 	c.Origin = n.opt.Name
--- a/node/counters.go
+++ b/node/counters.go
@@ -3,15 +3,15 @@
 import "expvar"
 
 type counters struct {
-	suspensions, configsRejected, configsAccepted, oldRevisions *expvar.Int
-	offers, fetches, platformCalls, platformErrors              *expvar.Int
-	beats, suspected                                            *expvar.Int
-	asksSent, asksLocal, asksServed, askRetries                 *expvar.Int
-	asksFailed, homeErrors, fallbackAsks                        *expvar.Int
-	syncsSent, syncErrors, syncsServed                          *expvar.Int
-	begins, beginErrors, claimRetries, pulls, joins             *expvar.Int
-	joinErrors, polls, pollErrors                               *expvar.Int
-	claims                                                      *expvar.Map
+	suspensions, configsRejected, configsAccepted, oldRevisions                *expvar.Int
+	offerCalls, fetchCalls, platformCalls, platformErrors                      *expvar.Int
+	heartbeatsSent, suspected                                                  *expvar.Int
+	grantRequestsSent, grantRequestsLocal, grantRequestsServed, acquireRetries *expvar.Int
+	acquireFailures, homeErrors, fallbackRequests                              *expvar.Int
+	syncsSent, syncErrors, syncsServed                                         *expvar.Int
+	beginCalls, beginCallErrors, claimRetries, pullCalls, joinCalls            *expvar.Int
+	joinFailures, loadPolls, loadPollErrors                                    *expvar.Int
+	claims                                                                     *expvar.Map
 }
 
 func (c *counters) init(m *expvar.Map) {
@@ -23,30 +23,30 @@
 		"config_rejected":    &c.configsRejected,
 		"config_accepted":    &c.configsAccepted,
 		"old_revisions":      &c.oldRevisions,
-		"offers":             &c.offers,
-		"fetches":            &c.fetches,
+		"offers":             &c.offerCalls,
+		"fetches":            &c.fetchCalls,
 		"platform_calls":     &c.platformCalls,
 		"platform_errors":    &c.platformErrors,
-		"beats":              &c.beats,
+		"beats":              &c.heartbeatsSent,
 		"suspected":          &c.suspected,
-		"asks_sent":          &c.asksSent,
-		"asks_local":         &c.asksLocal,
-		"asks_served":        &c.asksServed,
-		"retry_home_changed": &c.askRetries,
-		"ask_lost":           &c.asksFailed,
+		"asks_sent":          &c.grantRequestsSent,
+		"asks_local":         &c.grantRequestsLocal,
+		"asks_served":        &c.grantRequestsServed,
+		"retry_home_changed": &c.acquireRetries,
+		"ask_lost":           &c.acquireFailures,
 		"home_errors":        &c.homeErrors,
-		"stood_in":           &c.fallbackAsks,
+		"stood_in":           &c.fallbackRequests,
 		"syncs_sent":         &c.syncsSent,
 		"sync_errors":        &c.syncErrors,
 		"syncs_served":       &c.syncsServed,
-		"begins":             &c.begins,
-		"begin_errors":       &c.beginErrors,
+		"begins":             &c.beginCalls,
+		"begin_errors":       &c.beginCallErrors,
 		"retry_claim":        &c.claimRetries,
-		"pulls":              &c.pulls,
-		"joins":              &c.joins,
-		"join_errors":        &c.joinErrors,
-		"polls":              &c.polls,
-		"poll_errors":        &c.pollErrors,
+		"pulls":              &c.pullCalls,
+		"joins":              &c.joinCalls,
+		"join_errors":        &c.joinFailures,
+		"polls":              &c.loadPolls,
+		"poll_errors":        &c.loadPollErrors,
 	} {
 		*v = new(expvar.Int)
 		m.Set(name, *v)
--- a/node/documents.go
+++ b/node/documents.go
@@ -64,7 +64,7 @@
 	evPlatformSeen = chart.Configuration.Event("platform_seen")
 )
 
-// accept applies a document, and reports true, if it is valid and newer than the accepted one.
+// accept applies a document and reports true if it is valid and newer than the accepted one.
 func (n *Node) accept(kind peerpb.Kind, revision int64, value []byte, from string) bool {
 	var ok bool
 	switch kind {
@@ -143,7 +143,7 @@
 	n.table.SetDrained(n.commands.Drained)
 }
 
-// document returns the accepted document of a kind. The caller holds n.mu.
+// document returns the accepted document of kind. The caller holds n.mu.
 func (n *Node) document(kind peerpb.Kind) *peerpb.Document {
 	d := &peerpb.Document{Kind: kind, From: n.opt.Name}
 	switch kind {
@@ -157,7 +157,7 @@
 	return d
 }
 
-// offer sends a new document to a few randomly chosen peers.
+// offer sends the accepted document of kind to up to offerFanout random peers except exclude.
 func (n *Node) offer(kind peerpb.Kind, exclude string) {
 	n.mu.Lock()
 	d := n.document(kind)
@@ -166,7 +166,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(n.ctx, documentTimeout)
 			defer cancel()
-			n.count.offers.Add(1)
+			n.count.offerCalls.Add(1)
 			_, _ = n.dial.To(addr).Offer(ctx, d)
 		}()
 	}
@@ -186,7 +186,7 @@
 	return all[:min(limit, len(all))]
 }
 
-// fetch gets a document from a peer that has announced a newer revision.
+// fetch applies the document of kind from the peer called from, at addr, if its revision is newer.
 func (n *Node) fetch(kind peerpb.Kind, from, addr string) {
 	key := fetchKey{kind, from}
 	n.mu.Lock()
@@ -204,7 +204,7 @@
 	}()
 	ctx, cancel := context.WithTimeout(n.ctx, documentTimeout)
 	defer cancel()
-	n.count.fetches.Add(1)
+	n.count.fetchCalls.Add(1)
 	r, err := n.dial.To(addr).Fetch(ctx, &peerpb.FetchRequest{Kind: kind, Have: have})
 	if err != nil || r.Document == nil {
 		return
@@ -212,7 +212,7 @@
 	n.accept(kind, r.Document.Revision, r.Document.Value, from)
 }
 
-// watchLoop polls the platform for one document while this instance is a watcher.
+// watchLoop returns a loop that polls the platform for kind while this instance is a watcher.
 func (n *Node) watchLoop(kind platformclient.Kind) func() {
 	return func() {
 		for n.ctx.Err() == nil {
@@ -274,7 +274,7 @@
 	return nil
 }
 
-// recordPlatformContact records that some instance reached the platform at the given time.
+// recordPlatformContact records that some instance reached the platform at the time at.
 func (n *Node) recordPlatformContact(at time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// sendHeartbeats sends one heartbeat to the partners, or to all peers.
+// sendHeartbeats sends one heartbeat to each partner, or to each peer if toAll is set.
 func (n *Node) sendHeartbeats(toAll bool) {
 	now := n.now()
 	n.mu.Lock()
@@ -114,7 +114,7 @@
 func (n *Node) sendHeartbeat(name, addr string, b *peerpb.Beat) {
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
-	n.count.beats.Add(1)
+	n.count.heartbeatsSent.Add(1)
 	reply, err := n.dial.To(addr).Heartbeat(ctx, b)
 	switch {
 	case err == nil:
@@ -124,7 +124,7 @@
 	}
 }
 
-// suspect records that a call to an instance failed.
+// suspect records that a call to the instance called name failed.
 func (n *Node) suspect(name string) {
 	n.mu.Lock()
 	before := n.table.Version()
--- a/node/leave.go
+++ b/node/leave.go
@@ -14,7 +14,7 @@
 )
 
 // Leave announces to all peers that this instance is leaving, so that its cells and keys move to
-// them, and redirects waiting asks to the next homes. It serves its own requests until Close.
+// them, and redirects waiting callers to the next homes. It serves its own requests until Close.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	n.leaving = true
@@ -38,7 +38,7 @@
 	n.sleepContext(ctx, handOverPollInterval)
 }
 
-// handedOver reports whether all usable peers have settled their partitions and no ask waits here.
+// handedOver reports whether all usable peers have settled their partitions and no caller waits.
 func (n *Node) handedOver() bool {
 	for _, c := range n.allCells() {
 		c.mu.Lock()
--- a/node/node.go
+++ b/node/node.go
@@ -207,7 +207,7 @@
 	_ = n.bus.Publish(string(c.Topic), message.NewMessage(watermill.NewShortUUID(), data))
 }
 
-// Subscribe returns a channel of the changes of a topic, which is closed after ctx is done.
+// Subscribe returns a channel of the changes of topic t, which is closed after ctx is done.
 func (n *Node) Subscribe(ctx context.Context, t Topic) (<-chan Change, error) {
 	in, err := n.bus.Subscribe(ctx, string(t))
 	if err != nil {
@@ -291,7 +291,7 @@
 }
 
 // resume handles a suspension of the process: the silence of peers during it does not count, and
-// waiting asks move to other homes.
+// waiting callers ask other homes.
 func (n *Node) resume(now, suspended time.Duration) {
 	n.count.suspensions.Add(1)
 	n.log.Warn("process was suspended", zap.Duration("for", suspended))
--- a/node/outbox.go
+++ b/node/outbox.go
@@ -32,7 +32,7 @@
 	Complete   bool
 }
 
-// tokenCount accumulates an endpoint's tokens since the last batch.
+// tokenCount accumulates an endpoint's tokens and the time they took since counts were last sent.
 type tokenCount struct {
 	n       int32
 	elapsed time.Duration
@@ -50,7 +50,7 @@
 	n             *Node
 	mu            sync.Mutex
 	cells         map[string]*cellOutbox
-	waitingByHome map[string]int // number of waiting asks by home
+	waitingByHome map[string]int // number of waiting requests by home
 	requestEnded  chan struct{}
 	homesChanged  chan struct{} // the homes may have changed
 }
@@ -206,7 +206,7 @@
 	return b
 }
 
-// collect adds the report of one cell to the batches of its current home and of the
+// collect adds the report of the cell called name to the batches of its current home and of the
 // homes that granted its running or ended requests.
 func (o *outbox) collect(batches map[string]*peerpb.SyncRequest, v *view, name string, c *cellOutbox, kind flushKind) {
 	if len(c.runs)+len(c.releases)+len(c.tokens) == 0 {
@@ -214,16 +214,16 @@
 		return
 	}
 	targets := c.endedHomes
-	current := ""
+	currentHome := ""
 	if cv := v.cells[name]; cv != nil && len(cv.homes) > 0 {
-		current = cv.homes[0]
+		currentHome = cv.homes[0]
 	}
-	if kind != flushEnded && current != c.syncedHome {
-		kind, c.syncedHome = flushFull, current // a new home receives a full sync at once
+	if kind != flushEnded && currentHome != c.syncedHome {
+		kind, c.syncedHome = flushFull, currentHome // a new home receives a full sync at once
 	}
 	cs := &peerpb.CellSync{Cell: name, Releases: c.releases}
 	if kind != flushEnded {
-		targets[current] = true
+		targets[currentHome] = true
 		cs.Progress = c.takeTokens()
 	}
 	if kind == flushFull {
--- a/node/ready_test.go
+++ b/node/ready_test.go
@@ -19,16 +19,16 @@
 		t.Fatal(err)
 	}
 	if !n.acceptConfig(1, declarations, "test") || !n.acceptList(1, []byte(`{"instances":[{"name":"r","data_centre":"a","peers":"127.0.0.1:1"}]}`), "test") {
-		t.Fatal("the documents were rejected")
+		t.Fatal("acceptConfig or acceptList returned false; want both documents accepted")
 	}
 	if _, served := n.Declarations(); served {
-		t.Fatal("declarations are served before the view is built")
+		t.Fatal("Declarations reports declarations in force before the view is built; want none")
 	}
 	if ready, _ := n.Ready(); ready {
-		t.Error("the instance reports ready before its view is built")
+		t.Error("Ready = true before the view is built; want false")
 	}
 	n.refresh()
 	if ready, why := n.Ready(); !ready {
-		t.Errorf("the instance is not ready after its view was built: %s", why)
+		t.Errorf("Ready = false after the view was built, because %s; want true", why)
 	}
 }
--- a/node/settle.go
+++ b/node/settle.go
@@ -29,7 +29,7 @@
 func (n *Node) pull(name, addr string, revision, missedAfter int64, parts []owner.Partition) {
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
-	n.count.pulls.Add(1)
+	n.count.pullCalls.Add(1)
 	req := &peerpb.PullRequest{From: n.opt.Name, ListRevision: revision, Gap: missedAfter}
 	for _, p := range parts {
 		req.Partitions = append(req.Partitions, int32(p))
--- a/node/view.go
+++ b/node/view.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// shardOf assigns an endpoint to one of the cells of its group by rendezvous hashing.
+// shardOf assigns the endpoint called name to one of its group's shards by rendezvous hashing.
 func shardOf(name string, shards int) int {
 	if shards == 1 {
 		return 0
@@ -224,7 +224,7 @@
 
 func (p *peerContexts) init() { p.byPeer = make(map[string]*cancelableContext) }
 
-// get returns a context that is cancelled when the peer becomes unusable.
+// get returns a context that is cancelled when the peer called name becomes unusable.
 func (p *peerContexts) get(name string) context.Context {
 	p.mu.Lock()
 	defer p.mu.Unlock()
