--- a/home/home.go
+++ b/home/home.go
@@ -34,7 +34,7 @@
 	Seq   uint64
 }
 
-// A Request is a request for an endpoint slot.
+// A Request asks for a slot on an endpoint.
 type Request struct {
 	Key
 	Class      string
