--- a/queue/queue.go
+++ b/queue/queue.go
@@ -84,7 +84,7 @@
 	freeQueues *teamQueue
 }
 
-// New returns an empty Queue for the given classes.
+// New returns an empty Queue for the classes in specs.
 func New(specs []Class, opt Options) *Queue {
 	q := &Queue{opt: opt}
 	maxTier := 0
