--- a/member/member.go
+++ b/member/member.go
@@ -74,7 +74,7 @@
 	SuspectedBySender []Suspicion
 }
 
-// A Suspicion says that an instance has been silent since a given time.
+// A Suspicion says that Instance has been silent since Since.
 type Suspicion struct {
 	Instance string
 	Since    time.Duration
