--- a/dispatch/stream.go
+++ b/dispatch/stream.go
@@ -34,7 +34,7 @@
 
 const maxLinePrefix = 16 // bytes kept of an incomplete line, enough to classify it
 
-// Scan processes the next piece and returns how many events it completes, not counting [DONE].
+// Scan processes p, the next piece, and returns how many events it completes, [DONE] not included.
 func (s *Scanner) Scan(p []byte) int {
 	before := s.Events
 	for len(p) > 0 {
