--- a/node/cell.go
+++ b/node/cell.go
@@ -276,7 +276,7 @@
 
 type homeService struct{ *Node }
 
-// Ask returns the decision of a cell served by this instance, and waits for it.
+// Ask waits for the decision of cell r.Cell, or returns NotHome if it is not served here.
 func (s homeService) Ask(ctx context.Context, r *peerpb.AskRequest) (*peerpb.AskReply, error) {
 	s.count.grantRequestsServed.Add(1)
 	v := s.view.Load()
--- a/node/documents.go
+++ b/node/documents.go
@@ -228,8 +228,8 @@
 }
 
 // shouldWatch reports whether this instance is to poll the platform: it is one of the first
-// platformWatchers by rank, or nobody has reached the platform for platformLostAfter plus a delay
-// that grows with the rank.
+// platformWatchers by rank, or no instance has reached the platform for platformLostAfter plus a
+// delay that grows with the rank.
 func (n *Node) shouldWatch() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -148,7 +148,7 @@
 	return s.heartbeat(s.now()), nil
 }
 
-// Fetch returns a document if it is newer than the caller's revision.
+// Fetch returns the document of r.Kind if it is newer than the caller's revision r.Have.
 func (s memberService) Fetch(_ context.Context, r *peerpb.FetchRequest) (*peerpb.FetchReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,7 +159,7 @@
 	return &peerpb.FetchReply{Document: d}, nil
 }
 
-// Offer applies a document that a peer has just accepted.
+// Offer applies d, a document that a peer has just accepted.
 func (s memberService) Offer(_ context.Context, d *peerpb.Document) (*peerpb.OfferReply, error) {
 	s.accept(d.Kind, d.Revision, d.Value, d.From)
 	s.mu.Lock()
--- a/node/status.go
+++ b/node/status.go
@@ -34,7 +34,7 @@
 	Err      error
 }
 
-// QueryAll sends a query to every listed instance, including this one.
+// QueryAll sends the query text to every listed instance, including this one.
 func (n *Node) QueryAll(ctx context.Context, text string) []PeerAnswer {
 	n.mu.Lock()
 	peers := make(map[string]string)
--- a/node/view.go
+++ b/node/view.go
@@ -169,7 +169,7 @@
 	return c
 }
 
-// rankHomes ranks the usable instances for a cell, those in its data centres first.
+// rankHomes ranks the usable instances as homes of c, those in c's data centres first.
 func (n *Node) rankHomes(c *cellView, usable []string, dataCentreOf map[string]string) []string {
 	if n.opt.Alone {
 		return []string{n.opt.Name}
@@ -191,8 +191,8 @@
 	return -1
 }
 
-// cellsInOrder returns the cells of a pool in the order in which an instance tries
-// them: those with endpoints in its data centre first, then by a hash of cell and
+// cellsInOrder returns the cells of pool in the order in which instance tries
+// them: those with endpoints in dataCentre first, then by a hash of cell and
 // instance, so that each instance uses few homes.
 func (v *view) cellsInOrder(pool, dataCentre, instance string) []*cellView {
 	cells := v.pools[pool]
