--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// sendHeartbeats sends one heartbeat to the partners, or to all peers.
+// sendHeartbeats sends one heartbeat to each partner, or to each peer if toAll is set.
 func (n *Node) sendHeartbeats(toAll bool) {
 	now := n.now()
 	n.mu.Lock()
@@ -114,7 +114,7 @@
 func (n *Node) sendHeartbeat(name, addr string, b *peerpb.Beat) {
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
-	n.count.beats.Add(1)
+	n.count.heartbeatsSent.Add(1)
 	reply, err := n.dial.To(addr).Heartbeat(ctx, b)
 	switch {
 	case err == nil:
@@ -124,7 +124,7 @@
 	}
 }
 
-// suspect records that a call to an instance failed.
+// suspect records that a call to the instance called name failed.
 func (n *Node) suspect(name string) {
 	n.mu.Lock()
 	before := n.table.Version()
@@ -148,7 +148,7 @@
 	return s.heartbeat(s.now()), nil
 }
 
-// Fetch returns a document if it is newer than the caller's revision.
+// Fetch returns the document of r.Kind if it is newer than the caller's revision r.Have.
 func (s memberService) Fetch(_ context.Context, r *peerpb.FetchRequest) (*peerpb.FetchReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,7 +159,7 @@
 	return &peerpb.FetchReply{Document: d}, nil
 }
 
-// Offer applies a document that a peer has just accepted.
+// Offer applies d, a document that a peer has just accepted.
 func (s memberService) Offer(_ context.Context, d *peerpb.Document) (*peerpb.OfferReply, error) {
 	s.accept(d.Kind, d.Revision, d.Value, d.From)
 	s.mu.Lock()
--- a/node/view.go
+++ b/node/view.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// shardOf assigns an endpoint to one of the cells of its group by rendezvous hashing.
+// shardOf assigns the endpoint called name to one of its group's shards by rendezvous hashing.
 func shardOf(name string, shards int) int {
 	if shards == 1 {
 		return 0
@@ -169,7 +169,7 @@
 	return c
 }
 
-// rankHomes ranks the usable instances for a cell, those in its data centres first.
+// rankHomes ranks the usable instances as homes of c, those in c's data centres first.
 func (n *Node) rankHomes(c *cellView, usable []string, dataCentreOf map[string]string) []string {
 	if n.opt.Alone {
 		return []string{n.opt.Name}
@@ -191,8 +191,8 @@
 	return -1
 }
 
-// cellsInOrder returns the cells of a pool in the order in which an instance tries
-// them: those with endpoints in its data centre first, then by a hash of cell and
+// cellsInOrder returns the cells of pool in the order in which instance tries
+// them: those with endpoints in dataCentre first, then by a hash of cell and
 // instance, so that each instance uses few homes.
 func (v *view) cellsInOrder(pool, dataCentre, instance string) []*cellView {
 	cells := v.pools[pool]
@@ -224,7 +224,7 @@
 
 func (p *peerContexts) init() { p.byPeer = make(map[string]*cancelableContext) }
 
-// get returns a context that is cancelled when the peer becomes unusable.
+// get returns a context that is cancelled when the peer called name becomes unusable.
 func (p *peerContexts) get(name string) context.Context {
 	p.mu.Lock()
 	defer p.mu.Unlock()
