--- a/soak/balancer.go
+++ b/soak/balancer.go
@@ -9,7 +9,7 @@
 
 const (
 	probeInterval = time.Second // of each instance
-	maxMisses     = 1           // consecutive failed probes of an instance that still receives requests
+	maxMisses     = 1           // consecutive failed probes after which an instance still receives requests
 )
 
 // A balancer simulates the load balancer in front of the instances. It selects instances that pass
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -96,7 +96,7 @@
 	return q, k, c.rng.IntN(cancelShare) == 0, client
 }
 
-// request returns a request to a random instance. The caller holds c.mu.
+// request returns a new request of kind k for a random instance. The caller holds c.mu.
 func (c *callers) request(k *callKind, key, team string) *Request {
 	c.lastID++
 	q := &Request{Request: standin.Request{
@@ -118,7 +118,7 @@
 	return &callKinds[0]
 }
 
-// retry returns a copy of a request with a new ID and a random instance.
+// retry returns a copy of q without its response, with a new ID and for a random instance.
 func (c *callers) retry(q *Request) *Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/check.go
+++ b/soak/check.go
@@ -82,20 +82,20 @@
 const (
 	deniedTolerance   = 5 // final rejections of valid requests; plus one per deniedEach requests
 	deniedEach        = 500
-	attemptsTolerance = 3 // requests sent to more endpoints than their route allows
+	attemptsTolerance = 3 // requests that may reach more endpoints than their route allows
 	goneGrace         = 500 * time.Millisecond
 	goneShare         = 4 // at most one in goneShare executions may outlast its caller by goneGrace
 	goneMinExecutions = 20
 	heldGrace         = 500 * time.Millisecond // after the route's timeout
 	heldMinLate       = 8
 	heldShare         = 4
-	servedShare       = 4 // after a loss of all instances, at least one in servedShare requests is served
+	servedShare       = 4 // after a loss of all instances, at least one in servedShare requests must be served
 	servedMinRequests = 20
 	recoverWindow     = 4 * time.Second
 	calmMinRatio      = 0.95
 	tierWindow        = 5 * time.Second
 	tierStep          = time.Second // between the starts of successive windows
-	tierMinFailed     = 10          // failed requests of a route; and one in tierShare
+	tierMinFailed     = 10          // failed requests of a route, which must also be more than one in tierShare
 	tierShare         = 12
 	tierTokenFactor   = 2 // a less urgent route counts only if its prompts are larger by this factor
 )
@@ -528,13 +528,13 @@
 		from := f.To.Add(b.Bounds.Recover)
 		served, all := b.served(from, from.Add(recoverWindow))
 		if all >= servedMinRequests && served*servedShare < all {
-			out = append(out, fmt.Sprintf("%s: %d of %d requests were served %v after it", f.Kind, served, all, b.Bounds.Recover))
+			out = append(out, fmt.Sprintf("%s: only %d of %d requests were served from %v after its end", f.Kind, served, all, b.Bounds.Recover))
 		}
 	}
 	return out
 }
 
-// served counts the valid requests sent between from and to, and those with status 200.
+// served counts the valid requests sent between from and to, and how many of them got status 200.
 func (b *Record) served(from, to time.Time) (served, all int) {
 	b.each(func(q *Request) {
 		if q.Sent.Before(from) || q.Sent.After(to) || q.Cancelled || !b.allowed(q) {
@@ -555,7 +555,7 @@
 	}
 	served, all := b.served(b.RecoveredAt, b.RecoveredAt.Add(time.Hour))
 	if all > 0 && float64(served) < calmMinRatio*float64(all) {
-		return []string{fmt.Sprintf("%d of %d requests were served after recovery", served, all)}
+		return []string{fmt.Sprintf("only %d of %d requests were served after recovery", served, all)}
 	}
 	return nil
 }
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -78,7 +78,7 @@
 
 func TestFaultlessRecordHasNoViolations(t *testing.T) {
 	if got := Check(faultlessRecord()); len(got) != 0 {
-		t.Fatalf("got %v", got)
+		t.Fatalf("got %v for a record without violations, want none", got)
 	}
 }
 
@@ -198,7 +198,7 @@
 		}},
 		{"an outdated version", []string{"CONFIG"}, func(b *Record) { addRequest(b, "q-old", 23, "e-1", "app") }},
 		{"a revoked key", []string{"REVOKED"}, func(b *Record) {
-			q := addRequest(b, "q-revoked", 42, "o-2", "other") // while the instance is out of contact
+			q := addRequest(b, "q-revoked", 42, "o-2", "other") // within Bounds.Contact of a fault, which does not excuse this rule
 			q.Key, q.Team = "key-2", "two"
 			b.Deliveries[q.ID][0].Team = "two"
 		}},
@@ -287,7 +287,7 @@
 				}
 			}
 			if !slices.Equal(violated, c.want) {
-				t.Errorf("got %v, want %v", Check(b), c.want)
+				t.Errorf("got violations %v, want violations of the rules %v", Check(b), c.want)
 			}
 		})
 	}
@@ -329,7 +329,7 @@
 }
 
 // addLimitedRequests adds requests to an endpoint that announces a limit: one from each of two
-// instances, and then, over a second later, the given number within three seconds.
+// instances and, over a second later, `requests` more within three seconds.
 func addLimitedRequests(b *Record, requests int, limit string) {
 	add := func(id string, second float64, instance string) {
 		q := addRequest(b, id, second, "o-9", "other")
@@ -360,7 +360,7 @@
 		b := faultlessRecord()
 		change(b)
 		if got := b.checkLimit(); len(got) > 0 {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: got violations %v, want none", name, got)
 		}
 	}
 }
--- a/soak/crash_requests.go
+++ b/soak/crash_requests.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	crashMarker           = "deadly" // substring of its body
+	crashMarker           = "deadly" // substring of the body of a crash request
 	crashRequestInterval  = 400 * time.Millisecond
 	crashRequestDuration  = 12 * time.Second
-	crashRequestTolerance = 3 // executions later than Bounds.Contact after the third crash
+	crashRequestTolerance = 3 // allowed executions later than Bounds.Contact after the third crash
 	endpointRestartDelay  = 1200 * time.Millisecond
-	minEndpoints          = 3 // of a service; faults need one more
+	minEndpoints          = 3 // of a service that faults must leave
 )
 
 // A CrashRequest is a request that crashes endpoints and was sent repeatedly.
@@ -37,7 +37,7 @@
 	})
 }
 
-// restartEndpoint crashes an endpoint, which restarts under the same ID.
+// restartEndpoint crashes a random endpoint, which restarts under the same ID.
 func (s *injection) restartEndpoint() {
 	e := s.site.randomEndpoint(s.rng, minEndpoints)
 	if e == nil {
@@ -64,7 +64,7 @@
 	s.record.CrashRequests = append(s.record.CrashRequests, CrashRequest{Body: body})
 }
 
-// sendCrashRequests sends a request repeatedly, under new IDs and to random instances.
+// sendCrashRequests sends requests with the body repeatedly, with new IDs and to random instances.
 func (c *callers) sendCrashRequests(body string) {
 	for end := time.Now().Add(crashRequestDuration); time.Now().Before(end); time.Sleep(crashRequestInterval) {
 		c.inFlight.Go(func() {
@@ -79,7 +79,7 @@
 
 var invalidEntries = []string{"{", `{"service":"app","address":"not an address","state":"ready","slots":-4}`, `[]`, `{"service":"app","state":"warming"}`}
 
-// corruptEntries adds invalid registry entries, and overwrites the entry of an endpoint for a while.
+// corruptEntries adds invalid registry entries, and overwrites a valid one for s.duration.
 func (s *injection) corruptEntries() {
 	e := s.site.randomEndpoint(s.rng, minEndpoints)
 	if e == nil {
@@ -147,7 +147,7 @@
 		}
 	}
 	if late > crashRequestTolerance {
-		return []string{fmt.Sprintf("a request that had crashed three endpoints was executed %d more times later; it crashed %d in all", late, len(all))}
+		return []string{fmt.Sprintf("a request that had crashed three endpoints was executed %d more times after it should have been blocked, and %d times in all", late, len(all))}
 	}
 	return nil
 }
--- a/soak/engine_loss.go
+++ b/soak/engine_loss.go
@@ -9,7 +9,7 @@
 const (
 	maxLosses    = 4 // in succession
 	lossInterval = 600 * time.Millisecond
-	lossCutBytes = 400 // response bytes per connection, a few events of a stream
+	lossCutBytes = 400 // response bytes per connection before the cut, a few events of a stream
 )
 
 // cutEngines repeatedly cuts the connections of half of the engines. Many instances then retry at
--- a/soak/evacuate.go
+++ b/soak/evacuate.go
@@ -24,7 +24,7 @@
 	From, To time.Time
 }
 
-// evacuate has a data centre evacuated for a while. Its endpoints are cold at the end.
+// evacuate evacuates a random data centre temporarily. Its endpoints are cold afterwards.
 func (s *injection) evacuate() {
 	dataCentre := dataCentres[s.rng.IntN(len(dataCentres))]
 	f := Fault{Kind: "data centre evacuated", Planned: true, KeepsContact: true}
@@ -55,7 +55,7 @@
 	}
 }
 
-// markCold publishes e as cold and records that it is from a time on. The caller holds s.mu.
+// markCold publishes e as cold and records a ColdPeriod that starts at from. The caller holds s.mu.
 func (s *site) markCold(e *endpoint, from time.Time) {
 	s.record.ColdPeriods = append(s.record.ColdPeriods, ColdPeriod{Endpoint: e.server.ID, From: from, To: from.Add(coldPeriod)})
 	entry := e.registryEntry(false)
@@ -90,7 +90,7 @@
 	return out
 }
 
-// checkFailback: in any second all instances together keep to the rate of a cold endpoint.
+// checkFailback: in no second does a cold endpoint receive more than its rate and Bounds allow.
 func (b *Record) checkFailback() (out []string) {
 	arrived := make(map[string][]time.Time)
 	for _, deliveries := range b.Deliveries {
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// apply starts a fault, waits for its duration, ends it and records it.
+// apply calls begin, waits for duration, calls end, and records f with the times of both.
 func (s *injection) apply(f Fault, begin func(), duration time.Duration, end func()) {
 	f.From = time.Now()
 	s.run.logFault(f)
@@ -214,8 +214,8 @@
 	s.killMany("all killed", true, func(*instance) bool { return true })
 }
 
-// killMany kills the selected instances at the same time and restarts them. all says that these are
-// all instances, and has the recovery time recorded.
+// killMany kills the selected instances at the same time and restarts them. If all is set, they are
+// all instances, and the recovery time is recorded.
 func (s *injection) killMany(kind string, all bool, selects func(*instance) bool) {
 	instances := s.run.acquireAll()
 	if instances == nil {
@@ -291,7 +291,7 @@
 	s.apply(Fault{Kind: "callers' connections reset", Instance: r.name}, r.callers.Reset, 0, func() {})
 }
 
-// degradeLink changes the conditions of a link of a random instance for a while.
+// degradeLink sets the conditions of a link of a random instance to w for s.duration.
 func (s *injection) degradeLink(kind string, which func(*instance) *link.TCP, w link.Conditions) {
 	s.withInstance(func(r *instance) {
 		l, normal := which(r), link.Conditions{}
@@ -305,7 +305,7 @@
 	})
 }
 
-// silenceConnections silences the open connections of a link of a random instance for good.
+// silenceConnections silences the open connections of a link of a random instance permanently.
 func (s *injection) silenceConnections(kind string, which func(*instance) *link.TCP) {
 	s.withInstance(func(r *instance) { s.apply(Fault{Kind: kind, Instance: r.name}, which(r).Silence, 0, func() {}) })
 }
@@ -341,7 +341,7 @@
 
 func (s *injection) instant(kind string, do func()) { s.apply(Fault{Kind: kind}, do, 0, func() {}) }
 
-// planned performs a planned operation, which must not lose requests.
+// planned applies do as a planned operation, which must not lose requests.
 func (s *injection) planned(kind string, do func()) {
 	s.apply(Fault{Kind: kind, Planned: true, KeepsContact: true}, do, 0, func() {})
 }
@@ -388,7 +388,7 @@
 	return e
 }
 
-// removeEndpoint replaces an endpoint. With announce set, it publishes a leaving notice first.
+// removeEndpoint replaces a random endpoint. With announce set, it publishes a leaving notice first.
 func (s *injection) removeEndpoint(announce bool) {
 	e := s.replaceEndpoint()
 	if e == nil {
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -330,7 +330,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// listenAddress returns the address of an instance's listener for callers, or "".
+// listenAddress returns the address of the named instance's listener for callers, or "".
 func (f *fleet) listenAddress(name string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -340,7 +340,7 @@
 	return ""
 }
 
-// callersAddress returns the address of the link from callers to an instance, or "".
+// callersAddress returns the address of the link from callers to the named instance, or "".
 func (f *fleet) callersAddress(name string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -12,8 +12,8 @@
 const (
 	limitWindow     = 4 * time.Second        // in which an endpoint's requests are counted
 	limitOver       = 1.5                    // factor on the limit that a window may reach
-	limitSlack      = 5                      // requests allowed on top
-	limitKnownDelay = 500 * time.Millisecond // from a response that announces a limit until its instance must keep it
+	limitSlack      = 5                      // requests allowed in a window in addition to limitOver times the limit
+	limitKnownDelay = 500 * time.Millisecond // from a response that announces a limit until the instance that forwarded it must obey
 	limitsDuration  = 10 * time.Second       // of announcements; covers several windows
 )
 
@@ -70,7 +70,7 @@
 	limit float64
 }
 
-// checkLimit: the instances that know the limit of an endpoint together keep to it.
+// checkLimit: the instances that know an endpoint's limit do not exceed it in total.
 func (b *Record) checkLimit() (out []string) {
 	byEndpoint := make(map[string][]arrival)
 	for p, deliveries := range b.deliveriesByPair() {
@@ -101,8 +101,8 @@
 	return append(out, announced)
 }
 
-// limitExceeded describes the first window with too many requests, if there is one. The highest
-// limit announced since Bounds.Contact before the window applies.
+// limitExceeded describes the first window with too many requests, if any. The limit that applies is
+// the highest one announced from Bounds.Contact before the start of the window until its end.
 func (b *Record) limitExceeded(endpoint string, announced []limitedDelivery) string {
 	counted := slices.DeleteFunc(slices.Clone(announced), func(r limitedDelivery) bool { return !b.knewLimit(announced, r.arrival) })
 	for i, first := range counted {
--- a/soak/record.go
+++ b/soak/record.go
@@ -21,10 +21,10 @@
 	Recover     time.Duration // from the end of a loss of all instances until requests are served
 	RetryWindow time.Duration
 	RetryRatio  float64       // maximum ratio of repeats to first attempts in each RetryWindow
-	RetryExtra  int           // repeats allowed on top
+	RetryExtra  int           // repeats allowed in each RetryWindow in addition to RetryRatio
 	Evacuate    time.Duration // from an evacuation order until the data centre receives no new requests
 	ColdOver    float64       // factor on the rate of a cold endpoint that it may receive in any second
-	ColdSlack   float64       // requests allowed on top
+	ColdSlack   float64       // requests allowed in any second in addition to ColdOver times the rate
 }
 
 // A Route is the part of a declared route that the rules need.
@@ -54,7 +54,7 @@
 	Instance   string
 	Repeatable bool
 	Attempts   int    // maximum number of endpoints
-	Service    string // that the route's kind starts with
+	Service    string // initial service of the route
 	Priority   int    // 0 is the most urgent
 	Sent       time.Time
 	Done       time.Time
@@ -75,7 +75,7 @@
 type Fault struct {
 	Kind         string
 	Instance     string // empty: all instances, unless Endpoint is set
-	Endpoint     string // empty: not of an endpoint
+	Endpoint     string // empty: no fault of an endpoint
 	From         time.Time
 	To           time.Time
 	Planned      bool // an operation that must not lose requests, such as a stop
@@ -105,7 +105,7 @@
 	Ready       bool
 }
 
-// Record are the observations of a run.
+// A Record holds the observations of a run.
 type Record struct {
 	Bounds     Bounds
 	Versions   []Version
@@ -124,7 +124,7 @@
 
 	Exits       []Exit
 	Footprints  []Footprint
-	RecoveredAt time.Time // when the site has recovered from the last fault; zero: not reached
+	RecoveredAt time.Time // when the site has recovered from the last fault; zero: it has not
 }
 
 // during reports whether f overlaps the interval between from and to.
--- a/soak/regions.go
+++ b/soak/regions.go
@@ -68,7 +68,7 @@
 	return f.datagrams.between(a, b)
 }
 
-// lookup returns nil if no instance has the name. The caller holds f.mu.
+// lookup returns the instance with the given name, or nil. The caller holds f.mu.
 func (f *fleet) lookup(name string) *instance {
 	for _, r := range f.instances {
 		if r.name == name {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// peersConditions returns the conditions of the link from peers to r without faults.
+// peersConditions returns the fault-free conditions of the link from other instances to r.
 func (r *instance) peersConditions() link.Conditions {
 	if regionOf[r.dataCentre] == south {
 		return link.Conditions{Delay: regionDelay, Rate: regionRate}
--- a/soak/residence.go
+++ b/soak/residence.go
@@ -24,7 +24,7 @@
 // homeRegionLists are the lists that a change draws from; nil removes the list.
 var homeRegionLists = [][]string{nil, {}, {north}, {south}, {north, south}, {"nowhere"}}
 
-// allowsRegion reports whether the lists of q's route and of its team both allow a region.
+// allowsRegion reports whether the lists of q's route and of its team both allow region.
 func (v *Version) allowsRegion(q *Request, region string) bool {
 	return listAllows(v.RouteHomes, q.Route, region) && listAllows(v.TeamHomes, q.Team, region)
 }
@@ -82,7 +82,7 @@
 	s.apply(f, func() { s.site.setHomeRegions(lists, name, list) }, deploymentBounds.Propagation+s.duration, func() { s.site.setHomeRegions(lists, name, initial[name]) })
 }
 
-// setHomeRegions publishes a list of home regions; nil removes it.
+// setHomeRegions sets the entry of lists for name and publishes the change; a nil list removes it.
 func (s *site) setHomeRegions(lists *map[string][]string, name string, list []string) {
 	s.publish(func() {
 		changed := maps.Clone(*lists) // recorded versions share the old map
--- a/soak/rush.go
+++ b/soak/rush.go
@@ -44,7 +44,7 @@
 	s.record.Rushes = append(s.record.Rushes, r)
 }
 
-// rush sends requests of a team in addition to other traffic, and returns after sending the last.
+// rush sends requests of team in addition to other traffic, and returns after sending the last.
 func (c *callers) rush(team string) {
 	for end := time.Now().Add(rushDuration); time.Now().Before(end); time.Sleep(rushInterval) {
 		c.inFlight.Go(func() {
--- a/soak/site.go
+++ b/soak/site.go
@@ -16,7 +16,7 @@
 type endpoint struct {
 	server    *standin.Server
 	link      *link.TCP
-	withdrawn bool // unlisted, or excluded from faults
+	withdrawn bool // removed from the store, or reserved: other faults must not pick it
 }
 
 // registryEntry returns the registry entry of e, with the address of its link.
@@ -26,7 +26,7 @@
 	return out
 }
 
-// objective is the latency objective of all routes, and also applies between events of a stream.
+// objective is the objective of all routes for the latency and for the time between stream events.
 const objective = 500 * time.Millisecond
 
 // normalBehaviour is the behaviour of healthy endpoints, by service.
@@ -161,7 +161,7 @@
 	}
 }
 
-// addEndpoint starts and publishes an endpoint.
+// addEndpoint starts an endpoint of service in dataCentre and publishes it.
 func (s *site) addEndpoint(service, dataCentre string) (*endpoint, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,7 +184,7 @@
 	return e, nil
 }
 
-// startEndpoint starts an endpoint without publishing it. The caller holds s.mu.
+// startEndpoint is like addEndpoint, but does not publish the endpoint. The caller holds s.mu.
 func (s *site) startEndpoint(service, dataCentre string) (*endpoint, error) {
 	s.created++
 	server := standin.NewServer(fmt.Sprintf("e-%d", s.created), service, dataCentre)
@@ -213,7 +213,7 @@
 	s.store.Unlist(e.server.ID)
 }
 
-// randomEndpoint returns a published endpoint of a service that has more than minRemaining, or nil.
+// randomEndpoint returns a published endpoint of a service with more than minRemaining, or nil.
 func (s *site) randomEndpoint(rng *rand.Rand, minRemaining int) *endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -40,6 +40,6 @@
 		t.Errorf("%s: %s", b.Rule, b.What)
 	}
 	if c := r.Count(); c.Served < c.Requests/2 || r.inContact() == 0 {
-		t.Errorf("%+v, %d requests in contact: too few served requests to check the rules", c, r.inContact())
+		t.Errorf("got counts %+v and %d requests to instances in contact, want at least half of the requests served and one in contact", c, r.inContact())
 	}
 }
