--- a/scripts/ci_test.go
+++ b/scripts/ci_test.go
@@ -55,11 +55,11 @@
 		`{"Time":"t","Action":"output","Package":"ivyridge/b","Test":"TestB","Output":"of one that passed\n"}`+"\n"+knownFailure+parentFailure+packageFailure)
 	got, err := exec.Command("./failed-output.sh", log, "5").CombinedOutput()
 	if err != nil {
-		t.Fatalf("%v: %s", err, got)
+		t.Fatalf("failed-output.sh failed: %v; output: %s", err, got)
 	}
 	want := "--- output of ivyridge/a TestA, last 5 lines\nof the whole\n" +
 		"--- output of ivyridge/a TestA/part, last 5 lines\n\t[stderr] \"why\" > 1\n"
 	if string(got) != want {
-		t.Errorf("got %q, want %q", got, want)
+		t.Errorf("failed-output.sh printed %q, want %q", got, want)
 	}
 }
--- a/scripts/scripts_test.go
+++ b/scripts/scripts_test.go
@@ -57,7 +57,7 @@
 			t.Fatal(err)
 		}
 		if first+999 >= freeport.Lowest && first < freeport.Highest {
-			t.Errorf("ports from %d on overlap the range of freeport", first)
+			t.Errorf("the thousand ports from %d overlap the range of freeport, want them outside it", first)
 		}
 	}
 }
@@ -135,8 +135,8 @@
 	return os.WriteFile(filepath.Join(dir, "fakes.yaml"), []byte(strings.Join(kept, "\n")), 0o644)
 }
 
-// until is the script command "until TEXT COMMAND...". It runs a command every 0.1 s until its
-// standard output contains the text.
+// until is the script command "until TEXT COMMAND...". It runs COMMAND every 0.1 s until its
+// standard output contains TEXT.
 func until(ts *testscript.TestScript, neg bool, args []string) {
 	const maxAttempts = 300
 	if neg || len(args) < 2 {
