--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -64,15 +64,15 @@
 		t.Errorf("peer with a certificate of the fleet was rejected: %v", err)
 	}
 	if err := get(loadKeys(t, issueKeys(t, otherDir, "two")), url); err == nil {
-		t.Error("client with a certificate of another authority was accepted")
+		t.Error("client with a certificate of another authority was accepted, want rejection")
 	}
 	if res, err := http.Get(url); err == nil {
 		_ = res.Body.Close()
-		t.Error("client without a certificate was accepted")
+		t.Error("client without a certificate was accepted, want rejection")
 	}
 	if res, err := http.Get("http" + url[len("https"):]); err == nil {
 		if res.StatusCode == http.StatusOK {
-			t.Error("request without TLS was answered")
+			t.Error("request without TLS was answered with status 200, want rejection")
 		}
 		_ = res.Body.Close()
 	}
