--- a/decl/check.go
+++ b/decl/check.go
@@ -120,7 +120,7 @@
 	c.set.callers[string(hash)] = Identity{Team: t, Caller: k.Name}
 }
 
-// checkName reports whether a name is present and not taken. It records an error
+// checkName reports whether name is present and not taken. It records an error
 // otherwise.
 func (c *checker) checkName(p yamlfile.Pos, kind, name string, taken bool) bool {
 	if name == "" {
--- a/decl/decl_test.go
+++ b/decl/decl_test.go
@@ -25,11 +25,11 @@
 	s := parseDemo(t)
 	id, ok := s.Authenticate("demo-token-agents-zuid")
 	if !ok || id.Team.Name != "agents-zuid" || id.Caller != "portal" {
-		t.Errorf("got %+v, %v", id, ok)
+		t.Errorf("valid token: got identity %+v, accepted %v; want team agents-zuid and caller portal", id, ok)
 	}
 	for _, token := range []string{"", "demo-token", "demo-token-agents-zuid "} {
 		if _, ok := s.Authenticate(token); ok {
-			t.Errorf("token %q was accepted", token)
+			t.Errorf("invalid token %q was accepted", token)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	} {
 		_, err := decl.Parse("f", []byte(c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: got %v; want %q", c.text, err, c.want)
+			t.Errorf("Parse of %q: got error %v, want one that contains %q", c.text, err, c.want)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := decl.Parse("f", data)
 		if (s == nil) == (err == nil) {
-			t.Errorf("got %v and %v", s, err)
+			t.Errorf("Parse returned set %v and error %v, want exactly one of them", s, err)
 		}
 	})
 }
