--- a/api/api.go
+++ b/api/api.go
@@ -343,7 +343,7 @@
 	return k
 }
 
-// run dispatches a request and writes its response.
+// run dispatches req and writes its response to w.
 func (a *API) run(w http.ResponseWriter, r *http.Request, req *dispatch.Request) {
 	select {
 	case <-a.stop:
@@ -397,7 +397,7 @@
 	a.node.Ledger().Add(a.node.Now(), row)
 }
 
-// refuse rejects a request that was not dispatched.
+// refuse writes the error response for a request that was not dispatched.
 func (a *API) refuse(w http.ResponseWriter, err error) {
 	e := verdict.Of(err)
 	a.counters.Refused.Add(string(e.Reason), 1)
