--- a/fake/config.go
+++ b/fake/config.go
@@ -59,7 +59,7 @@
 	Workers    int           `yaml:"workers"`    // concurrent requests
 }
 
-// LoadConfig reads and validates a file. Paths in it are relative to its directory.
+// LoadConfig reads and validates file. Paths in it are relative to its directory.
 func LoadConfig(file string) (*Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -142,7 +142,7 @@
 	return member.Endpoint{Name: e.Name, Addr: e.Listen, DataCentre: e.DataCentre, Region: e.Region, Pool: e.Pool, State: member.Live}
 }
 
-// StartEndpoint starts an endpoint of the Config, or restarts it after a crash.
+// StartEndpoint starts the named endpoint of the Config, or restarts it after a crash.
 func (env *Environment) StartEndpoint(name string) error {
 	for i := range env.Config.Endpoints {
 		e := &env.Config.Endpoints[i]
--- a/fake/control.go
+++ b/fake/control.go
@@ -75,7 +75,7 @@
 	env.endpointHandler(func(e Endpoint, _ string) error { e.Set(f); return nil })(w, r)
 }
 
-// parseFault parses a query such as slow=4&delay=1s.
+// parseFault parses the query of r, such as slow=4&delay=1s.
 func parseFault(r *http.Request) (f Fault, err error) {
 	for key, values := range r.URL.Query() {
 		v := values[0]
@@ -106,7 +106,7 @@
 
 func (e unknownFaultError) Error() string { return "unknown fault " + string(e) }
 
-// setEndpointState sets an endpoint's listed state. An empty state removes it.
+// setEndpointState sets the listed state of the named endpoint; an empty one unlists it.
 func (env *Environment) setEndpointState(name string, s member.State) {
 	env.Platform.ChangeList(func(l *member.List) {
 		kept := make([]member.Endpoint, 0, len(l.Endpoints))
@@ -125,7 +125,7 @@
 	})
 }
 
-// setInstanceState sets an instance's listed state. An empty state removes it.
+// setInstanceState sets the listed state of the named instance; an empty one unlists it.
 func (env *Environment) setInstanceState(name string, s member.State) {
 	env.Platform.ChangeList(func(l *member.List) {
 		kept := make([]member.Instance, 0, len(l.Instances))
--- a/fake/platform.go
+++ b/fake/platform.go
@@ -33,7 +33,7 @@
 
 type document struct{ doc platformclient.Published }
 
-// NewPlatform returns a platform that publishes the member list with a delay.
+// NewPlatform returns a platform that publishes the member list with a delay of lag.
 func NewPlatform(lag time.Duration) *Platform {
 	p := &Platform{
 		lag:     lag,
@@ -56,14 +56,14 @@
 	p.conns.closeAll()
 }
 
-// Publish publishes a configuration and returns its revision.
+// Publish publishes value as the configuration and returns its revision.
 func (p *Platform) Publish(value string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.publishLocked(platformclient.Config, value)
 }
 
-// publishLocked publishes a document and returns its revision. p.mu must be held.
+// publishLocked publishes value as document k and returns its revision. p.mu must be held.
 func (p *Platform) publishLocked(k platformclient.Kind, value string) int64 {
 	d := p.docs[k]
 	if d == nil {
@@ -112,7 +112,7 @@
 	p.changed = make(chan struct{})
 }
 
-// ServeOld overrides the served revision with old, or ends this if old is nil.
+// ServeOld serves old instead of the newest revision of k, which a nil old restores.
 func (p *Platform) ServeOld(k platformclient.Kind, old *platformclient.Published) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +125,7 @@
 	p.changed = make(chan struct{})
 }
 
-// Newest returns the newest revision, or the zero Published if there is none.
+// Newest returns the newest revision of k, or the zero Published if there is none.
 func (p *Platform) Newest(k platformclient.Kind) platformclient.Published {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +135,7 @@
 	return platformclient.Published{}
 }
 
-// current returns the document to serve, if any. The next change closes changed.
+// current returns the revision of k to serve, if any. The next change closes changed.
 func (p *Platform) current(k platformclient.Kind) (doc *platformclient.Published, down bool, changed chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
