--- a/fleet/random_test.go
+++ b/fleet/random_test.go
@@ -93,7 +93,7 @@
 				sim.start(b.name, b.side, owner.Retention)
 			}
 		},
-		func(rng *rand.Rand) { // a running instance is missing from the list for a while
+		func(rng *rand.Rand) { // a running instance is missing from the list temporarily
 			inst := randomInstance(rng)
 			sim.setInstance(inst.name, "")
 			time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
--- a/fleet/scenarios_test.go
+++ b/fleet/scenarios_test.go
@@ -19,14 +19,14 @@
 	simulate(t, 1, 3, 2, func(sim *simulation) {
 		for i := range 20 {
 			if r := sim.callWithRetries(fmt.Sprintf("v%d", i), "verdict", 1); r.err != nil {
-				t.Errorf("verdict %d: %v", i, r.err)
+				t.Errorf("request v%d: got error %v, want none", i, r.err)
 			}
 		}
 	})
 }
 
-// callConcurrently sends n requests of class verdict, spread evenly over a period,
-// with up to tries attempts each.
+// callConcurrently sends n requests of class verdict, spread evenly over the
+// duration over, with up to tries attempts each.
 func (sim *simulation) callConcurrently(n int, over time.Duration, tries int) []reply {
 	out := make([]reply, n)
 	var wg sync.WaitGroup
@@ -95,11 +95,11 @@
 		}()
 		rs := sim.callConcurrently(200, 3*time.Second, 6)
 		if n := countAnswered(rs); n < 190 {
-			t.Errorf("%d of 200 requests answered", n)
+			t.Errorf("%d of 200 requests answered, want at least 190", n)
 		}
 		for _, r := range rs {
 			if r.err != nil && r.err.Verdict == verdict.NotRun {
-				t.Errorf("request refused after all retries: %v", r.err)
+				t.Errorf("request got %v after all retries, want no verdict not-run", r.err)
 			}
 		}
 	})
@@ -144,11 +144,11 @@
 		sim.partition(500*time.Millisecond, 4*time.Second)
 		rs := sim.callConcurrently(200, 4*time.Second, 12)
 		if n := countAnswered(rs); n < 150 {
-			t.Errorf("%d of 200 requests answered", n)
+			t.Errorf("%d of 200 requests answered during the partition, want at least 150", n)
 		}
 		time.Sleep(5 * time.Second)
 		if n := countAnswered(sim.callSequentially("vafter", 20)); n < 20 {
-			t.Errorf("%d of 20 requests answered after the partition", n)
+			t.Errorf("%d of 20 requests answered after the partition, want all", n)
 		}
 	})
 }
@@ -162,7 +162,7 @@
 	return out
 }
 
-// partition separates the sides of the network in the background.
+// partition separates the sides of the network for duration, in the background.
 func (sim *simulation) partition(after, duration time.Duration) {
 	go func() {
 		time.Sleep(after)
@@ -194,7 +194,7 @@
 	simulate(t, 6, 5, 3, func(sim *simulation) {
 		sim.setLinkFault(lossyLink)
 		if n := countAnswered(sim.callConcurrently(150, 5*time.Second, 10)); n < 140 {
-			t.Errorf("%d of 150 requests answered", n)
+			t.Errorf("%d of 150 requests answered over a lossy network, want at least 140", n)
 		}
 	})
 }
@@ -212,7 +212,7 @@
 		}()
 		for i, r := range sim.callConcurrently(400, 20*time.Second, 4) {
 			if r.err != nil {
-				t.Errorf("v%d: %v", i, r.err)
+				t.Errorf("request v%d: got error %v, want none", i, r.err)
 			}
 		}
 	})
@@ -233,7 +233,7 @@
 		sim.callConcurrently(100, 2*time.Second, 12)
 		time.Sleep(owner.Retention)
 		if n := countAnswered(sim.callSequentially("vafter", 20)); n != 20 {
-			t.Errorf("%d of 20 requests answered after the quarantine", n)
+			t.Errorf("%d of 20 requests answered after the quarantine, want all", n)
 		}
 	})
 }
@@ -250,7 +250,7 @@
 		}()
 		for i, r := range sim.callConcurrently(300, 6*time.Second, 3) {
 			if r.err != nil {
-				t.Errorf("v%d: %v", i, r.err)
+				t.Errorf("request v%d: got error %v, want none", i, r.err)
 			}
 		}
 	})
@@ -264,7 +264,7 @@
 				rs := sim.callConcurrently(100, 3*time.Second, 3)
 				for i, r := range rs {
 					if r.err != nil && r.err.Verdict == verdict.NotRun {
-						t.Errorf("v%d: refused after all retries: %v", i, r.err)
+						t.Errorf("request v%d got %v after all retries, want no verdict not-run", i, r.err)
 					}
 				}
 			})
@@ -272,7 +272,7 @@
 	}
 }
 
-// countInForce returns how many running instances apply a revision.
+// countInForce returns how many running instances apply the revision.
 func (sim *simulation) countInForce(revision int64) int {
 	n := 0
 	for _, inst := range sim.allInstances() {
@@ -288,12 +288,12 @@
 		sim.publish(declarations + "# two\n")
 		time.Sleep(time.Second)
 		if n := sim.countInForce(2); n != 6 {
-			t.Errorf("revision 2 is in force on %d of 6 instances after a second", n)
+			t.Errorf("revision 2 is in force on %d of 6 instances after a second, want all", n)
 		}
 		sim.publish("classes: [{nonsense: 1}]")
 		time.Sleep(2 * time.Second)
 		if n := sim.countInForce(2); n != 6 {
-			t.Errorf("revision 2 is in force on %d of 6 instances after an invalid publication", n)
+			t.Errorf("revision 2 is in force on %d of 6 instances after an invalid publication, want all", n)
 		}
 		sim.mu.Lock()
 		sim.platformStale = true
@@ -301,7 +301,7 @@
 		sim.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		if n := sim.countInForce(2); n != 6 {
-			t.Errorf("revision 2 is in force on %d of 6 instances after the platform served an old revision", n)
+			t.Errorf("revision 2 is in force on %d of 6 instances after the platform served an old revision, want all", n)
 		}
 		sim.crash(sim.allInstances()[0])
 		added := sim.start("n1", 0, 0) // restarts while the platform serves an old revision
@@ -321,7 +321,7 @@
 		sim.publish(declarations + strings.Repeat("# a comment of forty bytes to fill lines\n", 7500))
 		time.Sleep(6 * time.Second)
 		if n := sim.countInForce(2); n != 6 {
-			t.Errorf("revision 2 is in force on %d of 6 instances", n)
+			t.Errorf("revision 2 is in force on %d of 6 instances after 6 s over slow links, want all", n)
 		}
 	})
 }
@@ -343,7 +343,7 @@
 	}
 	three, nine := callsDuringRetention(3), callsDuringRetention(9)
 	if nine > three+three/4 {
-		t.Errorf("nine instances made %d platform calls during the retention period, three made %d", nine, three)
+		t.Errorf("nine instances made %d platform calls during the retention period, want at most 5/4 of the %d of three instances", nine, three)
 	}
 }
 
@@ -355,7 +355,7 @@
 		sim.mu.Unlock()
 		time.Sleep(20 * time.Second)
 		if n := countAnswered(sim.callConcurrently(50, 2*time.Second, 3)); n != 50 {
-			t.Errorf("%d of 50 requests answered while the platform is down", n)
+			t.Errorf("%d of 50 requests answered while the platform is down, want all", n)
 		}
 		sim.mu.Lock()
 		sim.platformDown = false
@@ -363,7 +363,7 @@
 		sim.publish(declarations + "# two\n")
 		time.Sleep(8 * time.Second)
 		if n := sim.countInForce(2); n != 5 {
-			t.Errorf("revision 2 is in force on %d of 5 instances after the outage", n)
+			t.Errorf("revision 2 is in force on %d of 5 instances after the outage, want all", n)
 		}
 	})
 }
@@ -384,7 +384,7 @@
 		}
 		for i, inst := range sim.allInstances() {
 			if got := inst.lookupTarget(); got != 1500*time.Millisecond {
-				t.Errorf("%s applies target %s after the command was accepted", inst.name, got)
+				t.Errorf("%s applies target %s after the command was accepted, want 1.5s", inst.name, got)
 			}
 			sim.leave(inst)
 			sim.setInstance(fmt.Sprintf("n%d", i+5), member.Live)
@@ -393,7 +393,7 @@
 		}
 		for _, inst := range sim.readyInstances() {
 			if got := inst.lookupTarget(); got != 1500*time.Millisecond {
-				t.Errorf("%s applies target %s after all were replaced", inst.name, got)
+				t.Errorf("%s applies target %s after all were replaced, want 1.5s", inst.name, got)
 			}
 		}
 	})
@@ -404,16 +404,16 @@
 		sim.partition(0, 10*time.Second)
 		time.Sleep(time.Second)
 		if _, err := sim.allInstances()[0].node.Command(context.Background(), lookupTargetCommand("1500ms")); err == nil {
-			t.Error("a command was accepted on one side of a partition")
+			t.Error("a command was accepted on one side of a partition, want an error")
 		}
 		for _, inst := range sim.allInstances() {
 			if got := inst.lookupTarget(); got != 2*time.Second {
-				t.Errorf("%s applies target %s after the command was refused", inst.name, got)
+				t.Errorf("%s applies target %s after the command was refused, want 2s", inst.name, got)
 			}
 		}
 		time.Sleep(15 * time.Second)
 		if _, err := sim.allInstances()[0].node.Command(context.Background(), lookupTargetCommand("1500ms")); err != nil {
-			t.Errorf("command after the partition: %v", err)
+			t.Errorf("command after the partition: got error %v, want none", err)
 		}
 	})
 }
@@ -439,11 +439,11 @@
 		first := sim.allInstances()[0].lookupTarget()
 		for _, inst := range sim.allInstances() {
 			if inst.lookupTarget() != first {
-				t.Errorf("%s applies target %s, %s applies %s", inst.name, inst.lookupTarget(), sim.allInstances()[0].name, first)
+				t.Errorf("%s applies target %s, %s applies %s, want the same target", inst.name, inst.lookupTarget(), sim.allInstances()[0].name, first)
 			}
 		}
 		if accepted == 0 && first != 2*time.Second {
-			t.Errorf("no command was accepted, but the target is %s", first)
+			t.Errorf("no command was accepted, but the target is %s, want 2s", first)
 		}
 	})
 }
@@ -457,12 +457,12 @@
 		sim.publish(declarations + "# two\n")
 		time.Sleep(2 * time.Second)
 		if got := sim.allInstances()[1].lookupTarget(); got != 1500*time.Millisecond {
-			t.Errorf("target is %s after a publication that does not change the field", got)
+			t.Errorf("target is %s after a publication that does not change the field, want 1.5s", got)
 		}
 		sim.publish(withLongerTarget(declarations))
 		time.Sleep(2 * time.Second)
 		if got := sim.allInstances()[1].lookupTarget(); got != 4*time.Second {
-			t.Errorf("target is %s after a publication that changes the field", got)
+			t.Errorf("target is %s after a publication that changes the field, want 4s", got)
 		}
 	})
 }
@@ -474,7 +474,7 @@
 			sim.call(inst, "unkeyed", fmt.Sprintf("unkeyed/%d", try), "lookup")
 		}
 		if n := sim.runs["unkeyed"]; n != 2 {
-			t.Errorf("%d executions recorded of a request without a key that was sent twice", n)
+			t.Errorf("%d executions recorded of a request without a key that was sent twice, want 2", n)
 		}
 	})
 }
@@ -495,10 +495,10 @@
 		inst := sim.start("n4", 1, owner.Retention)
 		sim.awaitSettled()
 		if inst.lookupTarget() != 1500*time.Millisecond {
-			t.Errorf("the new instance applies target %s", inst.lookupTarget())
+			t.Errorf("the new instance applies target %s, want 1.5s", inst.lookupTarget())
 		}
 		if r := sim.call(inst, "v1", "v1/0", "verdict"); r.err != nil {
-			t.Errorf("the new instance failed a request: %v", r.err)
+			t.Errorf("request to the new instance: got error %v, want none", r.err)
 		}
 	})
 }
@@ -522,7 +522,7 @@
 		sim.partition(100*time.Millisecond, 4*time.Second)
 		sim.callConcurrently(400, 4*time.Second, 2)
 		if n := takeMaxInFlight(); n > 2*2*limit || n <= limit/2 {
-			t.Errorf("an endpoint had %d requests in flight during the partition; its limit is %d", n, limit)
+			t.Errorf("an endpoint had up to %d requests in flight during the partition, want more than half and at most four times its limit of %d", n, limit)
 		}
 		time.Sleep(8 * time.Second)
 		takeMaxInFlight()
@@ -537,7 +537,7 @@
 		}
 		wg.Wait()
 		if n := takeMaxInFlight(); n > limit {
-			t.Errorf("an endpoint had %d requests in flight after the partition; its limit is %d", n, limit)
+			t.Errorf("an endpoint had up to %d requests in flight after the partition, want at most its limit of %d", n, limit)
 		}
 	})
 }
@@ -549,7 +549,7 @@
 		var k owner.Key
 		copy(k[:], "v1")
 		if c, err := entry.node.Claim(context.Background(), k); err != nil || c.Holder != nil {
-			t.Fatalf("claim: %+v %v", c, err)
+			t.Fatalf("claim: got %+v with error %v, want no holder and no error", c, err)
 		}
 		sim.crash(entry)
 		r := sim.call(other, "v1", "v1/1", "verdict")
@@ -566,7 +566,7 @@
 		sim.setInstance("n5", "")          // n5 keeps running
 		rs := sim.callConcurrently(100, 4*time.Second, 8)
 		if n := countAnswered(rs); n < 95 {
-			t.Errorf("%d of 100 requests answered", n)
+			t.Errorf("%d of 100 requests answered with an inaccurate list of instances, want at least 95", n)
 		}
 	})
 }
--- a/fleet/simulation_test.go
+++ b/fleet/simulation_test.go
@@ -223,7 +223,7 @@
 	sim.notifyWatchers()
 }
 
-// setInstance sets an instance's listed state. An empty state removes it.
+// setInstance sets the listed state of the named instance; an empty one unlists it.
 func (sim *simulation) setInstance(name string, s member.State) {
 	sim.trace("list %s as %q", name, s)
 	sim.mu.Lock()
@@ -286,7 +286,7 @@
 	err  *verdict.Error
 }
 
-// call sends one attempt. Requests of class verdict use id as the idempotency key.
+// call sends one attempt to inst. Requests of class verdict use id as idempotency key.
 func (sim *simulation) call(inst *instance, id, attempt, class string) reply {
 	set, ok := inst.node.Declarations()
 	if !ok {
