--- a/experiment/bound.go
+++ b/experiment/bound.go
@@ -18,7 +18,7 @@
 	Goodput        float64 // tokens per second
 }
 
-// Bound computes the bounds for one seed. Those of the surge are zero without one.
+// Bound computes the bounds for seed. Without a surge, only Goodput is set.
 func (s *Scenario) Bound(seed uint64) Bound {
 	arrivals := s.Workload.Arrivals(seed)
 	b := Bound{Goodput: s.goodputBound(arrivals)}
@@ -71,7 +71,7 @@
 	return float64(a.Length)*perToken + float64(a.Class.Prompt-a.Class.Shared)/s.Params.PrefillRate
 }
 
-// countFitting returns how many of the cheapest requests fit. It sorts costs.
+// countFitting returns how many of the lowest costs fit into capacity. It sorts costs.
 func countFitting(costs []float64, capacity float64) int {
 	sort.Float64s(costs)
 	for i, c := range costs {
@@ -134,7 +134,7 @@
 	return done
 }
 
-// withTokensLeft filters open in place.
+// withTokensLeft returns the items with tokens left. It reuses the array of open.
 func withTokensLeft(open []workItem) []workItem {
 	kept := open[:0]
 	for _, p := range open {
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -22,7 +22,7 @@
 			}
 		}
 	}
-	t.Fatalf("unknown scenario %s", name)
+	t.Fatalf("scenario %s is not in the suite", name)
 	return nil
 }
 
@@ -39,7 +39,7 @@
 	s := scenario(t, "huurtoets/letter x2")
 	a, b := s.Run(policy(t, home.Full), 1), s.Run(policy(t, home.Full), 1)
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("two runs differ:\n%+v\n%+v", a, b)
+		t.Errorf("two runs with the same seed differ, want equal results:\n%+v\n%+v", a, b)
 	}
 }
 
@@ -59,7 +59,7 @@
 	s := scenario(t, "huurtoets/engine crash in a wave")
 	for _, c := range s.Run(policy(t, home.Full), 1).Classes {
 		if c.Unfinished > 0 {
-			t.Errorf("%d requests of class %s unfinished", c.Unfinished, c.Class)
+			t.Errorf("%d requests of class %s unfinished at the end of the run, want none", c.Unfinished, c.Class)
 		}
 	}
 }
@@ -70,10 +70,10 @@
 		s := scenario(t, name)
 		r, b := s.Run(policy(t, home.Full), 1), s.Bound(1)
 		if got := r.Class(s.SurgeClass).SurgeOnTime; got > b.Surge {
-			t.Errorf("%s: %d requests of the surge on time, bound is %d", name, got, b.Surge)
+			t.Errorf("%s: %d requests of the surge on time, want at most the bound of %d", name, got, b.Surge)
 		}
 		if r.Goodput > b.Goodput {
-			t.Errorf("%s: goodput %.0f tokens/s, bound is %.0f", name, r.Goodput, b.Goodput)
+			t.Errorf("%s: goodput is %.0f tokens/s, want at most the bound of %.0f", name, r.Goodput, b.Goodput)
 		}
 	}
 }
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -97,13 +97,13 @@
 	return sim
 }
 
-// after schedules f to run after d.
+// after schedules f to run once, d from now.
 func (sim *simulation) after(d time.Duration, f func()) {
 	sim.seq++
 	heap.Push(&sim.events, event{sim.now + d, sim.seq, f})
 }
 
-// every schedules f to run after d and then periodically.
+// every schedules f to run at intervals of d, the first time d from now.
 func (sim *simulation) every(d time.Duration, f func()) {
 	var tick func()
 	tick = func() {
--- a/experiment/suite.go
+++ b/experiment/suite.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// surge adds a burst of a class at a multiple of the rate that its pool can serve.
+// surge adds a burst of class at times the rate that its pool can serve.
 func (s *Scenario) surge(class string, times float64) {
 	for i := range s.Workload.Classes {
 		c := &s.Workload.Classes[i]
--- a/experiment/table.go
+++ b/experiment/table.go
@@ -21,7 +21,7 @@
 	Tokens           Stat // goodput in tokens per second
 	Wasted           Stat // fraction of the computed tokens
 	Surge            Stat // on-time requests of the surge, as a fraction of Bound.Surge
-	UnknownLengths   Stat // the same, as a fraction of Bound.UnknownLengths
+	UnknownLengths   Stat // like Surge, but as a fraction of Bound.UnknownLengths
 	Others           Stat // attainment of the tier-0 requests of teams that no burst names
 	RecoveryTime     Stat // seconds
 	Gaps             Stat
