--- a/load/client.go
+++ b/load/client.go
@@ -109,7 +109,7 @@
 	return outcomes
 }
 
-// sleepUntil returns false if ctx is done before the time is reached.
+// sleepUntil waits until at and returns true, or returns false if ctx is done before.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	d := time.Until(at)
 	if d <= 0 {
@@ -170,7 +170,7 @@
 	}
 }
 
-// attempt sends a request once and records the response in o. It returns the delay
+// attempt sends o's request once and records the response in o. It returns the delay
 // before a retry, or zero if there must be none.
 func (c *Client) attempt(ctx context.Context, o *Outcome, start time.Time) time.Duration {
 	const reconnectDelay = 100 * time.Millisecond
--- a/load/table.go
+++ b/load/table.go
@@ -126,7 +126,7 @@
 	return errors.Wrap(t.Flush(), "around")
 }
 
-// attainment covers the arrivals in the seconds [from, to). Without any it is one.
+// attainment returns the on-time share of arrivals in seconds [from, to), 1 if none.
 func (r *Report) attainment(class, from, to int) float64 {
 	offered, onTime := 0, 0
 	for s := max(0, from); s < min(to, len(r.Series)); s++ {
--- a/load/workload.go
+++ b/load/workload.go
@@ -151,7 +151,7 @@
 	return out
 }
 
-// drawArrivals generates a Poisson process of varying rate by thinning.
+// drawArrivals generates t's requests of c: a Poisson process of varying rate, by thinning.
 func (w *Workload) drawArrivals(rng *rand.Rand, c *Class, t *Team) []Arrival {
 	base := c.Rate * t.Weight / w.totalWeight()
 	maxRate := base * w.maxRateFactor(c, t)
@@ -178,7 +178,7 @@
 	return sum
 }
 
-// rateFactor returns the product of the bursts at a time.
+// rateFactor returns the factor of all bursts on the rate of t's requests of c at time at.
 func (w *Workload) rateFactor(c *Class, t *Team, at time.Duration) float64 {
 	f := 1.0
 	for _, b := range w.Bursts {
