--- a/rig/rig.go
+++ b/rig/rig.go
@@ -109,7 +109,7 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// declarations returns a configuration. The revision makes its text distinct.
+// declarations returns a configuration whose text differs from that of other revisions.
 func declarations(pools, teams, revision int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# revision %d\nclasses:\n  - {name: verdict, tier: 0, whole: 30s, repeatable: false}\npools:\n", revision)
