--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -73,7 +73,7 @@
 type Query struct {
 	After int64         // return changes after this revision
 	Wait  time.Duration // how long to wait for a change if there is none yet
-	// Superseded, once closed, ends the wait with an error that matches fetch.ErrAbandoned. A
+	// Superseded, once closed, ends the wait with an error that matches fetch.ErrCanceled. A
 	// response that has begun to arrive is still read: if it were requested again each time, a
 	// large one would never complete while changes are frequent.
 	Superseded <-chan struct{}
--- a/discovery/follow.go
+++ b/discovery/follow.go
@@ -66,7 +66,7 @@
 
 	failing map[string]bool // sources whose last call failed, by name
 	backoff time.Duration
-	behind  bool // the last watch was abandoned because another instance has a newer revision
+	behind  bool // the last watch was canceled because another instance has a newer revision
 
 	needFullLoad bool      // the state differs from the upstream's
 	lastFullLoad time.Time // when it was last loaded in full for that reason
@@ -130,14 +130,14 @@
 	return false
 }
 
-// trySource reports whether a call succeeded, was abandoned because a peer has a newer revision, or
+// trySource reports whether a call succeeded, was canceled because a peer has a newer revision, or
 // was ended by ctx.
 func (f *Follower) trySource(ctx context.Context, s NamedSource, wait time.Duration) bool {
 	err := f.query(ctx, s, wait)
 	if ctx.Err() != nil {
 		return true
 	}
-	f.behind = errors.Is(err, fetch.ErrAbandoned)
+	f.behind = errors.Is(err, fetch.ErrCanceled)
 	if f.behind {
 		return true
 	}
--- a/discovery/follow_test.go
+++ b/discovery/follow_test.go
@@ -109,7 +109,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-q.Superseded:
-		return nil, fetch.ErrAbandoned
+		return nil, fetch.ErrCanceled
 	}
 }
 
@@ -187,7 +187,7 @@
 }
 
 // A newer revision at another instance ends a watch once. The source is not polled repeatedly.
-func TestAbandonedWatchIsRetriedOnce(t *testing.T) {
+func TestCanceledWatchIsRetriedOnce(t *testing.T) {
 	newerRevision := make(chan struct{})
 	close(newerRevision)
 	var signalled atomic.Bool
@@ -202,7 +202,7 @@
 	eventually(t, "a new watch", func() bool { return store.watches.Load() == 3 })
 	time.Sleep(300 * time.Millisecond)
 	if got := store.watches.Load(); got != 3 {
-		t.Fatalf("%d watches, want the abandoned one, one without wait, and one with wait", got)
+		t.Fatalf("%d watches, want the canceled one, one without wait, and one with wait", got)
 	}
 }
 
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -141,7 +141,7 @@
 // Load implements discovery.Source. Before a configuration is published, the update has none;
 // failing instead would make all instances of a new fleet read the store at once.
 func (r *Relay) Load(ctx context.Context) (*discovery.Update, error) {
-	u, err := r.read(ctx, url.Values{}, fetch.HeaderWait{Timeout: headerTimeout})
+	u, err := r.read(ctx, url.Values{}, fetch.HeaderOptions{Timeout: headerTimeout})
 	if err == nil && u.Revision == 0 {
 		return nil, errors.Errorf("relay: %s has no state yet", r.Address)
 	}
@@ -156,11 +156,11 @@
 		queryVersion: {strconv.FormatInt(r.Version(), 10)},
 		queryWait:    {strconv.FormatInt(q.Wait.Milliseconds(), 10)},
 		queryPartial: {"1"},
-	}, fetch.HeaderWait{Timeout: q.Wait + headerTimeout, Abandon: q.Superseded})
+	}, fetch.HeaderOptions{Timeout: q.Wait + headerTimeout, Cancel: q.Superseded})
 }
 
 // read fetches state and dates it by the time the request was sent, less the age in the response.
-func (r *Relay) read(ctx context.Context, query url.Values, wait fetch.HeaderWait) (*discovery.Update, error) {
+func (r *Relay) read(ctx context.Context, query url.Values, wait fetch.HeaderOptions) (*discovery.Update, error) {
 	sent := r.Now()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.Address+StatePath+"?"+query.Encode(), nil)
 	if err != nil {
--- a/internal/fetch/fetch.go
+++ b/internal/fetch/fetch.go
@@ -23,10 +23,10 @@
 
 // Reasons for which Do aborts a call.
 var (
-	ErrTooLong   = errors.New("response too long")
-	ErrIdle      = errors.New("source stopped sending")
-	ErrTooSlow   = errors.New("response took too long to arrive")
-	ErrAbandoned = errors.New("wait for the response was abandoned")
+	ErrTooLong  = errors.New("response too long")
+	ErrIdle     = errors.New("source stopped sending")
+	ErrTooSlow  = errors.New("response took too long to arrive")
+	ErrCanceled = errors.New("call canceled before the response header arrived")
 )
 
 // Keep-alive probes detect a connection that died without a reset within three seconds.
@@ -56,11 +56,11 @@
 	}
 }
 
-// A HeaderWait bounds the wait for the response header.
-type HeaderWait struct {
+// HeaderOptions control the wait for the response header.
+type HeaderOptions struct {
 	Timeout time.Duration // until the header arrives
-	// Abandon, if not nil and closed before the header has arrived, aborts the call.
-	Abandon  <-chan struct{}
+	// Cancel, if not nil and closed before the header has arrived, aborts the call.
+	Cancel   <-chan struct{}
 	OnHeader func() // called when the header has arrived; may be nil
 }
 
@@ -92,13 +92,13 @@
 
 // Do makes a call and reads its complete response, whose body may have up to maxBytes. Every error
 // is a *TruncatedError.
-func Do(client *http.Client, req *http.Request, maxBytes int64, w HeaderWait) (*Response, error) {
+func Do(client *http.Client, req *http.Request, maxBytes int64, w HeaderOptions) (*Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
 	defer cancel(nil)
 	idleTimer := time.AfterFunc(w.Timeout, func() { cancel(ErrIdle) })
 	defer idleTimer.Stop()
 	began := time.Now()
-	res, err := awaitHeader(ctx, cancel, client, req, w.Abandon)
+	res, err := awaitHeader(ctx, cancel, client, req, w.Cancel)
 	if err != nil {
 		return nil, &TruncatedError{Elapsed: time.Since(began), Err: cause(ctx, err)}
 	}
@@ -120,15 +120,16 @@
 	return out, nil
 }
 
-// awaitHeader returns when the response header has arrived. Closing abandon first aborts the call.
-func awaitHeader(ctx context.Context, cancel context.CancelCauseFunc, client *http.Client, req *http.Request, abandon <-chan struct{}) (*http.Response, error) {
+// awaitHeader returns when the response header has arrived. If canceled is closed first, it aborts
+// the call.
+func awaitHeader(ctx context.Context, cancel context.CancelCauseFunc, client *http.Client, req *http.Request, canceled <-chan struct{}) (*http.Response, error) {
 	returned := make(chan struct{})
 	defer close(returned)
 	go func() {
 		select {
 		case <-returned:
-		case <-abandon:
-			cancel(ErrAbandoned)
+		case <-canceled:
+			cancel(ErrCanceled)
 		}
 	}()
 	return client.Do(req.WithContext(ctx))
--- a/internal/fetch/fetch_test.go
+++ b/internal/fetch/fetch_test.go
@@ -26,7 +26,7 @@
 		w.WriteHeader(http.StatusGone)
 		_, _ = w.Write([]byte("whole"))
 	})
-	a, err := Do(http.DefaultClient, req, 5, HeaderWait{Timeout: time.Second})
+	a, err := Do(http.DefaultClient, req, 5, HeaderOptions{Timeout: time.Second})
 	if err != nil || a.Status != http.StatusGone || string(a.Body) != "whole" || a.TotalTime < a.HeaderTime {
 		t.Fatalf("got %+v, %v", a, err)
 	}
@@ -40,7 +40,7 @@
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
-	_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Second})
+	_, err := Do(http.DefaultClient, req, 100, HeaderOptions{Timeout: time.Second})
 	var truncated *TruncatedError
 	if !errors.As(err, &truncated) || !truncated.HeaderReceived || truncated.Bytes != len("a part") || !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("got %v", err)
@@ -51,7 +51,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	req := newRequest(ctx, t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Second})
+	_, err := Do(http.DefaultClient, req, 100, HeaderOptions{Timeout: time.Second})
 	var truncated *TruncatedError
 	if !errors.As(err, &truncated) || truncated.HeaderReceived {
 		t.Fatalf("got %v", err)
@@ -60,12 +60,12 @@
 
 func TestOversizedResponse(t *testing.T) {
 	req := newRequest(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("123456")) })
-	if _, err := Do(http.DefaultClient, req, 5, HeaderWait{Timeout: time.Second}); !errors.Is(err, ErrTooLong) {
+	if _, err := Do(http.DefaultClient, req, 5, HeaderOptions{Timeout: time.Second}); !errors.Is(err, ErrTooLong) {
 		t.Fatalf("got %v", err)
 	}
 }
 
-// Neither the timeout of the header nor Abandon ends a response whose header has arrived.
+// Neither the timeout of the header nor Cancel ends a response whose header has arrived.
 func TestSteadyResponseOutlastsHeaderTimeout(t *testing.T) {
 	const headerTimeout = 500 * time.Millisecond
 	req := newRequest(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) {
@@ -75,9 +75,9 @@
 			time.Sleep(headerTimeout / 2)
 		}
 	})
-	abandon := make(chan struct{})
-	time.AfterFunc(2*headerTimeout, func() { close(abandon) })
-	a, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: headerTimeout, Abandon: abandon})
+	canceled := make(chan struct{})
+	time.AfterFunc(2*headerTimeout, func() { close(canceled) })
+	a, err := Do(http.DefaultClient, req, 100, HeaderOptions{Timeout: headerTimeout, Cancel: canceled})
 	if err != nil || len(a.Body) != 6*len("a part") || a.TotalTime < 2*headerTimeout {
 		t.Fatalf("got %+v, %v", a, err)
 	}
@@ -93,7 +93,7 @@
 				}
 				<-r.Context().Done()
 			})
-			_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: 500 * time.Millisecond})
+			_, err := Do(http.DefaultClient, req, 100, HeaderOptions{Timeout: 500 * time.Millisecond})
 			var truncated *TruncatedError
 			if !errors.Is(err, ErrIdle) || !errors.As(err, &truncated) || truncated.HeaderReceived != sendsHeader {
 				t.Fatalf("got %v", err)
@@ -102,13 +102,13 @@
 	}
 }
 
-func TestAbandonEndsWaitForHeader(t *testing.T) {
-	abandon := make(chan struct{})
+func TestCancelEndsWaitForHeader(t *testing.T) {
+	canceled := make(chan struct{})
 	req := newRequest(context.Background(), t, func(_ http.ResponseWriter, r *http.Request) {
-		close(abandon)
+		close(canceled)
 		<-r.Context().Done()
 	})
-	if _, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Minute, Abandon: abandon}); !errors.Is(err, ErrAbandoned) {
+	if _, err := Do(http.DefaultClient, req, 100, HeaderOptions{Timeout: time.Minute, Cancel: canceled}); !errors.Is(err, ErrCanceled) {
 		t.Fatalf("got %v", err)
 	}
 }
--- a/inventory/blocked.go
+++ b/inventory/blocked.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return errors.Wrap(err, "inventory")
 	}
-	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.HeaderWait{Timeout: c.Wait})
+	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.HeaderOptions{Timeout: c.Wait})
 	if err != nil {
 		return errors.Wrapf(err, "inventory: %s", address)
 	}
--- a/inventory/http.go
+++ b/inventory/http.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return errors.Wrap(err, "inventory")
 	}
-	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.HeaderWait{Timeout: c.Wait})
+	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.HeaderOptions{Timeout: c.Wait})
 	if err != nil {
 		return errors.Wrapf(err, "inventory: %s", address)
 	}
--- a/platformclient/platformclient.go
+++ b/platformclient/platformclient.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "publish")
 	}
-	resp, err := fetch.Do(c.http, req, 2*MaxValue, fetch.HeaderWait{Timeout: wait + responseDelay})
+	resp, err := fetch.Do(c.http, req, 2*MaxValue, fetch.HeaderOptions{Timeout: wait + responseDelay})
 	if err != nil {
 		return nil, errors.Wrap(err, "publish")
 	}
