--- a/balance/fair.go
+++ b/balance/fair.go
@@ -92,7 +92,7 @@
 	if d.Counted {
 		return nil
 	}
-	r := fair.Request{Team: d.Team, Level: d.level(), Work: requestedWork, Unlimited: d.Sent, Chance: rand.Float64()}
+	r := fair.Request{Team: d.Team, Level: d.level(), Work: requestedWork, Unlimited: d.Sent, Random: rand.Float64()}
 	if d.Service.Engine == nil {
 		r.Congestion = b.plainCongestion(endpoints, d, now)
 	} else {
@@ -107,7 +107,7 @@
 		r.Unlimited = true
 	}
 	s := b.sharesOf(d.Service.Name)
-	over, refused := s.Offer(now, &r)
+	over, refused := s.Admit(now, &r)
 	if !refused {
 		return nil
 	}
@@ -117,7 +117,7 @@
 // grantShare counts a placed request with the work counted in its team's demand, which may differ
 // from the work at the endpoint finally chosen. The caller holds b.mu.
 func (b *Balancer) grantShare(d *Demand, requestedWork float64, now time.Time) {
-	b.sharesOf(d.Service.Name).Grant(now, d.Team, d.level(), requestedWork)
+	b.sharesOf(d.Service.Name).RecordGranted(now, d.Team, d.level(), requestedWork)
 }
 
 func shareRetryAfter(d *Demand) time.Duration {
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -328,7 +328,7 @@
 	stats.permits.count(now, false)
 	atAny := &Placement{Pace: Pace{PrefillPerToken: loads[0].prefillPerToken, StepTime: loads[0].stepTime}}
 	r := fair.Request{Team: d.Team, Level: d.level(), Work: work(d, atAny), Congestion: stats.limitCongestion(now), Unlimited: true}
-	b.sharesOf(d.Service.Name).Offer(now, &r)
+	b.sharesOf(d.Service.Name).Admit(now, &r)
 }
 
 const (
--- a/fair/fair.go
+++ b/fair/fair.go
@@ -74,7 +74,7 @@
 	Work       float64
 	Congestion float64 // of the service for this level; congested from 1
 	Unlimited  bool    // count the request but never refuse it
-	Chance     float64 // random, from 0 to 1
+	Random     float64 // uniformly distributed from 0 to 1
 }
 
 // Above reports whether a team's use at a level is above the fair rate.
@@ -86,9 +86,9 @@
 	return s.use(now, level, team)+s.urgentUse(now, level, team) > p.rate && !s.soleUser(now, level, team)
 }
 
-// Offer counts a request and reports whether it is to be refused because the team is above the fair
+// Admit counts a request and reports whether it is to be refused because the team is above the fair
 // rate. If so, over is the team's use as a multiple of the fair rate.
-func (s *Shares) Offer(now time.Time, r *Request) (over float64, refused bool) {
+func (s *Shares) Admit(now time.Time, r *Request) (over float64, refused bool) {
 	p := &s.pools[r.Level]
 	c := p.own.add(now, r.Team, r.Work)
 	s.adjustRate(now, r.Level, r.Congestion)
@@ -104,15 +104,15 @@
 	if use+urgentUse <= p.rate || s.soleUser(now, r.Level, r.Team) {
 		return 0, false
 	}
-	if r.Chance < (p.rate-urgentUse)/use {
+	if r.Random < (p.rate-urgentUse)/use {
 		return 0, false
 	}
 	p.markLimited(now, r.Team)
 	return (use + urgentUse) / p.rate, true
 }
 
-// Grant counts the work of a request that was not refused.
-func (s *Shares) Grant(now time.Time, team uint32, level int, work float64) {
+// RecordGranted counts the work of a request that was not refused.
+func (s *Shares) RecordGranted(now time.Time, team uint32, level int, work float64) {
 	s.pools[level].own.grant(now, team, work)
 }
 
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -26,10 +26,10 @@
 			r := &fair.Request{
 				Team:  uint32(rapid.IntRange(1, teams).Draw(t, "team")),
 				Level: rapid.IntRange(0, fair.Levels-1).Draw(t, "level"), Work: rapid.Float64Range(0.1, 10).Draw(t, "work"),
-				Congestion: rapid.Float64Range(0, maxCongestion).Draw(t, "congestion"), Chance: rapid.Float64Range(0, 1).Draw(t, "chance"),
+				Congestion: rapid.Float64Range(0, maxCongestion).Draw(t, "congestion"), Random: rapid.Float64Range(0, 1).Draw(t, "chance"),
 				Unlimited: rapid.IntRange(0, 3).Draw(t, "fixed") == 0,
 			}
-			over, refused := s.Offer(now, r)
+			over, refused := s.Admit(now, r)
 			if refused && (spare || teams == 1 || r.Unlimited || over <= 1) {
 				t.Fatalf("refused at %.2f times the fair rate: %+v", over, r)
 			}
@@ -63,15 +63,15 @@
 	step     = 10 * time.Millisecond
 )
 
-// send offers a request of one unit of work and reports whether it is served.
+// send submits a request of one unit of work and reports whether it is served.
 func (f *fleet) send(scheduler int, team uint32) bool {
 	s := f.schedulers[scheduler%len(f.schedulers)]
 	// Congestion is 1 at 60 ms of queued work; the queue is full at 120 ms.
-	_, refused := s.Offer(f.now, &fair.Request{Team: team, Level: 2, Work: 1, Congestion: f.queue / (0.06 * capacity), Chance: f.rand.Float64()})
+	_, refused := s.Admit(f.now, &fair.Request{Team: team, Level: 2, Work: 1, Congestion: f.queue / (0.06 * capacity), Random: f.rand.Float64()})
 	if refused || f.queue > 0.12*capacity {
 		return false
 	}
-	s.Grant(f.now, team, 2, 1)
+	s.RecordGranted(f.now, team, 2, 1)
 	f.queue++
 	return true
 }
@@ -179,7 +179,7 @@
 	now := time.Unix(1000, 0)
 	var s fair.Shares
 	for i := range 100_000 {
-		s.Offer(now, &fair.Request{Team: uint32(i%23000 + 1), Level: 2, Work: 1, Congestion: 2, Chance: 1})
+		s.Admit(now, &fair.Request{Team: uint32(i%23000 + 1), Level: 2, Work: 1, Congestion: 2, Random: 1})
 		now = now.Add(100 * time.Microsecond)
 	}
 	if n := len(s.Report(now)); n > 16 {
@@ -204,11 +204,11 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				i++
-				r := &fair.Request{Team: uint32(i*7919%teams + 1), Level: 2, Work: 1, Congestion: 2, Chance: 0.5}
-				s.Offer(now, r)
+				r := &fair.Request{Team: uint32(i*7919%teams + 1), Level: 2, Work: 1, Congestion: 2, Random: 0.5}
+				s.Admit(now, r)
 				now = now.Add(100 * time.Microsecond)
 				if i%2000 == 0 {
-					other.Offer(now, r)
+					other.Admit(now, r)
 					s.Merge(now, 1, other.Report(now))
 				}
 			}
@@ -219,20 +219,20 @@
 func TestTeamsAboveTheFairRate(t *testing.T) {
 	var s fair.Shares
 	now := time.Unix(1000, 0)
-	offer := func(steps int, congestion float64) {
+	send := func(steps int, congestion float64) {
 		for range steps {
 			now = now.Add(10 * time.Millisecond)
-			s.Offer(now, &fair.Request{Team: 1, Work: 10, Congestion: congestion, Unlimited: true})
-			s.Offer(now, &fair.Request{Team: 2, Work: 1, Congestion: congestion, Unlimited: true})
-			s.Grant(now, 1, 0, 1)
-			s.Grant(now, 2, 0, 1)
+			s.Admit(now, &fair.Request{Team: 1, Work: 10, Congestion: congestion, Unlimited: true})
+			s.Admit(now, &fair.Request{Team: 2, Work: 1, Congestion: congestion, Unlimited: true})
+			s.RecordGranted(now, 1, 0, 1)
+			s.RecordGranted(now, 2, 0, 1)
 		}
 	}
-	offer(400, 0)
+	send(400, 0)
 	if s.Above(now, 1, 0) {
 		t.Error("a team is above the fair rate without congestion")
 	}
-	offer(50, 3)
+	send(50, 3)
 	if !s.Above(now, 1, 0) || s.Above(now, 2, 0) || s.Above(now, 3, 0) {
 		t.Errorf("above the fair rate: %v at use 10, %v at use 1, %v at use 0", s.Above(now, 1, 0), s.Above(now, 2, 0), s.Above(now, 3, 0))
 	}
--- a/fair/granted_test.go
+++ b/fair/granted_test.go
@@ -24,12 +24,12 @@
 			if i < 2000 {
 				congestion = 0.5
 			}
-			r := fair.Request{Team: team, Work: 1, Congestion: congestion, Chance: float64(i*7919%1000) / 1000}
-			if _, denied := s.Offer(now, &r); denied {
+			r := fair.Request{Team: team, Work: 1, Congestion: congestion, Random: float64(i*7919%1000) / 1000}
+			if _, denied := s.Admit(now, &r); denied {
 				refused++
 				continue
 			}
-			s.Grant(now, team, 0, granted)
+			s.RecordGranted(now, team, 0, granted)
 		}
 		t.Logf("granted %.0f: %d refused", granted, refused)
 		if refused == 0 {
