--- a/memory/memory.go
+++ b/memory/memory.go
@@ -53,8 +53,8 @@
 type Cause string
 
 const (
-	Full     Cause = "full"      // the limit for the request's priority is reached
-	TeamHigh Cause = "team-high" // the request's team holds too much
+	OverLimit     Cause = "full"      // the limit for the request's priority is reached
+	TeamOverLimit Cause = "team-high" // the request's team holds too much
 )
 
 // An Account counts the memory in use against a limit. Use New to create one.
@@ -149,22 +149,22 @@
 func (a *Account) Admit(team uint64, priority int, n int64) (*Reservation, Cause) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.teamHigh(team, n) {
-		a.refused[TeamHigh]++
-		return nil, TeamHigh
+	if a.teamOverLimit(team, n) {
+		a.refused[TeamOverLimit]++
+		return nil, TeamOverLimit
 	}
 	r := &Reservation{account: a, team: team}
 	if !a.acquire(Requests, team, n, admitThreshold-admitStep*float64(min(max(priority, 0), lowestPriority))) {
-		a.refused[Full]++
-		return nil, Full
+		a.refused[OverLimit]++
+		return nil, OverLimit
 	}
 	r.held[Requests] = n
 	return r, ""
 }
 
-// teamHigh reports whether a team with n more bytes holds too much while memory is scarce and other
-// teams hold some. The caller holds a.mu.
-func (a *Account) teamHigh(team uint64, n int64) bool {
+// teamOverLimit reports whether a team with n more bytes holds too much while memory is scarce and
+// other teams hold some. The caller holds a.mu.
+func (a *Account) teamOverLimit(team uint64, n int64) bool {
 	others := len(a.teams)
 	if a.teams[team] > 0 {
 		others--
--- a/memory/memory_test.go
+++ b/memory/memory_test.go
@@ -23,15 +23,15 @@
 	}{
 		{"low use", 10, 1, 0, 9, ""},
 		{"large team, low use", 10, 1, 30, 9, ""},
-		{"large team, medium use", 55, 1, 30, 0, memory.TeamHigh},
+		{"large team, medium use", 55, 1, 30, 0, memory.TeamOverLimit},
 		{"sole team", 55, 1, 55, 0, ""},
 		{"other team, medium use", 55, 2, 0, 0, ""},
 		{"no team, medium use", 55, 0, 0, 0, ""},
-		{"lowest priority", 76, 2, 0, 3, memory.Full},
+		{"lowest priority", 76, 2, 0, 3, memory.OverLimit},
 		{"second lowest priority", 76, 2, 0, 2, ""},
-		{"second highest priority", 86, 2, 0, 1, memory.Full},
+		{"second highest priority", 86, 2, 0, 1, memory.OverLimit},
 		{"highest priority", 86, 2, 0, 0, ""},
-		{"highest priority, full", 91, 2, 0, 0, memory.Full},
+		{"highest priority, full", 91, 2, 0, 0, memory.OverLimit},
 	} {
 		a := memory.New(100 * mb * 100 / 85) // 0.15 of the limit is reserved for Buffered
 		if a.Reserve(memory.Buffered, 17*mb) == nil {
