--- a/balance/limit.go
+++ b/balance/limit.go
@@ -5,9 +5,9 @@
 //
 // An endpoint with a rate limit is eligible while a permit for it is held or may be requested.
 // Choosing it does not grant a permit: Admit returns PermitWanted, and the caller requests a permit
-// from the instance that allocates the limit, records the answer with EndPermitRequest, and chooses
-// again. So no request blocks on an unavailable permit, and no load is counted at an endpoint that
-// does not receive the request.
+// from the instance that allocates the limit, records the decision with EndPermitRequest, and
+// chooses again. So no request blocks on an unavailable permit, and no load is counted at an
+// endpoint that does not receive the request.
 //
 // Static shares of a low rate do not work: with many instances, a share is less than one request
 // and is wasted where there is no demand.
@@ -40,7 +40,7 @@
 	deniedUntil         [limit.Levels]time.Time // by urgency: no permit may be requested before then at this or lower urgency
 	requestPendingUntil time.Time               // a permit request is in flight until then at the latest
 	permits             []time.Time             // expiry times of permits held
-	allocator           string                  // address of the instance that answered last
+	allocator           string                  // address of the instance that decided last
 	loggedAt            time.Time
 }
 
@@ -113,7 +113,7 @@
 	defer b.mu.Unlock()
 	now := b.now()
 	l := b.ensureLimit(p.load)
-	if !l.rateLimit.Set(rate, now) {
+	if !l.rateLimit.SetLimit(rate, now) {
 		return false
 	}
 	return p.limitChanged(l, now)
@@ -212,9 +212,9 @@
 	return l.hash, l.limitState.rateLimit, true
 }
 
-// EndPermitRequest records the answer of the instance at address allocator to a permit request that
-// was sent at sentAt.
-func (b *Balancer) EndPermitRequest(endpoint uint32, urgency int, a limit.Answer, allocator string, sentAt time.Time) {
+// EndPermitRequest records the decision of the instance at address allocator on a permit request
+// that was sent at sentAt.
+func (b *Balancer) EndPermitRequest(endpoint uint32, urgency int, decision limit.Decision, allocator string, sentAt time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.loadsByHash[endpoint]
@@ -222,14 +222,14 @@
 		return
 	}
 	lim := l.limitState
-	lim.rateLimit.Merge(a.State)
+	lim.rateLimit.Merge(decision.State)
 	lim.requestPendingUntil = time.Time{}
 	lim.allocator = allocator
-	if a.Granted {
+	if decision.Granted {
 		lim.permits = append(lim.permits, sentAt.Add(PermitDuration))
 		return
 	}
-	until := b.now().Add(a.Wait)
+	until := b.now().Add(decision.Wait)
 	lim.deniedUntil[urgency] = until
 	b.limitsClosedUntil = latest(b.limitsClosedUntil, until)
 }
@@ -384,7 +384,7 @@
 	DataCentre string
 	Rate       float64       // requests/s from all instances together
 	Age        time.Duration // since it was announced
-	Allocator  string        // address of the instance that last allocated it; empty: none was asked
+	Allocator  string        // address of the instance that last allocated it; empty: no permit was requested
 	Closed     time.Duration // time until a permit may be requested
 	Permits    int           // held
 }
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -37,7 +37,7 @@
 	if _, _, again := b.BeginPermitRequest(refusal.Limited, urgency); again {
 		t.Error("two permit requests in flight")
 	}
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
 	p, refusal = b.Admit(f.endpoints, f.stream())
 	if refusal != nil || !p.MaySend() {
 		t.Fatalf("refused with a permit: %+v", refusal)
@@ -56,7 +56,7 @@
 	b := f.balancer()
 	f.announceLimit(b, 0, 1.2)
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Wait: 700 * time.Millisecond}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Wait: 700 * time.Millisecond}, "a", f.now)
 	for range 10 {
 		if p, refusal := b.Admit(f.endpoints, f.stream()); refusal != nil || p.Endpoint != f.endpoints[1] {
 			t.Fatalf("got %+v, want a placement at the other endpoint", refusal)
@@ -88,7 +88,7 @@
 	b := f.balancer()
 	f.announceLimit(b, 0, 1.2)
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], 4)
-	b.EndPermitRequest(endpoint, 4, limit.Answer{Wait: time.Second}, "a", f.now)
+	b.EndPermitRequest(endpoint, 4, limit.Decision{Wait: time.Second}, "a", f.now)
 	if _, refusal := b.Admit(f.endpoints, f.long(9)); refusal == nil || refusal.Cause != balance.EndpointsLimited {
 		t.Errorf("less urgent request got %+v, want cause EndpointsLimited", refusal)
 	}
@@ -107,7 +107,7 @@
 		t.Error("request may be sent without a permit")
 	}
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
 	p, _ := b.Admit(f.endpoints, f.stream())
 	p.Done(balance.Unknown) // connection failed
 	p, refusal := b.Admit(f.endpoints, f.stream())
@@ -131,7 +131,7 @@
 		t.Error("response that may predate the limit lifts it")
 	}
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
 	p, _ := b.Admit(f.endpoints, f.stream())
 	f.now = f.now.Add(2 * time.Second)
 	if !p.RecordNoLimit() {
@@ -159,7 +159,7 @@
 		t.Errorf("sums %+v, want one with the limit", sums)
 	}
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
 	f.now = f.now.Add(400 * time.Millisecond)
 	p, _ := b.Admit(f.endpoints, f.stream())
 	p.RecordNoLimit()
@@ -203,7 +203,7 @@
 		t.Fatalf("got %+v, %+v, want refusal with cause PermitWanted", p, refusal)
 	}
 	endpoint, _, _ := instance.BeginPermitRequest(f.endpoints[0], urgency)
-	instance.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	instance.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
 	if p, _ = instance.Adopt(c, f.endpoints, f.stream()); p == nil || !p.MaySend() {
 		t.Error("grant is not adopted with a permit")
 	}
@@ -227,9 +227,9 @@
 					placed = append(placed, p)
 				} else if refusal != nil && refusal.Cause == balance.PermitWanted {
 					if endpoint, _, ok := b.BeginPermitRequest(refusal.Limited, urgency); ok {
-						answer := limit.Answer{Granted: rapid.Bool().Draw(rt, "granted"), Wait: time.Duration(rapid.IntRange(1, 500).Draw(rt, "wait")) * time.Millisecond}
-						b.EndPermitRequest(endpoint, urgency, answer, "a", f.now)
-						if answer.Granted {
+						decision := limit.Decision{Granted: rapid.Bool().Draw(rt, "granted"), Wait: time.Duration(rapid.IntRange(1, 500).Draw(rt, "wait")) * time.Millisecond}
+						b.EndPermitRequest(endpoint, urgency, decision, "a", f.now)
+						if decision.Granted {
 							granted[endpoint] = append(granted[endpoint], f.now)
 						}
 					}
--- a/gossip/late_permit_test.go
+++ b/gossip/late_permit_test.go
@@ -30,7 +30,7 @@
 	if _, answered := d.client.requestPermitFrom(context.Background(), address, request); answered {
 		t.Fatal("an allocator that doesn't receive answered")
 	}
-	d.client.Balancer.EndPermitRequest(endpoint, 0, limit.Answer{Wait: limit.NoShareWait}, "", requestedAt)
+	d.client.Balancer.EndPermitRequest(endpoint, 0, limit.Decision{Wait: limit.NoShareWait}, "", requestedAt)
 	if _, refusal := d.client.Balancer.Admit(d.endpoints, d.demand); refusal == nil {
 		t.Fatal("request placed without a permit")
 	}
--- a/gossip/permit.go
+++ b/gossip/permit.go
@@ -39,14 +39,14 @@
 	allocator := g.limitAllocator(requestedAt, endpoint, e.DataCentre)
 	g.mu.Unlock()
 	request := &PermitRequest{Endpoint: endpoint, DataCentre: e.DataCentre, Urgency: urgency, Limit: reportedLimit(&rateLimit, requestedAt)}
-	answer := limit.Answer{Wait: limit.NoShareWait}
+	decision := limit.Decision{Wait: limit.NoShareWait}
 	for range maxPermitHops {
 		if allocator == "" {
 			g.Count("permit-nobody")
 			break
 		}
 		if allocator == g.Address {
-			answer, _ = g.allocate(request)
+			decision, _ = g.allocate(request)
 			g.Count("permit-own")
 			break
 		}
@@ -55,9 +55,9 @@
 			g.Count("permit-unanswered")
 			break
 		}
-		answer = limit.Answer{Granted: response.Granted, Wait: response.Wait, State: rateLimit}
+		decision = limit.Decision{Granted: response.Granted, Wait: response.Wait, State: rateLimit}
 		if response.Limit.Known {
-			answer.State = response.Limit.State(g.Now())
+			decision.State = response.Limit.State(g.Now())
 		}
 		if response.Allocator == "" || response.Allocator == allocator {
 			break
@@ -65,8 +65,8 @@
 		g.Count("permit-redirected")
 		allocator = response.Allocator
 	}
-	g.Balancer.EndPermitRequest(endpoint, urgency, answer, allocator, requestedAt)
-	if !answer.Granted {
+	g.Balancer.EndPermitRequest(endpoint, urgency, decision, allocator, requestedAt)
+	if !decision.Granted {
 		g.Count("permit-denied")
 		return 0
 	}
@@ -141,7 +141,7 @@
 }
 
 // allocate decides a permit request, or returns the address of the allocator if that is another.
-func (g *Gossip) allocate(request *PermitRequest) (answer limit.Answer, allocator string) {
+func (g *Gossip) allocate(request *PermitRequest) (decision limit.Decision, allocator string) {
 	now := g.Now()
 	rateLimit := request.Limit.State(now)
 	rateLimit.Merge(g.Balancer.LimitState(request.Endpoint))
@@ -149,16 +149,16 @@
 	defer g.mu.Unlock()
 	allocator = g.limitAllocator(now, request.Endpoint, request.DataCentre)
 	if allocator != g.Address {
-		return limit.Answer{Wait: limit.NoShareWait, State: rateLimit}, allocator
+		return limit.Decision{Wait: limit.NoShareWait, State: rateLimit}, allocator
 	}
 	share := g.limitShare(now, request.DataCentre)
-	return g.limits.allocator.Ask(request.Endpoint, rateLimit, share, request.Urgency, now, rand.Float64()), ""
+	return g.limits.allocator.Allocate(request.Endpoint, rateLimit, share, request.Urgency, now, rand.Float64()), ""
 }
 
 func (g *Gossip) handlePermitRequest(to netip.AddrPort, request *PermitRequest) {
-	answer, allocator := g.allocate(request)
+	decision, allocator := g.allocate(request)
 	now := g.Now()
-	response := &PermitResponse{Number: request.Number, Granted: answer.Granted, Wait: answer.Wait, Allocator: allocator, Limit: reportedLimit(&answer.State, now)}
+	response := &PermitResponse{Number: request.Number, Granted: decision.Granted, Wait: decision.Wait, Allocator: allocator, Limit: reportedLimit(&decision.State, now)}
 	g.sendDirect(&Message{Sender: g.id, DataCentre: g.DataCentre, PermitResponse: response}, to)
 	g.Count("permits")
 }
@@ -183,7 +183,7 @@
 		return
 	}
 	// The permit was already charged to the limit; keep it for the next request.
-	answer := limit.Answer{Granted: true, State: response.Limit.State(now)}
-	g.Balancer.EndPermitRequest(abandoned.request.Endpoint, abandoned.request.Urgency, answer, abandoned.allocator, abandoned.sentAt)
+	decision := limit.Decision{Granted: true, State: response.Limit.State(now)}
+	g.Balancer.EndPermitRequest(abandoned.request.Endpoint, abandoned.request.Urgency, decision, abandoned.allocator, abandoned.sentAt)
 	g.Count("permit-late-kept")
 }
--- a/gossip/permit_test.go
+++ b/gossip/permit_test.go
@@ -59,23 +59,23 @@
 	n.mu.Lock()
 	to := n.limitAllocator(c.w.now, req.Endpoint, req.DataCentre)
 	n.mu.Unlock()
-	answer := limit.Answer{Wait: limit.NoShareWait}
+	decision := limit.Decision{Wait: limit.NoShareWait}
 	for range maxPermitHops {
 		other := c.w.byAddress(to)
 		if other == nil || !c.w.reaches(n, other) || !c.w.reaches(other, n) {
 			break
 		}
 		c.requests++
-		answer, to = other.allocate(req)
+		decision, to = other.allocate(req)
 		if to == "" {
 			break
 		}
 	}
-	if answer.Granted {
+	if decision.Granted {
 		c.permits = append(c.permits, c.w.now)
 		return
 	}
-	c.retryAt[n] = c.w.now.Add(answer.Wait)
+	c.retryAt[n] = c.w.now.Add(decision.Wait)
 }
 
 // byAddress returns the live instance at an address, or nil.
--- a/limit/allocator.go
+++ b/limit/allocator.go
@@ -60,8 +60,8 @@
 	b.updatedAt = now
 }
 
-// take spends a token and returns zero, or returns the delay until the client may ask again. Chance
-// is random, from 0 to 1.
+// take spends a token and returns zero, or returns the delay until the client may request
+// again. Chance is random, from 0 to 1.
 func (b *bucket) take(rate float64, level int, now time.Time, chance float64) (wait time.Duration) {
 	b.refill(rate, now)
 	b.requests++
@@ -109,17 +109,17 @@
 	sweptAt   time.Time
 }
 
-// An Answer is the reply to a permit request.
-type Answer struct {
+// A Decision is the outcome of a permit request.
+type Decision struct {
 	Granted bool          // one request may be sent
 	Wait    time.Duration // if not Granted: the delay until the next permit request
 	State   State         // the allocator's knowledge of the limit; without a limit no permits are needed
 }
 
-// Ask handles a request for a permit to send one request of a level to an endpoint. State is the
-// client's knowledge of the limit. Share is the fraction of the rate that this allocator may grant,
-// from 0 to 1; at 0 it grants nothing. Chance is random, from 0 to 1.
-func (a *Allocator) Ask(endpoint uint32, state State, share float64, level int, now time.Time, chance float64) Answer {
+// Allocate handles a request for a permit to send one request of a level to an endpoint. State is
+// the client's knowledge of the limit. Share is the fraction of the rate that this allocator may
+// grant, from 0 to 1; at 0 it grants nothing. Chance is random, from 0 to 1.
+func (a *Allocator) Allocate(endpoint uint32, state State, share float64, level int, now time.Time, chance float64) Decision {
 	a.sweep(now)
 	if a.endpoints == nil {
 		a.endpoints = make(map[uint32]*entry)
@@ -132,17 +132,17 @@
 	e.state.Merge(state)
 	e.requestedAt = now
 	if e.state.Known() && !e.state.Limited {
-		return Answer{Granted: true, State: e.state}
+		return Decision{Granted: true, State: e.state}
 	}
 	if share <= 0 {
-		return Answer{Wait: NoShareWait, State: e.state}
+		return Decision{Wait: NoShareWait, State: e.state}
 	}
 	rate := share * max(minRate, e.state.Rate)
 	wait := e.take(rate, min(max(level, 0), Levels-1), now, chance)
 	if wait == 0 {
 		e.permits++
 	}
-	return Answer{Granted: wait == 0, Wait: wait, State: e.state}
+	return Decision{Granted: wait == 0, Wait: wait, State: e.state}
 }
 
 // Permits returns the number of permits granted for an endpoint since it was added.
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -2,9 +2,9 @@
 // instances together.
 //
 // An equal share of a low rate is less than one request for each of hundreds of instances. So one
-// instance, computed by AllocatorOf, allocates the rate of an endpoint: the others ask it for a
-// permit before each request, and its Allocator applies a token bucket. How much of the rate it may
-// grant depends on which instances it hears (quota.PartitionView).
+// instance, computed by AllocatorOf, allocates the rate of an endpoint: the others request a permit
+// before each request, and its Allocator applies a token bucket. How much of the rate it may grant
+// depends on which instances it can reach (quota.PartitionView).
 //
 // Times and random numbers are passed in. Nothing here is safe for concurrent use.
 package limit
@@ -21,9 +21,9 @@
 
 func (s *State) Known() bool { return !s.AsOf.IsZero() }
 
-// Set records a response, received now, that states a limit of rate in requests per second. It
+// SetLimit records a response, received now, that states a limit of rate in requests per second. It
 // reports whether the limit has changed.
-func (s *State) Set(rate float64, now time.Time) (changed bool) {
+func (s *State) SetLimit(rate float64, now time.Time) (changed bool) {
 	changed = !s.Limited || s.Rate != rate
 	*s = State{Limited: true, Rate: rate, AsOf: now}
 	return changed
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -19,13 +19,13 @@
 	if s.Known() || s.Lift(start) {
 		t.Error("a zero State is known or has a limit")
 	}
-	if !s.Set(1.2, start) || s.Set(1.2, start.Add(time.Second)) {
-		t.Error("Set reports a change other than for a new limit")
+	if !s.SetLimit(1.2, start) || s.SetLimit(1.2, start.Add(time.Second)) {
+		t.Error("SetLimit reports a change other than for a new limit")
 	}
 	if s.Lift(start.Add(500 * time.Millisecond)) {
 		t.Error("a response to a request sent before the limit was stated lifts it")
 	}
-	if !s.Set(0.5, start.Add(2*time.Second)) || s.Rate != 0.5 {
+	if !s.SetLimit(0.5, start.Add(2*time.Second)) || s.Rate != 0.5 {
 		t.Error("a lower limit is not reported as a change")
 	}
 	other := s
@@ -43,7 +43,7 @@
 // Guards against a State that is relayed in circles and appears newer each time.
 func TestRelayedStatesDoNotOutliveNewerOnes(t *testing.T) {
 	var a, b limit.State
-	a.Set(2, start)
+	a.SetLimit(2, start)
 	const delay = 200 * time.Millisecond
 	now := start
 	for range 1000 {
@@ -92,7 +92,7 @@
 	return out
 }
 
-// A client is an instance that asks again after the delay it was told.
+// A client is an instance that requests again after the delay of the decision.
 type client struct {
 	next  time.Time
 	level int
@@ -115,12 +115,12 @@
 				continue
 			}
 			out.requests++
-			answer := allocator.Ask(7, state, share, c.level, now, rng.Float64())
+			decision := allocator.Allocate(7, state, share, c.level, now, rng.Float64())
 			c.next = now.Add(pause + 2*time.Millisecond)
-			if answer.Granted {
+			if decision.Granted {
 				out.granted = append(out.granted, now)
 				out.byLevel[c.level]++
-			} else if later := now.Add(answer.Wait); later.After(c.next) {
+			} else if later := now.Add(decision.Wait); later.After(c.next) {
 				c.next = later
 			}
 		}
@@ -181,14 +181,14 @@
 	next := start
 	for now := start; now.Before(start.Add(30 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		if !now.Before(next) {
-			if a := allocator.Ask(7, state, 1, 0, now, 0); a.Granted {
+			if a := allocator.Allocate(7, state, 1, 0, now, 0); a.Granted {
 				urgent++
 				next = now.Add(2 * time.Second)
 			} else {
 				next = now.Add(a.Wait)
 			}
 		}
-		if allocator.Ask(7, state, 1, 2, now, 0).Granted {
+		if allocator.Allocate(7, state, 1, 2, now, 0).Granted {
 			other++
 		}
 	}
@@ -200,10 +200,10 @@
 // An allocator without a share grants nothing, unless the endpoint has no limit.
 func TestAllocatorWithoutShare(t *testing.T) {
 	allocator := new(limit.Allocator)
-	if a := allocator.Ask(7, limit.State{Limited: true, Rate: 50, AsOf: start}, 0, 0, start.Add(time.Minute), 0); a.Granted || a.Wait != limit.NoShareWait {
+	if a := allocator.Allocate(7, limit.State{Limited: true, Rate: 50, AsOf: start}, 0, 0, start.Add(time.Minute), 0); a.Granted || a.Wait != limit.NoShareWait {
 		t.Errorf("got %+v", a)
 	}
-	if a := allocator.Ask(7, limit.State{AsOf: start.Add(time.Second)}, 0, 0, start.Add(time.Minute), 0); !a.Granted || a.State.Limited {
+	if a := allocator.Allocate(7, limit.State{AsOf: start.Add(time.Second)}, 0, 0, start.Add(time.Minute), 0); !a.Granted || a.State.Limited {
 		t.Errorf("got %+v", a)
 	}
 }
@@ -249,6 +249,6 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
-		allocator.Ask(uint32(i%690), state, 1, i%limit.Levels, now, 0.5)
+		allocator.Allocate(uint32(i%690), state, 1, i%limit.Levels, now, 0.5)
 	}
 }
