--- a/gossip/limit_allocation.go
+++ b/gossip/limit_allocation.go
@@ -55,7 +55,7 @@
 			reported = max(reported, m.regionSize)
 		}
 	})
-	view.Heard, view.MaxPeerHeard, view.DataCentres = direct, reported, len(dataCentres)
+	view.Reachable, view.MaxPeerReachable, view.DataCentres = direct, reported, len(dataCentres)
 	return view
 }
 
--- a/gossip/shares.go
+++ b/gossip/shares.go
@@ -26,7 +26,7 @@
 // quotaView returns what this instance knows of the instances that divide a budget.
 func (s *members) quotaView(r *roles, dataCentres int) quota.View {
 	return quota.View{
-		Heard:       r.dataCentreSize(),
+		Reachable:   r.dataCentreSize(),
 		Isolated:    s.isolated(r),
 		IsScheduler: r.isScheduler && len(r.predecessors) < r.activeSchedulers(),
 		Schedulers:  r.activeSchedulers(),
--- a/quota/claim_test.go
+++ b/quota/claim_test.go
@@ -7,8 +7,8 @@
 	"ivyridge/quota"
 )
 
-// The model is one data centre of three instances. The first of those that are heard is the
-// scheduler. An instance counts as heard for heartbeatTimeout. One event happens before each step.
+// The model is one data centre of three instances. The first of those that are reachable is the
+// scheduler. An instance counts as reachable for heartbeatTimeout. One event happens before each step.
 const (
 	modelSize        = 3
 	modelStep        = 900 * time.Millisecond
@@ -17,11 +17,11 @@
 )
 
 type claimant struct {
-	claim     quota.Claim
-	share     quota.Lease
-	lastHeard [modelSize]time.Time // by sender
-	dead      bool
-	paused    bool // neither sends nor updates its share
+	claim         quota.Claim
+	share         quota.Lease
+	lastHeartbeat [modelSize]time.Time // by sender
+	dead          bool
+	paused        bool // neither sends nor updates its share
 }
 
 type model struct {
@@ -35,7 +35,7 @@
 	for i := range m.instances {
 		for j := range m.instances {
 			if link := modelSize - i - j; i != j && !m.linkDown[link] && !m.instances[i].dead && !m.instances[j].dead && !m.instances[j].paused {
-				m.instances[i].lastHeard[j] = m.now
+				m.instances[i].lastHeartbeat[j] = m.now
 			}
 		}
 	}
@@ -47,14 +47,14 @@
 }
 
 func (m *model) view(i int) quota.View {
-	v := quota.View{Heard: 1, IsScheduler: true, Schedulers: 1, DataCentres: 1}
-	for j, at := range m.instances[i].lastHeard {
+	v := quota.View{Reachable: 1, IsScheduler: true, Schedulers: 1, DataCentres: 1}
+	for j, at := range m.instances[i].lastHeartbeat {
 		if j != i && m.now.Sub(at) < heartbeatTimeout {
-			v.Heard++
+			v.Reachable++
 			v.IsScheduler = v.IsScheduler && j > i
 		}
 	}
-	v.Isolated = v.Heard == 1
+	v.Isolated = v.Reachable == 1
 	return v
 }
 
--- a/quota/partition.go
+++ b/quota/partition.go
@@ -1,7 +1,7 @@
 package quota
 
 // This file decides the share of a limit that one instance holds on behalf of all. In a network
-// partition each side elects its own holder, so the share is proportional to the instances heard.
+// partition each side elects its own holder, so the share is proportional to the reachable instances.
 // Requiring a majority would leave two equal halves, or the last instance of a fleet, with nothing.
 
 import "time"
@@ -12,21 +12,21 @@
 
 // A PartitionView is an instance's view of the instances on its side of a possible partition.
 type PartitionView struct {
-	Heard                 int  // number of instances heard, including itself
-	MaxPeerHeard          int  // highest number of instances that another instance reports hearing
-	DataCentres           int  // number of data centres of the instances heard
+	Reachable             int  // instances that it receives heartbeats from, and itself
+	MaxPeerReachable      int  // highest Reachable of another instance
+	DataCentres           int  // number of data centres of the reachable instances
 	ConfiguredDataCentres int  // number of data centres in the configuration; zero if none are configured
-	Isolated              bool // no other instance is heard although others are configured
+	Isolated              bool // no other instance is reachable although others are configured
 }
 
-// countTolerance is the relative difference between MaxPeerHeard and Heard that delayed reports may
-// cause without a partition.
+// countTolerance is the relative difference between MaxPeerReachable and Reachable that delayed
+// reports may cause without a partition.
 const countTolerance = 0.1
 
 // A PartitionClaim computes the share of an instance from its views. The zero value is the claim of
 // an instance that has just started. A PartitionClaim is not safe for concurrent use.
 type PartitionClaim struct {
-	peak         int       // highest number of instances heard recently
+	peak         int       // highest recent number of reachable instances
 	peakAt       time.Time // when peak was last reached
 	share        float64
 	pendingShare float64   // lowest target since pendingSince
@@ -36,8 +36,8 @@
 // Share returns the share of the limit at now, from 0 to 1. It falls at once, but rises only after
 // claimDelay, as the sides of a healing partition notice that at different times. Call it often.
 func (c *PartitionClaim) Share(v PartitionView, now time.Time) float64 {
-	if v.Heard >= c.peak || now.Sub(c.peakAt) > peakWindow {
-		c.peak, c.peakAt = v.Heard, now
+	if v.Reachable >= c.peak || now.Sub(c.peakAt) > peakWindow {
+		c.peak, c.peakAt = v.Reachable, now
 	}
 	target := v.share(c.peak)
 	if target <= c.share {
@@ -54,14 +54,14 @@
 	return c.share
 }
 
-// share returns the share given the recent peak of instances heard.
+// share returns the share given the recent peak of reachable instances.
 func (v *PartitionView) share(peak int) float64 {
-	share := min(1, maxTotalShare*float64(v.Heard)/float64(max(1, peak)))
+	share := min(1, maxTotalShare*float64(v.Reachable)/float64(max(1, peak)))
 	if v.ConfiguredDataCentres > 0 {
 		share = min(share, maxTotalShare*float64(v.DataCentres)/float64(v.ConfiguredDataCentres))
 	}
-	if v.Isolated || float64(v.MaxPeerHeard) > (1+countTolerance)*float64(v.Heard)+1 {
-		// Others hear instances that this one doesn't, so there may be a second holder.
+	if v.Isolated || float64(v.MaxPeerReachable) > (1+countTolerance)*float64(v.Reachable)+1 {
+		// Others reach instances that this one doesn't, so there may be a second holder.
 		share = min(share, maxTotalShare/2)
 	}
 	return share
--- a/quota/partition_test.go
+++ b/quota/partition_test.go
@@ -17,15 +17,15 @@
 
 func TestShareFollowsReachableInstances(t *testing.T) {
 	var c quota.PartitionClaim
-	all := quota.PartitionView{Heard: 6, MaxPeerHeard: 6, DataCentres: 3, ConfiguredDataCentres: 3}
+	all := quota.PartitionView{Reachable: 6, MaxPeerReachable: 6, DataCentres: 3, ConfiguredDataCentres: 3}
 	if share := c.Share(all, start); share != 0 {
 		t.Errorf("share %.2f at the start, want 0", share)
 	}
 	if share := c.Share(all, start.Add(2*time.Second)); share != 1 {
-		t.Errorf("share %.2f while all instances are heard, want 1", share)
+		t.Errorf("share %.2f while all instances are reachable, want 1", share)
 	}
 	at := start.Add(3 * time.Second)
-	if share := c.Share(quota.PartitionView{Heard: 2, MaxPeerHeard: 2, DataCentres: 1, ConfiguredDataCentres: 3}, at); share < 0.4 || share > 0.5 {
+	if share := c.Share(quota.PartitionView{Reachable: 2, MaxPeerReachable: 2, DataCentres: 1, ConfiguredDataCentres: 3}, at); share < 0.4 || share > 0.5 {
 		t.Errorf("share %.2f of one data centre of three, want 0.4 to 0.5", share)
 	}
 	if share := c.Share(all, at.Add(time.Second)); share > 0.5 {
@@ -40,18 +40,18 @@
 // gets the whole after a while if no data centres are configured.
 func TestInstanceLossKeepsShare(t *testing.T) {
 	for _, v := range []quota.PartitionView{
-		{Heard: 83, MaxPeerHeard: 83, DataCentres: 5, ConfiguredDataCentres: 6},
-		{Heard: 5, MaxPeerHeard: 5, DataCentres: 3, ConfiguredDataCentres: 3},
+		{Reachable: 83, MaxPeerReachable: 83, DataCentres: 5, ConfiguredDataCentres: 6},
+		{Reachable: 5, MaxPeerReachable: 5, DataCentres: 3, ConfiguredDataCentres: 3},
 	} {
 		var c quota.PartitionClaim
-		stabilize(&c, quota.PartitionView{Heard: 6 * v.Heard / 5, MaxPeerHeard: 6 * v.Heard / 5, DataCentres: v.ConfiguredDataCentres, ConfiguredDataCentres: v.ConfiguredDataCentres}, start)
+		stabilize(&c, quota.PartitionView{Reachable: 6 * v.Reachable / 5, MaxPeerReachable: 6 * v.Reachable / 5, DataCentres: v.ConfiguredDataCentres, ConfiguredDataCentres: v.ConfiguredDataCentres}, start)
 		if share := c.Share(v, start.Add(3*time.Second)); share != 1 {
 			t.Errorf("%+v: share %.2f, want 1", v, share)
 		}
 	}
 	var c quota.PartitionClaim
-	stabilize(&c, quota.PartitionView{Heard: 6, MaxPeerHeard: 6}, start)
-	last := quota.PartitionView{Heard: 1, MaxPeerHeard: 1}
+	stabilize(&c, quota.PartitionView{Reachable: 6, MaxPeerReachable: 6}, start)
+	last := quota.PartitionView{Reachable: 1, MaxPeerReachable: 1}
 	if share := c.Share(last, start.Add(3*time.Second)); share < 0.2 {
 		t.Errorf("share %.2f of the last instance, want at least 0.2", share)
 	}
@@ -73,18 +73,18 @@
 		forgetPeak := rapid.Bool().Draw(t, "forgotten")
 		sum := 0.0
 		for side := range dataCentres {
-			heard := 0
+			reachable := 0
 			for _, other := range partition {
 				if other == side {
-					heard++
+					reachable++
 				}
 			}
-			if heard == 0 {
+			if reachable == 0 {
 				continue
 			}
 			var c quota.PartitionClaim
-			stabilize(&c, quota.PartitionView{Heard: dataCentres * perDataCentre, MaxPeerHeard: dataCentres * perDataCentre, DataCentres: dataCentres, ConfiguredDataCentres: dataCentres}, start)
-			view := quota.PartitionView{Heard: heard * perDataCentre, MaxPeerHeard: heard * perDataCentre, DataCentres: heard, ConfiguredDataCentres: dataCentres}
+			stabilize(&c, quota.PartitionView{Reachable: dataCentres * perDataCentre, MaxPeerReachable: dataCentres * perDataCentre, DataCentres: dataCentres, ConfiguredDataCentres: dataCentres}, start)
+			view := quota.PartitionView{Reachable: reachable * perDataCentre, MaxPeerReachable: reachable * perDataCentre, DataCentres: reachable, ConfiguredDataCentres: dataCentres}
 			if forgetPeak {
 				c = quota.PartitionClaim{}
 				sum += stabilize(&c, view, start.Add(time.Hour))
@@ -96,13 +96,13 @@
 			t.Fatalf("sides %v: total share %.2f, want at most 1.4", partition, sum)
 		}
 	})
-	// Two instances hear the same third data centre but not each other.
+	// Two instances reach the same third data centre but not each other.
 	sum := 0.0
 	for range 2 {
 		var c quota.PartitionClaim
-		sum += stabilize(&c, quota.PartitionView{Heard: 40, MaxPeerHeard: 60, DataCentres: 2, ConfiguredDataCentres: 3}, start)
+		sum += stabilize(&c, quota.PartitionView{Reachable: 40, MaxPeerReachable: 60, DataCentres: 2, ConfiguredDataCentres: 3}, start)
 	}
 	if sum > 1.4+1e-9 {
-		t.Errorf("total share %.2f of two that hear the same others, want at most 1.4", sum)
+		t.Errorf("total share %.2f of two that reach the same others, want at most 1.4", sum)
 	}
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -2,7 +2,7 @@
 // a number of retries, or the connections to an endpoint.
 //
 // Each instance spends only its own share, so the total is within the limit whatever the state of
-// the network. An instance hears those others that it knows, from heartbeats, to be running.
+// the network. An instance is reachable by another that receives its heartbeats.
 //
 // A Claim or PartitionClaim decides which instances hold a share: one that has just started, or that
 // may be partitioned from the others, holds less or nothing. A Lease is a share that expires unless
--- a/quota/retries.go
+++ b/quota/retries.go
@@ -11,7 +11,7 @@
 	// instanceRatio and instanceExtra are the fractions of Ratio and Extra for the instances' buckets.
 	instanceRatio = 0.2
 	instanceExtra = 0.3
-	// minInstances is the lowest number assumed: starting instances don't hear each other at once.
+	// minInstances is the lowest number assumed: starting instances don't reach each other at once.
 	minInstances = 4
 	// maxPartitions is how many parts of a fleet may start without hearing each other and still
 	// stay within the limit.
@@ -38,8 +38,8 @@
 )
 
 // InstanceBudget returns the deposit of each request into an instance's own bucket and its base
-// capacity, given the number of instances heard, including itself (zero: unknown). Both are zero if
-// that is unknown or the capacity is below one retry.
+// capacity, given the number of reachable instances, including itself (zero:
+// unknown). Both are zero if that is unknown or the capacity is below one retry.
 func (r RetryLimit) InstanceBudget(instances int) (deposit, capacity float64) {
 	if instances <= 0 {
 		return 0, 0
@@ -63,7 +63,7 @@
 }
 
 // PooledCapacity returns the base capacity of the bucket of a scheduler with a share of the limit,
-// where dataCentres divide the limit and the scheduler hears that many instances. It leaves out what
+// where dataCentres divide the limit and the scheduler reaches that many instances. It leaves out what
 // the instances' own buckets hold, which is less if there are too many instances for these.
 func (r RetryLimit) PooledCapacity(share float64, dataCentres, instances int) float64 {
 	reserved := instanceExtra
