--- a/entry/poison.go
+++ b/entry/poison.go
@@ -43,9 +43,9 @@
 		return nil
 	}
 	id := f.requestPoisonID()
-	standing := f.proxy.Poison.Standing(id)
-	f.suspected = standing == poison.Suspected
-	if standing != poison.Confirmed {
+	state := f.proxy.Poison.State(id)
+	f.suspected = state == poison.Suspected
+	if state != poison.Confirmed {
 		return nil
 	}
 	f.proxy.publishPoison(f.proxy.Poison.Seen(f.proxy.Now(), id))
--- a/gossip/suspects.go
+++ b/gossip/suspects.go
@@ -49,7 +49,7 @@
 	fieldLastSeen        protowire.Number = 8 // age in milliseconds plus one; absent: not seen
 	fieldStrikeAge       protowire.Number = 2 // age in milliseconds
 	fieldStrikeDelay     protowire.Number = 3 // milliseconds between sending the request and the strike
-	fieldVoid            protowire.Number = 4
+	fieldCleared         protowire.Number = 4
 	fieldListedEndpoints protowire.Number = 5
 	fieldInFlight        protowire.Number = 6
 	fieldTeamSpread      protowire.Number = 7 // in units of shareUnit
@@ -74,7 +74,7 @@
 		strike := appendFixed(nil, fieldEndpoint, s.Endpoint)
 		strike = appendUint(strike, fieldStrikeAge, msBefore(now, s.CrashedAt))
 		strike = appendUint(strike, fieldStrikeDelay, msBefore(s.CrashedAt, s.SentAt))
-		strike = appendUint(strike, fieldVoid, protowire.EncodeBool(s.Void))
+		strike = appendUint(strike, fieldCleared, protowire.EncodeBool(s.Cleared))
 		strike = appendUint(strike, fieldListedEndpoints, uint64(max(0, s.ListedEndpoints)))
 		strike = appendUint(strike, fieldInFlight, uint64(max(0, s.InFlight)))
 		strike = appendUint(strike, fieldTeamSpread, uint64(max(0, s.TeamSpread/shareUnit+0.5)))
@@ -113,7 +113,7 @@
 			}
 		case fieldStrikes:
 			s, err := decodeStrike(now, f.bytes)
-			if len(e.Strikes) < poison.MostStrikes {
+			if len(e.Strikes) < poison.MaxStrikes {
 				e.Strikes = append(e.Strikes, s)
 			}
 			return err
@@ -137,8 +137,8 @@
 			s.CrashedAt = timeBefore(now, f.value)
 		case fieldStrikeDelay:
 			delay = f.value
-		case fieldVoid:
-			s.Void = f.value != 0
+		case fieldCleared:
+			s.Cleared = f.value != 0
 		case fieldListedEndpoints:
 			s.ListedEndpoints = boundedCount(f.value)
 		case fieldTeamSpread:
@@ -303,10 +303,10 @@
 	return out
 }
 
-// DecodeSuspects decodes at most poison.MostSuspects entries from the output of EncodeSuspects.
+// DecodeSuspects decodes at most poison.MaxSuspects entries from the output of EncodeSuspects.
 func DecodeSuspects(now time.Time, data []byte) (out []poison.Entry, err error) {
 	err = eachField(data, func(f field) error {
-		if f.number != fieldSuspects || len(out) >= poison.MostSuspects {
+		if f.number != fieldSuspects || len(out) >= poison.MaxSuspects {
 			return nil
 		}
 		e, err := DecodeSuspect(now, f.bytes)
--- a/gossip/suspects_test.go
+++ b/gossip/suspects_test.go
@@ -59,7 +59,7 @@
 			continue
 		}
 		live++
-		if n.Suspects.Standing(suspectID(request)) == poison.Confirmed {
+		if n.Suspects.State(suspectID(request)) == poison.Confirmed {
 			known++
 		}
 	}
@@ -181,9 +181,9 @@
 	if rapid.Bool().Draw(t, "came") {
 		e.LastSeen = now.Add(-past("since"))
 	}
-	for range rapid.IntRange(0, poison.MostStrikes).Draw(t, "strikes") {
+	for range rapid.IntRange(0, poison.MaxStrikes).Draw(t, "strikes") {
 		s := poison.Strike{
-			Endpoint: rapid.Uint32().Draw(t, "endpoint"), CrashedAt: now.Add(-past("ago")), Void: rapid.Bool().Draw(t, "void"),
+			Endpoint: rapid.Uint32().Draw(t, "endpoint"), CrashedAt: now.Add(-past("ago")), Cleared: rapid.Bool().Draw(t, "void"),
 			ListedEndpoints: rapid.IntRange(0, maxCount).Draw(t, "of"), InFlight: rapid.IntRange(0, maxCount).Draw(t, "among"),
 			TeamSpread: float64(rapid.IntRange(0, 10_000).Draw(t, "spread")) * shareUnit,
 		}
@@ -225,7 +225,7 @@
 	if err != nil {
 		return
 	}
-	if len(e.Strikes) > poison.MostStrikes {
+	if len(e.Strikes) > poison.MaxStrikes {
 		t.Fatalf("%d strikes", len(e.Strikes))
 	}
 	again, err := DecodeSuspect(now, AppendSuspect(nil, now, &e))
@@ -245,7 +245,7 @@
 	now := time.Unix(1_000_000, 0)
 	strike := poison.Strike{Endpoint: 7, CrashedAt: now.Add(-time.Second), SentAt: now.Add(-2 * time.Second), ListedEndpoints: 12, InFlight: 3, TeamSpread: 0.1}
 	later := strike
-	later.CrashedAt, later.Void = now, true
+	later.CrashedAt, later.Cleared = now, true
 	one := poison.Entry{ID: suspectID(1), Service: "m", Team: "team", Route: "chat", Strikes: []poison.Strike{strike, later}}
 	two := poison.Entry{ID: suspectID(2), Service: "n", Confirmed: true, LastSeen: now, Strikes: []poison.Strike{strike, strike, later}}
 	source := mutate.New(1, AppendSuspect(nil, now, &one), AppendSuspect(nil, now, &two))
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -372,7 +372,7 @@
 			i.status.observe(i.version(), i.entry.Ready(), now)
 			i.balancer.Forget(i.discovery.HasIncarnation)
 			i.pool.CloseExpired(now, i.discovery.HasIncarnation)
-			i.suspects.Tidy(now)
+			i.suspects.RemoveExpired(now)
 		}
 	}
 }
--- a/poison/confirm.go
+++ b/poison/confirm.go
@@ -137,14 +137,14 @@
 	return expected
 }
 
-// consecutive returns the strikes that count, by time: accepted, not void, and of a request that was
-// sent after the previous one.
+// consecutive returns the strikes that count, by time: accepted, not cleared, and of a request that
+// was sent after the previous one.
 func (e *Entry) consecutive(accept func(Strike) bool) (out []Strike) {
 	sorted := slices.Clone(e.Strikes)
 	slices.SortFunc(sorted, func(a, b Strike) int { return a.CrashedAt.Compare(b.CrashedAt) })
 	var last time.Time
 	for _, s := range sorted {
-		if s.Void || !s.SentAt.After(last) || !accept(s) {
+		if s.Cleared || !s.SentAt.After(last) || !accept(s) {
 			continue
 		}
 		out = append(out, s)
--- a/poison/fleet_test.go
+++ b/poison/fleet_test.go
@@ -79,7 +79,7 @@
 
 func (sim *simulation) suspects(e int) (n int) {
 	for _, r := range sim.running[e] {
-		if sim.table.Standing(r.id) == poison.Suspected {
+		if sim.table.State(r.id) == poison.Suspected {
 			n++
 		}
 	}
@@ -88,11 +88,11 @@
 
 // send sends a request to an endpoint, unless the table blocks it or it has no attempts left.
 func (sim *simulation) send(r testRequest) {
-	standing := sim.table.Standing(r.id)
-	if standing == poison.Confirmed {
+	state := sim.table.State(r.id)
+	if state == poison.Confirmed {
 		return
 	}
-	e := sim.pickEndpoint(standing == poison.Suspected)
+	e := sim.pickEndpoint(state == poison.Suspected)
 	if e < 0 || r.attempts == 0 {
 		return
 	}
@@ -134,7 +134,7 @@
 		}
 	}
 	for _, r := range lost {
-		if !r.crashes && sim.table.Standing(r.id) == poison.Confirmed {
+		if !r.crashes && sim.table.State(r.id) == poison.Confirmed {
 			sim.t.Errorf("after %d crashes a harmless request is confirmed: %+v\n%+v", sim.crashCount, r, sim.strikes(r.id))
 			continue
 		}
@@ -267,8 +267,8 @@
 			sim.advance()
 		}
 		for _, id := range ids {
-			if sim.table.Standing(id) != poison.Confirmed || sim.crashesByID[id] > maxCrashes {
-				t.Errorf("seed %d, %d endpoints: one of %d poison requests has crashed %d endpoints, confirmed: %v, want at most %d", seed, len(sim.running), poisonous, sim.crashesByID[id], sim.table.Standing(id) == poison.Confirmed, maxCrashes)
+			if sim.table.State(id) != poison.Confirmed || sim.crashesByID[id] > maxCrashes {
+				t.Errorf("seed %d, %d endpoints: one of %d poison requests has crashed %d endpoints, confirmed: %v, want at most %d", seed, len(sim.running), poisonous, sim.crashesByID[id], sim.table.State(id) == poison.Confirmed, maxCrashes)
 			}
 		}
 	}
@@ -347,7 +347,7 @@
 	e, _ := sim.table.Entry(id)
 	out := ""
 	for _, s := range e.Strikes {
-		out += fmt.Sprintf("\n\t%d at %s, sent %s before, %d endpoints, %d in flight, void %v", s.Endpoint, s.CrashedAt.Format("05.000"), s.CrashedAt.Sub(s.SentAt), s.ListedEndpoints, s.InFlight, s.Void)
+		out += fmt.Sprintf("\n\t%d at %s, sent %s before, %d endpoints, %d in flight, cleared %v", s.Endpoint, s.CrashedAt.Format("05.000"), s.CrashedAt.Sub(s.SentAt), s.ListedEndpoints, s.InFlight, s.Cleared)
 	}
 	return out
 }
--- a/poison/poison.go
+++ b/poison/poison.go
@@ -20,7 +20,7 @@
 	ListedEndpoints int       // number of endpoints of the service listed at the crash
 	TeamSpread      float64   // fraction of the service's endpoints at which the team had requests in flight, over all instances
 	InFlight        int       // requests that the reporting instance had in flight at the endpoint, including this one
-	Void            bool      // an endpoint answered the request later, or an operator cleared it
+	Cleared         bool      // an endpoint answered the request later, or an operator cleared it
 }
 
 // An Entry is the state of one suspect. The caller must not modify its Strikes.
@@ -35,17 +35,17 @@
 	LastSeen  time.Time // when the confirmed request was last received; zero if it was not
 }
 
-// liveStrikes returns the number of strikes that are not void.
+// liveStrikes returns the number of strikes that are not cleared.
 func (e *Entry) liveStrikes() (n int) {
 	for i := range e.Strikes {
-		if !e.Strikes[i].Void {
+		if !e.Strikes[i].Cleared {
 			n++
 		}
 	}
 	return n
 }
 
-// Cleared reports whether all strikes are void.
+// Cleared reports whether all strikes are cleared.
 func (e *Entry) Cleared() bool { return e.liveStrikes() == 0 }
 
 // Last returns the time of the latest event of the suspect.
@@ -59,11 +59,11 @@
 	return at
 }
 
-// A Standing is the state of a request.
-type Standing uint8
+// A State says whether a request is suspected or confirmed as poison.
+type State uint8
 
 const (
-	Unknown   Standing = iota // not a suspect
-	Suspected                 // in flight at a crash; sent with precautions
-	Confirmed                 // poison; blocked
+	Unknown   State = iota // not a suspect
+	Suspected              // in flight at a crash; sent with precautions
+	Confirmed              // poison; blocked
 )
--- a/poison/table.go
+++ b/poison/table.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// MostSuspects is the maximum number of suspects, each of about 0.3 KB.
-	MostSuspects = 2048
-	// MostStrikes is the maximum number of strikes of a suspect, more than confirm it.
-	MostStrikes = 12
+	// MaxSuspects is the maximum number of suspects, each of about 0.3 KB.
+	MaxSuspects = 2048
+	// MaxStrikes is the maximum number of strikes of a suspect, more than confirm it.
+	MaxStrikes = 12
 	// sameCrashWindow is the time within which two reports of a crash of an endpoint mean the same
 	// one. An endpoint takes some seconds to restart.
 	sameCrashWindow = time.Second
@@ -57,8 +57,8 @@
 	return t.outlines[o] > 0
 }
 
-// Standing returns the state of a request.
-func (t *Table) Standing(id ID) Standing {
+// State returns the state of a request.
+func (t *Table) State(id ID) State {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	e := t.suspects[id]
@@ -111,7 +111,7 @@
 	next := *e
 	next.Strikes = append([]Strike(nil), e.Strikes...)
 	for i := range next.Strikes {
-		next.Strikes[i].Void = true
+		next.Strikes[i].Cleared = true
 	}
 	next.Confirmed = false
 	t.put(&next)
@@ -143,8 +143,8 @@
 	return e, false
 }
 
-// Entries returns all suspects: confirmed ones first, then by number of strikes that are not void,
-// then the latest first.
+// Entries returns all suspects: confirmed ones first, then by number of strikes that are not
+// cleared, then the latest first.
 func (t *Table) Entries() []Entry {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -167,8 +167,8 @@
 	return a.Last().After(b.Last())
 }
 
-// Tidy removes expired suspects.
-func (t *Table) Tidy(now time.Time) {
+// RemoveExpired removes expired suspects.
+func (t *Table) RemoveExpired(now time.Time) {
 	if t.size.Load() == 0 {
 		return
 	}
@@ -177,7 +177,7 @@
 	t.prune(now)
 }
 
-// prune removes expired suspects and, above MostSuspects, those that rank last. The caller holds
+// prune removes expired suspects and, above MaxSuspects, those that rank last. The caller holds
 // t.mu.
 func (t *Table) prune(now time.Time) {
 	t.pruneTeams(now)
@@ -186,7 +186,7 @@
 			t.drop(id)
 		}
 	}
-	if len(t.suspects) <= MostSuspects {
+	if len(t.suspects) <= MaxSuspects {
 		return
 	}
 	all := make([]*Entry, 0, len(t.suspects))
@@ -194,7 +194,7 @@
 		all = append(all, e)
 	}
 	sort.Slice(all, func(i, j int) bool { return ranksBefore(all[i], all[j]) })
-	for _, e := range all[MostSuspects-MostSuspects/8:] { // drop more than needed, to amortize sorting
+	for _, e := range all[MaxSuspects-MaxSuspects/8:] { // drop more than needed, to amortize sorting
 		t.drop(e.ID)
 	}
 }
@@ -252,8 +252,8 @@
 		switch {
 		case i < 0:
 			changed = next.add(s) || changed
-		case s.Void && !next.Strikes[i].Void:
-			next.Strikes[i].Void = true
+		case s.Cleared && !next.Strikes[i].Cleared:
+			next.Strikes[i].Cleared = true
 			changed = true
 		case own && s.SentAt.After(next.Strikes[i].SentAt):
 			next.Strikes[i].SentAt = s.SentAt
@@ -274,16 +274,16 @@
 	return changed
 }
 
-// add reports whether it added a strike. At MostStrikes it replaces the oldest void strike if that
+// add reports whether it added a strike. At MaxStrikes it replaces the oldest cleared strike if that
 // is older.
 func (e *Entry) add(s Strike) bool {
-	if len(e.Strikes) < MostStrikes {
+	if len(e.Strikes) < MaxStrikes {
 		e.Strikes = append(e.Strikes, s)
 		return true
 	}
 	oldest := -1
 	for i := range e.Strikes {
-		if e.Strikes[i].Void && (oldest < 0 || e.Strikes[i].CrashedAt.Before(e.Strikes[oldest].CrashedAt)) {
+		if e.Strikes[i].Cleared && (oldest < 0 || e.Strikes[i].CrashedAt.Before(e.Strikes[oldest].CrashedAt)) {
 			oldest = i
 		}
 	}
@@ -359,7 +359,7 @@
 	for _, s := range e.Strikes {
 		binary.LittleEndian.PutUint32(b[len(e.ID):], s.Endpoint)
 		b[len(b)-1] = 1
-		if s.Void {
+		if s.Cleared {
 			b[len(b)-1] = 2
 		}
 		sum += xxhash.Sum64(b[:])
--- a/poison/teams.go
+++ b/poison/teams.go
@@ -70,7 +70,7 @@
 			}
 			putNested(byService, e.Service, i, true)
 			switch {
-			case s.Void || e.Team == "":
+			case s.Cleared || e.Team == "":
 			case e.hasEarlierStrike(s):
 				putNested(repeated, key, i, true)
 			default:
@@ -91,7 +91,7 @@
 // hasEarlierStrike reports whether s is not the first strike of e.
 func (e *Entry) hasEarlierStrike(s Strike) bool {
 	for _, other := range e.Strikes {
-		if !other.Void && !other.sameCrash(s) && other.CrashedAt.Before(s.CrashedAt) {
+		if !other.Cleared && !other.sameCrash(s) && other.CrashedAt.Before(s.CrashedAt) {
 			return true
 		}
 	}
