--- a/discovery/compile_test.go
+++ b/discovery/compile_test.go
@@ -28,7 +28,7 @@
 	<-compiling
 	validated := make(chan Validation, 1)
 	go func() {
-		table.Confirm(1, time.Now())
+		table.MergePeerValidation(1, time.Now())
 		v, _ := table.Validation()
 		validated <- v
 	}()
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -22,9 +22,9 @@
 	"ivyridge/catalog"
 )
 
-// ErrHistoryGone is returned by Watch if the changes since the requested revision are no longer
+// ErrCompacted is returned by Watch if the changes since the requested revision are no longer
 // retained. The caller must load the full state.
-var ErrHistoryGone = errors.New("changes since the requested revision are no longer retained")
+var ErrCompacted = errors.New("changes since the requested revision are no longer retained")
 
 // ErrOverloaded is returned by a Source that rejects the call because of load.
 var ErrOverloaded = errors.New("source rejected the call because of load")
@@ -48,7 +48,7 @@
 type Evacuation struct {
 	DataCentre string
 	Revision   int64
-	Over       bool // the order was lifted
+	Ended      bool `json:"Over"` // the order was lifted
 }
 
 // An Update is a response of a Source.
@@ -236,9 +236,9 @@
 	return t.changed
 }
 
-// Confirm records another instance's validation. It has an effect only if the table has a
+// MergePeerValidation renews the table's validation by that of another instance, if the table has a
 // configuration and is at that revision or a later one.
-func (t *Table) Confirm(revision int64, validatedAt time.Time) {
+func (t *Table) MergePeerValidation(revision int64, validatedAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.view.Load().Catalog == nil {
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -90,11 +90,11 @@
 	table, c := newTable()
 	_ = table.Apply(&discovery.Update{Revision: 24, Full: true, Config: testDocument(1), ValidatedAt: c.now()})
 	c.advance(time.Second)
-	table.Confirm(25, c.now())
+	table.MergePeerValidation(25, c.now())
 	if age, _ := table.Age(); age != time.Second {
 		t.Fatalf("age is %v, want 1s: a validation of revision 25 does not apply to 24", age)
 	}
-	table.Confirm(23, c.now().Add(-300*time.Millisecond))
+	table.MergePeerValidation(23, c.now().Add(-300*time.Millisecond))
 	if age, _ := table.Age(); age != 300*time.Millisecond {
 		t.Fatalf("age is %v, want 300ms: a validation of revision 23 applies to 24", age)
 	}
@@ -125,7 +125,7 @@
 				}
 			case 3: // another instance's validation at any earlier instant
 				at := c.now().Add(-time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond)
-				table.Confirm(revisionAt(at), at)
+				table.MergePeerValidation(revisionAt(at), at)
 			}
 			age, _ := table.Age()
 			if want := revisionAt(c.now().Add(-age)); table.View().Revision < want {
--- a/discovery/evacuate.go
+++ b/discovery/evacuate.go
@@ -25,8 +25,8 @@
 func (t *Table) endMissingEvacuations(u *Update, c *catalog.Catalog) (changed bool) {
 	for dataCentre, known := range t.evacuations {
 		present := slices.ContainsFunc(u.Evacuations, func(e Evacuation) bool { return e.DataCentre == dataCentre })
-		if !present && !known.Over && known.Revision <= u.Revision {
-			changed = t.applyEvacuation(Evacuation{DataCentre: dataCentre, Revision: u.Revision, Over: true}, c) || changed
+		if !present && !known.Ended && known.Revision <= u.Revision {
+			changed = t.applyEvacuation(Evacuation{DataCentre: dataCentre, Revision: u.Revision, Ended: true}, c) || changed
 		}
 	}
 	return changed
@@ -39,13 +39,13 @@
 		return false
 	}
 	t.evacuations[e.DataCentre] = e
-	if e.Over != known.Over || !ok {
+	if e.Ended != known.Ended || !ok {
 		t.markDataCentreDirty(e.DataCentre)
 	}
-	if e.Over && !known.Over && ok {
+	if e.Ended && !known.Ended && ok {
 		t.markCold(e.DataCentre, c)
 	}
-	return e.Over != known.Over || !ok
+	return e.Ended != known.Ended || !ok
 }
 
 // markCold treats the endpoints of a data centre as cold after its evacuation. They may have become
@@ -70,7 +70,7 @@
 // The caller holds t.mu.
 func (t *Table) isEvacuated(dataCentre string) bool {
 	e, ok := t.evacuations[dataCentre]
-	return ok && !e.Over
+	return ok && !e.Ended
 }
 
 // evacuatedDataCentres returns the evacuated data centres, sorted. The caller holds t.mu.
--- a/discovery/evacuate_test.go
+++ b/discovery/evacuate_test.go
@@ -52,7 +52,7 @@
 	wantEvacuated(t, table, "a")
 	mustApply(t, table, &discovery.Update{Revision: 6, Evacuations: []discovery.Evacuation{{DataCentre: "b", Revision: 6}}})
 	wantEvacuated(t, table, "a", "b")
-	mustApply(t, table, &discovery.Update{Revision: 7, Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 7, Over: true}}})
+	mustApply(t, table, &discovery.Update{Revision: 7, Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 7, Ended: true}}})
 	wantEvacuated(t, table, "b")
 }
 
@@ -63,7 +63,7 @@
 	mustApply(t, table, &discovery.Update{Revision: 4, Full: true, Config: coldDocument(1), Evacuations: []discovery.Evacuation{started}})
 	mustApply(t, table, &discovery.Update{Revision: 3, Full: true})
 	wantEvacuated(t, table, "a")
-	mustApply(t, table, &discovery.Update{Revision: 7, Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 6, Over: true}}})
+	mustApply(t, table, &discovery.Update{Revision: 7, Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 6, Ended: true}}})
 	mustApply(t, table, &discovery.Update{Revision: 5, Full: true, Evacuations: []discovery.Evacuation{started}})
 	wantEvacuated(t, table)
 }
@@ -98,7 +98,7 @@
 	table, c := newTable()
 	mustApply(t, table, &discovery.Update{Revision: 4, Full: true, Config: coldDocument(1),
 		Endpoints: []discovery.Record{recordIn("a1", "a", 1), recordIn("b1", "b", 2)}, Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 4}}})
-	mustApply(t, table, &discovery.Update{Revision: 5, Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 5, Over: true}}})
+	mustApply(t, table, &discovery.Update{Revision: 5, Evacuations: []discovery.Evacuation{{DataCentre: "a", Revision: 5, Ended: true}}})
 	for _, e := range table.View().Endpoints("s") {
 		if e.Cold(c.now()) != (e.DataCentre == "a") {
 			t.Errorf("endpoint %s: Cold() = %t", e.ID, e.Cold(c.now()))
--- a/discovery/follow.go
+++ b/discovery/follow.go
@@ -157,7 +157,7 @@
 		return f.load(ctx, s)
 	}
 	err := f.watch(ctx, s, v.Revision, wait)
-	if errors.Is(err, ErrHistoryGone) {
+	if errors.Is(err, ErrCompacted) {
 		return f.load(ctx, s)
 	}
 	return err
--- a/discovery/validate.go
+++ b/discovery/validate.go
@@ -101,7 +101,7 @@
 	defer cancel()
 	v.Count("prove")
 	update, err := v.Store.Source.Watch(callCtx, Query{After: v.Table.View().Revision})
-	if errors.Is(err, ErrHistoryGone) {
+	if errors.Is(err, ErrCompacted) {
 		update, err = v.Store.Source.Load(callCtx)
 	}
 	if err != nil {
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -383,7 +383,7 @@
 		g.Log.Info("instance joined", zap.String("address", address), zap.Uint64("member", m.Sender), zap.String("data_centre", m.DataCentre))
 	}
 	if !confirmedAt.IsZero() {
-		g.State.Confirm(m.Revision, confirmedAt)
+		g.State.MergePeerValidation(m.Revision, confirmedAt)
 	}
 	g.Balancer.Merge(m.Sender, m.Notices, m.Reports, m.Complete)
 	g.Balancer.MergeTeams(m.Sender, m.Teams)
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -213,7 +213,7 @@
 	_ = b.table.Apply(&discovery.Update{Revision: 5, Config: document(), ValidatedAt: b.clock.Add(-time.Minute)})
 	m := a.g.newMessage(a.clock)
 	a.clock, b.clock = a.clock.Add(3*time.Second), b.clock.Add(3*time.Second)
-	b.table.Confirm(m.Revision, confirmationTime(b.g, m))
+	b.table.MergePeerValidation(m.Revision, confirmationTime(b.g, m))
 	age, ok := b.table.Age()
 	return ok && age < a.clock.Sub(confirmedAt)
 }
@@ -252,7 +252,7 @@
 		case 4:
 			if m := deliver(t, &toB); m != nil {
 				if validatedAt := confirmationTime(b.g, m); !validatedAt.IsZero() {
-					b.table.Confirm(m.Revision, validatedAt)
+					b.table.MergePeerValidation(m.Revision, validatedAt)
 				}
 			}
 		}
