--- a/cmd/ivyctl/blocked.go
+++ b/cmd/ivyctl/blocked.go
@@ -41,7 +41,7 @@
 		fmt.Printf("%s is released; it is blocked again if it crashes endpoints\n", release)
 		return cli.OK, nil
 	}
-	b, err := client.AskBlocked(ctx, addr)
+	b, err := client.GetBlocked(ctx, addr)
 	if err != nil {
 		return cli.Failed, err
 	}
--- a/cmd/ivyctl/fleet.go
+++ b/cmd/ivyctl/fleet.go
@@ -67,7 +67,7 @@
 
 func (o *fleetOptions) show() (int, error) {
 	ctx := context.Background()
-	f, err := o.client.AskFleet(ctx, o.addr)
+	f, err := o.client.GetFleet(ctx, o.addr)
 	if err != nil {
 		return cli.Failed, err
 	}
@@ -96,7 +96,7 @@
 	if f.Partial {
 		partial = " (partial: a region or all schedulers did not answer)"
 	}
-	fmt.Fprintf(w, "%d instances, listed by %s%s\n\n", len(f.Instances), f.Asked, partial)
+	fmt.Fprintf(w, "%d instances, listed by %s%s\n\n", len(f.Instances), f.ReportedBy, partial)
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "INSTANCES\tBUILD\tSETTINGS\tCONFIGURATION\tDATA CENTRES")
 	for _, g := range f.Groups() {
@@ -111,8 +111,8 @@
 		fmt.Fprintln(tw, "\nDIFFERING\tDATA CENTRE\tIN\tSETTINGS\tCONFIGURATION\tHEARD")
 	}
 	for _, r := range outliers {
-		heard := (time.Duration(r.HeardMS) * time.Millisecond).Round(100 * time.Millisecond)
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s ago\n", r.Address, r.DataCentre, strings.Join(r.Differs, ", "), orDash(r.Settings), r.Version, heard)
+		sinceHeartbeat := (time.Duration(r.SinceHeartbeatMS) * time.Millisecond).Round(100 * time.Millisecond)
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s ago\n", r.Address, r.DataCentre, strings.Join(r.Differs, ", "), orDash(r.Settings), r.Version, sinceHeartbeat)
 	}
 	_ = tw.Flush()
 }
@@ -149,7 +149,7 @@
 			continue
 		}
 		seen[r.Settings] = true
-		details, err := o.client.AskDetails(ctx, o.addr, common, r.Address)
+		details, err := o.client.GetDetails(ctx, o.addr, common, r.Address)
 		if err == nil && len(details) == 2 {
 			printDiff(w, &details[0], &details[1])
 			continue
@@ -171,7 +171,7 @@
 func printDiff(w io.Writer, a, b *inventory.Detail) {
 	for _, d := range []*inventory.Detail{a, b} {
 		if d.Error != "" {
-			fmt.Fprintf(w, "\n%s could not be asked: %s\n", d.Address, d.Error)
+			fmt.Fprintf(w, "\n%s could not be queried: %s\n", d.Address, d.Error)
 			return
 		}
 	}
@@ -184,8 +184,8 @@
 		fmt.Fprintf(w, "  %s: %q, %q%s\n", d.Path, d.A, d.B, warning)
 	}
 	for _, d := range []*inventory.Detail{a, b} {
-		if d.Refused != "" {
-			fmt.Fprintf(w, "  %s refused new settings: %s\n", d.Address, d.Refused)
+		if d.Rejected != "" {
+			fmt.Fprintf(w, "  %s rejected new settings: %s\n", d.Address, d.Rejected)
 		}
 		if len(d.PendingRestart) > 0 {
 			fmt.Fprintf(w, "  %s needs a restart for: %s\n", d.Address, strings.Join(d.PendingRestart, ", "))
@@ -194,7 +194,7 @@
 }
 
 func (o *fleetOptions) compare() (int, error) {
-	details, err := o.client.AskDetails(context.Background(), o.addr, o.diff, o.diffWith)
+	details, err := o.client.GetDetails(context.Background(), o.addr, o.diff, o.diffWith)
 	if err == nil && len(details) != 2 {
 		err = errors.Errorf("ivyctl fleet: %s returned the settings of %d instances, want 2", o.addr, len(details))
 	}
@@ -212,7 +212,7 @@
 func (o *fleetOptions) await(settings string) (int, error) {
 	end := time.Now().Add(o.within)
 	for {
-		f, err := o.client.AskFleet(context.Background(), o.addr)
+		f, err := o.client.GetFleet(context.Background(), o.addr)
 		var lacking []inventory.Instance
 		if err == nil {
 			lacking = f.WithoutSettings(settings)
--- a/cmd/ivyctl/sets.go
+++ b/cmd/ivyctl/sets.go
@@ -30,7 +30,7 @@
 		return cli.UsageError, errors.Errorf("ivyctl sets: -o %s: want table or json", output)
 	}
 	client := inventory.Client{HTTP: fetch.NewClient(1, idleConnTimeout), Wait: inventoryTimeout}
-	s, err := client.AskSets(context.Background(), addr)
+	s, err := client.GetSets(context.Background(), addr)
 	if err != nil {
 		return cli.Failed, err
 	}
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -35,7 +35,7 @@
 	if rapid.Bool().Draw(t, "has summary") {
 		m.Summary = &inventory.Summary{
 			Build: rapid.Uint32().Draw(t, "build"), Settings: rapid.Uint32().Draw(t, "settings"), Version: rapid.Int64Min(0).Draw(t, "version"),
-			Ready: rapid.Bool().Draw(t, "ready"), Refused: rapid.Bool().Draw(t, "refused"), NeedsRestart: rapid.Bool().Draw(t, "waiting"),
+			Ready: rapid.Bool().Draw(t, "ready"), Rejected: rapid.Bool().Draw(t, "refused"), NeedsRestart: rapid.Bool().Draw(t, "waiting"),
 		}
 	}
 	if rapid.Bool().Draw(t, "asks") {
--- a/gossip/inventory.go
+++ b/gossip/inventory.go
@@ -22,11 +22,11 @@
 // An InstanceInfo is a snapshot of what this instance knows of another one.
 type InstanceInfo struct {
 	Member
-	Summary     inventory.Summary
-	HasSummary  bool // it announces its build and settings
-	IsScheduler bool
-	Lost        bool
-	SinceHeard  time.Duration // time since the last message from it
+	Summary        inventory.Summary
+	HasSummary     bool // it announces its build and settings
+	IsScheduler    bool
+	Lost           bool
+	SinceHeartbeat time.Duration // time since the last message from it
 }
 
 // A sentSummary is the summary last sent to a receiver group.
@@ -39,7 +39,7 @@
 // reaches all instances at once, and all would announce it at once.
 func (s *sentSummary) urgent(current *inventory.Summary) bool {
 	return current != nil && !s.sentAt.IsZero() &&
-		(s.summary.Settings != current.Settings || s.summary.Refused != current.Refused || s.summary.NeedsRestart != current.NeedsRestart)
+		(s.summary.Settings != current.Settings || s.summary.Rejected != current.Rejected || s.summary.NeedsRestart != current.NeedsRestart)
 }
 
 // next returns current if it is due to be sent at now, and nil otherwise.
@@ -102,7 +102,7 @@
 }
 
 func (m *Member) info(now time.Time, isScheduler bool) InstanceInfo {
-	instance := InstanceInfo{Member: *m, IsScheduler: isScheduler, SinceHeard: now.Sub(m.lastHeard)}
+	instance := InstanceInfo{Member: *m, IsScheduler: isScheduler, SinceHeartbeat: now.Sub(m.lastHeard)}
 	if m.summary != nil {
 		instance.Summary, instance.HasSummary = *m.summary, true
 	}
--- a/instance/inventory.go
+++ b/instance/inventory.go
@@ -17,7 +17,7 @@
 )
 
 func (i *Instance) inventorySource() *inventory.Source {
-	return &inventory.Source{Detail: i.detail, LocalFleet: i.localFleet, FullFleet: i.fullFleet, Ask: i.fetchDetail, Log: i.log}
+	return &inventory.Source{Detail: i.detail, LocalFleet: i.localFleet, FullFleet: i.fullFleet, RemoteDetail: i.fetchDetail, Log: i.log}
 }
 
 // summary returns the status summary sent with heartbeats.
@@ -74,7 +74,7 @@
 	self := inventory.Instance{Address: i.settings.Listen.Peers, DataCentre: i.settings.DataCentre, Role: i.role(), ValidatedMS: i.validationAge()}
 	self.SetSummary(i.summary())
 	self.Leaving, _ = i.entry.Leaving()
-	f := &inventory.Fleet{Asked: i.settings.Listen.Peers, Instances: []inventory.Instance{self}, Partial: self.Role != inventory.Scheduler}
+	f := &inventory.Fleet{ReportedBy: i.settings.Listen.Peers, Instances: []inventory.Instance{self}, Partial: self.Role != inventory.Scheduler}
 	now := i.now()
 	for _, m := range i.gossip.Inventory() {
 		f.Instances = append(f.Instances, i.instanceRow(&m, now))
@@ -86,7 +86,7 @@
 func (i *Instance) instanceRow(m *gossip.InstanceInfo, now time.Time) inventory.Instance {
 	r := inventory.Instance{
 		Address: i.peerAddress(m.Address), DataCentre: m.DataCentre, Role: inventory.Follower,
-		Leaving: m.Leaving, Lost: m.Lost, HeardMS: m.SinceHeard.Milliseconds(), ValidatedMS: inventory.Since(now, m.ValidatedAt),
+		Leaving: m.Leaving, Lost: m.Lost, SinceHeartbeatMS: m.SinceHeartbeat.Milliseconds(), ValidatedMS: inventory.Since(now, m.ValidatedAt),
 	}
 	if m.IsScheduler {
 		r.Role = inventory.Scheduler
--- a/instance/status.go
+++ b/instance/status.go
@@ -128,7 +128,7 @@
 	defer st.mu.Unlock()
 	return inventory.Summary{
 		Build: st.build.Hash(), Settings: st.hash, Version: version,
-		Ready: ready, Refused: st.rejection != "", NeedsRestart: len(st.pendingRestart) > 0,
+		Ready: ready, Rejected: st.rejection != "", NeedsRestart: len(st.pendingRestart) > 0,
 	}
 }
 
@@ -141,7 +141,7 @@
 	d.SettingsBy, d.SettingsMS = st.source, inventory.Since(now, st.effectiveSince)
 	d.PendingRestart = st.pendingRestart
 	if st.rejection != "" {
-		d.Refused, d.RefusedMS = st.rejection, inventory.Since(now, st.rejectedAt)
+		d.Rejected, d.RejectedMS = st.rejection, inventory.Since(now, st.rejectedAt)
 	}
 	d.VersionMS, d.ReadyMS = inventory.Since(now, st.version.since), inventory.Since(now, st.ready.since)
 	d.Uptime = int64(now.Sub(st.started).Seconds())
--- a/inventory/blocked.go
+++ b/inventory/blocked.go
@@ -71,8 +71,8 @@
 	Error    string `json:"error"`
 }
 
-// AskBlocked returns the Blocked report of the instance with the given metrics address.
-func (c *Client) AskBlocked(ctx context.Context, address string) (*Blocked, error) {
+// GetBlocked returns the Blocked report of the instance with the given metrics address.
+func (c *Client) GetBlocked(ctx context.Context, address string) (*Blocked, error) {
 	b := new(Blocked)
 	return b, c.get(ctx, address, BlockedPath, nil, b)
 }
--- a/inventory/detail.go
+++ b/inventory/detail.go
@@ -57,8 +57,8 @@
 	InstanceSpecific []string          `json:"own"`                  // paths of instance-specific settings, which are not hashed
 	SettingsBy       string            `json:"settings_by"`          // what applied the settings: "start" or "reload"
 	SettingsMS       int64             `json:"settings_ms"`          // since the settings were applied
-	Refused          string            `json:"refused,omitempty"`    // why the newest settings file was rejected
-	RefusedMS        int64             `json:"refused_ms,omitempty"` // since it was rejected
+	Rejected         string            `json:"refused,omitempty"`    // why the newest settings file was rejected
+	RejectedMS       int64             `json:"refused_ms,omitempty"` // since it was rejected
 	PendingRestart   []string          `json:"waiting,omitempty"`    // changed settings that require a restart
 
 	Version     int64  `json:"version"`    // of the configuration in force
--- a/inventory/fleet.go
+++ b/inventory/fleet.go
@@ -14,32 +14,32 @@
 
 // An Instance is the state of one instance as known to another.
 type Instance struct {
-	Address      string `json:"address"` // of the listener for other instances
-	DataCentre   string `json:"data_centre"`
-	Role         string `json:"role"`
-	Reported     bool   `json:"told"` // it reported a Summary; older builds don't
-	Build        string `json:"build,omitempty"`
-	Settings     string `json:"settings,omitempty"`
-	Version      int64  `json:"version,omitempty"`
-	Ready        bool   `json:"ready"`
-	Refused      bool   `json:"refused,omitempty"`
-	NeedsRestart bool   `json:"waiting,omitempty"`
-	Leaving      bool   `json:"leaving,omitempty"`
-	Lost         bool   `json:"lost,omitempty"` // heartbeats from it have stopped
-	HeardMS      int64  `json:"heard_ms"`       // since the last heartbeat
-	ValidatedMS  int64  `json:"proof_ms"`       // since its state was last validated; negative: unknown
+	Address          string `json:"address"` // of the listener for other instances
+	DataCentre       string `json:"data_centre"`
+	Role             string `json:"role"`
+	Reported         bool   `json:"told"` // it reported a Summary; older builds don't
+	Build            string `json:"build,omitempty"`
+	Settings         string `json:"settings,omitempty"`
+	Version          int64  `json:"version,omitempty"`
+	Ready            bool   `json:"ready"`
+	Rejected         bool   `json:"refused,omitempty"`
+	NeedsRestart     bool   `json:"waiting,omitempty"`
+	Leaving          bool   `json:"leaving,omitempty"`
+	Lost             bool   `json:"lost,omitempty"` // heartbeats from it have stopped
+	SinceHeartbeatMS int64  `json:"heard_ms"`       // since the last heartbeat
+	ValidatedMS      int64  `json:"proof_ms"`       // since its state was last validated; negative: unknown
 }
 
 // SetSummary sets the fields that the instance's own Summary reports.
 func (inst *Instance) SetSummary(s Summary) {
 	inst.Reported = true
 	inst.Build, inst.Settings, inst.Version = HashText(s.Build), HashText(s.Settings), s.Version
-	inst.Ready, inst.Refused, inst.NeedsRestart = s.Ready, s.Refused, s.NeedsRestart
+	inst.Ready, inst.Rejected, inst.NeedsRestart = s.Ready, s.Rejected, s.NeedsRestart
 }
 
 // A Fleet is the list of instances known to one of them, itself included.
 type Fleet struct {
-	Asked string `json:"asked"` // the instance that made the list
+	ReportedBy string `json:"asked"` // the instance that made the list
 	// Partial is set if instances are missing: a region whose schedulers did not answer, or all
 	// instances that a non-scheduler receives no heartbeats from.
 	Partial   bool       `json:"partial"`
@@ -71,7 +71,7 @@
 	if inst.Reported != other.Reported {
 		return other.Reported
 	}
-	return other.HeardMS < inst.HeardMS
+	return other.SinceHeartbeatMS < inst.SinceHeartbeatMS
 }
 
 // Sort sorts the instances by data centre and address.
@@ -134,7 +134,7 @@
 	differsBuild        = "build"
 	differsSettings     = "settings"
 	differsConfig       = "configuration"
-	differsRefused      = "new settings refused"
+	differsRejected     = "new settings refused"
 	differsNeedsRestart = "settings wait for a restart"
 	differsNotReported  = "does not tell"
 	differsLost         = "not heard"
@@ -171,7 +171,7 @@
 		{differsBuild, inst.Build != common.Build},
 		{differsSettings, inst.Settings != common.Settings},
 		{differsConfig, inst.Version != common.Version},
-		{differsRefused, inst.Refused},
+		{differsRejected, inst.Rejected},
 		{differsNeedsRestart, inst.NeedsRestart},
 	} {
 		if c.differs {
--- a/inventory/http.go
+++ b/inventory/http.go
@@ -77,26 +77,26 @@
 	return d, c.get(ctx, address, DetailPath, nil, d)
 }
 
-// AskFleet returns the instances of all regions from the one with the given metrics address.
-func (c *Client) AskFleet(ctx context.Context, address string) (*Fleet, error) {
+// GetFleet returns the instances of all regions from the one with the given metrics address.
+func (c *Client) GetFleet(ctx context.Context, address string) (*Fleet, error) {
 	f := new(Fleet)
 	return f, c.get(ctx, address, FleetJSONPath, nil, f)
 }
 
-// AskDetails returns the Details of the instances with the given peer addresses, from the one with
+// GetDetails returns the Details of the instances with the given peer addresses, from the one with
 // the given metrics address. An instance that could not be queried has its Error set.
-func (c *Client) AskDetails(ctx context.Context, address string, instances ...string) ([]Detail, error) {
+func (c *Client) GetDetails(ctx context.Context, address string, instances ...string) ([]Detail, error) {
 	var out []Detail
 	return out, c.get(ctx, address, DetailsJSONPath, url.Values{addressQuery: instances}, &out)
 }
 
 // A Source provides the data that the handlers serve.
 type Source struct {
-	Detail     func() *Detail                                             // of this instance
-	LocalFleet func() *Fleet                                              // instances that this one receives heartbeats from
-	FullFleet  func(ctx context.Context) *Fleet                           // the whole fleet
-	Ask        func(ctx context.Context, address string) (*Detail, error) // of another instance, which must be in the fleet
-	Log        *zap.Logger
+	Detail       func() *Detail                                             // of this instance
+	LocalFleet   func() *Fleet                                              // instances that this one receives heartbeats from
+	FullFleet    func(ctx context.Context) *Fleet                           // the whole fleet
+	RemoteDetail func(ctx context.Context, address string) (*Detail, error) // of another instance, which must be in the fleet
+	Log          *zap.Logger
 }
 
 func (s *Source) writeJSON(w http.ResponseWriter, v any) {
@@ -131,7 +131,7 @@
 	}
 	out := make([]Detail, len(addresses))
 	for i, address := range addresses {
-		d, err := s.Ask(r.Context(), address)
+		d, err := s.RemoteDetail(r.Context(), address)
 		if err != nil {
 			d = &Detail{Address: address, Error: err.Error()}
 		}
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -17,7 +17,7 @@
 func drawSummary(t *rapid.T) inventory.Summary {
 	return inventory.Summary{
 		Build: rapid.Uint32().Draw(t, "build"), Settings: rapid.Uint32().Draw(t, "settings"), Version: rapid.Int64Min(0).Draw(t, "version"),
-		Ready: rapid.Bool().Draw(t, "ready"), Refused: rapid.Bool().Draw(t, "refused"), NeedsRestart: rapid.Bool().Draw(t, "waiting"),
+		Ready: rapid.Bool().Draw(t, "ready"), Rejected: rapid.Bool().Draw(t, "refused"), NeedsRestart: rapid.Bool().Draw(t, "waiting"),
 	}
 }
 
@@ -81,9 +81,9 @@
 }
 
 func testFleet() *inventory.Fleet {
-	return &inventory.Fleet{Asked: "a1", Instances: []inventory.Instance{
+	return &inventory.Fleet{ReportedBy: "a1", Instances: []inventory.Instance{
 		testInstance("a1", "s", nil), testInstance("a2", "s", nil), testInstance("a3", "s", func(inst *inventory.Instance) { inst.Version = 6 }),
-		testInstance("a4", "other", nil), testInstance("a5", "s", func(inst *inventory.Instance) { inst.Refused, inst.NeedsRestart = true, true }),
+		testInstance("a4", "other", nil), testInstance("a5", "s", func(inst *inventory.Instance) { inst.Rejected, inst.NeedsRestart = true, true }),
 		testInstance("a6", "", func(inst *inventory.Instance) { *inst = inventory.Instance{Address: "a6", DataCentre: "<b>dc</b>"} }),
 		testInstance("a7", "s", func(inst *inventory.Instance) { inst.Lost = true }),
 		testInstance("a8", "s", func(inst *inventory.Instance) { inst.Lost, inst.Leaving = true, true }),
@@ -128,12 +128,12 @@
 // Merging keeps the more recent state; an instance is lost only if every region lost it.
 func TestMerge(t *testing.T) {
 	f := &inventory.Fleet{Instances: []inventory.Instance{
-		testInstance("a1", "s", nil), testInstance("a2", "s", func(inst *inventory.Instance) { inst.Lost, inst.HeardMS = true, 9000 }),
-		testInstance("a3", "", func(inst *inventory.Instance) { inst.Reported = false }), testInstance("a4", "s", func(inst *inventory.Instance) { inst.HeardMS = 10 }),
+		testInstance("a1", "s", nil), testInstance("a2", "s", func(inst *inventory.Instance) { inst.Lost, inst.SinceHeartbeatMS = true, 9000 }),
+		testInstance("a3", "", func(inst *inventory.Instance) { inst.Reported = false }), testInstance("a4", "s", func(inst *inventory.Instance) { inst.SinceHeartbeatMS = 10 }),
 	}}
 	f.Merge(&inventory.Fleet{Instances: []inventory.Instance{
-		testInstance("a2", "t", func(inst *inventory.Instance) { inst.HeardMS = 400 }), testInstance("a3", "t", func(inst *inventory.Instance) { inst.HeardMS = 900 }),
-		testInstance("a4", "old", func(inst *inventory.Instance) { inst.HeardMS = 700 }), testInstance("b1", "t", nil),
+		testInstance("a2", "t", func(inst *inventory.Instance) { inst.SinceHeartbeatMS = 400 }), testInstance("a3", "t", func(inst *inventory.Instance) { inst.SinceHeartbeatMS = 900 }),
+		testInstance("a4", "old", func(inst *inventory.Instance) { inst.SinceHeartbeatMS = 700 }), testInstance("b1", "t", nil),
 		testInstance("a1", "old", func(inst *inventory.Instance) { inst.Lost = true }),
 	}})
 	got := make(map[string]string)
--- a/inventory/page.go
+++ b/inventory/page.go
@@ -65,7 +65,7 @@
 		n++
 	}
 	d := &p.DataCentres[n-1]
-	d.Squares = append(d.Squares, pageSquare{Colour: p.colour(inst), Title: inst.Address + " " + inst.Role + ", heard " + formatAge(inst.HeardMS) + " ago"})
+	d.Squares = append(d.Squares, pageSquare{Colour: p.colour(inst), Title: inst.Address + " " + inst.Role + ", heard " + formatAge(inst.SinceHeartbeatMS) + " ago"})
 }
 
 func (p *page) colour(inst *Instance) string {
@@ -102,7 +102,7 @@
 .warn{color:#b00}
 </style></head><body>
 <h1>Fleet inventory</h1>
-<p>Listed by {{.Fleet.Asked}}.{{if .Fleet.Partial}} <span class="warn">Partial: a region or all schedulers did not answer.</span>{{end}}</p>
+<p>Listed by {{.Fleet.ReportedBy}}.{{if .Fleet.Partial}} <span class="warn">Partial: a region or all schedulers did not answer.</span>{{end}}</p>
 <table><tr><th></th><th>instances</th><th>build</th><th>settings</th><th>configuration</th><th>by data centre</th></tr>
 {{range .Groups}}<tr><td><span class="sq" style="background:{{.Colour}}"></span></td><td>{{.Count}}</td>
 {{if .Reported}}<td>{{.Build}}</td><td>{{.Settings}}</td><td>{{.Version}}</td>{{else}}<td colspan="3">does not tell (an older build)</td>{{end}}
@@ -113,7 +113,7 @@
 <h2>Differing</h2>
 {{if .Outliers}}<table><tr><th>instance</th><th>data centre</th><th>differs in</th><th>build</th><th>settings</th><th>configuration</th><th>heard</th><th>proof</th></tr>
 {{range .Outliers}}<tr><td>{{.Address}}</td><td>{{.DataCentre}}</td><td class="warn">{{range $i, $d := .Differs}}{{if $i}}, {{end}}{{$d}}{{end}}</td>
-<td>{{.Build}}</td><td>{{.Settings}}</td><td>{{.Version}}</td><td>{{age .HeardMS}} ago</td><td>{{age .ValidatedMS}}</td></tr>{{end}}
+<td>{{.Build}}</td><td>{{.Settings}}</td><td>{{.Version}}</td><td>{{age .SinceHeartbeatMS}} ago</td><td>{{age .ValidatedMS}}</td></tr>{{end}}
 </table>{{else}}<p>None: all {{len .Fleet.Instances}} instances run the same.</p>{{end}}
 </body></html>
 `))
--- a/inventory/sets.go
+++ b/inventory/sets.go
@@ -30,8 +30,8 @@
 	AgeMS    int64   `json:"age_ms"`   // since it reported that
 }
 
-// AskSets returns the working sets of the instance with the given metrics address.
-func (c *Client) AskSets(ctx context.Context, address string) (*Sets, error) {
+// GetSets returns the working sets of the instance with the given metrics address.
+func (c *Client) GetSets(ctx context.Context, address string) (*Sets, error) {
 	s := new(Sets)
 	return s, c.get(ctx, address, SetsPath, nil, s)
 }
--- a/inventory/summary.go
+++ b/inventory/summary.go
@@ -19,13 +19,13 @@
 	Settings     uint32 // Hash of the settings in force, without instance-specific ones
 	Version      int64  // of the configuration in force; zero: none
 	Ready        bool
-	Refused      bool // the newest settings file was rejected as invalid
+	Rejected     bool // the newest settings file was rejected as invalid
 	NeedsRestart bool // changed settings require a restart
 }
 
 const (
 	flagReady = 1 << iota
-	flagRefused
+	flagRejected
 	flagNeedsRestart
 )
 
@@ -37,7 +37,7 @@
 	b = binary.BigEndian.AppendUint32(b, s.Build)
 	b = binary.BigEndian.AppendUint32(b, s.Settings)
 	var flags byte
-	for flag, set := range map[byte]bool{flagReady: s.Ready, flagRefused: s.Refused, flagNeedsRestart: s.NeedsRestart} {
+	for flag, set := range map[byte]bool{flagReady: s.Ready, flagRejected: s.Rejected, flagNeedsRestart: s.NeedsRestart} {
 		if set {
 			flags |= flag
 		}
@@ -58,7 +58,7 @@
 	flags := b[summaryHeaderSize-1]
 	return Summary{
 		Build: binary.BigEndian.Uint32(b), Settings: binary.BigEndian.Uint32(b[4:]), Version: int64(version),
-		Ready: flags&flagReady != 0, Refused: flags&flagRefused != 0, NeedsRestart: flags&flagNeedsRestart != 0,
+		Ready: flags&flagReady != 0, Rejected: flags&flagRejected != 0, NeedsRestart: flags&flagNeedsRestart != 0,
 	}, true
 }
 
