--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -232,8 +232,8 @@
 // retained reports whether the state must be kept while the endpoint is not listed.
 func (l *load) retained(now time.Time) bool { return l.directive != nil && !l.directive.expired(now) }
 
-// forgetDirectives drops expired directives. The caller holds b.mu.
-func (b *Balancer) forgetDirectives(known func(incarnation string) bool, now time.Time) {
+// pruneDirectives drops expired directives. The caller holds b.mu.
+func (b *Balancer) pruneDirectives(known func(incarnation string) bool, now time.Time) {
 	for id, s := range b.directives {
 		if known(s.incarnation) {
 			s.lastSeen = now
--- a/balance/backoff_test.go
+++ b/balance/backoff_test.go
@@ -138,9 +138,9 @@
 				f.now = f.now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(rt, "ms")) * time.Millisecond)
 			case 3:
 				if rapid.Bool().Draw(rt, "listed") {
-					b.Forget(func(string) bool { return true })
+					b.Prune(func(string) bool { return true })
 				} else {
-					b.Forget(func(string) bool { return false })
+					b.Prune(func(string) bool { return false })
 				}
 				f.endpoints = append([]*discovery.Endpoint(nil), f.endpoints...) // new slice invalidates the listing
 			default:
@@ -213,8 +213,8 @@
 	}
 	if c := scheduler.Grant(8, f.endpoints, f.stream()); c.Endpoint == 0 {
 		t.Error("not granted to another instance")
-	} else if p, _ := instance.Adopt(c, f.endpoints, f.stream()); p != nil {
-		t.Error("grant adopted by the instance in back-off")
+	} else if p, _ := instance.AcceptGrant(c, f.endpoints, f.stream()); p != nil {
+		t.Error("grant accepted by the instance in back-off")
 	}
 	f.now = f.now.Add(3*time.Second + maxJitter)
 	if c := scheduler.Grant(7, f.endpoints, f.stream()); c.Endpoint == 0 {
@@ -236,7 +236,7 @@
 		p.RecordDraining()
 		p.Done(balance.Refused)
 		f.now = f.now.Add(c.after)
-		b.Forget(func(string) bool { return false })
+		b.Prune(func(string) bool { return false })
 		if got := b.Place(next, f.stream()) == nil; got != c.applies {
 			t.Errorf("start time known %v after the response: back-off applies: %v", c.after, got)
 		}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -25,8 +25,8 @@
 	"ivyridge/quota"
 )
 
-// A Part is a segment of a prompt that engines can cache.
-type Part struct {
+// A PromptPart is a segment of a prompt that engines can cache.
+type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
@@ -42,7 +42,7 @@
 	Deadline      time.Duration // time until the caller gives up; zero: unknown
 	Prompt        int           // tokens
 	Output        int           // expected tokens
-	Parts         []Part
+	Parts         []PromptPart
 	Avoid         []uint32          // hashes of endpoints that already received the request or that its instance can't reach
 	Sent          bool              // an endpoint may have received the request, or its response has begun: it can't be refused any more
 	Bytes         int               // size of the body
@@ -137,13 +137,13 @@
 	return l
 }
 
-// Forget drops the state of endpoints for which known is false, and of unused endpoints outside
+// Prune drops the state of endpoints for which known is false, and of unused endpoints outside
 // all working sets. It keeps endpoints with running requests or an unexpired back-off or drain.
-func (b *Balancer) Forget(known func(id string) bool) {
+func (b *Balancer) Prune(known func(id string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	b.forgetDirectives(known, now)
+	b.pruneDirectives(known, now)
 	used := b.workingSetLoads()
 	for id, l := range b.loads {
 		if l.running == 0 && !l.retained(now) && (!known(id) || !used[l] && l.unused(now)) {
@@ -157,9 +157,9 @@
 		}
 		l.prune(now)
 	}
-	b.forgetLimits()
-	b.uses.forget(now)
-	b.forgetShares(now)
+	b.pruneLimits()
+	b.uses.prune(now)
+	b.pruneShares(now)
 }
 
 // invalidateWorkingSets causes all working sets to be rebuilt on next use. The caller holds b.mu.
@@ -345,7 +345,7 @@
 
 // recordPrefill accounts for a prompt placed at l, with uncached tokens to prefill and fetched
 // tokens to copy from another endpoint.
-func (b *Balancer) recordPrefill(l *load, now time.Time, parts []Part, uncached, fetched int) {
+func (b *Balancer) recordPrefill(l *load, now time.Time, parts []PromptPart, uncached, fetched int) {
 	l.insertedTokens += fetched
 	l.addPrompt(now, parts, uncached)
 	b.uses.add(now, parts)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -36,14 +36,14 @@
 func (f *fixture) long(part uint64) *balance.Demand {
 	return &balance.Demand{
 		Service: f.engines, Priority: 2, Objective: 1200 * time.Millisecond, MaxGap: time.Second, Prompt: 9000, Output: 60,
-		Parts: []balance.Part{{ID: 1, Tokens: 2500}, {ID: part, Tokens: 3700}, {ID: part<<32 | uint64(f.now.UnixNano()), Tokens: 2800}},
+		Parts: []balance.PromptPart{{ID: 1, Tokens: 2500}, {ID: part, Tokens: 3700}, {ID: part<<32 | uint64(f.now.UnixNano()), Tokens: 2800}},
 	}
 }
 
 func (f *fixture) stream() *balance.Demand {
 	return &balance.Demand{
 		Service: f.engines, Priority: 0, Objective: 300 * time.Millisecond, MaxGap: 250 * time.Millisecond, Prompt: 500, Output: 300,
-		Parts: []balance.Part{{ID: 7, Tokens: 100}, {ID: 8, Tokens: 60}, {ID: uint64(f.now.UnixNano()), Tokens: 340}},
+		Parts: []balance.PromptPart{{ID: 7, Tokens: 100}, {ID: 8, Tokens: 60}, {ID: uint64(f.now.UnixNano()), Tokens: 340}},
 	}
 }
 
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -51,16 +51,16 @@
 	}
 }
 
-// A grant of a cold endpoint is adopted, since the scheduler has charged it.
-func TestGrantOfAColdEndpointIsAdopted(t *testing.T) {
+// A grant of a cold endpoint is accepted, since the scheduler has charged it.
+func TestGrantOfAColdEndpointIsAccepted(t *testing.T) {
 	f, service := coldFixture(1)
 	scheduler, other := f.balancer(), f.balancer()
 	scheduler.SetColdBounds(balance.ColdBounds{Over: 1.5, Slack: 5})
 	scheduler.SetColdShare(1.0 / 3)
 	d := &balance.Demand{Service: service}
 	c := scheduler.Grant(7, f.endpoints, d)
-	if p, _ := other.Adopt(c, f.endpoints, d); p == nil || !p.Cold {
-		t.Fatalf("adopted %+v, want a cold endpoint", p)
+	if p, _ := other.AcceptGrant(c, f.endpoints, d); p == nil || !p.Cold {
+		t.Fatalf("accepted %+v, want a cold endpoint", p)
 	}
 	if again := scheduler.Grant(7, f.endpoints, d); again.Endpoint != 0 {
 		t.Fatal("granted a second request immediately")
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -135,7 +135,7 @@
 
 // affinity returns a rendezvous hash from 0 to 1. It is lowest at the endpoint that should cache
 // the prompt's shared parts, so that instances agree without communication.
-func affinity(endpoint uint32, parts []Part) float64 {
+func affinity(endpoint uint32, parts []PromptPart) float64 {
 	if len(parts) < 2 {
 		return 0
 	}
--- a/balance/distance_test.go
+++ b/balance/distance_test.go
@@ -27,7 +27,7 @@
 func (f *fixture) prompt(id uint64, shared, own, bytes int) *balance.Demand {
 	return &balance.Demand{
 		Service: f.engines, Priority: 2, Objective: 2 * time.Second, Prompt: shared + own, Output: 120, Bytes: bytes,
-		Parts: []balance.Part{{ID: id, Tokens: shared}, {ID: uint64(f.now.UnixNano()), Tokens: own}},
+		Parts: []balance.PromptPart{{ID: id, Tokens: shared}, {ID: uint64(f.now.UnixNano()), Tokens: own}},
 	}
 }
 
--- a/balance/fair.go
+++ b/balance/fair.go
@@ -76,8 +76,8 @@
 	return s
 }
 
-// forgetShares drops the shares of idle services. The caller holds b.mu.
-func (b *Balancer) forgetShares(now time.Time) {
+// pruneShares drops the shares of idle services. The caller holds b.mu.
+func (b *Balancer) pruneShares(now time.Time) {
 	for name, s := range b.shares {
 		if s.Idle(now) {
 			delete(b.shares, name)
--- a/balance/fetch_test.go
+++ b/balance/fetch_test.go
@@ -58,7 +58,7 @@
 			b.SetRegions(map[string]string{"z": "here", "far": "there"})
 		}},
 		{"holds 100 tokens", func(_ *fixture, _ *balance.Balancer, d *balance.Demand) {
-			d.Parts = []balance.Part{{ID: 1, Tokens: 100}, {ID: 99, Tokens: 8900}}
+			d.Parts = []balance.PromptPart{{ID: 1, Tokens: 100}, {ID: 99, Tokens: 8900}}
 		}},
 		{"is of a service without transfers", func(f *fixture, _ *balance.Balancer, _ *balance.Demand) { f.engines.Engine.LinkMbps = 0 }},
 	} {
@@ -90,15 +90,15 @@
 	}
 }
 
-// An instance that adopts a grant fetches the same parts if it knows the donor.
+// An instance that accepts a grant fetches the same parts if it knows the donor.
 func TestGrantIncludesDonor(t *testing.T) {
 	f, b, d := fetchFixture(2)
 	c := b.Grant(7, f.endpoints, d)
 	other := f.balancer()
-	if p, _ := other.Adopt(c, f.endpoints, d); p == nil || p.Donor != f.endpoints[0] || p.Cached != 6200 {
-		t.Fatalf("adopted %+v, want 6200 tokens from e0", p)
+	if p, _ := other.AcceptGrant(c, f.endpoints, d); p == nil || p.Donor != f.endpoints[0] || p.Cached != 6200 {
+		t.Fatalf("accepted %+v, want 6200 tokens from e0", p)
 	}
-	if p, _ := f.balancer().Adopt(c, f.endpoints[1:], d); p == nil || p.Donor != nil || p.Cached != 0 {
-		t.Fatalf("adopted %+v without the donor, want nothing cached", p)
+	if p, _ := f.balancer().AcceptGrant(c, f.endpoints[1:], d); p == nil || p.Donor != nil || p.Cached != 0 {
+		t.Fatalf("accepted %+v without the donor, want nothing cached", p)
 	}
 }
--- a/balance/grant.go
+++ b/balance/grant.go
@@ -8,8 +8,9 @@
 	"ivyridge/discovery"
 )
 
-// A Choice is an endpoint that one instance chose for another, with the estimates behind it.
-type Choice struct {
+// A Grant is an endpoint that one instance chose for another, with the estimates behind it, or the
+// refusal of the request.
+type Grant struct {
 	Endpoint       uint32 // EndpointHash of its incarnation; zero: no endpoint is eligible
 	Cost           float64
 	Cached         int    // prompt tokens presumed cached at the endpoint, or fetched by it
@@ -29,13 +30,13 @@
 
 // Grant chooses an endpoint for another instance, and counts the request as running there until
 // that instance's next report about the endpoint.
-func (b *Balancer) Grant(instance uint64, endpoints []*discovery.Endpoint, d *Demand) Choice {
+func (b *Balancer) Grant(instance uint64, endpoints []*discovery.Endpoint, d *Demand) Grant {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	p, refusal := b.admit(endpoints, d, now, requester(instance))
 	if p == nil {
-		return Choice{Refusal: refusal}
+		return Grant{Refusal: refusal}
 	}
 	l := p.load
 	b.spendCold(p.Endpoint, l, d.Service, now)
@@ -57,26 +58,26 @@
 	if d.Suspect {
 		l.markSuspect(now)
 	}
-	c := Choice{
+	grant := Grant{
 		Endpoint: l.hash, Cost: p.Cost, Cached: p.Cached, Backlog: p.Backlog, BacklogTokens: p.BacklogTokens, Wait: p.Wait, Pace: p.Pace,
 		FailureRate: p.failureRate, ExcessFailures: l.observed.excess(p.failureRate), RetryAvailable: available,
 	}
 	if p.donor != nil {
-		c.Fetched, c.Donor = p.Fetched, p.donor.hash
+		grant.Fetched, grant.Donor = p.Fetched, p.donor.hash
 	}
-	return c
+	return grant
 }
 
-// Adopt counts a request as running at the endpoint that another instance chose. It returns no
-// placement if the endpoint is not listed, or this instance knows it to be draining, unreachable,
+// AcceptGrant counts a request as running at the endpoint that another instance chose. It returns
+// no placement if the endpoint is not listed, or this instance knows it to be draining, unreachable,
 // in back-off, already tried, or not allowed to serve the request. If a permit must be requested
 // first, it returns a refusal with cause PermitWanted.
-func (b *Balancer) Adopt(c Choice, endpoints []*discovery.Endpoint, d *Demand) (*Placement, *Refusal) {
+func (b *Balancer) AcceptGrant(grant Grant, endpoints []*discovery.Endpoint, d *Demand) (*Placement, *Refusal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	ls := b.listing(d.Service.Name, endpoints)
-	e := ls.byHash[c.Endpoint]
+	e := ls.byHash[grant.Endpoint]
 	if e == nil {
 		return nil, nil
 	}
@@ -92,27 +93,27 @@
 	}
 	if d.Service.Engine != nil {
 		l.stats = b.statsFor(d.Service.Name)
-		l.stats.prefillPerToken.MergePeer(c.Pace.PrefillPerToken)
-		l.stats.stepTime.MergePeer(c.Pace.StepTime)
+		l.stats.prefillPerToken.MergePeer(grant.Pace.PrefillPerToken)
+		l.stats.stepTime.MergePeer(grant.Pace.StepTime)
 	}
-	p := &Placement{Endpoint: e, Cost: c.Cost, Cached: c.Cached, Backlog: c.Backlog, BacklogTokens: c.BacklogTokens, Wait: c.Wait, Pace: c.Pace, Granted: true, RetryAvailable: c.RetryAvailable, failureRate: c.FailureRate, excessFailures: c.ExcessFailures, load: l, Distance: l.distance}
+	p := &Placement{Endpoint: e, Cost: grant.Cost, Cached: grant.Cached, Backlog: grant.Backlog, BacklogTokens: grant.BacklogTokens, Wait: grant.Wait, Pace: grant.Pace, Granted: true, RetryAvailable: grant.RetryAvailable, failureRate: grant.FailureRate, excessFailures: grant.ExcessFailures, load: l, Distance: l.distance}
 	if p.Distance == OtherRegion {
 		p.CrossRegionCost, _ = b.crossRegionCosts(d, now)
 	}
-	b.adoptFetch(p, &c, ls, d)
+	b.acceptFetch(p, &grant, ls, d)
 	b.begin(p, d, now)
 	return p, nil
 }
 
-// adoptFetch adopts the fetch of the choice. If the donor is unknown here or may not hold the
+// acceptFetch accepts the fetch of the grant. If the donor is unknown here or may not hold the
 // request's parts, the endpoint prefills them instead.
-func (b *Balancer) adoptFetch(p *Placement, c *Choice, ls *listing, d *Demand) {
-	if c.Donor == 0 {
+func (b *Balancer) acceptFetch(p *Placement, grant *Grant, ls *listing, d *Demand) {
+	if grant.Donor == 0 {
 		return
 	}
-	if donor := ls.byHash[c.Donor]; donor != nil && b.inAllowedRegion(donor, d) {
-		p.Fetched, p.Donor = c.Fetched, donor
+	if donor := ls.byHash[grant.Donor]; donor != nil && b.inAllowedRegion(donor, d) {
+		p.Fetched, p.Donor = grant.Fetched, donor
 		return
 	}
-	p.Cached -= c.Fetched
+	p.Cached -= grant.Fetched
 }
--- a/balance/grant_test.go
+++ b/balance/grant_test.go
@@ -20,7 +20,7 @@
 			t.Fatalf("30 concurrent grants spread as %v (%d)", count, hash)
 		}
 	}
-	placement, _ := other.Adopt(balance.Choice{Endpoint: balance.EndpointHash("e0")}, f.endpoints, demand)
+	placement, _ := other.AcceptGrant(balance.Grant{Endpoint: balance.EndpointHash("e0")}, f.endpoints, demand)
 	reports, _ := other.Reports(true, 0)
 	scheduler.Merge(7, nil, reports, true)
 	if got := scheduler.Grant(8, f.endpoints, demand).Endpoint; got == balance.EndpointHash("e0") {
@@ -49,7 +49,7 @@
 func TestGrantedPlacementIsNotAnnouncedAgain(t *testing.T) {
 	f := newFixture(4)
 	b := f.balancer()
-	if p, _ := b.Adopt(balance.Choice{Endpoint: balance.EndpointHash("e1")}, f.endpoints, f.long(5)); p == nil || !p.Granted {
+	if p, _ := b.AcceptGrant(balance.Grant{Endpoint: balance.EndpointHash("e1")}, f.endpoints, f.long(5)); p == nil || !p.Granted {
 		t.Fatalf("got %+v, want a placement chosen by another instance", p)
 	}
 	if notices := b.TakeNotices(); len(notices) != 0 {
@@ -57,8 +57,8 @@
 	}
 }
 
-// Adopt rejects a grant that conflicts with the instance's own information.
-func TestAdoptPrefersLocalKnowledge(t *testing.T) {
+// AcceptGrant rejects a grant that conflicts with the instance's own information.
+func TestAcceptGrantPrefersLocalKnowledge(t *testing.T) {
 	f := newFixture(3)
 	b := f.balancer()
 	b.Place(f.endpoints[:1], f.long(1)).RecordUnreachable()
@@ -66,8 +66,8 @@
 	demand := f.long(2)
 	demand.Avoid = []uint32{balance.EndpointHash("e2")}
 	for _, id := range []string{"e0", "e1", "e2", "e3"} {
-		if p, _ := b.Adopt(balance.Choice{Endpoint: balance.EndpointHash(id)}, f.endpoints, demand); p != nil {
-			t.Errorf("adopted %s, which is known to be ineligible", id)
+		if p, _ := b.AcceptGrant(balance.Grant{Endpoint: balance.EndpointHash(id)}, f.endpoints, demand); p != nil {
+			t.Errorf("accepted %s, which is known to be ineligible", id)
 		}
 	}
 }
@@ -94,11 +94,11 @@
 	b.Place(f.endpoints, d).Done(balance.Served) // makes the endpoints known to b
 	b.Place(f.endpoints, d).Done(balance.Served)
 	p := a.Place(f.endpoints[:1], d)
-	p.RecordGone()
+	p.RecordReplaced()
 	p.Done(balance.Refused)
 	for _, full := range []bool{true, false} {
 		reports, _ := a.Reports(full, 0)
-		if len(reports) != 1 || reports[0].Gone <= 0 {
+		if len(reports) != 1 || reports[0].Replaced <= 0 {
 			t.Fatalf("full %v: reports %+v", full, reports)
 		}
 		b.Merge(1, nil, reports, full)
@@ -106,11 +106,11 @@
 	f.now = f.now.Add(4 * time.Second)
 	for range 4 {
 		if p := b.Place(f.endpoints, d); p.Endpoint.ID != "e1" {
-			t.Fatal("placed at an endpoint that another instance found gone")
+			t.Fatal("placed at an endpoint that another instance found replaced")
 		}
 	}
 	if p := b.Place(f.endpoints[:1], d); p != nil {
-		t.Fatal("placed at an endpoint that is gone, as a last resort")
+		t.Fatal("placed at a replaced endpoint, as a last resort")
 	}
 	// Repeated reports between instances don't extend the time.
 	for range 20 {
@@ -121,7 +121,7 @@
 		}
 	}
 	if p := b.Place(f.endpoints[:1], d); p == nil {
-		t.Fatal("endpoint counts as gone forever")
+		t.Fatal("endpoint counts as replaced forever")
 	}
 }
 
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -290,8 +290,8 @@
 	return out
 }
 
-// forgetLimits drops limits of endpoints whose state was dropped. The caller holds b.mu.
-func (b *Balancer) forgetLimits() {
+// pruneLimits drops limits of endpoints whose state was dropped. The caller holds b.mu.
+func (b *Balancer) pruneLimits() {
 	for hash, l := range b.limited {
 		if b.loadsByHash[hash] != l {
 			delete(b.limited, hash)
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -191,23 +191,23 @@
 	}
 }
 
-// The instance that adopts a grant of an endpoint with a limit requests the permit.
+// The instance that accepts a grant of an endpoint with a limit requests the permit.
 func TestGrantsOfLimitedEndpoints(t *testing.T) {
 	f := newFixture(1)
 	scheduler, instance := f.balancer(), f.balancer()
 	instance.Place(f.endpoints, f.stream()).Done(balance.Served)
 	f.announceLimit(instance, 0, 1.2)
 	c := scheduler.Grant(7, f.endpoints, f.stream())
-	p, refusal := instance.Adopt(c, f.endpoints, f.stream())
+	p, refusal := instance.AcceptGrant(c, f.endpoints, f.stream())
 	if p != nil || refusal == nil || refusal.Cause != balance.PermitWanted {
 		t.Fatalf("got %+v, %+v, want refusal with cause PermitWanted", p, refusal)
 	}
 	endpoint, _, _ := instance.BeginPermitRequest(f.endpoints[0], urgency)
 	instance.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
-	if p, _ = instance.Adopt(c, f.endpoints, f.stream()); p == nil || !p.MaySend() {
-		t.Error("grant is not adopted with a permit")
+	if p, _ = instance.AcceptGrant(c, f.endpoints, f.stream()); p == nil || !p.MaySend() {
+		t.Error("grant is not accepted with a permit")
 	}
-	if p, refusal = instance.Adopt(c, f.endpoints, &balance.Demand{Service: f.stream().Service, Permitted: true}); p != nil || refusal != nil {
+	if p, refusal = instance.AcceptGrant(c, f.endpoints, &balance.Demand{Service: f.stream().Service, Permitted: true}); p != nil || refusal != nil {
 		t.Errorf("request with Permitted set got %+v, %+v, want neither", p, refusal)
 	}
 }
--- a/balance/load.go
+++ b/balance/load.go
@@ -161,7 +161,7 @@
 	directive          *directive  // back-off or drain request of the endpoint; nil: none
 	limitState         *limitState // announced rate limit; nil: none known
 	drainReportedUntil time.Time   // draining until then, as reported by another instance
-	goneUntil          time.Time   // another endpoint has its address; not eligible until then
+	replacedUntil      time.Time   // another endpoint has its address; not eligible until then
 	cold               quota.TokenBucket
 	slowness           slowness // self-reported; only for endpoints without an engine
 
@@ -274,7 +274,7 @@
 }
 
 // addPrompt adds a prompt to the backlog and marks its parts as cached.
-func (l *load) addPrompt(now time.Time, parts []Part, uncached int) {
+func (l *load) addPrompt(now time.Time, parts []PromptPart, uncached int) {
 	l.observe(now)
 	if l.busyUntil.Before(now) {
 		l.busyUntil = now
@@ -288,7 +288,7 @@
 
 // cached returns how many leading tokens of a prompt are presumed cached: parts used within the
 // last memory tokens, up to the first part that is missing.
-func (l *load) cached(parts []Part, memory int) int {
+func (l *load) cached(parts []PromptPart, memory int) int {
 	sum := 0
 	for _, p := range parts {
 		part, ok := l.parts[p.ID]
@@ -383,16 +383,18 @@
 	l.downUntil = now.Add(l.connBackoff)
 }
 
-// goneTTL is how long an endpoint is skipped after another one was found at its address. It exceeds
-// the time until the endpoint is unlisted, and bounds the effect of a wrong response.
-const goneTTL = 5 * time.Second
+// replacedTTL is how long an endpoint is skipped after another one was found at its address. It
+// exceeds the time until the endpoint is unlisted, and bounds the effect of a wrong response.
+const replacedTTL = 5 * time.Second
 
-func (l *load) goneRemaining(now time.Time) time.Duration { return max(0, l.goneUntil.Sub(now)) }
+func (l *load) replacedRemaining(now time.Time) time.Duration {
+	return max(0, l.replacedUntil.Sub(now))
+}
 
 // avoided reports whether the endpoint is skipped. With lastResort, endpoints that are presumed
-// down or whose listing has just expired are eligible, but not those that are gone.
+// down or whose listing has just expired are eligible, but not those that were replaced.
 func (l *load) avoided(e *discovery.Endpoint, now time.Time, lastResort bool) bool {
-	if l.goneUntil.After(now) {
+	if l.replacedUntil.After(now) {
 		return true
 	}
 	if !e.GraceUntil.IsZero() {
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -14,7 +14,7 @@
 	Uncached int    // prompt tokens to prefill
 	Priority int    // 0 is the most urgent
 	Fetched  int    // prompt tokens to fetch from another endpoint
-	Parts    []Part
+	Parts    []PromptPart
 	Suspect  bool // it was running at an endpoint that terminated
 
 	// Residency is the set of regions to which Parts may be disclosed. It is not sent.
@@ -24,7 +24,7 @@
 // A Report is the load of one instance, or of several, at an endpoint.
 type Report struct {
 	Endpoint uint32
-	Gone     time.Duration // time left to skip the endpoint because another one has its address
+	Replaced time.Duration // time left to skip the endpoint because another one has its address
 	Backoff  time.Duration // time left of the endpoint's back-off for that instance
 	Draining bool
 	Limit    ReportedLimit // announced by the endpoint
@@ -65,14 +65,14 @@
 	for _, l := range b.loads {
 		recent := l.recent(now)
 		down := l.downUntil.After(now)
-		gone := l.goneRemaining(now)
+		replaced := l.replacedRemaining(now)
 		backoff, draining := l.backoffRemaining(now), l.directive != nil && l.directive.draining
 		lim := l.reportedLimit(now)
-		idle := l.running == 0 && recent == (Observations{}) && gone == 0 && !down && backoff == 0 && !draining && !lim.Known
+		idle := l.running == 0 && recent == (Observations{}) && replaced == 0 && !down && backoff == 0 && !draining && !lim.Known
 		if full && idle || !full && l.changed <= since {
 			continue
 		}
-		r := Report{Endpoint: l.hash, Gone: gone, Backoff: backoff, Draining: draining, Limit: lim, Running: l.own}
+		r := Report{Endpoint: l.hash, Replaced: replaced, Backoff: backoff, Draining: draining, Limit: lim, Running: l.own}
 		r.Down = down
 		r.Requests = l.running
 		r.Observations = recent
@@ -103,7 +103,7 @@
 }
 
 func (r *Report) empty() bool {
-	return r.Running == (Running{}) && r.Gone == 0 && r.Backoff == 0 && !r.Draining && !r.Limit.Known
+	return r.Running == (Running{}) && r.Replaced == 0 && r.Backoff == 0 && !r.Draining && !r.Limit.Known
 }
 
 // AggregateReportsWithOwn is like AggregateReports but includes this instance. If not full, it
@@ -137,7 +137,7 @@
 // sum combines the unexpired reports about l of the instances for which include is true, and counts
 // those that failed to connect.
 func (l *load) sum(include func(instance uint64) bool, now time.Time) (r Report, down int) {
-	r = Report{Endpoint: l.hash, Gone: l.goneRemaining(now), Limit: l.reportedLimit(now)}
+	r = Report{Endpoint: l.hash, Replaced: l.replacedRemaining(now), Limit: l.reportedLimit(now)}
 	for id, remote := range l.remotes {
 		if now.Sub(remote.at) >= remoteTTL || !include(id) {
 			continue
@@ -181,8 +181,8 @@
 			}
 			b.mergeLimit(l, &r.Limit, now)
 			b.markRemoteChanged(l)
-			if until := now.Add(min(r.Gone, goneTTL)); until.After(l.goneUntil) {
-				l.goneUntil = until
+			if until := now.Add(min(r.Replaced, replacedTTL)); until.After(l.replacedUntil) {
+				l.replacedUntil = until
 			}
 		}
 	}
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -106,8 +106,8 @@
 // suspectExcess is the failure rate above that of the service from which an endpoint is suspect.
 const suspectExcess = 0.12
 
-// Suspect reports whether the endpoint fails significantly more often than its service.
-func (p *Placement) Suspect() bool {
+// FailsOften reports whether the endpoint fails significantly more often than its service.
+func (p *Placement) FailsOften() bool {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,12 +128,12 @@
 	b.markChanged(p.load)
 }
 
-// RecordGone records that another endpoint has this one's address. Every start has its own ID, so
-// this endpoint no longer exists. Other instances are told in reports.
-func (p *Placement) RecordGone() {
+// RecordReplaced records that another endpoint has this one's address. Every start has its own ID,
+// so this endpoint no longer exists. Other instances are told in reports.
+func (p *Placement) RecordReplaced() {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p.load.goneUntil = b.now().Add(goneTTL)
+	p.load.replacedUntil = b.now().Add(replacedTTL)
 	b.markChanged(p.load)
 }
--- a/balance/popular.go
+++ b/balance/popular.go
@@ -53,7 +53,7 @@
 type uses map[uint64]useCount
 
 // add counts a prompt. The last of parts is unique to it.
-func (u uses) add(now time.Time, parts []Part) {
+func (u uses) add(now time.Time, parts []PromptPart) {
 	if len(parts) < 2 {
 		return
 	}
@@ -67,7 +67,7 @@
 
 // costShare returns the share of the prefill cost of the first part that is charged to one
 // request, if the part were prefilled at one more of n endpoints.
-func (u uses) costShare(now time.Time, parts []Part, n int) float64 {
+func (u uses) costShare(now time.Time, parts []PromptPart, n int) float64 {
 	if len(parts) < 2 || n == 0 {
 		return 1
 	}
@@ -76,7 +76,7 @@
 }
 
 // accruedCrossCost returns the cost so far of leaving the region for the prompt's first part.
-func (u uses) accruedCrossCost(now time.Time, parts []Part) float64 {
+func (u uses) accruedCrossCost(now time.Time, parts []PromptPart) float64 {
 	if len(parts) < 2 {
 		return 0
 	}
@@ -104,7 +104,7 @@
 	b.uses[d.Parts[0].ID] = count
 }
 
-func (u uses) forget(now time.Time) {
+func (u uses) prune(now time.Time) {
 	for id, count := range u {
 		if count.of(now) < minUses {
 			delete(u, id)
--- a/balance/residency.go
+++ b/balance/residency.go
@@ -17,7 +17,7 @@
 
 // storableParts returns the prompt parts that this instance may store: none if the request may not
 // be served in the instance's region. The caller holds b.mu.
-func (b *Balancer) storableParts(d *Demand) []Part {
+func (b *Balancer) storableParts(d *Demand) []PromptPart {
 	if d.Residency.Restricted() && !d.Residency.Allows(b.regions[b.dataCentre]) {
 		return nil
 	}
--- a/balance/residency_test.go
+++ b/balance/residency_test.go
@@ -82,7 +82,7 @@
 			d := &balance.Demand{
 				Service: rapid.SampledFrom([]*catalog.Service{service, plain}).Draw(t, "service"), Residency: catalog.NewResidency(allowed),
 				Objective: time.Second, Prompt: 9000, Output: 50, Sent: rapid.Bool().Draw(t, "sent before"),
-				Parts: []balance.Part{{ID: uint64(n % 2), Tokens: 5000}, {ID: uint64(100 + n), Tokens: 4000}},
+				Parts: []balance.PromptPart{{ID: uint64(n % 2), Tokens: 5000}, {ID: uint64(100 + n), Tokens: 4000}},
 			}
 			if rapid.IntRange(0, 3).Draw(t, "unbound") == 0 {
 				d.Residency = catalog.Residency{}
@@ -94,13 +94,13 @@
 					chosen, donor = p.byHash(c.Endpoint), p.byHash(c.Donor)
 				}
 			case 1:
-				wrong := balance.Choice{Fetched: 5000, Cached: 5000}
+				wrong := balance.Grant{Fetched: 5000, Cached: 5000}
 				if len(p.endpoints) > 0 {
 					wrong.Endpoint = balance.EndpointHash(rapid.SampledFrom(p.endpoints).Draw(t, "chosen").ID)
 					wrong.Donor = balance.EndpointHash(rapid.SampledFrom(p.endpoints).Draw(t, "donor").ID)
 				}
-				adopted, _ := b.Adopt(wrong, p.endpoints, d)
-				running = recordPlacement(adopted, &chosen, &donor, running)
+				accepted, _ := b.AcceptGrant(wrong, p.endpoints, d)
+				running = recordPlacement(accepted, &chosen, &donor, running)
 			default:
 				placement, _ := b.Admit(p.endpoints, d)
 				running = recordPlacement(placement, &chosen, &donor, running)
--- a/balance/restart_test.go
+++ b/balance/restart_test.go
@@ -53,17 +53,17 @@
 	// Reports about the previous process are ignored.
 	other := f.balancer()
 	other.Place(next, f.long(1)).Done(balance.Served)
-	other.Merge(7, []balance.Notice{{Endpoint: balance.EndpointHash(previous[0].Incarnation()), Uncached: 90_000, Parts: []balance.Part{{ID: 1, Tokens: 2500}}}},
-		[]balance.Report{{Endpoint: balance.EndpointHash(previous[0].Incarnation()), Gone: time.Second, Running: balance.Running{Requests: 64}}}, true)
+	other.Merge(7, []balance.Notice{{Endpoint: balance.EndpointHash(previous[0].Incarnation()), Uncached: 90_000, Parts: []balance.PromptPart{{ID: 1, Tokens: 2500}}}},
+		[]balance.Report{{Endpoint: balance.EndpointHash(previous[0].Incarnation()), Replaced: time.Second, Running: balance.Running{Requests: 64}}}, true)
 	f.now = f.now.Add(10 * time.Second)
 	if p := other.Place(next, &balance.Demand{Service: f.engines, Objective: time.Second, Prompt: 100, Output: 10}); p == nil || p.Backlog > 0 {
 		t.Errorf("reports about the previous process apply to the restarted one: %+v", p)
 	}
 
-	// A choice made by an instance that only knows the previous process is not adopted.
-	choice := b.Grant(7, previous, f.long(9))
-	if p, _ := other.Adopt(choice, next, f.long(9)); p != nil {
-		t.Errorf("choice of the previous process adopted for the restarted one: %+v", p)
+	// A grant made by an instance that only knows the previous process is not accepted.
+	grant := b.Grant(7, previous, f.long(9))
+	if p, _ := other.AcceptGrant(grant, next, f.long(9)); p != nil {
+		t.Errorf("grant of the previous process accepted for the restarted one: %+v", p)
 	}
 }
 
--- a/balance/suspect_test.go
+++ b/balance/suspect_test.go
@@ -23,7 +23,7 @@
 		// Three endpoints are busy.
 		for _, e := range f.endpoints[:3] {
 			for range 20 {
-				a.Adopt(balance.Choice{Endpoint: balance.EndpointHash(e.ID)}, f.endpoints, &balance.Demand{Service: suspect().Service})
+				a.AcceptGrant(balance.Grant{Endpoint: balance.EndpointHash(e.ID)}, f.endpoints, &balance.Demand{Service: suspect().Service})
 			}
 		}
 		b.Place(f.endpoints, &balance.Demand{Service: suspect().Service}).Done(balance.Served)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -207,7 +207,7 @@
 				return
 			case <-timer.C:
 			}
-			if !isModel || placement.Suspect() {
+			if !isModel || placement.FailsOften() {
 				cancel(errResponseTimeout)
 				return
 			}
@@ -286,7 +286,7 @@
 			d.Output = min(g.OutputHint, d.Output)
 		}
 		for _, p := range g.Parts {
-			d.Parts = append(d.Parts, balance.Part{ID: p.ID, Tokens: p.Tokens})
+			d.Parts = append(d.Parts, balance.PromptPart{ID: p.ID, Tokens: p.Tokens})
 		}
 	}
 	return d
--- a/entry/response.go
+++ b/entry/response.go
@@ -27,7 +27,7 @@
 	switch {
 	case head.Misdirected:
 		x.Close(false, 0)
-		f.placement.RecordGone()
+		f.placement.RecordReplaced()
 		f.placement.Done(balance.Unknown)
 		f.unmarkSent()
 		return verdict.Refuse(verdict.EndpointGone, "%s answered %d", f.placement.Endpoint.ID, x.Status).WithRetryAfter(retryAfterShort)
--- a/gossip/aggregates_test.go
+++ b/gossip/aggregates_test.go
@@ -79,7 +79,7 @@
 		all = append(all, &discovery.Endpoint{Endpoint: catalog.Endpoint{ID: fmt.Sprint(e), Slots: 8}})
 	}
 	for _, n := range w.nodes {
-		n.Balancer.Forget(func(string) bool { return true })
+		n.Balancer.Prune(func(string) bool { return true })
 		for e := range all {
 			n.Balancer.Place(all[e:e+1], d).Done(balance.Served)
 		}
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -85,9 +85,9 @@
 	fleetSize      int           // live instances known directly or through another instance
 	newerRevision  chan struct{} // closed when a member reports a newer revision
 	requestNumber  uint64
-	pending        map[uint64]chan balance.Choice // by request number
-	backoffs       map[string]*backoff            // by address
-	borrowFailedAt map[string]time.Time           // when no lender had a retry, by service name
+	pending        map[uint64]chan balance.Grant // by request number
+	backoffs       map[string]*backoff           // by address
+	borrowFailedAt map[string]time.Time          // when no lender had a retry, by service name
 	groups         receiverGroups
 	retryShare     float64 // of the retry budget
 	limits         limitAllocation
@@ -126,7 +126,7 @@
 	g := &Gossip{
 		Options: o, id: id, conn: conn, startedAt: o.Now(),
 		addrs: make(map[string]netip.AddrPort), newerRevision: make(chan struct{}),
-		pending: make(map[uint64]chan balance.Choice), backoffs: make(map[string]*backoff), borrowFailedAt: make(map[string]time.Time),
+		pending: make(map[uint64]chan balance.Grant), backoffs: make(map[string]*backoff), borrowFailedAt: make(map[string]time.Time),
 	}
 	g.members = newMembers(Member{Address: o.Address, ID: id, DataCentre: o.DataCentre, Cores: o.Cores}, o.Seeds)
 	g.members.setRegions(o.Regions)
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -56,7 +56,7 @@
 		n := balance.Notice{Endpoint: rapid.Uint32().Draw(t, "endpoint"), Uncached: rapid.IntRange(0, 1<<20).Draw(t, "uncached"),
 			Priority: rapid.IntRange(0, 9).Draw(t, "priority"), Fetched: rapid.IntRange(0, 1<<20).Draw(t, "fetched")}
 		for range rapid.IntRange(0, 3).Draw(t, "parts") {
-			n.Parts = append(n.Parts, balance.Part{ID: rapid.Uint64().Draw(t, "id"), Tokens: rapid.IntRange(0, 1<<20).Draw(t, "tokens")})
+			n.Parts = append(n.Parts, balance.PromptPart{ID: rapid.Uint64().Draw(t, "id"), Tokens: rapid.IntRange(0, 1<<20).Draw(t, "tokens")})
 		}
 		m.Notices = append(m.Notices, n)
 	}
@@ -94,7 +94,7 @@
 		r.Residency = catalog.NewResidency(regions)
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "request parts") {
-		r.Parts = append(r.Parts, balance.Part{ID: rapid.Uint64().Draw(t, "id"), Tokens: rapid.IntRange(0, 1<<20).Draw(t, "tokens")})
+		r.Parts = append(r.Parts, balance.PromptPart{ID: rapid.Uint64().Draw(t, "id"), Tokens: rapid.IntRange(0, 1<<20).Draw(t, "tokens")})
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "avoided") {
 		r.Avoid = append(r.Avoid, rapid.Uint32().Draw(t, "avoid"))
@@ -104,7 +104,7 @@
 
 func drawPlacementResponse(t *rapid.T) *PlacementResponse {
 	times := func(name string) float64 { return float64(rapid.IntRange(0, 1<<30).Draw(t, name)) * nanosecond }
-	r := &PlacementResponse{Number: rapid.Uint64().Draw(t, "number"), Choice: balance.Choice{
+	r := &PlacementResponse{Number: rapid.Uint64().Draw(t, "number"), Grant: balance.Grant{
 		Endpoint:       rapid.Uint32().Draw(t, "endpoint"),
 		Cost:           rapid.Float64().Draw(t, "cost"),
 		Cached:         rapid.IntRange(0, 1<<20).Draw(t, "cached"),
@@ -118,11 +118,11 @@
 		RetryCharged:   rapid.Bool().Draw(t, "lent"),
 	}}
 	if rapid.Bool().Draw(t, "fetches") {
-		r.Choice.Fetched = rapid.IntRange(0, 1<<20).Draw(t, "fetched")
-		r.Choice.Donor = rapid.Uint32Min(1).Draw(t, "donor")
+		r.Grant.Fetched = rapid.IntRange(0, 1<<20).Draw(t, "fetched")
+		r.Grant.Donor = rapid.Uint32Min(1).Draw(t, "donor")
 	}
 	if rapid.Bool().Draw(t, "refuses") {
-		r.Choice.Refusal = &balance.Refusal{
+		r.Grant.Refusal = &balance.Refusal{
 			Cause:      balance.Cause(rapid.Uint8().Draw(t, "cause")),
 			Wait:       time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "refusal wait")) * time.Microsecond,
 			Pressure:   rapid.Float64Range(0, 100).Draw(t, "pressure"),
@@ -143,7 +143,7 @@
 		r.PendingPrefillByLevel[level] = rapid.IntRange(0, 1<<18).Draw(t, "pending prefill of a level")
 		r.PendingPrefill += r.PendingPrefillByLevel[level]
 	}
-	r.Gone = time.Duration(rapid.IntRange(0, 1<<20).Draw(t, "gone")) * time.Millisecond
+	r.Replaced = time.Duration(rapid.IntRange(0, 1<<20).Draw(t, "gone")) * time.Millisecond
 	r.Backoff = time.Duration(rapid.IntRange(0, 1<<20).Draw(t, "rest")) * time.Millisecond
 	r.Draining = rapid.Bool().Draw(t, "leaves")
 	r.Down = rapid.Bool().Draw(t, "down")
--- a/gossip/home_regions_test.go
+++ b/gossip/home_regions_test.go
@@ -24,7 +24,7 @@
 		Service:   &catalog.Service{Name: "m", MaxConns: 1000, Engine: &catalog.Engine{Slots: 64, MemoryTokens: 300_000}},
 		Residency: catalog.NewResidency(homes),
 		Objective: time.Second, Prompt: 5000, Output: 10,
-		Parts: []balance.Part{{ID: 77, Tokens: 4000}, {ID: 78, Tokens: 1000}},
+		Parts: []balance.PromptPart{{ID: 77, Tokens: 4000}, {ID: 78, Tokens: 1000}},
 	}
 }
 
--- a/gossip/message.go
+++ b/gossip/message.go
@@ -195,7 +195,7 @@
 	return appendParts(b, n.Parts)
 }
 
-func appendParts(b []byte, parts []balance.Part) []byte {
+func appendParts(b []byte, parts []balance.PromptPart) []byte {
 	for _, p := range parts {
 		part := appendUint(nil, fieldPartID, p.ID)
 		part = appendUint(part, fieldPartTokens, uint64(max(0, p.Tokens)))
@@ -354,8 +354,8 @@
 	return err
 }
 
-func decodePart(b []byte) (balance.Part, error) {
-	var p balance.Part
+func decodePart(b []byte) (balance.PromptPart, error) {
+	var p balance.PromptPart
 	err := eachField(b, func(f field) error {
 		switch f.number {
 		case fieldPartID:
--- a/gossip/placement.go
+++ b/gossip/placement.go
@@ -67,13 +67,13 @@
 // choose has a scheduler or the local balancer choose an endpoint. It reports whether a scheduler
 // has already charged the request.
 func (g *Gossip) choose(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (p *balance.Placement, refusal *balance.Refusal, charged bool) {
-	if scheduler, choice, ok := g.requestPlacement(ctx, d); ok {
-		if choice.Refusal != nil {
+	if scheduler, grant, ok := g.requestPlacement(ctx, d); ok {
+		if grant.Refusal != nil {
 			g.Count("granted-refusal")
-			choice.Refusal.Scheduler = scheduler
-			return nil, choice.Refusal, true
+			grant.Refusal.Scheduler = scheduler
+			return nil, grant.Refusal, true
 		}
-		p, permitRefusal := g.Balancer.Adopt(choice, endpoints, d)
+		p, permitRefusal := g.Balancer.AcceptGrant(grant, endpoints, d)
 		if p != nil {
 			g.Count("granted")
 			p.Scheduler = scheduler
@@ -108,23 +108,23 @@
 	return 0
 }
 
-// requestPlacement asks the first scheduler not in backoff, and returns its address and choice.
-func (g *Gossip) requestPlacement(ctx context.Context, d *balance.Demand) (string, balance.Choice, bool) {
+// requestPlacement asks the first scheduler not in backoff, and returns its address and grant.
+func (g *Gossip) requestPlacement(ctx context.Context, d *balance.Demand) (string, balance.Grant, bool) {
 	g.mu.Lock()
 	scheduler := g.nextScheduler(g.Now())
 	supported := scheduler != "" && g.members.byAddress[scheduler].protocol >= requiredProtocol(d)
 	g.mu.Unlock()
 	if !supported {
-		return "", balance.Choice{}, false
+		return "", balance.Grant{}, false
 	}
-	choice, outcome := g.requestFrom(ctx, scheduler, g.newRequest(d), requestTimeout)
+	grant, outcome := g.requestFrom(ctx, scheduler, g.newRequest(d), requestTimeout)
 	switch outcome {
 	case requestAnswered:
 		g.schedulerResponded(scheduler)
 	case requestTimedOut:
 		g.schedulerTimedOut(scheduler)
 	}
-	return scheduler, choice, outcome == requestAnswered && (choice.Endpoint != 0 || choice.Refusal != nil)
+	return scheduler, grant, outcome == requestAnswered && (grant.Endpoint != 0 || grant.Refusal != nil)
 }
 
 type requestOutcome uint8
@@ -136,34 +136,34 @@
 )
 
 // requestFrom sends a placement request to an address, and waits up to timeout for the response.
-func (g *Gossip) requestFrom(ctx context.Context, address string, request *PlacementRequest, timeout time.Duration) (balance.Choice, requestOutcome) {
+func (g *Gossip) requestFrom(ctx context.Context, address string, request *PlacementRequest, timeout time.Duration) (balance.Grant, requestOutcome) {
 	g.mu.Lock()
 	to, ok := g.resolve(address)
 	g.requestNumber++
 	request.Number = g.requestNumber
-	reply := make(chan balance.Choice, 1)
+	reply := make(chan balance.Grant, 1)
 	g.pending[request.Number] = reply
 	g.mu.Unlock()
 	defer g.dropPending(request.Number)
 	if !ok {
-		return balance.Choice{}, requestNotSent
+		return balance.Grant{}, requestNotSent
 	}
 	m := Message{Sender: g.id, DataCentre: g.DataCentre, PlacementRequest: request}
 	if _, err := g.conn.WriteToUDPAddrPort(m.Append(make([]byte, 0, requestBytes)), to); err != nil {
 		g.Count("send-failed")
-		return balance.Choice{}, requestNotSent
+		return balance.Grant{}, requestNotSent
 	}
 	g.Count("asked")
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case choice := <-reply:
-		return choice, requestAnswered
+	case grant := <-reply:
+		return grant, requestAnswered
 	case <-timer.C:
-		return balance.Choice{}, requestTimedOut
+		return balance.Grant{}, requestTimedOut
 	case <-ctx.Done():
 	}
-	return balance.Choice{}, requestNotSent
+	return balance.Grant{}, requestNotSent
 }
 
 // requestBytes is the buffer size that fits most requests and responses.
@@ -229,7 +229,7 @@
 		switch {
 		case service == nil:
 		case request.ChargeRetry:
-			m.PlacementResponse.Choice.RetryCharged = g.Balancer.ChargeRetry(request.Service, request.Retry)
+			m.PlacementResponse.Grant.RetryCharged = g.Balancer.ChargeRetry(request.Service, request.Retry)
 		default:
 			endpoints := view.Endpoints(request.Service)
 			d := &balance.Demand{
@@ -237,7 +237,7 @@
 				Prompt: request.Prompt, Output: request.Output, Parts: request.Parts, Avoid: request.Avoid, Sent: request.Sent,
 				Team: request.Team, Residency: request.Residency, Bytes: request.Bytes, Retry: request.Retry, Deposit: request.Deposit, Suspect: request.Suspect,
 			}
-			m.PlacementResponse.Choice = g.Balancer.Grant(instance, endpoints, d)
+			m.PlacementResponse.Grant = g.Balancer.Grant(instance, endpoints, d)
 		}
 	}
 	if _, err := g.conn.WriteToUDPAddrPort(m.Append(make([]byte, 0, requestBytes)), to); err != nil {
@@ -253,7 +253,7 @@
 	defer g.mu.Unlock()
 	if reply := g.pending[response.Number]; reply != nil {
 		select {
-		case reply <- response.Choice:
+		case reply <- response.Grant:
 		default: // duplicate response
 		}
 		return
--- a/gossip/placement_message.go
+++ b/gossip/placement_message.go
@@ -23,7 +23,7 @@
 	Deadline    time.Duration
 	Prompt      int
 	Output      int
-	Parts       []balance.Part
+	Parts       []balance.PromptPart
 	Avoid       []uint32 // hashes of endpoints that were already tried or are unreachable from the sender
 	Sent        bool     // the request was already sent once, so it must not be refused by admission control
 	Team        uint32   // balance.TeamHash
@@ -38,7 +38,7 @@
 // A PlacementResponse is the response to a placement request.
 type PlacementResponse struct {
 	Number uint64
-	Choice balance.Choice
+	Grant  balance.Grant
 }
 
 // Field numbers of placement requests and responses. Durations are in microseconds unless noted.
@@ -75,7 +75,7 @@
 	fieldTokenTime       protowire.Number = 11
 
 	fieldRefusal        protowire.Number = 12
-	fieldChoiceWait     protowire.Number = 13 // nanoseconds
+	fieldGrantWait      protowire.Number = 13 // nanoseconds
 	fieldFetchTokens    protowire.Number = 14 // tokens to transfer from the donor
 	fieldDonor          protowire.Number = 15
 	fieldRetryAvailable protowire.Number = 29
@@ -196,7 +196,7 @@
 }
 
 func (p *PlacementResponse) append(b []byte) []byte {
-	c := &p.Choice
+	c := &p.Grant
 	b = appendUint(b, fieldNumber, p.Number)
 	b = appendFixed(b, fieldChosenEndpoint, c.Endpoint)
 	b = appendUint(b, fieldCost, math.Float64bits(c.Cost))
@@ -208,7 +208,7 @@
 	b = appendUint(b, fieldPrefillPerToken, nanoseconds(c.Pace.PrefillPerToken))
 	b = appendUint(b, fieldStepTime, nanoseconds(c.Pace.StepTime))
 	b = appendUint(b, fieldTokenTime, nanoseconds(c.Pace.TokenTime))
-	b = appendUint(b, fieldChoiceWait, nanoseconds(c.Wait))
+	b = appendUint(b, fieldGrantWait, nanoseconds(c.Wait))
 	b = appendUint(b, fieldRetryAvailable, protowire.EncodeBool(c.RetryAvailable))
 	b = appendUint(b, fieldRetryCharged, protowire.EncodeBool(c.RetryCharged))
 	if c.Donor != 0 {
@@ -244,7 +244,7 @@
 }
 
 func (p *PlacementResponse) decode(b []byte) error {
-	c := &p.Choice
+	c := &p.Grant
 	return eachField(b, func(f field) error {
 		switch f.number {
 		case fieldNumber:
@@ -269,7 +269,7 @@
 			c.Pace.StepTime = fromNanoseconds(f.value)
 		case fieldTokenTime:
 			c.Pace.TokenTime = fromNanoseconds(f.value)
-		case fieldChoiceWait:
+		case fieldGrantWait:
 			c.Wait = fromNanoseconds(f.value)
 		case fieldFetchTokens:
 			c.Fetched = boundedCount(f.value)
--- a/gossip/regions_test.go
+++ b/gossip/regions_test.go
@@ -194,7 +194,7 @@
 	g.placed++
 	return &balance.Demand{
 		Service: g.service, Priority: g.placed % 3, Objective: 2 * time.Second, Prompt: 9000, Output: 100, Bytes: 9000,
-		Parts: []balance.Part{{ID: uint64(g.placed%200 + 1), Tokens: 6300}, {ID: uint64(g.placed) << 20, Tokens: 2700}},
+		Parts: []balance.PromptPart{{ID: uint64(g.placed%200 + 1), Tokens: 6300}, {ID: uint64(g.placed) << 20, Tokens: 2700}},
 	}
 }
 
@@ -224,7 +224,7 @@
 	}
 	for _, other := range g.w.nodes {
 		if other.Address == schedulers[0].Address && !other.dead {
-			if p, _ := n.Balancer.Adopt(other.Balancer.Grant(n.id, g.endpoints, d), g.endpoints, d); p != nil {
+			if p, _ := n.Balancer.AcceptGrant(other.Balancer.Grant(n.id, g.endpoints, d), g.endpoints, d); p != nil {
 				g.open = append(g.open, p)
 			}
 			return
@@ -290,7 +290,7 @@
 		w := newRegionSimulation(t, 36, 6, twoByThree, true)
 		traffic := w.newTraffic(6)
 		w.run(10 * time.Second)
-		d := &balance.Demand{Service: traffic.service, Objective: time.Second, Prompt: 9000, Parts: []balance.Part{{ID: 1 << 50, Tokens: 6300}, {ID: 1 << 51, Tokens: 2700}}}
+		d := &balance.Demand{Service: traffic.service, Objective: time.Second, Prompt: 9000, Parts: []balance.PromptPart{{ID: 1 << 50, Tokens: 6300}, {ID: 1 << 51, Tokens: 2700}}}
 		if c.homeRegions != nil {
 			d.Residency = catalog.NewResidency(c.homeRegions)
 		}
@@ -332,7 +332,7 @@
 			n.crossRegion.notices = nil
 			n.collectNotices(w.now, &Message{
 				DataCentre: n.DataCentre, Protocol: c.protocol, RegionMessage: RegionMessage{Restricted: c.restricted},
-				Notices: []balance.Notice{{Endpoint: 1, Parts: []balance.Part{{ID: 2, Tokens: 3}}}},
+				Notices: []balance.Notice{{Endpoint: 1, Parts: []balance.PromptPart{{ID: 2, Tokens: 3}}}},
 			})
 			redacted := 0
 			for _, notice := range balance.RedactParts(n.crossRegion.notices, "elsewhere") {
--- a/gossip/report.go
+++ b/gossip/report.go
@@ -24,7 +24,7 @@
 	fieldStepSamples           protowire.Number = 10
 	fieldPendingPrefill        protowire.Number = 11
 	fieldRequestsByLevel       protowire.Number = 12 // a byte string of varints
-	fieldGone                  protowire.Number = 13 // milliseconds
+	fieldReplaced              protowire.Number = 13 // milliseconds
 	fieldDown                  protowire.Number = 14
 	fieldBackoff               protowire.Number = 16 // milliseconds
 	fieldDraining              protowire.Number = 17
@@ -49,7 +49,7 @@
 	b = appendUint(b, fieldCompleted, uint64(max(0, r.Completed/outcomeUnit)))
 	b = appendUint(b, fieldFailed, uint64(max(0, r.Failed/outcomeUnit)))
 	b = appendUint(b, fieldPendingPrefill, uint64(max(0, r.PendingPrefill)))
-	b = appendUint(b, fieldGone, uint64(max(0, r.Gone.Milliseconds())))
+	b = appendUint(b, fieldReplaced, uint64(max(0, r.Replaced.Milliseconds())))
 	b = appendUint(b, fieldBackoff, uint64(max(0, r.Backoff.Milliseconds())))
 	b = appendUint(b, fieldDraining, protowire.EncodeBool(r.Draining))
 	b = appendLimit(b, fieldLimit, &r.Limit)
@@ -164,8 +164,8 @@
 			r.Failed = float64(boundedCount(f.value)) * outcomeUnit
 		case fieldPendingPrefill:
 			r.PendingPrefill = boundedCount(f.value)
-		case fieldGone:
-			r.Gone = time.Duration(boundedCount(f.value)) * time.Millisecond
+		case fieldReplaced:
+			r.Replaced = time.Duration(boundedCount(f.value)) * time.Millisecond
 		case fieldBackoff:
 			r.Backoff = time.Duration(boundedCount(f.value)) * time.Millisecond
 		case fieldDraining:
--- a/gossip/retries_test.go
+++ b/gossip/retries_test.go
@@ -261,13 +261,13 @@
 	chargedLocally, chargedAtLender int64 // expected retries charged
 }
 
-// A retry is charged exactly once: by a scheduler whose version supports it, even if its choice
+// A retry is charged exactly once: by a scheduler whose version supports it, even if its grant
 // can't be used, or by a scheduler of another data centre if the local one has none.
 func TestRetryChargedOnce(t *testing.T) {
 	for _, c := range []retryChargeCase{
 		{name: "scheduler without retry support", schedulerProtocol: protocolResidency, schedulerEarned: 20},
 		{name: "scheduler with retries", schedulerProtocol: protocolRetries, schedulerEarned: 20, chargedLocally: 1},
-		{name: "unusable choice", schedulerProtocol: protocolRetries, schedulerEarned: 20, unknownEndpoint: true, chargedLocally: 1},
+		{name: "unusable grant", schedulerProtocol: protocolRetries, schedulerEarned: 20, unknownEndpoint: true, chargedLocally: 1},
 		{name: "scheduler without retries", schedulerProtocol: protocolRetries},
 		{name: "other data centre with retries", schedulerProtocol: protocolRetries, lenderEarned: 20, chargedAtLender: 1},
 		{name: "scheduler without retry support, other data centre with retries", schedulerProtocol: protocolResidency, schedulerEarned: 20, lenderEarned: 20, chargedAtLender: 1},
--- a/gossip/retry_borrowing.go
+++ b/gossip/retry_borrowing.go
@@ -45,8 +45,8 @@
 	}
 	unanswered := 0
 	for _, l := range g.lenders(now) {
-		choice, outcome := g.requestFrom(ctx, l.address, &PlacementRequest{Service: d.Service.Name, Retry: d.Retry, ChargeRetry: true}, l.timeout)
-		if choice.RetryCharged {
+		grant, outcome := g.requestFrom(ctx, l.address, &PlacementRequest{Service: d.Service.Name, Retry: d.Retry, ChargeRetry: true}, l.timeout)
+		if grant.RetryCharged {
 			g.Count("retry-borrowed")
 			return true
 		}
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -370,7 +370,7 @@
 			now := i.now()
 			i.handleResume(s.check(now))
 			i.status.observe(i.version(), i.entry.Ready(), now)
-			i.balancer.Forget(i.discovery.HasIncarnation)
+			i.balancer.Prune(i.discovery.HasIncarnation)
 			i.pool.CloseExpired(now, i.discovery.HasIncarnation)
 			i.suspects.RemoveExpired(now)
 		}
