--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -237,7 +237,7 @@
 }
 
 func (f *exchange) upstreamRequest(endpoint *discovery.Endpoint) *upstream.Request {
-	forward := Forward{
+	forward := ForwardOptions{
 		Endpoint:    endpoint.ID,
 		Remaining:   f.deadline.Sub(f.proxy.Now()),
 		Rank:        catalog.Rank(f.route, f.team),
--- a/entry/codec.go
+++ b/entry/codec.go
@@ -40,8 +40,8 @@
 	Body        []byte
 }
 
-// A Forward holds what the proxy adds to a Call for one attempt.
-type Forward struct {
+// ForwardOptions are what the proxy adds to a Call for one attempt.
+type ForwardOptions struct {
 	Endpoint    string
 	Team        string        // empty: the caller has no key
 	Remaining   time.Duration // until the deadline
@@ -74,7 +74,7 @@
 	// reason decide how the request is rejected.
 	Decode(r *http.Request) (*Call, error)
 	// Encode returns the headers of a request to an endpoint.
-	Encode(c *Call, f Forward) http.Header
+	Encode(c *Call, f ForwardOptions) http.Header
 	// DecodeResponse decodes the head of an endpoint's response.
 	DecodeResponse(status int, h http.Header) ResponseHead
 	// CopyResponseHeaders copies the response headers that are meant for the caller.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -23,8 +23,8 @@
 	"ivyridge/verdict"
 )
 
-// Bounds are the limits that a Proxy enforces.
-type Bounds struct {
+// Limits are enforced by a Proxy.
+type Limits struct {
 	Propagation  time.Duration // a configuration change must be in force within this time
 	StrictRevoke bool          // a revoked key must be rejected within Revoke
 	Revoke       time.Duration // see StrictRevoke
@@ -35,7 +35,7 @@
 	StallTimeout time.Duration // a caller that reads nothing of its response for this long is disconnected; zero: a default
 }
 
-// revokeMargin is how much earlier than Bounds.Revoke a configuration counts as too old.
+// revokeMargin is how much earlier than Limits.Revoke a configuration counts as too old.
 const revokeMargin = 600 * time.Millisecond
 
 // A Placer chooses endpoints. Implementations must be safe for concurrent use.
@@ -51,7 +51,7 @@
 	Placer   Placer
 	Pool     *upstream.Pool
 	Codec    Codec
-	Bounds   Bounds // initial value; see SetBounds
+	Limits   Limits // initial value; see SetLimits
 	Log      *zap.Logger
 	Counters *Counters
 	Now      func() time.Time
@@ -68,7 +68,7 @@
 // A Proxy is the http.Handler for callers' requests. It is safe for concurrent use.
 type Proxy struct {
 	Options
-	bounds       atomic.Pointer[Bounds]
+	limits       atomic.Pointer[Limits]
 	retryBudgets *retryBudgets
 	monitor      *relayMonitor
 	crashes      *crashTracker
@@ -91,15 +91,15 @@
 	if o.Poison == nil {
 		o.Poison = poison.NewTable()
 	}
-	e := &Proxy{Options: o, crashes: newCrashTracker(), monitor: newRelayMonitor(o.Now), origin: o.Now().Add(-time.Nanosecond), retryBudgets: newRetryBudgets(o.Bounds.RetryRatio, o.Bounds.RetryExtra, o.Now)}
-	e.SetBounds(o.Bounds)
+	e := &Proxy{Options: o, crashes: newCrashTracker(), monitor: newRelayMonitor(o.Now), origin: o.Now().Add(-time.Nanosecond), retryBudgets: newRetryBudgets(o.Limits.RetryRatio, o.Limits.RetryExtra, o.Now)}
+	e.SetLimits(o.Limits)
 	return e
 }
 
-// SetBounds replaces the bounds. Requests in progress use the new ones too.
-func (e *Proxy) SetBounds(b Bounds) {
-	e.bounds.Store(&b)
-	e.retryBudgets.setBounds(b.RetryRatio, b.RetryExtra)
+// SetLimits replaces the limits. Requests in progress use the new ones too.
+func (e *Proxy) SetLimits(l Limits) {
+	e.limits.Store(&l)
+	e.retryBudgets.setLimits(l.RetryRatio, l.RetryExtra)
 }
 
 // SetInstances sets how many instances, including this one, share the retry budget; zero: unknown.
@@ -131,7 +131,7 @@
 // configFresh reports whether the configuration is recent enough to authenticate callers.
 func (e *Proxy) configFresh() bool {
 	age, ok := e.State.Age()
-	b := e.bounds.Load()
+	b := e.limits.Load()
 	return ok && (!b.StrictRevoke || age < b.Revoke-revokeMargin)
 }
 
@@ -154,14 +154,14 @@
 // atLimit reports whether MaxRunning is reached. Requests whose bodies are still being read do
 // not count; the connection limit bounds them.
 func (e *Proxy) atLimit() bool {
-	limit := e.bounds.Load().MaxRunning
+	limit := e.limits.Load().MaxRunning
 	return limit > 0 && int(e.running.Load()) >= limit
 }
 
 // acquireRunning counts a request as running until releaseRunning. It returns false if MaxRunning
 // is exceeded, since several bodies may have been completed after atLimit was checked.
 func (e *Proxy) acquireRunning() bool {
-	n, limit := int(e.running.Add(1)), e.bounds.Load().MaxRunning
+	n, limit := int(e.running.Add(1)), e.limits.Load().MaxRunning
 	if limit > 0 && n > limit {
 		e.releaseRunning()
 		return false
@@ -177,7 +177,7 @@
 
 // stallTimeout returns how long a caller may read nothing of its response.
 func (e *Proxy) stallTimeout() time.Duration {
-	if d := e.bounds.Load().StallTimeout; d > 0 {
+	if d := e.limits.Load().StallTimeout; d > 0 {
 		return d
 	}
 	return defaultStallTimeout
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -164,7 +164,7 @@
 // retryableIfStale returns refusal, or a retryable error if the configuration is so old that a newer
 // one may differ.
 func (f *exchange) retryableIfStale(refusal *verdict.Error) *verdict.Error {
-	if f.configAge <= f.proxy.bounds.Load().Propagation {
+	if f.configAge <= f.proxy.limits.Load().Propagation {
 		return refusal
 	}
 	return verdict.Refuse(verdict.StaleState, "%s, as of %s ago", refusal.Detail, f.configAge).WithRetryAfter(retryAfterLong)
--- a/entry/relay_bench_test.go
+++ b/entry/relay_bench_test.go
@@ -46,7 +46,7 @@
 	e := New(Options{
 		State: table, Placer: fixedPlacer{balance.New("a", time.Now), &discovery.Endpoint{Endpoint: catalog.Endpoint{ID: "e", Address: server.Listener.Addr().String()}}},
 		Pool: upstream.NewPool(func(string) {}, time.Now), Codec: stubCodec{}, Log: zap.NewNop(),
-		Counters: NewCounters(new(expvar.Map).Init()), Now: time.Now, Bounds: Bounds{Propagation: time.Minute},
+		Counters: NewCounters(new(expvar.Map).Init()), Now: time.Now, Limits: Limits{Propagation: time.Minute},
 	})
 	front := httptest.NewServer(e)
 	defer front.Close()
@@ -84,7 +84,7 @@
 func (stubCodec) Decode(r *http.Request) (*Call, error) {
 	return &Call{ID: "1", Method: r.Method, Host: r.Host, Path: "/", Target: "/", Header: http.Header{}}, nil
 }
-func (stubCodec) Encode(*Call, Forward) http.Header            { return http.Header{} }
+func (stubCodec) Encode(*Call, ForwardOptions) http.Header     { return http.Header{} }
 func (stubCodec) DecodeResponse(int, http.Header) ResponseHead { return ResponseHead{Sealed: true} }
 func (stubCodec) CopyResponseHeaders(to, from http.Header)     {}
 func (stubCodec) WriteError(w http.ResponseWriter, _ string, e *verdict.Error) {
--- a/entry/retry_budget.go
+++ b/entry/retry_budget.go
@@ -26,11 +26,11 @@
 
 func newRetryBudgets(ratio float64, extra int, now func() time.Time) *retryBudgets {
 	b := &retryBudgets{now: now, byService: make(map[string]*serviceBudget)}
-	b.setBounds(ratio, extra)
+	b.setLimits(ratio, extra)
 	return b
 }
 
-func (b *retryBudgets) setBounds(ratio float64, extra int) {
+func (b *retryBudgets) setLimits(ratio float64, extra int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.bound = quota.RetryLimit{Ratio: ratio, Extra: float64(extra)}
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -149,7 +149,7 @@
 		Pool:                i.pool,
 		Memory:              i.account,
 		Codec:               platform.Codec{},
-		Bounds:              bounds(s),
+		Limits:              proxyLimits(s),
 		Log:                 i.log,
 		Counters:            entry.NewCounters(subMap(counters, "callers")),
 		Now:                 i.now,
@@ -184,9 +184,9 @@
 	i.validator = &discovery.Validator{Table: i.discovery, Store: store, Turn: i.validationTurn, Receiving: i.follower.Receiving, Log: i.log, Count: count}
 }
 
-func bounds(s *Settings) entry.Bounds {
+func proxyLimits(s *Settings) entry.Limits {
 	p := s.Promises
-	return entry.Bounds{
+	return entry.Limits{
 		Propagation:  time.Duration(p.PropagationMS) * time.Millisecond,
 		StrictRevoke: p.StrictRevoke,
 		Revoke:       time.Duration(p.RevokeMS) * time.Millisecond,
@@ -380,7 +380,7 @@
 // Reload applies the promises, seeds and memory limit of s. Other settings need a restart.
 func (i *Instance) Reload(s *Settings) {
 	effective := i.applyReload(s)
-	i.entry.SetBounds(bounds(effective))
+	i.entry.SetLimits(proxyLimits(effective))
 	limit, _ := memoryLimit(effective)
 	i.account.SetLimit(limit)
 	i.balancer.SetColdBounds(coldBounds(effective))
--- a/instance/reload_test.go
+++ b/instance/reload_test.go
@@ -24,7 +24,7 @@
 	if !reflect.DeepEqual(effective, want) || !reflect.DeepEqual(i.effective.Load(), want) {
 		t.Errorf("effective: %+v, want %+v", effective, want)
 	}
-	if got := bounds(effective); got.MaxRunning != bounds(start).MaxRunning || got.RetryExtra != 20 {
+	if got := proxyLimits(effective); got.MaxRunning != proxyLimits(start).MaxRunning || got.RetryExtra != 20 {
 		t.Errorf("bounds: %+v", got)
 	}
 }
