--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -79,7 +79,7 @@
 		Deadline:    time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "deadline")) * time.Microsecond,
 		Prompt:      rapid.IntRange(0, 1<<20).Draw(t, "prompt"),
 		Output:      rapid.IntRange(0, 1<<20).Draw(t, "output"),
-		Sent:        rapid.Bool().Draw(t, "sent"),
+		AlreadySent: rapid.Bool().Draw(t, "sent"),
 		Team:        rapid.Uint32().Draw(t, "team"),
 		Bytes:       rapid.IntRange(0, 1<<20).Draw(t, "bytes"),
 		Retry:       balance.Retry(rapid.IntRange(0, 3).Draw(t, "retry")),
--- a/gossip/pack_test.go
+++ b/gossip/pack_test.go
@@ -52,30 +52,30 @@
 		return out
 	}
 	first := respond(0, 0, false)
-	if again := respond(0, 0, true); &again.Present[0] != &first.Present[0] || &again.Config[0] != &first.Config[0] {
+	if again := respond(0, 0, true); &again.Endpoints[0] != &first.Endpoints[0] || &again.Config[0] != &first.Config[0] {
 		t.Fatal("encoded again without a change")
 	}
 	if err := table.Apply(&discovery.Update{Revision: 6, ValidatedAt: time.Now(), Endpoints: []discovery.Record{{Endpoint: catalog.Endpoint{ID: "e"}, Revision: 6}}}); err != nil {
 		t.Fatal(err)
 	}
 	changed := respond(0, 0, false)
-	if changed.Revision != 6 || &changed.Present[0] == &first.Present[0] {
+	if changed.Revision != 6 || &changed.Endpoints[0] == &first.Endpoints[0] {
 		t.Fatal("changed endpoints not sent")
 	}
 	if &changed.Config[0] != &first.Config[0] {
 		t.Fatal("configuration encoded again though only endpoints changed")
 	}
 	part := respond(5, 3, true)
-	if !part.Partial || part.Present != nil || part.Config != nil || len(part.Changed) == 0 {
+	if !part.Partial || part.Endpoints != nil || part.Config != nil || len(part.Changed) == 0 {
 		t.Fatalf("response %+v, want only the change", part)
 	}
 	if again := respond(5, 3, true); &again.Changed[0] != &part.Changed[0] {
 		t.Fatal("change encoded again for another caller")
 	}
-	if full := respond(5, 3, false); full.Partial || full.Present == nil {
+	if full := respond(5, 3, false); full.Partial || full.Endpoints == nil {
 		t.Fatalf("response to a caller without partial support: %+v", full)
 	}
-	if full := respond(4, 3, true); full.Partial || full.Present == nil {
+	if full := respond(4, 3, true); full.Partial || full.Endpoints == nil {
 		t.Fatalf("response to a caller behind the remembered changes: %+v", full)
 	}
 }
--- a/gossip/permit_message.go
+++ b/gossip/permit_message.go
@@ -17,7 +17,7 @@
 	Number     uint64 // returned in the response
 	Endpoint   uint32 // balance.EndpointHash of the endpoint's incarnation
 	DataCentre string // of the endpoint
-	Urgency    int    // priority level of the request, below limit.Levels
+	Urgency    int    // level of urgency, below limit.Levels; 0 is the most urgent
 	Limit      balance.ReportedLimit
 }
 
--- a/gossip/placement.go
+++ b/gossip/placement.go
@@ -172,7 +172,7 @@
 func (g *Gossip) newRequest(d *balance.Demand) *PlacementRequest {
 	return &PlacementRequest{
 		Service: d.Service.Name, Priority: d.Priority, Objective: d.Objective, MaxGap: d.MaxGap, Deadline: d.Deadline,
-		Prompt: d.Prompt, Output: d.Output, Parts: d.Parts, Sent: d.Sent,
+		Prompt: d.Prompt, Output: d.Output, Parts: d.Parts, AlreadySent: d.Sent,
 		Team: d.Team, Residency: d.Residency, Bytes: d.Bytes, Retry: d.Retry, Deposit: d.Deposit, Suspect: d.Suspect,
 		Avoid: slices.Concat(g.Balancer.Unreachable(), g.Balancer.ClosedEndpoints(d), d.Avoid),
 	}
@@ -234,7 +234,7 @@
 			endpoints := view.Endpoints(request.Service)
 			d := &balance.Demand{
 				Service: service, Priority: request.Priority, Objective: request.Objective, MaxGap: request.MaxGap, Deadline: request.Deadline,
-				Prompt: request.Prompt, Output: request.Output, Parts: request.Parts, Avoid: request.Avoid, Sent: request.Sent,
+				Prompt: request.Prompt, Output: request.Output, Parts: request.Parts, Avoid: request.Avoid, Sent: request.AlreadySent,
 				Team: request.Team, Residency: request.Residency, Bytes: request.Bytes, Retry: request.Retry, Deposit: request.Deposit, Suspect: request.Suspect,
 			}
 			m.PlacementResponse.Grant = g.Balancer.Grant(instance, endpoints, d)
--- a/gossip/placement_message.go
+++ b/gossip/placement_message.go
@@ -25,7 +25,7 @@
 	Output      int
 	Parts       []balance.PromptPart
 	Avoid       []uint32 // hashes of endpoints that were already tried or are unreachable from the sender
-	Sent        bool     // the request was already sent once, so it must not be refused by admission control
+	AlreadySent bool     // the request was already sent once, so it must not be refused by admission control
 	Team        uint32   // balance.TeamHash
 	Residency   catalog.Residency
 	Bytes       int               // of the request body
@@ -53,7 +53,7 @@
 	fieldOutput          protowire.Number = 12
 	fieldAvoid           protowire.Number = 13
 	fieldDeadline        protowire.Number = 14
-	fieldSent            protowire.Number = 15
+	fieldAlreadySent     protowire.Number = 15
 	fieldTeam            protowire.Number = 16
 	fieldResidency       protowire.Number = 17 // byte string of fieldResidencyRegion; absent if all regions are allowed
 	fieldBytes           protowire.Number = 18
@@ -108,7 +108,7 @@
 	b = appendUint(b, fieldDeadline, microseconds(r.Deadline))
 	b = appendUint(b, fieldPrompt, uint64(max(0, r.Prompt)))
 	b = appendUint(b, fieldOutput, uint64(max(0, r.Output)))
-	b = appendUint(b, fieldSent, protowire.EncodeBool(r.Sent))
+	b = appendUint(b, fieldAlreadySent, protowire.EncodeBool(r.AlreadySent))
 	if r.Team != 0 {
 		b = appendFixed(b, fieldTeam, r.Team)
 	}
@@ -168,8 +168,8 @@
 			r.Output = boundedCount(f.value)
 		case fieldAvoid:
 			r.Avoid = append(r.Avoid, uint32(f.value))
-		case fieldSent:
-			r.Sent = f.value != 0
+		case fieldAlreadySent:
+			r.AlreadySent = f.value != 0
 		case fieldTeam:
 			r.Team = uint32(f.value)
 		case fieldResidency:
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -42,13 +42,13 @@
 	AgeMS     int64  `json:"age_ms"` // since the state was confirmed; negative: never confirmed
 	Unchanged bool   `json:"unchanged,omitempty"`
 	Config    []byte `json:"config,omitempty"`  // compressed catalog.Document, if it is newer than the caller's
-	Present   []byte `json:"present,omitempty"` // compressed []discovery.Record
+	Endpoints []byte `json:"present,omitempty"` // compressed []discovery.Record
 
 	// Partial is set if the endpoints are only those that changed since the caller's revision:
-	// added and updated ones in Changed, a JSON []discovery.Record, and removed ones in Gone.
+	// added and updated ones in Changed, a JSON []discovery.Record, and removed ones in Removed.
 	Partial bool                 `json:"partial,omitempty"`
 	Changed json.RawMessage      `json:"changed,omitempty"`
-	Gone    []discovery.Deletion `json:"gone,omitempty"`
+	Removed []discovery.Deletion `json:"gone,omitempty"`
 	Digest  uint64               `json:"digest,omitempty"` // discovery.Update.Digest
 
 	Evacuations []discovery.Evacuation `json:"evacuations,omitempty"`
@@ -119,7 +119,7 @@
 	}
 	response.Revision, response.Digest = state.revision, state.digest
 	response.Schema = schema()
-	response.Present, response.Partial, response.Changed, response.Gone = state.endpoints, state.partial, state.changed, state.removed
+	response.Endpoints, response.Partial, response.Changed, response.Removed = state.endpoints, state.partial, state.changed, state.removed
 	response.Evacuations = state.evacuations
 	if state.document != nil && state.document.Version > version {
 		response.Config, err = p.packConfig(state.document)
@@ -133,7 +133,7 @@
 	HTTP    *http.Client
 	Now     func() time.Time
 	Version func() int64 // of the configuration that the caller has
-	Failed  func(error)  // called if a response can't be used; may be nil
+	OnError func(error)  // called if a response can't be used; may be nil
 }
 
 var _ discovery.Source = (*Relay)(nil)
@@ -186,8 +186,8 @@
 		Bytes:       len(result.Body), TransferTime: result.TotalTime - result.HeaderTime,
 	}
 	if err := response.unpack(u); err != nil {
-		if r.Failed != nil {
-			r.Failed(err)
+		if r.OnError != nil {
+			r.OnError(err)
 		}
 		return nil, errors.Wrap(err, "relay")
 	}
@@ -195,7 +195,7 @@
 }
 
 func (r *stateResponse) unpack(u *discovery.Update) error {
-	u.Evacuations, u.Deleted = r.Evacuations, r.Gone
+	u.Evacuations, u.Deleted = r.Evacuations, r.Removed
 	if r.Config != nil {
 		if err := r.unpackPart(r.Config, &u.Config); err != nil {
 			return err
@@ -204,10 +204,10 @@
 	if r.Changed != nil {
 		return r.decodePart(r.Changed, &u.Endpoints)
 	}
-	if r.Present == nil {
+	if r.Endpoints == nil {
 		return nil
 	}
-	return r.unpackPart(r.Present, &u.Endpoints)
+	return r.unpackPart(r.Endpoints, &u.Endpoints)
 }
 
 func (r *stateResponse) unpackPart(part []byte, v any) error {
--- a/gossip/relay_bench_test.go
+++ b/gossip/relay_bench_test.go
@@ -84,7 +84,7 @@
 		}
 		data, _ := json.Marshal(b)
 		sizes[n] = len(data)
-		if !strings.Contains(string(data), listedRecord(5, 0).ID) || len(b.Gone) != 1 {
+		if !strings.Contains(string(data), listedRecord(5, 0).ID) || len(b.Removed) != 1 {
 			t.Errorf("response %s", data)
 		}
 	}
--- a/gossip/suspects.go
+++ b/gossip/suspects.go
@@ -29,8 +29,8 @@
 	digestGracePeriod = 400 * time.Millisecond
 	// pullInterval is the minimum pause between fetches.
 	pullInterval = time.Second
-	// MaxSuspects bounds the size of an encoded table, in bytes.
-	MaxSuspects = 1 << 20
+	// MaxSuspectTableBytes bounds the size of an encoded table, in bytes.
+	MaxSuspectTableBytes = 1 << 20
 	// maxAge bounds the ages accepted from other instances.
 	maxAge = 24 * time.Hour
 )
--- a/instance/peers.go
+++ b/instance/peers.go
@@ -111,7 +111,7 @@
 	address := net.JoinHostPort(hostOf(m.Address), portOf(i.settings.Listen.Peers))
 	return discovery.NamedSource{Name: address, Source: &gossip.Relay{
 		Address: address, HTTP: i.relayClient, Now: i.now, Version: i.version,
-		Failed: func(err error) { i.noteOlderBuild(m.Address, err) },
+		OnError: func(err error) { i.noteOlderBuild(m.Address, err) },
 	}}
 }
 
--- a/instance/suspects.go
+++ b/instance/suspects.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "suspects")
 	}
-	a, err := fetch.Do(i.relayClient, req, gossip.MaxSuspects, fetch.HeaderOptions{Timeout: suspectsTimeout})
+	a, err := fetch.Do(i.relayClient, req, gossip.MaxSuspectTableBytes, fetch.HeaderOptions{Timeout: suspectsTimeout})
 	if err != nil {
 		return nil, errors.Wrap(err, "suspects")
 	}
