--- a/operator/lang.go
+++ b/operator/lang.go
@@ -34,22 +34,22 @@
 type Statement struct {
 	Show     *Show     `parser:"( 'show' @@"`
 	SetClass *SetClass `parser:"| 'set' 'class' @@"`
-	Act      *Act      `parser:"| @@ )"`
+	Action   *Action   `parser:"| @@ )"`
 }
 
 // A Show is a query.
 type Show struct {
 	Pos     lexer.Position
-	Subject string   `parser:"@Word"`
-	By      []string `parser:"( 'by' @Word ( ',' @Word )* )?"`
-	Where   []*Cond  `parser:"( 'where' @@ ( 'and' @@ )* )?"`
-	Over    string   `parser:"( 'over' @Word )?"`
+	Subject string       `parser:"@Word"`
+	By      []string     `parser:"( 'by' @Word ( ',' @Word )* )?"`
+	Where   []*Condition `parser:"( 'where' @@ ( 'and' @@ )* )?"`
+	Window  string       `parser:"( 'over' @Word )?"`
 
-	window time.Duration
+	parsedWindow time.Duration
 }
 
-// A Cond selects rows by comparing a field with a value.
-type Cond struct {
+// A Condition selects rows by comparing a field with a value.
+type Condition struct {
 	Pos   lexer.Position
 	Field string `parser:"@Word"`
 	Op    string `parser:"@Op"`
@@ -63,8 +63,8 @@
 	Value string `parser:"@(Word | String)"`
 }
 
-// An Act drains an instance or stops an endpoint, or undoes that.
-type Act struct {
+// An Action drains an instance or stops an endpoint, or undoes that.
+type Action struct {
 	Pos    lexer.Position
 	Verb   string `parser:"@( 'drain' | 'undrain' | 'stop' | 'start' )"`
 	Kind   string `parser:"@( 'instance' | 'endpoint' )"`
@@ -105,8 +105,8 @@
 			return nil, err
 		}
 	}
-	if s.Act != nil {
-		if err := s.Act.check(); err != nil {
+	if s.Action != nil {
+		if err := s.Action.check(); err != nil {
 			return nil, err
 		}
 	}
@@ -118,7 +118,7 @@
 	if !ok {
 		return &SyntaxError{s.Pos.Column, "cannot show " + s.Subject}
 	}
-	if !counted && (len(s.By) > 0 || s.Over != "") {
+	if !counted && (len(s.By) > 0 || s.Window != "") {
 		return &SyntaxError{s.Pos.Column, s.Subject + " are not counted: by and over do not apply"}
 	}
 	for _, f := range s.By {
@@ -134,13 +134,13 @@
 			return &SyntaxError{c.Pos.Column, "no field " + c.Field + "; want one of " + strings.Join(countedFields, ", ")}
 		}
 	}
-	s.window = defaultWindow
-	if s.Over != "" {
-		d, err := time.ParseDuration(s.Over)
+	s.parsedWindow = defaultWindow
+	if s.Window != "" {
+		d, err := time.ParseDuration(s.Window)
 		if err != nil || d <= 0 || d >= 5*time.Minute {
-			return &SyntaxError{s.Pos.Column, "want a window below 5m, such as 30s, got " + s.Over}
+			return &SyntaxError{s.Pos.Column, "want a window below 5m, such as 30s, got " + s.Window}
 		}
-		s.window = d
+		s.parsedWindow = d
 	}
 	return nil
 }
@@ -154,7 +154,7 @@
 	return false
 }
 
-func (a *Act) check() error {
+func (a *Action) check() error {
 	drains := a.Verb == "drain" || a.Verb == "undrain"
 	if drains != (a.Kind == "instance") {
 		return &SyntaxError{a.Pos.Column, "an instance is drained, an endpoint is stopped"}
@@ -168,8 +168,8 @@
 	case s.SetClass != nil:
 		c := s.SetClass
 		return command.Command{Op: command.SetClass, Target: c.Name, Field: c.Field, Value: c.Value}, true
-	case s.Act != nil:
-		return command.Command{Op: command.Op(s.Act.Verb + "-" + s.Act.Kind), Target: s.Act.Target}, true
+	case s.Action != nil:
+		return command.Command{Op: command.Op(s.Action.Verb + "-" + s.Action.Kind), Target: s.Action.Target}, true
 	}
 	return command.Command{}, false
 }
--- a/operator/lang_test.go
+++ b/operator/lang_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w := s.Show; w.Subject != "refused" || len(w.By) != 2 || len(w.Where) != 2 || w.Where[0].Value != "agents zuid" || w.window.Seconds() != 30 {
+	if w := s.Show; w.Subject != "refused" || len(w.By) != 2 || len(w.Where) != 2 || w.Where[0].Value != "agents zuid" || w.parsedWindow.Seconds() != 30 {
 		t.Errorf("got %+v", w)
 	}
 	s, err = Parse("set class letter whole 40s")
--- a/operator/local.go
+++ b/operator/local.go
@@ -111,7 +111,7 @@
 func (ev *evaluator) ledger() *Table {
 	want := ledger.Outcome(ev.show.Subject)
 	return ev.counts(func(add func(map[string]string, int64)) {
-		for r, k := range ev.node.Ledger().Sum(ev.node.Now(), ev.show.window) {
+		for r, k := range ev.node.Ledger().Sum(ev.node.Now(), ev.show.parsedWindow) {
 			late := want == ledger.Served && r.Outcome == ledger.Late // late requests count as served
 			if r.Outcome != want && !late {
 				continue
