--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -37,7 +37,7 @@
 	if _, _, again := b.BeginPermitRequest(refusal.Limited, urgency); again {
 		t.Error("BeginPermitRequest allows a second request while one is in flight")
 	}
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
 	p, refusal = b.Admit(f.endpoints, f.stream())
 	if refusal != nil || !p.MaySend() {
 		t.Fatalf("request got refusal %+v while a permit is held, want none", refusal)
@@ -56,7 +56,7 @@
 	b := f.balancer()
 	f.announceLimit(b, 0, 1.2)
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Wait: 700 * time.Millisecond}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Wait: 700 * time.Millisecond}, "a", f.now)
 	for range 10 {
 		if p, refusal := b.Admit(f.endpoints, f.stream()); refusal != nil || p.Endpoint != f.endpoints[1] {
 			t.Fatalf("got refusal %+v, want a placement at the endpoint without a limit", refusal)
@@ -88,7 +88,7 @@
 	b := f.balancer()
 	f.announceLimit(b, 0, 1.2)
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], 4)
-	b.EndPermitRequest(endpoint, 4, limit.Answer{Wait: time.Second}, "a", f.now)
+	b.EndPermitRequest(endpoint, 4, limit.Decision{Wait: time.Second}, "a", f.now)
 	if _, refusal := b.Admit(f.endpoints, f.long(9)); refusal == nil || refusal.Cause != balance.EndpointsLimited {
 		t.Errorf("less urgent request got %+v, want cause EndpointsLimited", refusal)
 	}
@@ -107,7 +107,7 @@
 		t.Error("request placed before the limit was announced may be sent without a permit")
 	}
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
 	p, _ := b.Admit(f.endpoints, f.stream())
 	p.Done(balance.Unknown) // connection failed
 	p, refusal := b.Admit(f.endpoints, f.stream())
@@ -131,7 +131,7 @@
 		t.Error("response that may predate the limit lifts it")
 	}
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
 	p, _ := b.Admit(f.endpoints, f.stream())
 	f.now = f.now.Add(2 * time.Second)
 	if !p.RecordNoLimit() {
@@ -159,7 +159,7 @@
 		t.Errorf("sums %+v, want one with the limit", sums)
 	}
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
 	f.now = f.now.Add(400 * time.Millisecond)
 	p, _ := b.Admit(f.endpoints, f.stream())
 	p.RecordNoLimit()
@@ -191,23 +191,23 @@
 	}
 }
 
-// The instance that adopts a grant of an endpoint with a limit requests the permit.
+// The instance that accepts a grant of an endpoint with a limit requests the permit.
 func TestGrantsOfLimitedEndpoints(t *testing.T) {
 	f := newFixture(1)
 	scheduler, instance := f.balancer(), f.balancer()
 	instance.Place(f.endpoints, f.stream()).Done(balance.Served)
 	f.announceLimit(instance, 0, 1.2)
 	c := scheduler.Grant(7, f.endpoints, f.stream())
-	p, refusal := instance.Adopt(c, f.endpoints, f.stream())
+	p, refusal := instance.AcceptGrant(c, f.endpoints, f.stream())
 	if p != nil || refusal == nil || refusal.Cause != balance.PermitWanted {
 		t.Fatalf("got %+v, %+v, want refusal with cause PermitWanted", p, refusal)
 	}
 	endpoint, _, _ := instance.BeginPermitRequest(f.endpoints[0], urgency)
-	instance.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
-	if p, _ = instance.Adopt(c, f.endpoints, f.stream()); p == nil || !p.MaySend() {
-		t.Error("grant is not adopted with a permit")
+	instance.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
+	if p, _ = instance.AcceptGrant(c, f.endpoints, f.stream()); p == nil || !p.MaySend() {
+		t.Error("grant is not accepted with a permit")
 	}
-	if p, refusal = instance.Adopt(c, f.endpoints, &balance.Demand{Service: f.stream().Service, Permitted: true}); p != nil || refusal != nil {
+	if p, refusal = instance.AcceptGrant(c, f.endpoints, &balance.Demand{Service: f.stream().Service, Permitted: true}); p != nil || refusal != nil {
 		t.Errorf("request with Permitted set got %+v, %+v, want neither", p, refusal)
 	}
 }
@@ -227,9 +227,9 @@
 					placed = append(placed, p)
 				} else if refusal != nil && refusal.Cause == balance.PermitWanted {
 					if endpoint, _, ok := b.BeginPermitRequest(refusal.Limited, urgency); ok {
-						answer := limit.Answer{Granted: rapid.Bool().Draw(rt, "granted"), Wait: time.Duration(rapid.IntRange(1, 500).Draw(rt, "wait")) * time.Millisecond}
-						b.EndPermitRequest(endpoint, urgency, answer, "a", f.now)
-						if answer.Granted {
+						decision := limit.Decision{Granted: rapid.Bool().Draw(rt, "granted"), Wait: time.Duration(rapid.IntRange(1, 500).Draw(rt, "wait")) * time.Millisecond}
+						b.EndPermitRequest(endpoint, urgency, decision, "a", f.now)
+						if decision.Granted {
 							granted[endpoint] = append(granted[endpoint], f.now)
 						}
 					}
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -207,7 +207,7 @@
 				return
 			case <-timer.C:
 			}
-			if !isModel || placement.Suspect() {
+			if !isModel || placement.FailsOften() {
 				cancel(errResponseTimeout)
 				return
 			}
@@ -237,7 +237,7 @@
 }
 
 func (ex *exchange) upstreamRequest(endpoint *discovery.Endpoint) *upstream.Request {
-	forward := Forward{
+	forward := ForwardOptions{
 		Endpoint:    endpoint.ID,
 		Remaining:   ex.deadline.Sub(ex.proxy.Now()),
 		Rank:        catalog.Rank(ex.route, ex.team),
@@ -286,7 +286,7 @@
 			d.Output = min(g.OutputHint, d.Output)
 		}
 		for _, p := range g.Parts {
-			d.Parts = append(d.Parts, balance.Part{ID: p.ID, Tokens: p.Tokens})
+			d.Parts = append(d.Parts, balance.PromptPart{ID: p.ID, Tokens: p.Tokens})
 		}
 	}
 	return d
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -23,8 +23,8 @@
 	"ivyridge/verdict"
 )
 
-// Bounds are the limits that a Proxy enforces.
-type Bounds struct {
+// Limits are enforced by a Proxy.
+type Limits struct {
 	Propagation  time.Duration // a configuration change must be in force within this time
 	StrictRevoke bool          // a revoked key must be rejected within Revoke
 	Revoke       time.Duration // see StrictRevoke
@@ -35,7 +35,7 @@
 	StallTimeout time.Duration // a caller that reads nothing of its response for this long is disconnected; zero: a default
 }
 
-// revokeMargin is how much earlier than Bounds.Revoke a configuration counts as too old.
+// revokeMargin is how much earlier than Limits.Revoke a configuration counts as too old.
 const revokeMargin = 600 * time.Millisecond
 
 // A Placer chooses endpoints. Implementations must be safe for concurrent use.
@@ -51,7 +51,7 @@
 	Placer   Placer
 	Pool     *upstream.Pool
 	Codec    Codec
-	Bounds   Bounds // initial value; see SetBounds
+	Limits   Limits // initial value; see SetLimits
 	Log      *zap.Logger
 	Counters *Counters
 	Now      func() time.Time
@@ -68,7 +68,7 @@
 // A Proxy is the http.Handler for callers' requests. It is safe for concurrent use.
 type Proxy struct {
 	Options
-	bounds       atomic.Pointer[Bounds]
+	limits       atomic.Pointer[Limits]
 	retryBudgets *retryBudgets
 	monitor      *relayMonitor
 	crashes      *crashTracker
@@ -91,15 +91,15 @@
 	if o.Poison == nil {
 		o.Poison = poison.NewTable()
 	}
-	p := &Proxy{Options: o, crashes: newCrashTracker(), monitor: newRelayMonitor(o.Now), origin: o.Now().Add(-time.Nanosecond), retryBudgets: newRetryBudgets(o.Bounds.RetryRatio, o.Bounds.RetryExtra, o.Now)}
-	p.SetBounds(o.Bounds)
+	p := &Proxy{Options: o, crashes: newCrashTracker(), monitor: newRelayMonitor(o.Now), origin: o.Now().Add(-time.Nanosecond), retryBudgets: newRetryBudgets(o.Limits.RetryRatio, o.Limits.RetryExtra, o.Now)}
+	p.SetLimits(o.Limits)
 	return p
 }
 
-// SetBounds replaces the bounds. Requests in progress use the new ones too.
-func (p *Proxy) SetBounds(b Bounds) {
-	p.bounds.Store(&b)
-	p.retryBudgets.setBounds(b.RetryRatio, b.RetryExtra)
+// SetLimits replaces the limits. Requests in progress use the new ones too.
+func (p *Proxy) SetLimits(l Limits) {
+	p.limits.Store(&l)
+	p.retryBudgets.setLimits(l.RetryRatio, l.RetryExtra)
 }
 
 // SetInstances sets how many instances, including this one, share the retry budget; zero: unknown.
@@ -131,7 +131,7 @@
 // configFresh reports whether the configuration is recent enough to authenticate callers.
 func (p *Proxy) configFresh() bool {
 	age, ok := p.State.Age()
-	b := p.bounds.Load()
+	b := p.limits.Load()
 	return ok && (!b.StrictRevoke || age < b.Revoke-revokeMargin)
 }
 
@@ -154,14 +154,14 @@
 // atLimit reports whether MaxRunning is reached. Requests whose bodies are still being read do
 // not count; the connection limit bounds them.
 func (p *Proxy) atLimit() bool {
-	limit := p.bounds.Load().MaxRunning
+	limit := p.limits.Load().MaxRunning
 	return limit > 0 && int(p.running.Load()) >= limit
 }
 
 // acquireRunning counts a request as running until releaseRunning. It returns false if MaxRunning
 // would be exceeded: atLimit is checked before the body is read, so too many requests may pass it.
 func (p *Proxy) acquireRunning() bool {
-	n, limit := int(p.running.Add(1)), p.bounds.Load().MaxRunning
+	n, limit := int(p.running.Add(1)), p.limits.Load().MaxRunning
 	if limit > 0 && n > limit {
 		p.releaseRunning()
 		return false
@@ -177,7 +177,7 @@
 
 // stallTimeout returns how long a caller may read nothing of its response.
 func (p *Proxy) stallTimeout() time.Duration {
-	if d := p.bounds.Load().StallTimeout; d > 0 {
+	if d := p.limits.Load().StallTimeout; d > 0 {
 		return d
 	}
 	return defaultStallTimeout
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -164,7 +164,7 @@
 // retryableIfStale returns refusal, or a retryable error if the configuration is so old that a newer
 // one may differ.
 func (ex *exchange) retryableIfStale(refusal *verdict.Error) *verdict.Error {
-	if ex.configAge <= ex.proxy.bounds.Load().Propagation {
+	if ex.configAge <= ex.proxy.limits.Load().Propagation {
 		return refusal
 	}
 	return verdict.Refuse(verdict.StaleState, "%s, as of %s ago", refusal.Detail, ex.configAge).WithRetryAfter(retryAfterLong)
--- a/entry/poison.go
+++ b/entry/poison.go
@@ -43,9 +43,9 @@
 		return nil
 	}
 	id := ex.requestPoisonID()
-	standing := ex.proxy.Poison.Standing(id)
-	ex.suspected = standing == poison.Suspected
-	if standing != poison.Confirmed {
+	state := ex.proxy.Poison.State(id)
+	ex.suspected = state == poison.Suspected
+	if state != poison.Confirmed {
 		return nil
 	}
 	ex.proxy.publishPoison(ex.proxy.Poison.Seen(ex.proxy.Now(), id))
--- a/entry/response.go
+++ b/entry/response.go
@@ -27,7 +27,7 @@
 	switch {
 	case head.Misdirected:
 		x.Close(false, 0)
-		ex.placement.RecordGone()
+		ex.placement.RecordReplaced()
 		ex.placement.Done(balance.Unknown)
 		ex.unmarkSent()
 		return verdict.Refuse(verdict.EndpointGone, "%s answered %d", ex.placement.Endpoint.ID, x.Status).WithRetryAfter(retryAfterShort)
--- a/gossip/placement_message.go
+++ b/gossip/placement_message.go
@@ -23,9 +23,9 @@
 	Deadline    time.Duration
 	Prompt      int
 	Output      int
-	Parts       []balance.Part
+	Parts       []balance.PromptPart
 	Avoid       []uint32 // hashes of endpoints that were already tried, or that the sender can't use
-	Sent        bool     // the request was already sent once, so it must not be refused by admission control
+	AlreadySent bool     // the request was already sent once, so it must not be refused by admission control
 	Team        uint32   // balance.TeamHash
 	Residency   catalog.Residency
 	Bytes       int               // of the request body
@@ -38,7 +38,7 @@
 // A PlacementResponse is the response to a placement request.
 type PlacementResponse struct {
 	Number uint64
-	Choice balance.Choice
+	Grant  balance.Grant
 }
 
 // Field numbers of placement requests and responses. Durations are in microseconds unless noted.
@@ -53,7 +53,7 @@
 	fieldOutput          protowire.Number = 12
 	fieldAvoid           protowire.Number = 13
 	fieldDeadline        protowire.Number = 14
-	fieldSent            protowire.Number = 15
+	fieldAlreadySent     protowire.Number = 15
 	fieldTeam            protowire.Number = 16
 	fieldResidency       protowire.Number = 17 // byte string of fieldResidencyRegion; absent if all regions are allowed
 	fieldBytes           protowire.Number = 18
@@ -75,7 +75,7 @@
 	fieldTokenTime       protowire.Number = 11
 
 	fieldRefusal        protowire.Number = 12
-	fieldChoiceWait     protowire.Number = 13 // nanoseconds
+	fieldGrantWait      protowire.Number = 13 // nanoseconds
 	fieldFetchTokens    protowire.Number = 14 // tokens to transfer from the donor
 	fieldDonor          protowire.Number = 15
 	fieldRetryAvailable protowire.Number = 29
@@ -108,7 +108,7 @@
 	b = appendUint(b, fieldDeadline, microseconds(r.Deadline))
 	b = appendUint(b, fieldPrompt, uint64(max(0, r.Prompt)))
 	b = appendUint(b, fieldOutput, uint64(max(0, r.Output)))
-	b = appendUint(b, fieldSent, protowire.EncodeBool(r.Sent))
+	b = appendUint(b, fieldAlreadySent, protowire.EncodeBool(r.AlreadySent))
 	if r.Team != 0 {
 		b = appendFixed(b, fieldTeam, r.Team)
 	}
@@ -168,8 +168,8 @@
 			r.Output = boundedCount(f.value)
 		case fieldAvoid:
 			r.Avoid = append(r.Avoid, uint32(f.value))
-		case fieldSent:
-			r.Sent = f.value != 0
+		case fieldAlreadySent:
+			r.AlreadySent = f.value != 0
 		case fieldTeam:
 			r.Team = uint32(f.value)
 		case fieldResidency:
@@ -196,7 +196,7 @@
 }
 
 func (p *PlacementResponse) append(b []byte) []byte {
-	c := &p.Choice
+	c := &p.Grant
 	b = appendUint(b, fieldNumber, p.Number)
 	b = appendFixed(b, fieldChosenEndpoint, c.Endpoint)
 	b = appendUint(b, fieldCost, math.Float64bits(c.Cost))
@@ -208,7 +208,7 @@
 	b = appendUint(b, fieldPrefillPerToken, nanoseconds(c.Pace.PrefillPerToken))
 	b = appendUint(b, fieldStepTime, nanoseconds(c.Pace.StepTime))
 	b = appendUint(b, fieldTokenTime, nanoseconds(c.Pace.TokenTime))
-	b = appendUint(b, fieldChoiceWait, nanoseconds(c.Wait))
+	b = appendUint(b, fieldGrantWait, nanoseconds(c.Wait))
 	b = appendUint(b, fieldRetryAvailable, protowire.EncodeBool(c.RetryAvailable))
 	b = appendUint(b, fieldRetryCharged, protowire.EncodeBool(c.RetryCharged))
 	if c.Donor != 0 {
@@ -244,7 +244,7 @@
 }
 
 func (p *PlacementResponse) decode(b []byte) error {
-	c := &p.Choice
+	c := &p.Grant
 	return eachField(b, func(f field) error {
 		switch f.number {
 		case fieldNumber:
@@ -269,7 +269,7 @@
 			c.Pace.StepTime = fromNanoseconds(f.value)
 		case fieldTokenTime:
 			c.Pace.TokenTime = fromNanoseconds(f.value)
-		case fieldChoiceWait:
+		case fieldGrantWait:
 			c.Wait = fromNanoseconds(f.value)
 		case fieldFetchTokens:
 			c.Fetched = boundedCount(f.value)
--- a/inventory/blocked.go
+++ b/inventory/blocked.go
@@ -70,8 +70,8 @@
 	Error    string `json:"error"`
 }
 
-// AskBlocked returns the Blocked report of the instance with the given metrics address.
-func (c *Client) AskBlocked(ctx context.Context, address string) (*Blocked, error) {
+// GetBlocked returns the Blocked report of the instance with the given metrics address.
+func (c *Client) GetBlocked(ctx context.Context, address string) (*Blocked, error) {
 	b := new(Blocked)
 	return b, c.get(ctx, address, BlockedPath, nil, b)
 }
@@ -83,7 +83,7 @@
 	if err != nil {
 		return errors.Wrap(err, "inventory")
 	}
-	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.HeaderWait{Timeout: c.Wait})
+	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.HeaderOptions{Timeout: c.Wait})
 	if err != nil {
 		return errors.Wrapf(err, "inventory: %s", address)
 	}
--- a/poison/confirm.go
+++ b/poison/confirm.go
@@ -137,14 +137,14 @@
 	return expected
 }
 
-// consecutive returns the strikes that count, by time: those that accept allows, that are not void,
+// consecutive returns the strikes that count, by time: those that accept allows, that are not cleared,
 // and whose request was sent after the previous one.
 func (e *Entry) consecutive(accept func(Strike) bool) (out []Strike) {
 	sorted := slices.Clone(e.Strikes)
 	slices.SortFunc(sorted, func(a, b Strike) int { return a.CrashedAt.Compare(b.CrashedAt) })
 	var last time.Time
 	for _, s := range sorted {
-		if s.Void || !s.SentAt.After(last) || !accept(s) {
+		if s.Cleared || !s.SentAt.After(last) || !accept(s) {
 			continue
 		}
 		out = append(out, s)
