--- a/balance/backoff_test.go
+++ b/balance/backoff_test.go
@@ -28,7 +28,7 @@
 	f.requestBackoff(b, 0, 3*time.Second)
 	for end := f.now.Add(3 * time.Second); f.now.Before(end); f.now = f.now.Add(50 * time.Millisecond) {
 		if p := b.Place(f.endpoints, f.stream()); p.Endpoint != f.endpoints[1] {
-			t.Fatalf("%s before the end of its back-off, an endpoint is chosen", end.Sub(f.now))
+			t.Fatalf("endpoint in back-off was chosen %s before the back-off ended, want the other endpoint", end.Sub(f.now))
 		} else {
 			p.Done(balance.Served)
 		}
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -42,7 +42,7 @@
 	Wait            float64             // ms before prefill of the prompt starts, for a slot or queued prompts
 	balancer        *Balancer
 	load            *load
-	donor           *load // nil: nothing is fetched, or chosen by another instance
+	donor           *load // load of Donor; nil if there is none or another instance chose the endpoint
 	charge          charge
 	startedAt       time.Time
 	permit          time.Time     // expiry of the permit for a rate-limited endpoint; zero: none, or used
--- a/balance/urgency_test.go
+++ b/balance/urgency_test.go
@@ -114,6 +114,6 @@
 		t.Errorf("%d of 20 streams refused behind medium requests, want 0", refused)
 	}
 	if refused := admit(t, f, b, 20, f.mediumRequest); refused < 19 {
-		t.Errorf("%d of 20 medium requests refused behind others of their level, want at least 19", refused)
+		t.Errorf("%d of 20 medium requests refused while their own level is under pressure, want at least 19", refused)
 	}
 }
--- a/clock/steady.go
+++ b/clock/steady.go
@@ -33,7 +33,7 @@
 	maxWallDrift = 10 * time.Millisecond
 	// maxReadTime is the time within which two clocks must be read to count as simultaneous.
 	maxReadTime = time.Millisecond
-	// maxReadAttempts bounds the retries. The last reading may underestimate the suspension.
+	// maxReadAttempts bounds the attempts. A slow last one may underestimate the suspension.
 	maxReadAttempts = 3
 )
 
@@ -63,7 +63,8 @@
 	return t.Add(time.Duration(s.suspended.Load()))
 }
 
-// wallOffsetAt returns by how many nanoseconds the wall clock was ahead at t, relative to the start.
+// wallOffsetAt returns by how many nanoseconds the wall clock has advanced more than the monotonic
+// clock from the start to t.
 func (s *Steady) wallOffsetAt(t time.Time, wall int64) int64 {
 	return wall - s.startWall - int64(t.Sub(s.start))
 }
--- a/discovery/evacuate.go
+++ b/discovery/evacuate.go
@@ -11,7 +11,7 @@
 // maxEvacuations bounds memory, as keys in the store may contain arbitrary data centre names.
 const maxEvacuations = 256
 
-// applyEvacuations reports whether u changed any evacuation. The caller holds t.mu.
+// applyEvacuations applies the evacuations of u and reports whether any changed. t.mu must be held.
 func (t *Table) applyEvacuations(u *Update, c *catalog.Catalog) (changed bool) {
 	if u.Full && u.Revision >= t.view.Load().Revision {
 		changed = t.endMissingEvacuations(u, c)
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -17,7 +17,7 @@
 // stallCheckEvery is the number of monitor checks per stall check, which costs a system call.
 const stallCheckEvery = 2
 
-// A stall tracks a caller's progress. Access must be serialised.
+// A stall detects a caller that has stopped reading its response. Access must be serialised.
 type stall struct {
 	chunks uint64 // written
 	last   progress
--- a/fair/sketch.go
+++ b/fair/sketch.go
@@ -28,8 +28,8 @@
 	granted   float64 // work that was not refused
 }
 
-// A sketch counts work with exponential decay. Rather than reduce all counts as time passes,
-// it adds in a unit that grows.
+// A sketch counts work with exponential decay. Instead of reducing all counts as time passes, it
+// multiplies new work by a factor that grows (forward decay).
 type sketch struct {
 	origin    time.Time
 	counters  []counter
--- a/gossip/cold_share_test.go
+++ b/gossip/cold_share_test.go
@@ -27,8 +27,8 @@
 
 const maxShareSum = 1 + 1e-9
 
-// In a settled fleet the shares sum to one. One instance per data centre holds a share in a large
-// fleet, and all do in a small one.
+// Once membership is stable, the shares sum to one. All instances of a small fleet hold a share; in
+// a large one, only its schedulers in use do.
 func TestColdSharesSumToOne(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ n, dataCentres, holders int }{{6, 3, 6}, {60, 3, 3}, {295, 5, 10}} {
@@ -64,7 +64,6 @@
 	}
 }
 
-// coldSharesNeverExceed fails the test if the shares ever exceed limit in sum during d.
 func (w *simulation) coldSharesNeverExceed(limit float64, d time.Duration) {
 	w.t.Helper()
 	for end := w.now.Add(d); w.now.Before(end); {
--- a/gossip/permit_message.go
+++ b/gossip/permit_message.go
@@ -21,7 +21,7 @@
 	Limit      balance.ReportedLimit
 }
 
-// A PermitResponse is the response to a permit request.
+// A PermitResponse grants or denies a permit to send one request to a rate-limited endpoint.
 type PermitResponse struct {
 	Number    uint64
 	Granted   bool
--- a/gossip/regions.go
+++ b/gossip/regions.go
@@ -279,7 +279,7 @@
 	}
 }
 
-// regionKey returns the key of a region's aggregate, which takes the place of an instance ID.
+// regionKey returns the key that identifies a region in the Balancer, in place of an instance ID.
 func regionKey(region string) uint64 { return aggregateKey("region " + region) }
 
 // countByRegion counts the live instances of this region, and those that other regions report.
--- a/gossip/regions_test.go
+++ b/gossip/regions_test.go
@@ -272,7 +272,7 @@
 			}
 			w.coldSharesNeverExceed(1, 15*time.Second)
 			if sum, _ := w.coldShares(); sum < 0.99 {
-				t.Errorf("%s: cold shares sum to %.2f during the partition, want 1, as both regions keep theirs", c.name, sum)
+				t.Errorf("%s: cold shares sum to %.2f during the partition, want 1: each region keeps its shares", c.name, sum)
 			}
 			w.lost = nil
 			w.coldSharesNeverExceed(1, 8*time.Second)
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -140,7 +140,7 @@
 	_, _ = own[1].WriteToUDP([]byte("twice"), fronts[0])
 	for range 2 {
 		if got, _ := receive(own[0], 5*time.Second); got != "twice" {
-			t.Fatalf("got %q, want two copies of twice", got)
+			t.Fatalf("got %q, want two copies of \"twice\"", got)
 		}
 	}
 }
--- a/inventory/http.go
+++ b/inventory/http.go
@@ -21,7 +21,7 @@
 
 // Paths on the metrics listener, for operators.
 const (
-	PagePath        = "/fleet"        // HTML page
+	PagePath        = "/fleet"        // the Fleet as an HTML page
 	FleetJSONPath   = "/fleet.json"   // the whole Fleet, as known to the schedulers
 	DetailsJSONPath = "/details.json" // the Details of the instances given by ?address=
 	addressQuery    = "address"
--- a/node/claim.go
+++ b/node/claim.go
@@ -60,7 +60,7 @@
 	return nil, e.WithRetryAfter(time.Second)
 }
 
-// A tally counts the replies of the owners to one round of Begin.
+// A tally sums up the owners' replies to one attempt to record a claim at all of them.
 type tally struct {
 	quorum, recorded, unsettled int
 	holder                      *owner.Record
--- a/node/view.go
+++ b/node/view.go
@@ -18,10 +18,11 @@
 	"ivyridge/member"
 )
 
-// maxCellSize is the maximum number of endpoints of a cell; larger groups are split.
+// maxCellSize is the maximum mean size of the cells that a group of endpoints is split into.
 const maxCellSize = 16
 
-// A cellView is the immutable description of one cell in a view.
+// A cellView describes a cell: identical endpoints that share a queue, which one instance, the cell's
+// home, holds (see package home). It is immutable.
 type cellView struct {
 	name        string
 	pool        *decl.Pool
@@ -113,7 +114,7 @@
 	return v
 }
 
-// buildCells groups the listed endpoints by pool and region into cells of at most maxCellSize.
+// buildCells groups the listed endpoints by pool and region into cells of at most maxCellSize on average.
 func (n *Node) buildCells(v *view, l *member.List) {
 	type group struct{ pool, region string }
 	groups := make(map[group][]member.Endpoint)
@@ -191,9 +192,9 @@
 	return -1
 }
 
-// cellsInOrder returns the cells of pool in the order in which instance tries
-// them: those with endpoints in dataCentre first, then by a hash of cell and
-// instance, so that each instance uses few homes.
+// cellsInOrder returns the cells of pool in the order in which instance tries them: those with
+// endpoints in dataCentre first, then in an order fixed by a hash of cell and instance, so that an
+// instance sends most requests to the same few cells, and thus to few home instances.
 func (v *view) cellsInOrder(pool, dataCentre, instance string) []*cellView {
 	cells := v.pools[pool]
 	if len(cells) < 2 {
--- a/owner/settle.go
+++ b/owner/settle.go
@@ -191,8 +191,7 @@
 	return s.replies[name].Intact
 }
 
-// allFresh reports whether, in a cold start, all owners of p are fresh, so that there are
-// no earlier records.
+// allFresh reports whether, in a cold start, all owners of p are fresh: no earlier records exist.
 func (o *Owners) allFresh(p Partition, s *partitionState) bool {
 	if !o.coldStart || o.everSettled[p] {
 		return false
@@ -205,7 +204,8 @@
 	return true
 }
 
-// Settled reports whether a list is in force and all partitions of this instance are settled.
+// Settled reports whether a member list has been applied and this instance has, or no longer waits
+// for, earlier owners' records of all its partitions.
 func (o *Owners) Settled() bool {
 	for _, s := range o.partitions {
 		if !s.settled {
@@ -271,7 +271,6 @@
 	return a, true
 }
 
-// describe returns what this instance knows of p.
 func (o *Owners) describe(now time.Duration, p Partition, missedAfter int64) PartitionReport {
 	out := PartitionReport{Partition: p, Intact: o.everSettled[p]}
 	if missedAfter > 0 {
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -60,7 +60,7 @@
 		}
 	}
 	if served != 5 {
-		t.Errorf("%d of 5 other teams were served within two rounds; want 5", served)
+		t.Errorf("%d requests of teams other than rush among the first 12, want 5", served)
 	}
 }
 
--- a/soak/check.go
+++ b/soak/check.go
@@ -360,8 +360,8 @@
 	return out
 }
 
-// checkConfig: instances in contact apply a version within Bounds.Propagation of its
-// acknowledgement.
+// checkConfig: instances in contact apply a version within Bounds.Propagation after its publication
+// was acknowledged (Version.Acked).
 func (b *Record) checkConfig() (out []string) {
 	b.each(func(q *Request) {
 		for _, r := range b.Deliveries[q.ID] {
--- a/soak/record.go
+++ b/soak/record.go
@@ -130,8 +130,8 @@
 // during reports whether f overlaps the interval between from and to.
 func (f *Fault) during(from, to time.Time) bool { return f.From.Before(to) && f.To.After(from) }
 
-// inContact reports whether no fault that breaks contact affected an instance between
-// Bounds.Contact before from, and to.
+// inContact reports whether the instance was free of contact-breaking faults from Bounds.Contact
+// before from until to.
 func (b *Record) inContact(instance string, from, to time.Time) bool {
 	for i := range b.Faults {
 		f := &b.Faults[i]
