--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -174,7 +174,7 @@
 	d.node.Close()
 	_ = d.peers.Shutdown(context.Background())
 	d.wg.Wait()
-	d.log.Info("stopped")
+	d.log.Info("left")
 	return err
 }
 
--- a/operator/client.go
+++ b/operator/client.go
@@ -50,5 +50,5 @@
 		return nil, raw, errors.New(body.Error)
 	}
 	t := new(Table)
-	return t, raw, errors.Wrap(json.Unmarshal(raw, t), "decode response")
+	return t, raw, errors.Wrap(json.Unmarshal(raw, t), "answer")
 }
