--- a/balance/backoff_test.go
+++ b/balance/backoff_test.go
@@ -28,7 +28,7 @@
 	f.requestBackoff(b, 0, 3*time.Second)
 	for end := f.now.Add(3 * time.Second); f.now.Before(end); f.now = f.now.Add(50 * time.Millisecond) {
 		if p := b.Place(f.endpoints, f.stream()); p.Endpoint != f.endpoints[1] {
-			t.Fatalf("%s before the end of the back-off, a request is placed at the endpoint", end.Sub(f.now))
+			t.Fatalf("endpoint in back-off was chosen %s before the back-off ended, want the other endpoint", end.Sub(f.now))
 		} else {
 			p.Done(balance.Served)
 		}
@@ -93,8 +93,6 @@
 	}
 }
 
-// An endpoint that asked for a very long back-off is probed once before its end, and is eligible
-// afterwards.
 func TestLongBackoffIsProbedOnce(t *testing.T) {
 	f := newFixture(1)
 	b := f.balancer()
@@ -118,8 +116,7 @@
 	}
 }
 
-// For random back-offs, responses, time steps and lists, an endpoint is sent at most one request
-// during each back-off.
+// An endpoint is sent at most one request during each back-off.
 func TestBackoffsAreKept(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFixture(3)
@@ -141,9 +138,9 @@
 				f.now = f.now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(rt, "ms")) * time.Millisecond)
 			case 3:
 				if rapid.Bool().Draw(rt, "listed") {
-					b.Forget(func(string) bool { return true })
+					b.Prune(func(string) bool { return true })
 				} else {
-					b.Forget(func(string) bool { return false })
+					b.Prune(func(string) bool { return false })
 				}
 				f.endpoints = append([]*discovery.Endpoint(nil), f.endpoints...) // new slice invalidates the listing
 			default:
@@ -190,18 +187,17 @@
 		t.Fatalf("placement %v and refusal %+v, want cause EndpointsInBackoff", p, refusal)
 	}
 	if refusal.Wait < time.Second || refusal.Wait > time.Second+maxJitter || refusal.RetryAfter < refusal.Wait {
-		t.Errorf("wait %v and retry after %v, want the back-off that ends first", refusal.Wait, refusal.RetryAfter)
+		t.Errorf("wait %v and retry after %v, want a wait of 1s to 1.3s for the first back-off to end, and no earlier retry", refusal.Wait, refusal.RetryAfter)
 	}
 	if got := len(b.UnavailableEndpoints()); got != 3 {
-		t.Errorf("%d endpoints listed as absent, want 3", got)
+		t.Errorf("%d endpoints listed as unavailable, want 3", got)
 	}
 	if _, refusal := b.Admit(nil, f.stream()); refusal != nil {
-		t.Errorf("refusal without endpoints: %+v", refusal)
+		t.Errorf("got refusal %+v without endpoints, want none", refusal)
 	}
 }
 
-// A back-off applies to the instance that was asked: schedulers don't grant the endpoint to that
-// instance, but do to others.
+// Schedulers do not grant an endpoint to the instance that it asked to back off, but do to others.
 func TestBackoffAppliesToOneInstance(t *testing.T) {
 	f := newFixture(1)
 	instance, scheduler := f.balancer(), f.balancer()
@@ -213,24 +209,24 @@
 	reports, _ := instance.Reports(false, 0)
 	scheduler.Merge(7, nil, reports, false)
 	if c := scheduler.Grant(7, f.endpoints, f.stream()); c.Endpoint != 0 || c.Refusal != nil {
-		t.Errorf("granted %+v to the instance in back-off", c)
+		t.Errorf("granted %+v to the instance in back-off, want neither endpoint nor refusal", c)
 	}
 	if c := scheduler.Grant(8, f.endpoints, f.stream()); c.Endpoint == 0 {
-		t.Error("not granted to another instance")
-	} else if p, _ := instance.Adopt(c, f.endpoints, f.stream()); p != nil {
-		t.Error("grant adopted by the instance in back-off")
+		t.Error("endpoint is not granted to an instance that it did not ask to back off")
+	} else if p, _ := instance.AcceptGrant(c, f.endpoints, f.stream()); p != nil {
+		t.Error("instance that was asked to back off accepts a grant of the endpoint")
 	}
 	f.now = f.now.Add(3*time.Second + maxJitter)
 	if c := scheduler.Grant(7, f.endpoints, f.stream()); c.Endpoint == 0 {
-		t.Error("not granted after the back-off")
+		t.Error("endpoint is not granted after its back-off to the instance that it asked")
 	}
 }
 
 // A restarted process is not in back-off, unless it may be the one that asked.
 func TestBackoffAndRestarts(t *testing.T) {
 	for _, c := range []struct {
-		after time.Duration // time from the response until the start time is known
-		holds bool
+		after   time.Duration // from the request to back off until the restarted process is listed with its start time
+		applies bool
 	}{{time.Second, true}, {4 * time.Second, false}} {
 		f := newFixture(1)
 		first, next := f.restarted(1000), f.restarted(2000)
@@ -240,9 +236,9 @@
 		p.RecordDraining()
 		p.Done(balance.Refused)
 		f.now = f.now.Add(c.after)
-		b.Forget(func(string) bool { return false })
-		if got := b.Place(next, f.stream()) == nil; got != c.holds {
-			t.Errorf("start time known %v after the response: back-off applies: %v", c.after, got)
+		b.Prune(func(string) bool { return false })
+		if got := b.Place(next, f.stream()) == nil; got != c.applies {
+			t.Errorf("restarted process listed %v after the request to back off: back-off applies: %v, want it to apply within 3s only", c.after, got)
 		}
 	}
 	f := newFixture(1)
@@ -250,7 +246,7 @@
 	old := b.Place(f.restarted(1000), f.stream())
 	next := f.restarted(2000)
 	if b.Place(next, f.stream()) == nil {
-		t.Fatal("restarted process is ineligible")
+		t.Fatal("restarted process is ineligible before any request to back off")
 	}
 	old.RecordBackoff(time.Second) // the response may come from either process
 	if b.Place(next, f.stream()) != nil {
@@ -278,15 +274,15 @@
 	sums, _ := receiver.AggregateReports(func(uint64) bool { return false }, true, 0)
 	for _, s := range sums {
 		if s.Draining {
-			t.Error("drain reported by an excluded instance is included in the sum")
+			t.Error("drain reported by an excluded instance is included in the aggregate")
 		}
 	}
 	f.now = f.now.Add(20 * time.Second)
 	if reporter.Place(f.endpoints[:1], f.stream()) != nil {
-		t.Error("drain announced by the endpoint is forgotten")
+		t.Error("draining endpoint is chosen 20 s after it announced the drain")
 	}
 	if receiver.Place(f.endpoints[:1], f.stream()) == nil {
-		t.Error("drain reported by another instance does not expire")
+		t.Error("endpoint is still ineligible 20 s after another instance last reported its drain")
 	}
 }
 
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -36,14 +36,14 @@
 func (f *fixture) long(part uint64) *balance.Demand {
 	return &balance.Demand{
 		Service: f.engines, Priority: 2, Objective: 1200 * time.Millisecond, MaxGap: time.Second, Prompt: 9000, Output: 60,
-		Parts: []balance.Part{{ID: 1, Tokens: 2500}, {ID: part, Tokens: 3700}, {ID: part<<32 | uint64(f.now.UnixNano()), Tokens: 2800}},
+		Parts: []balance.PromptPart{{ID: 1, Tokens: 2500}, {ID: part, Tokens: 3700}, {ID: part<<32 | uint64(f.now.UnixNano()), Tokens: 2800}},
 	}
 }
 
 func (f *fixture) stream() *balance.Demand {
 	return &balance.Demand{
 		Service: f.engines, Priority: 0, Objective: 300 * time.Millisecond, MaxGap: 250 * time.Millisecond, Prompt: 500, Output: 300,
-		Parts: []balance.Part{{ID: 7, Tokens: 100}, {ID: 8, Tokens: 60}, {ID: uint64(f.now.UnixNano()), Tokens: 340}},
+		Parts: []balance.PromptPart{{ID: 7, Tokens: 100}, {ID: 8, Tokens: 60}, {ID: uint64(f.now.UnixNano()), Tokens: 340}},
 	}
 }
 
@@ -76,14 +76,14 @@
 func TestLongPromptsAvoidStreams(t *testing.T) {
 	f := newFixture(2)
 	b := f.balancer()
-	var home string
+	var streamEndpoint string
 	for range 8 {
-		home = b.Place(f.endpoints[:1], f.stream()).Endpoint.ID
+		streamEndpoint = b.Place(f.endpoints[:1], f.stream()).Endpoint.ID
 	}
 	f.now = f.now.Add(time.Second)
 	for part := uint64(0); part < 4; part++ {
-		if p := b.Place(f.endpoints, f.long(100+part)); part > 0 && p.Endpoint.ID == home && p.Backlog > 100*time.Millisecond {
-			t.Fatalf("long prompt queued beside eight streams")
+		if p := b.Place(f.endpoints, f.long(100+part)); part > 0 && p.Endpoint.ID == streamEndpoint && p.Backlog > 100*time.Millisecond {
+			t.Fatalf("long prompt queued beside eight streams, want it at the other engine")
 		}
 	}
 }
@@ -118,8 +118,7 @@
 	}
 }
 
-// Requests without an engine stay in their data centre until half of its slots are in use, and
-// leave it before any of them would wait.
+// Requests without an engine leave their data centre once half of its slots are in use.
 func TestPlainRequestsPreferLocalEndpoints(t *testing.T) {
 	f := newFixture(5)
 	for _, e := range f.endpoints[1:] {
@@ -182,7 +181,7 @@
 	}
 	for id, n := range count {
 		if n > 160 {
-			t.Fatalf("%s got %d of 400 requests: %v", id, n, count)
+			t.Fatalf("%s got %d of 400 requests, want at most 160: %v", id, n, count)
 		}
 	}
 }
@@ -196,7 +195,7 @@
 		b.Place(f.endpoints[1:], d).Done(balance.Served)
 	}
 	if p := b.Place(f.endpoints, d); p.Endpoint.ID != "e1" {
-		t.Fatal("overdue endpoint is chosen")
+		t.Fatal("request placed at the endpoint with 12 overdue requests, want e1")
 	}
 }
 
@@ -249,8 +248,7 @@
 	}
 }
 
-// A request with a long output avoids an engine that is busy with prefill, where tokens are slow,
-// even if its prompt is cached there; one with a short output does not.
+// Engines busy with prefill generate slowly: long outputs avoid them even if the prompt is cached.
 func TestLongOutputsAvoidEnginesBusyWithPrefill(t *testing.T) {
 	for _, c := range []struct {
 		output int
@@ -268,13 +266,12 @@
 		cached.Output, cached.Deadline = c.output, 4*time.Second
 		f.now = f.now.Add(200 * time.Millisecond)
 		if p := b.Place(f.endpoints, cached); (p.Endpoint.ID == "e0") != c.stays {
-			t.Errorf("request with an output of %d tokens placed at %s (cost %.2f)", c.output, p.Endpoint.ID, p.Cost)
+			t.Errorf("request with an output of %d tokens placed at %s (cost %.2f), want e0 for 20 tokens and e1 for 900", c.output, p.Endpoint.ID, p.Cost)
 		}
 	}
 }
 
-// BenchmarkPlaceWithRemoteReports places requests while 60 other instances report load at each
-// endpoint, a few of them before each choice.
+// BenchmarkPlaceWithRemoteReports merges reports of 60 other instances between choices.
 func BenchmarkPlaceWithRemoteReports(bench *testing.B) {
 	const others = 60
 	for _, n := range []int{12, 63, 204, 690, 6000, 12000} {
--- a/balance/fair.go
+++ b/balance/fair.go
@@ -2,14 +2,12 @@
 
 // This file enforces fair shares between teams under overload.
 //
-// When a service is overloaded, teams above a fair rate are refused first, before other teams have
-// to be refused or wait. Refusing in order of arrival would let a surge of one team displace
-// requests of all others. Package fair computes the rate from the congestion seen by this
-// instance. Requests that yield to more urgent ones are counted too, so that a team's less urgent
-// requests yield to those of other teams first.
+// When a service is overloaded, teams above a fair rate are refused first. Refusing in order of
+// arrival would let a surge of one team displace requests of all others. Package fair computes the
+// rate from the congestion seen by this instance. Requests that yield to more urgent ones count
+// too, so that a team's less urgent requests yield to those of other teams first.
 //
-// Requests without a team form one team. Exempting them would let unidentified callers take all
-// capacity.
+// Requests without a team form one team, so that unidentified callers cannot take all capacity.
 
 import (
 	"math/rand/v2"
@@ -28,44 +26,40 @@
 	// yieldThreshold, so that less urgent requests yield first, and below refuseThreshold, so that
 	// teams within their share are not refused.
 	shareThreshold = 0.45
-	// shareYieldThreshold is the same for the pressure on more urgent levels. It is below
-	// yieldThreshold, at which all less urgent requests yield.
+	// shareYieldThreshold is the pressure on a more urgent level at which fair shares apply. It is
+	// below yieldThreshold, above which all less urgent requests yield.
 	shareYieldThreshold = 0.9 * yieldThreshold
-	// plainWaitShare is the share of the objective that a request without an engine may wait
-	// before fair shares apply. While all slots are busy but the objective is met, refusing the
-	// largest team gains nothing. In requests per slot, the wait is clamped to minPlainWait and
-	// maxPlainWait, since the endpoints' queue capacity is unknown.
+	// plainWaitShare is the share of the objective that a plain request may wait before fair shares
+	// apply. In requests per slot, the wait is clamped to minPlainWait and maxPlainWait, since the
+	// endpoints' queue capacity is unknown.
 	plainWaitShare = 0.25
 	minPlainWait   = 0.5
 	maxPlainWait   = 1.5
 	// plainRefusalThreshold is the share of own requests refused by endpoints above which their
 	// queues count as full, if all slots are in use.
 	plainRefusalThreshold = 0.01
-	// plainLevelStep is how much later, in occupancy, fair shares apply per level of urgency, so
-	// that a team's less urgent requests are refused first.
+	// plainLevelStep is the increase, per more urgent level, of the occupancy at which fair shares
+	// apply, so that a team's less urgent requests are refused first.
 	plainLevelStep = 0.2
-	// sampleWeight is the weight of one request in the share that is refused. Fair shares apply
-	// for long only if several of the last fifty were refused.
+	// sampleWeight is the weight of one request in plainRefusalRate. Fair shares apply for long
+	// only if several of the last fifty requests were refused.
 	sampleWeight = 0.02
 	// endReportDelay is the mean time in ms that a completed request of another instance is still
 	// counted as running: half the report interval plus network delay.
 	endReportDelay = 25.0
-	// defaultHold is the assumed time in ms that a request without an engine holds a slot, until
-	// measured.
+	// defaultHold is how long a plain request is assumed to hold a slot, in ms, until measured.
 	defaultHold = 50.0
 	// Weights of samples below and above the mean hold time. Longer samples count less because
 	// they include queueing.
 	holdShorterWeight = 0.1
 	holdLongerWeight  = 0.02
-	// minShareRetryAfter is the minimum retry time for callers whose team exceeds its share. Such
-	// a surge lasts longer than a short queue.
+	// minShareRetryAfter is the minimum retry time for callers whose team exceeds its share.
 	minShareRetryAfter = 500 * time.Millisecond
-	// shareRetryDeadlineShare bounds the retry time, spread included, to a share of the caller's
-	// remaining time.
+	// shareRetryDeadlineShare bounds the retry time, as a share of the caller's remaining time.
 	shareRetryDeadlineShare = 1.0 / 3
 )
 
-// The urgency levels of both packages must match.
+// The build fails unless fair and this package have the same number of urgency levels.
 var _ [fair.Levels]struct{} = [levels]struct{}{}
 
 // serviceHash identifies a service in messages about teams.
@@ -82,8 +76,8 @@
 	return s
 }
 
-// forgetShares drops the shares of idle services. The caller holds b.mu.
-func (b *Balancer) forgetShares(now time.Time) {
+// pruneShares drops the shares of idle services. The caller holds b.mu.
+func (b *Balancer) pruneShares(now time.Time) {
 	for name, s := range b.shares {
 		if s.Idle(now) {
 			delete(b.shares, name)
@@ -92,19 +86,19 @@
 	}
 }
 
-// shareRefusal counts a request that asks for this much work at its best endpoint p, and returns a
+// shareRefusal counts a request that asks for requestedWork at its best endpoint p, and returns a
 // refusal if its team exceeds its share of an overloaded service, or nil. The caller holds b.mu.
 func (b *Balancer) shareRefusal(endpoints []*discovery.Endpoint, d *Demand, p *Placement, requestedWork float64, now time.Time) *Refusal {
 	if d.Counted {
 		return nil
 	}
-	r := fair.Request{Team: d.Team, Level: d.level(), Work: requestedWork, Unlimited: d.Sent, Chance: rand.Float64()}
+	r := fair.Request{Team: d.Team, Level: d.level(), Work: requestedWork, Unlimited: d.Sent, Random: rand.Float64()}
 	if d.Service.Engine == nil {
 		r.Congestion = b.plainCongestion(endpoints, d, now)
 	} else {
 		stats := b.statsFor(d.Service.Name)
 		r.Congestion = stats.congestion(r.Level, now)
-		// Refusing it would help nobody, or only less urgent requests.
+		// A refusal would benefit no other request, or only less urgent ones.
 		r.Unlimited = r.Unlimited || p.Wait <= 0 || !stats.lessUrgentYield(r.Level, now)
 	}
 	if p.load.hasLimit() {
@@ -113,27 +107,26 @@
 		r.Unlimited = true
 	}
 	s := b.sharesOf(d.Service.Name)
-	over, refused := s.Offer(now, &r)
+	over, refused := s.Admit(now, &r)
 	if !refused {
 		return nil
 	}
 	return &Refusal{Cause: TeamOverShare, Pressure: over, Wait: time.Duration(p.Wait * float64(time.Millisecond)), RetryAfter: shareRetryAfter(d)}
 }
 
-// grantShare counts a placed request with the work counted in its team's demand, which may differ
-// from the work at the endpoint finally chosen. The caller holds b.mu.
+// grantShare counts a placed request with requestedWork, the work counted in its team's demand. The
+// work at the endpoint finally chosen may differ. The caller holds b.mu.
 func (b *Balancer) grantShare(d *Demand, requestedWork float64, now time.Time) {
-	b.sharesOf(d.Service.Name).Grant(now, d.Team, d.level(), requestedWork)
+	b.sharesOf(d.Service.Name).RecordGranted(now, d.Team, d.level(), requestedWork)
 }
 
-// shareRetryAfter returns the time after which a caller above its team's share should retry.
 func shareRetryAfter(d *Demand) time.Duration {
-	most := minShareRetryAfter + retryAfterSpread
+	longest := minShareRetryAfter + retryAfterSpread
 	if d.Deadline > 0 {
-		most = max(minRetryAfter, min(most, time.Duration(shareRetryDeadlineShare*float64(d.Deadline))))
+		longest = max(minRetryAfter, min(longest, time.Duration(shareRetryDeadlineShare*float64(d.Deadline))))
 	}
-	least := min(minShareRetryAfter, most/2)
-	return least + time.Duration(rand.Float64()*float64(most-least))
+	shortest := min(minShareRetryAfter, longest/2)
+	return shortest + time.Duration(rand.Float64()*float64(longest-shortest))
 }
 
 // work returns the request's use of the scarce resource: engine time in ms, or one slot. Output
@@ -147,11 +140,11 @@
 	return float64(max(0, d.Prompt-p.Cached))*p.Pace.PrefillPerToken + float64(d.Output)*token
 }
 
-// congestion returns the service's congestion for requests of a level; fair shares apply from 1.
+// congestion returns the service's congestion for requests of level; fair shares apply from 1.
 func (s *serviceStats) congestion(level int, now time.Time) float64 {
-	c := s.pressures[level][level].of(now) / shareThreshold
+	c := s.pressures[level][level].valueAt(now) / shareThreshold
 	for urgent := range level {
-		c = max(c, s.pressures[urgent][level].of(now)/shareYieldThreshold)
+		c = max(c, s.pressures[urgent][level].valueAt(now)/shareYieldThreshold)
 	}
 	return c
 }
@@ -163,15 +156,15 @@
 	return level >= levels-1 || s.yieldRefusal(level+1, now) != nil
 }
 
-// sample records one value with fixed weight, however sparse the samples are, so that a single
-// refusal has little effect.
+// sample records one value with fixed weight, however sparse, so that one refusal has little
+// effect.
 func (p *pressure) sample(now time.Time, value float64) {
-	before := p.of(now)
-	p.value = before + sampleWeight*(value-before)
+	previous := p.valueAt(now)
+	p.value = previous + sampleWeight*(value-previous)
 	p.at = now
 }
 
-// recordPlain records the outcome and duration of a request without an engine.
+// recordPlain records the outcome and duration of a plain request.
 func (s *serviceStats) recordPlain(now time.Time, lasted time.Duration, o Outcome) {
 	switch o {
 	case Refused:
@@ -198,9 +191,9 @@
 // absorb bursts. The caller holds b.mu.
 func (b *Balancer) plainCongestion(endpoints []*discovery.Endpoint, d *Demand, now time.Time) float64 {
 	own, others, slots := 0, 0, 0
-	r := b.workingSet(d.Service.Name, endpoints)
-	for i, l := range r.loads {
-		e := r.endpoints[i]
+	ls := b.workingSet(d.Service.Name, endpoints)
+	for i, l := range ls.loads {
+		e := ls.endpoints[i]
 		if e.RejectsNew() || !e.GraceUntil.IsZero() {
 			continue
 		}
@@ -218,11 +211,11 @@
 	}
 	running := float64(own) + float64(others)*hold/(hold+endReportDelay)
 	stats.occupancy.add(now, running/float64(slots))
-	occupied := stats.occupancy.of(now) - plainLevelStep*float64(levels-1-d.level())
+	occupied := stats.occupancy.valueAt(now) - plainLevelStep*float64(levels-1-d.level())
 	wait := plainWaitShare * milliseconds(d.Objective) / hold
 	c := occupied / (1 + min(max(wait, minPlainWait), maxPlainWait))
 	if occupied > 1 {
-		c = max(c, stats.plainRefusalRate.of(now)/plainRefusalThreshold)
+		c = max(c, stats.plainRefusalRate.valueAt(now)/plainRefusalThreshold)
 	}
 	return c
 }
--- a/balance/fair_test.go
+++ b/balance/fair_test.go
@@ -26,10 +26,9 @@
 	placed *balance.Placement
 }
 
-// run simulates 20 teams for 6 s. From the first second on, the first team sends times as many
-// requests as the others. It returns the share of the other teams' requests served from the second
-// second on.
-func (r *surge) run(t *testing.T, times int) float64 {
+// run simulates 20 teams for 6 s. After 1 s, the first team sends factor times as many requests as
+// the others. It returns the share of the others' requests served after 2 s.
+func (r *surge) run(t *testing.T, factor int) float64 {
 	sent, served := 0, 0
 	last := make([]time.Time, 21)
 	start := r.now
@@ -38,16 +37,16 @@
 		for team := 1; team <= 20; team++ {
 			every := 10 * time.Second / time.Duration(r.rate)
 			if team == 1 && r.now.Sub(start) > time.Second {
-				every /= time.Duration(times)
+				every /= time.Duration(factor)
 			}
 			for ; r.now.Sub(last[team]) >= every; last[team] = last[team].Add(every) {
 				if last[team].IsZero() {
 					last[team] = r.now.Add(-every * time.Duration(team) / 20)
 				}
-				ok := r.ask(t, fmt.Sprint("team", team))
+				admitted := r.send(t, fmt.Sprint("team", team))
 				if team > 1 && r.now.Sub(start) > 2*time.Second {
 					sent++
-					if ok {
+					if admitted {
 						served++
 					}
 				}
@@ -57,7 +56,7 @@
 	return float64(served) / float64(sent)
 }
 
-func (r *surge) ask(t *testing.T, team string) bool {
+func (r *surge) send(t *testing.T, team string) bool {
 	d := r.demand(r.fixture)
 	d.Team = balance.TeamHash(team)
 	b := r.balancers[int(r.now.UnixMilli())%len(r.balancers)]
@@ -101,8 +100,7 @@
 	}
 }
 
-// One team sends thirty times its usual traffic to engines that run out of slots. Without fair
-// shares, all teams lose the same share of requests.
+// Without fair shares, a surge of one team makes all teams lose the same share of requests.
 func TestSurgeAtEnginesDoesNotHurtOtherTeams(t *testing.T) {
 	newSurge := func() *surge {
 		r := &surge{fixture: newFixture(4), rate: 50, running: make(map[string]int), capacity: 1000}
@@ -119,8 +117,7 @@
 	compareSurge(t, newSurge)
 }
 
-// The same for endpoints without an engine, each with 8 slots and a queue for 8 more requests,
-// which refuse further requests of any team.
+// Plain endpoints with 8 slots and a queue for 8 more requests refuse further ones of any team.
 func TestSurgeAtPlainEndpointsDoesNotHurtOtherTeams(t *testing.T) {
 	newSurge := func() *surge {
 		r := &surge{fixture: newFixture(4), rate: 150, running: make(map[string]int), capacity: 16}
@@ -139,14 +136,14 @@
 	t.Helper()
 	for _, n := range []int{1, 3} {
 		// Refusals are random, so use the mean of several runs.
-		const plays = 5
-		served := func(times int) (mean float64) {
-			for range plays {
+		const runs = 5
+		served := func(factor int) (mean float64) {
+			for range runs {
 				r := newSurge()
 				for range n {
 					r.balancers = append(r.balancers, r.balancer())
 				}
-				mean += r.run(t, times) / plays
+				mean += r.run(t, factor) / runs
 			}
 			return mean
 		}
@@ -158,7 +155,6 @@
 	}
 }
 
-// Nothing is reported about teams while no service is overloaded.
 func TestNoTeamReportsWithoutOverload(t *testing.T) {
 	f := newFixture(4)
 	b := f.balancer()
@@ -171,12 +167,11 @@
 		f.now = f.now.Add(100 * time.Millisecond)
 	}
 	if uses := b.TeamUses(); len(uses) != 0 {
-		t.Errorf("reported %+v while nothing is scarce", uses)
+		t.Errorf("reported team use %+v while nothing is scarce, want none", uses)
 	}
 }
 
-// BenchmarkGrant chooses endpoints for another instance with 23,000 teams, with and without
-// overload.
+// BenchmarkGrant grants to 23,000 teams, with and without overload.
 func BenchmarkGrant(bench *testing.B) {
 	for _, n := range []int{12, 63, 204, 690} {
 		for _, short := range []bool{false, true} {
@@ -252,6 +247,6 @@
 		t.Error("no urgent request was refused for its team's share, so the test is void")
 	}
 	if admitted > 0 {
-		t.Errorf("in %d of %d cases a less urgent request was admitted", admitted, refused)
+		t.Errorf("less urgent request admitted after %d of %d refusals of urgent ones, want none", admitted, refused)
 	}
 }
--- a/balance/grant_test.go
+++ b/balance/grant_test.go
@@ -7,7 +7,6 @@
 	"ivyridge/balance"
 )
 
-// A scheduler counts its grants until the instance reports the requests itself.
 func TestGrantsCountUntilTheyAreReported(t *testing.T) {
 	f := newFixture(3)
 	scheduler, other := f.balancer(), f.balancer()
@@ -18,19 +17,19 @@
 	}
 	for hash, n := range count {
 		if n != 10 {
-			t.Fatalf("30 concurrent grants spread as %v (%d)", count, hash)
+			t.Fatalf("30 concurrent grants by endpoint: %v, want 10 each, also at %d", count, hash)
 		}
 	}
-	placement, _ := other.Adopt(balance.Choice{Endpoint: balance.EndpointHash("e0")}, f.endpoints, demand)
+	placement, _ := other.AcceptGrant(balance.Grant{Endpoint: balance.EndpointHash("e0")}, f.endpoints, demand)
 	reports, _ := other.Reports(true, 0)
 	scheduler.Merge(7, nil, reports, true)
 	if got := scheduler.Grant(8, f.endpoints, demand).Endpoint; got == balance.EndpointHash("e0") {
-		t.Fatal("granted the only endpoint in use")
+		t.Fatal("granted e0, the only endpoint in use, want an idle one")
 	}
 	placement.Done(balance.Served)
 	reports, _ = other.Reports(false, 0)
 	if len(reports) != 1 || reports[0].Requests != 0 {
-		t.Fatalf("reports after completion: %+v", reports)
+		t.Fatalf("reports after completion: %+v, want one without requests", reports)
 	}
 }
 
@@ -50,7 +49,7 @@
 func TestGrantedPlacementIsNotAnnouncedAgain(t *testing.T) {
 	f := newFixture(4)
 	b := f.balancer()
-	if p, _ := b.Adopt(balance.Choice{Endpoint: balance.EndpointHash("e1")}, f.endpoints, f.long(5)); p == nil || !p.Granted {
+	if p, _ := b.AcceptGrant(balance.Grant{Endpoint: balance.EndpointHash("e1")}, f.endpoints, f.long(5)); p == nil || !p.Granted {
 		t.Fatalf("got %+v, want a placement chosen by another instance", p)
 	}
 	if notices := b.TakeNotices(); len(notices) != 0 {
@@ -58,8 +57,8 @@
 	}
 }
 
-// Adopt rejects a grant that conflicts with the instance's own information.
-func TestAdoptPrefersLocalKnowledge(t *testing.T) {
+// AcceptGrant rejects a grant that conflicts with the instance's own information.
+func TestAcceptGrantPrefersLocalKnowledge(t *testing.T) {
 	f := newFixture(3)
 	b := f.balancer()
 	b.Place(f.endpoints[:1], f.long(1)).RecordUnreachable()
@@ -67,8 +66,8 @@
 	demand := f.long(2)
 	demand.Avoid = []uint32{balance.EndpointHash("e2")}
 	for _, id := range []string{"e0", "e1", "e2", "e3"} {
-		if p, _ := b.Adopt(balance.Choice{Endpoint: balance.EndpointHash(id)}, f.endpoints, demand); p != nil {
-			t.Errorf("adopted %s, which is known to be ineligible", id)
+		if p, _ := b.AcceptGrant(balance.Grant{Endpoint: balance.EndpointHash(id)}, f.endpoints, demand); p != nil {
+			t.Errorf("accepted %s, which is known to be ineligible", id)
 		}
 	}
 }
@@ -79,15 +78,15 @@
 	p := b.Place(f.endpoints[:1], f.long(1))
 	_, seen := b.Reports(false, 0)
 	if reports, _ := b.Reports(false, seen); len(reports) != 0 {
-		t.Fatalf("reports without changes: %+v", reports)
+		t.Fatalf("reports without changes: %+v, want none", reports)
 	}
 	p.Done(balance.Served)
 	if reports, _ := b.Reports(false, seen); len(reports) != 1 {
-		t.Fatalf("reports after one completion: %+v", reports)
+		t.Fatalf("reports after one completion: %+v, want one", reports)
 	}
 }
 
-// An endpoint that one instance finds gone is skipped by all.
+// An endpoint whose address one instance finds in use by another is skipped by all.
 func TestGoneEndpointIsReported(t *testing.T) {
 	f := newFixture(2)
 	a, b := f.balancer(), f.balancer()
@@ -95,23 +94,23 @@
 	b.Place(f.endpoints, d).Done(balance.Served) // makes the endpoints known to b
 	b.Place(f.endpoints, d).Done(balance.Served)
 	p := a.Place(f.endpoints[:1], d)
-	p.RecordGone()
+	p.RecordReplaced()
 	p.Done(balance.Refused)
 	for _, full := range []bool{true, false} {
 		reports, _ := a.Reports(full, 0)
-		if len(reports) != 1 || reports[0].Gone <= 0 {
-			t.Fatalf("full %v: reports %+v", full, reports)
+		if len(reports) != 1 || reports[0].Replaced <= 0 {
+			t.Fatalf("full %v: reports %+v, want one of an endpoint that was replaced", full, reports)
 		}
 		b.Merge(1, nil, reports, full)
 	}
 	f.now = f.now.Add(4 * time.Second)
 	for range 4 {
 		if p := b.Place(f.endpoints, d); p.Endpoint.ID != "e1" {
-			t.Fatal("placed at an endpoint that another instance found gone")
+			t.Fatal("request placed at an endpoint that another instance reported as replaced, want e1")
 		}
 	}
 	if p := b.Place(f.endpoints[:1], d); p != nil {
-		t.Fatal("placed at an endpoint that is gone, as a last resort")
+		t.Fatal("request placed at an endpoint that was replaced, as a last resort")
 	}
 	// Repeated reports between instances don't extend the time.
 	for range 20 {
@@ -122,12 +121,11 @@
 		}
 	}
 	if p := b.Place(f.endpoints[:1], d); p == nil {
-		t.Fatal("endpoint counts as gone forever")
+		t.Fatal("endpoint is still skipped 6 s after it was found replaced, in spite of replacedTTL")
 	}
 }
 
 // An endpoint is skipped only after two instances failed to connect to it, and only for a while.
-// An instance lists the endpoints that it can't reach in its requests to schedulers.
 func TestUnreachableEndpointNeedsQuorum(t *testing.T) {
 	f := newFixture(2)
 	scheduler := f.balancer()
@@ -155,19 +153,19 @@
 		got[scheduler.Place(f.endpoints, d).Endpoint.ID] = true
 	}
 	if !got["e0"] {
-		t.Fatal("endpoint skipped although only one instance can't reach it")
+		t.Fatal("endpoint that only one instance can't reach got none of 6 requests")
 	}
 	report(2, unreachable())
 	for range 6 {
 		if p := scheduler.Place(f.endpoints, d); p.Endpoint.ID == "e0" {
-			t.Fatal("placed at an endpoint that two instances can't reach")
+			t.Fatal("request placed at an endpoint that two instances can't reach")
 		}
 	}
 	f.now = f.now.Add(3 * time.Second)
 	if p := scheduler.Place(f.endpoints[:1], d); p == nil {
-		t.Fatal("endpoint is skipped forever")
+		t.Fatal("endpoint is still skipped 3 s after two instances could not reach it")
 	}
 	if down := first.Unreachable(); len(down) != 0 {
-		t.Fatalf("endpoints %v still count as unreachable", down)
+		t.Fatalf("endpoints %v still count as unreachable after 3 s, want none", down)
 	}
 }
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -14,7 +14,6 @@
 // urgency of the requests in these tests.
 const urgency = 0
 
-// announceLimit makes an endpoint announce a rate limit in a response.
 func (f *fixture) announceLimit(b *balance.Balancer, endpoint int, rate float64) {
 	p := b.Place(f.endpoints[endpoint:endpoint+1], f.stream())
 	p.RecordLimit(rate)
@@ -33,35 +32,34 @@
 	}
 	endpoint, known, ok := b.BeginPermitRequest(refusal.Limited, urgency)
 	if !ok || !known.Limited || known.Rate != 1.2 {
-		t.Fatalf("got %+v, %v, want a limit of 1.2", known, ok)
+		t.Fatalf("BeginPermitRequest returned limit %+v, ok %v, want a limit of 1.2 and true", known, ok)
 	}
 	if _, _, again := b.BeginPermitRequest(refusal.Limited, urgency); again {
-		t.Error("two permit requests in flight")
+		t.Error("BeginPermitRequest allows a second request while one is in flight")
 	}
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
 	p, refusal = b.Admit(f.endpoints, f.stream())
 	if refusal != nil || !p.MaySend() {
-		t.Fatalf("refused with a permit: %+v", refusal)
+		t.Fatalf("request got refusal %+v while a permit is held, want none", refusal)
 	}
 	if p.MaySend() {
-		t.Error("permit is used twice")
+		t.Error("request may be sent a second time with one permit")
 	}
 	if _, refusal = b.Admit(f.endpoints, f.stream()); refusal == nil || refusal.Cause != balance.PermitWanted {
 		t.Errorf("second request got %+v, want cause PermitWanted", refusal)
 	}
 }
 
-// After a denial other endpoints are chosen. If there are none, callers are told when permits may
-// be requested again, later if many were refused.
+// After a denial other endpoints are chosen. If there are none, retry times grow with the refusals.
 func TestDeniedPermits(t *testing.T) {
 	f := newFixture(2)
 	b := f.balancer()
 	f.announceLimit(b, 0, 1.2)
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Wait: 700 * time.Millisecond}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Wait: 700 * time.Millisecond}, "a", f.now)
 	for range 10 {
 		if p, refusal := b.Admit(f.endpoints, f.stream()); refusal != nil || p.Endpoint != f.endpoints[1] {
-			t.Fatalf("got %+v, want a placement at the other endpoint", refusal)
+			t.Fatalf("got refusal %+v, want a placement at the endpoint without a limit", refusal)
 		}
 	}
 	if got := b.ClosedEndpoints(f.stream()); len(got) != 1 || got[0] != endpoint {
@@ -71,7 +69,7 @@
 	for range 100 {
 		_, refusal := b.Admit(f.endpoints[:1], f.stream())
 		if refusal == nil || refusal.Cause != balance.EndpointsLimited || refusal.Wait != 700*time.Millisecond || refusal.RetryAfter < refusal.Wait {
-			t.Fatalf("got %+v, want cause EndpointsLimited", refusal)
+			t.Fatalf("got %+v, want cause EndpointsLimited, a wait of 700ms and no earlier retry", refusal)
 		}
 		longest = max(longest, refusal.RetryAfter)
 	}
@@ -90,7 +88,7 @@
 	b := f.balancer()
 	f.announceLimit(b, 0, 1.2)
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], 4)
-	b.EndPermitRequest(endpoint, 4, limit.Answer{Wait: time.Second}, "a", f.now)
+	b.EndPermitRequest(endpoint, 4, limit.Decision{Wait: time.Second}, "a", f.now)
 	if _, refusal := b.Admit(f.endpoints, f.long(9)); refusal == nil || refusal.Cause != balance.EndpointsLimited {
 		t.Errorf("less urgent request got %+v, want cause EndpointsLimited", refusal)
 	}
@@ -99,27 +97,26 @@
 	}
 }
 
-// A limit applies to requests already placed when it is announced. An unused permit passes to the
-// next request, and permits expire.
+// A limit applies to placed requests too, and an unused permit passes to the next request.
 func TestPermitsAreReturnedAndExpire(t *testing.T) {
 	f := newFixture(1)
 	b := f.balancer()
 	early, _ := b.Admit(f.endpoints, f.stream())
 	f.announceLimit(b, 0, 1.2)
 	if early.MaySend() {
-		t.Error("request may be sent without a permit")
+		t.Error("request placed before the limit was announced may be sent without a permit")
 	}
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
 	p, _ := b.Admit(f.endpoints, f.stream())
 	p.Done(balance.Unknown) // connection failed
 	p, refusal := b.Admit(f.endpoints, f.stream())
 	if refusal != nil {
-		t.Fatalf("unused permit is lost: %+v", refusal)
+		t.Fatalf("request got refusal %+v, want the unused permit of an earlier request", refusal)
 	}
 	f.now = f.now.Add(time.Second)
 	if p.MaySend() {
-		t.Error("permit is still valid after a second")
+		t.Error("request may be sent with a permit that is a second old")
 	}
 }
 
@@ -134,7 +131,7 @@
 		t.Error("response that may predate the limit lifts it")
 	}
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
 	p, _ := b.Admit(f.endpoints, f.stream())
 	f.now = f.now.Add(2 * time.Second)
 	if !p.RecordNoLimit() {
@@ -145,7 +142,6 @@
 	}
 }
 
-// Limits, and that they were lifted, are reported to other instances.
 func TestLimitsAreReported(t *testing.T) {
 	f := newFixture(1)
 	b, other := f.balancer(), f.balancer()
@@ -163,7 +159,7 @@
 		t.Errorf("sums %+v, want one with the limit", sums)
 	}
 	endpoint, _, _ := b.BeginPermitRequest(f.endpoints[0], urgency)
-	b.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
+	b.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
 	f.now = f.now.Add(400 * time.Millisecond)
 	p, _ := b.Admit(f.endpoints, f.stream())
 	p.RecordNoLimit()
@@ -176,8 +172,7 @@
 	}
 }
 
-// A limit applies to one process, not to one restarted under the same ID, unless it may be the
-// same process whose start time was not known yet.
+// A restarted process has no limit, unless it may be the same one with its start time now known.
 func TestLimitAppliesToOneProcess(t *testing.T) {
 	f := newFixture(1)
 	b := f.balancer()
@@ -189,37 +184,35 @@
 		t.Errorf("request got %+v once the start time is known, want cause PermitWanted", refusal)
 	}
 	f.now = f.now.Add(time.Minute)
-	anew := listed
-	anew.Born = 61000
-	if _, refusal := b.Admit([]*discovery.Endpoint{&anew}, f.stream()); refusal != nil {
-		t.Errorf("request to a restarted process refused: %+v", refusal)
+	restarted := listed
+	restarted.Born = 61000
+	if _, refusal := b.Admit([]*discovery.Endpoint{&restarted}, f.stream()); refusal != nil {
+		t.Errorf("request to a restarted process got refusal %+v, want none", refusal)
 	}
 }
 
-// A scheduler grants an endpoint with a limit; the instance that adopts the grant requests the
-// permit.
+// The instance that accepts a grant of an endpoint with a limit requests the permit.
 func TestGrantsOfLimitedEndpoints(t *testing.T) {
 	f := newFixture(1)
 	scheduler, instance := f.balancer(), f.balancer()
 	instance.Place(f.endpoints, f.stream()).Done(balance.Served)
 	f.announceLimit(instance, 0, 1.2)
 	c := scheduler.Grant(7, f.endpoints, f.stream())
-	p, refusal := instance.Adopt(c, f.endpoints, f.stream())
+	p, refusal := instance.AcceptGrant(c, f.endpoints, f.stream())
 	if p != nil || refusal == nil || refusal.Cause != balance.PermitWanted {
 		t.Fatalf("got %+v, %+v, want refusal with cause PermitWanted", p, refusal)
 	}
 	endpoint, _, _ := instance.BeginPermitRequest(f.endpoints[0], urgency)
-	instance.EndPermitRequest(endpoint, urgency, limit.Answer{Granted: true}, "a", f.now)
-	if p, _ = instance.Adopt(c, f.endpoints, f.stream()); p == nil || !p.MaySend() {
-		t.Error("grant is not adopted with a permit")
+	instance.EndPermitRequest(endpoint, urgency, limit.Decision{Granted: true}, "a", f.now)
+	if p, _ = instance.AcceptGrant(c, f.endpoints, f.stream()); p == nil || !p.MaySend() {
+		t.Error("grant is not accepted with a permit")
 	}
-	if p, refusal = instance.Adopt(c, f.endpoints, &balance.Demand{Service: f.stream().Service, Permitted: true}); p != nil || refusal != nil {
+	if p, refusal = instance.AcceptGrant(c, f.endpoints, &balance.Demand{Service: f.stream().Service, Permitted: true}); p != nil || refusal != nil {
 		t.Errorf("request with Permitted set got %+v, %+v, want neither", p, refusal)
 	}
 }
 
-// For random requests, permits, waits and time steps, no request is sent to an endpoint with a
-// limit without its own permit of at most half a second of age.
+// Each request to an endpoint with a limit uses its own permit, which is at most 500 ms old.
 func TestNoRequestLeavesWithoutPermit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFixture(3)
@@ -234,9 +227,9 @@
 					placed = append(placed, p)
 				} else if refusal != nil && refusal.Cause == balance.PermitWanted {
 					if endpoint, _, ok := b.BeginPermitRequest(refusal.Limited, urgency); ok {
-						answer := limit.Answer{Granted: rapid.Bool().Draw(rt, "granted"), Wait: time.Duration(rapid.IntRange(1, 500).Draw(rt, "wait")) * time.Millisecond}
-						b.EndPermitRequest(endpoint, urgency, answer, "a", f.now)
-						if answer.Granted {
+						decision := limit.Decision{Granted: rapid.Bool().Draw(rt, "granted"), Wait: time.Duration(rapid.IntRange(1, 500).Draw(rt, "wait")) * time.Millisecond}
+						b.EndPermitRequest(endpoint, urgency, decision, "a", f.now)
+						if decision.Granted {
 							granted[endpoint] = append(granted[endpoint], f.now)
 						}
 					}
@@ -262,7 +255,7 @@
 						all = all[1:]
 					}
 					if len(all) == 0 {
-						rt.Fatalf("request sent to %s without a permit", p.Endpoint.ID)
+						rt.Fatalf("request may be sent to %s without a permit granted within 500 ms", p.Endpoint.ID)
 					}
 					granted[endpoint] = all[1:]
 				}
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -14,8 +14,8 @@
 	Uncached int    // prompt tokens to prefill
 	Priority int    // 0 is the most urgent
 	Fetched  int    // prompt tokens to fetch from another endpoint
-	Parts    []Part
-	Suspect  bool // it was running at an endpoint that terminated
+	Parts    []PromptPart
+	Suspect  bool // it was running at an endpoint that crashed
 
 	// Residency is the set of regions to which Parts may be disclosed. It is not sent.
 	Residency catalog.Residency
@@ -24,15 +24,15 @@
 // A Report is the load of one instance, or of several, at an endpoint.
 type Report struct {
 	Endpoint uint32
-	Gone     time.Duration // time left to skip the endpoint because another one has its address
+	Replaced time.Duration // time left to skip the endpoint because another one has its address
 	Backoff  time.Duration // time left of the endpoint's back-off for that instance
-	Draining bool          // the endpoint said that it is draining
+	Draining bool
 	Limit    ReportedLimit // announced by the endpoint
 	Running
 }
 
-// Interval between an instance's reports to schedulers. It grows with the number of instances, so
-// that the rate of reports received stays bounded.
+// Interval between an instance's reports to schedulers. It grows with the number of instances to
+// bound the rate of reports received.
 const (
 	minReportInterval = 40 * time.Millisecond
 	maxReportInterval = time.Second
@@ -65,14 +65,14 @@
 	for _, l := range b.loads {
 		recent := l.recent(now)
 		down := l.downUntil.After(now)
-		gone := l.goneRemaining(now)
+		replaced := l.replacedRemaining(now)
 		backoff, draining := l.backoffRemaining(now), l.directive != nil && l.directive.draining
 		lim := l.reportedLimit(now)
-		idle := l.running == 0 && recent == (Observations{}) && gone == 0 && !down && backoff == 0 && !draining && !lim.Known
+		idle := l.running == 0 && recent == (Observations{}) && replaced == 0 && !down && backoff == 0 && !draining && !lim.Known
 		if full && idle || !full && l.changed <= since {
 			continue
 		}
-		r := Report{Endpoint: l.hash, Gone: gone, Backoff: backoff, Draining: draining, Limit: lim, Running: l.own}
+		r := Report{Endpoint: l.hash, Replaced: replaced, Backoff: backoff, Draining: draining, Limit: lim, Running: l.own}
 		r.Down = down
 		r.Requests = l.running
 		r.Observations = recent
@@ -81,10 +81,10 @@
 	return reports, b.changes
 }
 
-// AggregateReports returns, per endpoint, the combined reports of the instances for which share is
-// true. If full, it returns all that are not empty; otherwise those changed after change number
+// AggregateReports returns, per endpoint, the combined reports of the instances for which include
+// is true. If full, it returns all that are not empty; otherwise those changed after change number
 // since. upTo is the number of the latest change.
-func (b *Balancer) AggregateReports(share func(instance uint64) bool, full bool, since uint64) (aggregates []Report, upTo uint64) {
+func (b *Balancer) AggregateReports(include func(instance uint64) bool, full bool, since uint64) (aggregates []Report, upTo uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -92,7 +92,7 @@
 		if !full && l.remotesChanged <= since {
 			continue
 		}
-		r, down := l.sum(share, now)
+		r, down := l.sum(include, now)
 		r.Down = down >= downQuorum
 		if full && r.empty() {
 			continue
@@ -102,14 +102,13 @@
 	return aggregates, b.remoteChanges
 }
 
-// empty reports whether there is nothing to report.
 func (r *Report) empty() bool {
-	return r.Running == (Running{}) && r.Gone == 0 && r.Backoff == 0 && !r.Draining && !r.Limit.Known
+	return r.Running == (Running{}) && r.Replaced == 0 && r.Backoff == 0 && !r.Draining && !r.Limit.Known
 }
 
 // AggregateReportsWithOwn is like AggregateReports but includes this instance. If not full, it
 // returns aggregates changed after since, or after ownSince for this instance's changes.
-func (b *Balancer) AggregateReportsWithOwn(share func(instance uint64) bool, full bool, since, ownSince uint64) (aggregates []Report, upTo, ownUpTo uint64) {
+func (b *Balancer) AggregateReportsWithOwn(include func(instance uint64) bool, full bool, since, ownSince uint64) (aggregates []Report, upTo, ownUpTo uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -117,7 +116,7 @@
 		if !full && l.remotesChanged <= since && l.changed <= ownSince {
 			continue
 		}
-		r, down := l.sum(share, now)
+		r, down := l.sum(include, now)
 		own := l.own
 		own.Requests = l.running
 		own.Observations = l.recent(now)
@@ -135,12 +134,12 @@
 	return aggregates, b.remoteChanges, b.changes
 }
 
-// sum combines the unexpired reports about l of the instances for which share is true, and counts
+// sum combines the unexpired reports about l of the instances for which include is true, and counts
 // those that failed to connect.
-func (l *load) sum(share func(instance uint64) bool, now time.Time) (r Report, down int) {
-	r = Report{Endpoint: l.hash, Gone: l.goneRemaining(now), Limit: l.reportedLimit(now)}
+func (l *load) sum(include func(instance uint64) bool, now time.Time) (r Report, down int) {
+	r = Report{Endpoint: l.hash, Replaced: l.replacedRemaining(now), Limit: l.reportedLimit(now)}
 	for id, remote := range l.remotes {
-		if now.Sub(remote.at) >= remoteTTL || !share(id) {
+		if now.Sub(remote.at) >= remoteTTL || !include(id) {
 			continue
 		}
 		r.Running.addAll(&remote.Running)
@@ -182,14 +181,14 @@
 			}
 			b.mergeLimit(l, &r.Limit, now)
 			b.markRemoteChanged(l)
-			if until := now.Add(min(r.Gone, goneTTL)); until.After(l.goneUntil) {
-				l.goneUntil = until
+			if until := now.Add(min(r.Replaced, replacedTTL)); until.After(l.replacedUntil) {
+				l.replacedUntil = until
 			}
 		}
 	}
 }
 
-// markRemoteChanged records a change to other instances' load at l, for incremental sums.
+// markRemoteChanged records a change to other instances' load at l, for incremental aggregates.
 func (b *Balancer) markRemoteChanged(l *load) {
 	b.remoteChanges++
 	l.remotesChanged = b.remoteChanges
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file learns the speed of a service's engines from requests of all instances.
+// This file estimates the speed of a service's engines from requests of all instances.
 
 import (
 	"time"
@@ -10,9 +10,8 @@
 
 // Assumptions about engines without samples, and properties that are not learned.
 const (
-	// defaultPrefillPerToken is the prefill time per token, in ms.
-	defaultPrefillPerToken = 1 / 50.0
-	// defaultStepTime is the inter-token time of a single request, in ms, for a model on one
+	defaultPrefillPerToken = 1 / 50.0 // ms
+	// defaultStepTime is the inter-token time in ms of a single request to a model on one
 	// accelerator.
 	defaultStepTime = 3.5
 	// stepPerRequest is the increase of the step time per concurrent request, as a share of it.
@@ -21,7 +20,6 @@
 	chunkTokens = 2048
 )
 
-// Weights of samples.
 const (
 	// fixedOverhead is the part of the time to first token, in ms, not spent on prefill: network
 	// round trip, connection setup, first step.
@@ -36,8 +34,7 @@
 	aheadPenalty = 2.0
 	// minStreamEvents is the minimum number of stream events for a sample.
 	minStreamEvents = 4
-	// statsTTL is how long a service's statistics are cached. It is about the interval between
-	// reports.
+	// statsTTL is how long a service's statistics are cached, about the interval between reports.
 	statsTTL = 100 * time.Millisecond
 )
 
@@ -56,7 +53,7 @@
 
 	hold         float64 // mean time in ms that a request holds a slot; zero: unknown
 	pressures    [levels]levelPressures
-	refusalRates [levels]levelPressures // shares of requests refused
+	refusalRates [levels]levelPressures // shares of requests refused or crowded
 	tallies      [levels]tally          // requests and refusals over starvationWindow
 
 	occupancy        pressure      // requests per slot at endpoints without an engine
@@ -64,7 +61,7 @@
 	unpermittedRate  decayingCount // own requests refused for lack of a permit
 	permits          permitStats
 
-	readBuf, stepBuf []speed.Samples // reused by refresh
+	prefillBuf, stepBuf []speed.Samples // reused by refresh
 }
 
 func newServiceStats() *serviceStats {
@@ -73,12 +70,12 @@
 
 // statsFor returns the statistics of a service, creating them if needed. The caller holds b.mu.
 func (b *Balancer) statsFor(service string) *serviceStats {
-	f := b.stats[service]
-	if f == nil {
-		f = newServiceStats()
-		b.stats[service] = f
+	s := b.stats[service]
+	if s == nil {
+		s = newServiceStats()
+		b.stats[service] = s
 	}
-	return f
+	return s
 }
 
 // refresh recomputes the service's speed from its endpoints' samples if statsTTL has passed.
@@ -91,27 +88,26 @@
 		passed = 0
 	}
 	s.updatedAt = now
-	reads, steps := s.readBuf[:0], s.stepBuf[:0]
+	prefills, steps := s.prefillBuf[:0], s.stepBuf[:0]
 	for _, l := range loads {
-		reads = append(reads, l.observed.Prefill)
+		prefills = append(prefills, l.observed.Prefill)
 		steps = append(steps, l.observed.Step)
 	}
-	s.prefillPerToken.Update(reads, passed)
+	s.prefillPerToken.Update(prefills, passed)
 	s.stepTime.Update(steps, passed)
-	s.readBuf, s.stepBuf = reads, steps
+	s.prefillBuf, s.stepBuf = prefills, steps
 }
 
-// updateSpeed recomputes the endpoint's speed.
 func (l *load) updateSpeed(stats *serviceStats) {
 	l.stats = stats
 	l.prefillPerToken = stats.prefillPerToken.ForEndpoint(l.observed.Prefill)
 	l.stepTime = stats.stepTime.ForEndpoint(l.observed.Step)
 }
 
-// tokenTime returns the time per output token, in ms, beside this many requests and the recent
-// share of prefill.
-func (l *load) tokenTime(requests int) float64 {
-	alone := l.stepTime * (1 + stepPerRequest*float64(requests))
+// tokenTime returns the time per output token in ms, with n concurrent requests and the recent
+// prefill load.
+func (l *load) tokenTime(n int) float64 {
+	alone := l.stepTime * (1 + stepPerRequest*float64(n))
 	chunk := chunkTokens * l.prefillPerToken
 	return 1 / ((1-l.prefillShare)/alone + l.prefillShare/(alone+chunk))
 }
@@ -126,8 +122,8 @@
 	return time.Duration((p.Wait + prefillTime + fixedOverhead) * float64(time.Millisecond))
 }
 
-// markPrefilled records that the endpoint has prefilled the request's prompt. The caller holds the
-// balancer's lock.
+// markPrefilled records that the request's prompt is prefilled. The caller holds the balancer's
+// lock.
 func (p *Placement) markPrefilled() {
 	if p.done || p.prefilled {
 		return
@@ -138,8 +134,8 @@
 	p.balancer.markChanged(p.load)
 }
 
-// RecordFirstEvent records that the first event of the request's stream arrived this long after the
-// request was sent to the endpoint.
+// RecordFirstEvent records that the first event of the request's stream arrived. The argument is
+// the time since the request was sent to the endpoint.
 func (p *Placement) RecordFirstEvent(after time.Duration) {
 	b := p.balancer
 	b.mu.Lock()
@@ -156,7 +152,7 @@
 	b.markChanged(p.load)
 }
 
-// RecordStreamEnd records that the request's stream completed this long after its first event.
+// RecordStreamEnd records the number of events of a completed stream and the time since the first.
 func (p *Placement) RecordStreamEnd(events int, lasted time.Duration) {
 	b := p.balancer
 	b.mu.Lock()
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -42,7 +42,7 @@
 	Wait            float64             // ms before prefill of the prompt starts, for a slot or queued prompts
 	balancer        *Balancer
 	load            *load
-	donor           *load // nil: nothing is fetched, or chosen by another instance
+	donor           *load // load of Donor; nil if there is none or another instance chose the endpoint
 	charge          charge
 	startedAt       time.Time
 	permit          time.Time     // expiry of the permit for a rate-limited endpoint; zero: none, or used
@@ -74,7 +74,7 @@
 		p.plainStats.recordPlain(b.now(), b.now().Sub(p.startedAt), o)
 	}
 	if !p.overdue || o == Served {
-		p.load.record(b.now(), o)
+		p.load.recordOutcome(b.now(), o)
 	}
 }
 
@@ -83,7 +83,7 @@
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p.load.answered(b.now())
+	p.load.markReachable(b.now())
 	if p.load.directive != nil {
 		p.load.directive.endTrial(b.now())
 	}
@@ -99,20 +99,20 @@
 		return
 	}
 	p.overdue = true
-	p.load.record(b.now(), Failed)
+	p.load.recordOutcome(b.now(), Failed)
 	b.markChanged(p.load)
 }
 
-// suspectExcess is the failure rate above that of the service from which an endpoint is suspect.
-const suspectExcess = 0.12
+// failingExcess is the failure rate above the service's from which an endpoint counts as failing.
+const failingExcess = 0.12
 
-// Suspect reports whether the endpoint fails significantly more often than its service.
-func (p *Placement) Suspect() bool {
+// FailsOften reports whether the endpoint fails significantly more often than its service.
+func (p *Placement) FailsOften() bool {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p.load.refresh(b.now())
-	return max(p.excessFailures, p.load.observed.excess(p.failureRate)) > suspectExcess
+	return max(p.excessFailures, p.load.observed.excess(p.failureRate)) > failingExcess
 }
 
 // RecordUnreachable records that the endpoint did not accept a connection. It is skipped for a
@@ -121,19 +121,19 @@
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p.load.unreachable(b.now())
+	p.load.markUnreachable(b.now())
 	if p.load.downUntil.After(b.downUntil) {
 		b.downUntil = p.load.downUntil
 	}
 	b.markChanged(p.load)
 }
 
-// RecordGone records that another endpoint has this one's address. Every start has its own ID, so
-// this endpoint no longer exists. Other instances are told in reports.
-func (p *Placement) RecordGone() {
+// RecordReplaced records that another endpoint has this one's address. This one is skipped for
+// replacedTTL, also by other instances, which learn of it from reports.
+func (p *Placement) RecordReplaced() {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p.load.goneUntil = b.now().Add(goneTTL)
+	p.load.replacedUntil = b.now().Add(replacedTTL)
 	b.markChanged(p.load)
 }
--- a/balance/popular_test.go
+++ b/balance/popular_test.go
@@ -7,8 +7,7 @@
 	"ivyridge/balance"
 )
 
-// Guards against prompts with a popular first part being confined to the few engines that cache
-// it. That happens if its prefill at one more engine is charged to a single request.
+// Guards against confining prompts with a popular first part to the few engines that cache it.
 func TestPopularPartUsesAllEngines(t *testing.T) {
 	f := newFixture(20)
 	b := f.balancer()
@@ -29,11 +28,10 @@
 		busiest = max(busiest, n)
 	}
 	if len(used) < 17 || busiest > 200 {
-		t.Errorf("%d of 20 engines used for 3000 requests, at most %d at one: %v", len(used), busiest, used)
+		t.Errorf("%d of 20 engines used for 3000 requests, %d at the busiest, want at least 17 and at most 200: %v", len(used), busiest, used)
 	}
 }
 
-// A part used by few requests stays at one engine.
 func TestRarePartStaysAtOneEngine(t *testing.T) {
 	f := newFixture(20)
 	b := f.balancer()
@@ -45,6 +43,6 @@
 		p.Done(balance.Served)
 	}
 	if len(used) > 1 {
-		t.Errorf("prompts of one session went to %v", used)
+		t.Errorf("prompts of one session by engine: %v, want all at one", used)
 	}
 }
--- a/balance/residency.go
+++ b/balance/residency.go
@@ -2,10 +2,8 @@
 
 // This file enforces data residency: requests are served only in their allowed regions.
 //
-// The check applies to every endpoint considered: by a scheduler, by an instance that chooses
-// locally, and again by the instance that a scheduler chose for, since the scheduler may run
-// another version or have other settings. A data centre without a configured region is not
-// allowed.
+// An instance checks again what a scheduler chose for it, since the scheduler may run another
+// version or have other settings. Data centres without a region serve no restricted requests.
 
 import (
 	"ivyridge/discovery"
@@ -19,7 +17,7 @@
 
 // storableParts returns the prompt parts that this instance may store: none if the request may not
 // be served in the instance's region. The caller holds b.mu.
-func (b *Balancer) storableParts(d *Demand) []Part {
+func (b *Balancer) storableParts(d *Demand) []PromptPart {
 	if d.Residency.Restricted() && !d.Residency.Allows(b.regions[b.dataCentre]) {
 		return nil
 	}
@@ -45,7 +43,6 @@
 	return out
 }
 
-// restricted reports whether the notice has parts that may only be disclosed to certain regions.
 func (n *Notice) restricted() bool { return n.Residency.Restricted() && len(n.Parts) > 0 }
 
 // AnyRestricted reports whether any notice has parts that may only be disclosed to certain regions.
--- a/balance/residency_test.go
+++ b/balance/residency_test.go
@@ -39,16 +39,15 @@
 	return rapid.SliceOfN(rapid.SampledFrom([]string{"north", "south", "east", "nowhere", ""}), 0, 3).Draw(t, "homes")
 }
 
-// allows reports whether an endpoint may serve a request restricted to homes. It is independent of
-// the code under test.
+// allows reports whether the endpoint is in an allowed region, independently of the tested code.
 func (p *topology) allows(allowed []string, id string) bool {
 	for _, e := range p.endpoints {
 		region := p.regions[e.DataCentre]
 		if e.ID != id || region == "" {
 			continue
 		}
-		for _, home := range allowed {
-			if home == region {
+		for _, name := range allowed {
+			if name == region {
 				return true
 			}
 		}
@@ -65,9 +64,8 @@
 	return ""
 }
 
-// Whichever instance chooses, whatever is down or full, and whatever a scheduler with wrong
-// regions chose, a restricted request is neither sent nor fetches parts outside its allowed
-// regions.
+// A restricted request is neither sent nor fetches parts outside its allowed regions, whichever
+// instance chooses, even if a scheduler has wrong regions.
 func TestRestrictedRequestsStayInAllowedRegions(t *testing.T) {
 	service := &catalog.Service{Name: "m", MaxConns: 100, Engine: &catalog.Engine{
 		Slots: 2, MemoryTokens: 30_000, TokenBytes: 1000, LinkMbps: 1e5}}
@@ -80,11 +78,11 @@
 		var running []*balance.Placement
 		for n := range rapid.IntRange(1, 30).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			homes := drawRegions(t)
+			allowed := drawRegions(t)
 			d := &balance.Demand{
-				Service: rapid.SampledFrom([]*catalog.Service{service, plain}).Draw(t, "service"), Residency: catalog.NewResidency(homes),
+				Service: rapid.SampledFrom([]*catalog.Service{service, plain}).Draw(t, "service"), Residency: catalog.NewResidency(allowed),
 				Objective: time.Second, Prompt: 9000, Output: 50, Sent: rapid.Bool().Draw(t, "sent before"),
-				Parts: []balance.Part{{ID: uint64(n % 2), Tokens: 5000}, {ID: uint64(100 + n), Tokens: 4000}},
+				Parts: []balance.PromptPart{{ID: uint64(n % 2), Tokens: 5000}, {ID: uint64(100 + n), Tokens: 4000}},
 			}
 			if rapid.IntRange(0, 3).Draw(t, "unbound") == 0 {
 				d.Residency = catalog.Residency{}
@@ -96,13 +94,13 @@
 					chosen, donor = p.byHash(c.Endpoint), p.byHash(c.Donor)
 				}
 			case 1:
-				wrong := balance.Choice{Fetched: 5000, Cached: 5000}
+				wrong := balance.Grant{Fetched: 5000, Cached: 5000}
 				if len(p.endpoints) > 0 {
 					wrong.Endpoint = balance.EndpointHash(rapid.SampledFrom(p.endpoints).Draw(t, "chosen").ID)
 					wrong.Donor = balance.EndpointHash(rapid.SampledFrom(p.endpoints).Draw(t, "donor").ID)
 				}
-				adopted, _ := b.Adopt(wrong, p.endpoints, d)
-				running = recordPlacement(adopted, &chosen, &donor, running)
+				accepted, _ := b.AcceptGrant(wrong, p.endpoints, d)
+				running = recordPlacement(accepted, &chosen, &donor, running)
 			default:
 				placement, _ := b.Admit(p.endpoints, d)
 				running = recordPlacement(placement, &chosen, &donor, running)
@@ -110,11 +108,11 @@
 			if !d.Residency.Restricted() {
 				continue
 			}
-			if chosen != "" && !p.allows(homes, chosen) {
-				t.Fatalf("chose %s in region %q, allowed %q", chosen, p.regions[chosen[:3]], homes)
+			if chosen != "" && !p.allows(allowed, chosen) {
+				t.Fatalf("chose endpoint %s in region %q, want one in the allowed regions %q", chosen, p.regions[chosen[:3]], allowed)
 			}
-			if donor != "" && !p.allows(homes, donor) {
-				t.Fatalf("fetches from %s in region %q, allowed %q", donor, p.regions[donor[:3]], homes)
+			if donor != "" && !p.allows(allowed, donor) {
+				t.Fatalf("fetches parts from %s in region %q, want a donor in the allowed regions %q", donor, p.regions[donor[:3]], allowed)
 			}
 			if len(running) > 0 && rapid.Bool().Draw(t, "one ends") {
 				if rapid.Bool().Draw(t, "unreachable") {
@@ -128,7 +126,6 @@
 	})
 }
 
-// recordPlacement records the placement's endpoint and donor, if there is one.
 func recordPlacement(p *balance.Placement, chosen, donor *string, running []*balance.Placement) []*balance.Placement {
 	if p == nil {
 		return running
@@ -145,17 +142,17 @@
 	for _, region := range regionNames {
 		disclosed := balance.RedactParts(notices, region)
 		if len(disclosed) != len(notices) {
-			t.Fatalf("%d of %d notices passed on", len(disclosed), len(notices))
+			t.Fatalf("RedactParts returned %d of %d notices, want all", len(disclosed), len(notices))
 		}
 		for i, n := range disclosed {
 			if len(n.Parts) > 0 && !notices[i].Residency.Allows(region) {
-				t.Fatalf("region %q is sent parts %v, allowed %v", region, n.Parts, notices[i].Residency.Regions())
+				t.Fatalf("region %q is sent parts %v, want them sent only to the allowed regions %v", region, n.Parts, notices[i].Residency.Regions())
 			}
 			if n.Endpoint != notices[i].Endpoint || n.Uncached != notices[i].Uncached {
-				t.Fatalf("notice without load: %+v, want %+v", n, notices[i])
+				t.Fatalf("RedactParts returned notice %+v, want endpoint and load of %+v", n, notices[i])
 			}
 			if len(notices[i].Parts) > 0 && notices[i].Residency.Allows(region) && len(n.Parts) == 0 {
-				t.Fatalf("region %q is not sent parts that it may know", region)
+				t.Fatalf("region %q is not sent parts that may be disclosed to it", region)
 			}
 		}
 	}
--- a/balance/restart_test.go
+++ b/balance/restart_test.go
@@ -28,15 +28,15 @@
 	running.RecordStart()
 	f.now = f.now.Add(time.Second)
 	if p := b.Place(previous, f.long(55)); p.Cached == 0 {
-		t.Fatal("no part is cached after a prompt")
+		t.Fatal("no part of a repeated prompt is presumed cached")
 	}
 	next := f.restarted(2000)
 	before := b.Place(next, f.long(55))
 	if before.Cached != 0 {
-		t.Errorf("%d tokens presumed cached at the restarted process", before.Cached)
+		t.Errorf("%d tokens presumed cached at the restarted process, want 0", before.Cached)
 	}
 	if before.Backlog > 0 {
-		t.Errorf("backlog of the previous process carried over: %s", before.Backlog)
+		t.Errorf("backlog of %s at the restarted process, want 0", before.Backlog)
 	}
 	before.Done(balance.Unknown)
 
@@ -47,23 +47,23 @@
 		t.Errorf("unreachable: %v, want only the previous process", got)
 	}
 	if p := b.Place(next, f.long(55)); p == nil || p.Endpoint.Born != 2000 {
-		t.Errorf("restarted process is not used: %+v", p)
+		t.Errorf("placed %+v, want a placement at the restarted process", p)
 	}
 
-	// Reports about the previous process.
+	// Reports about the previous process are ignored.
 	other := f.balancer()
 	other.Place(next, f.long(1)).Done(balance.Served)
-	other.Merge(7, []balance.Notice{{Endpoint: balance.EndpointHash(previous[0].Incarnation()), Uncached: 90_000, Parts: []balance.Part{{ID: 1, Tokens: 2500}}}},
-		[]balance.Report{{Endpoint: balance.EndpointHash(previous[0].Incarnation()), Gone: time.Second, Running: balance.Running{Requests: 64}}}, true)
+	other.Merge(7, []balance.Notice{{Endpoint: balance.EndpointHash(previous[0].Incarnation()), Uncached: 90_000, Parts: []balance.PromptPart{{ID: 1, Tokens: 2500}}}},
+		[]balance.Report{{Endpoint: balance.EndpointHash(previous[0].Incarnation()), Replaced: time.Second, Running: balance.Running{Requests: 64}}}, true)
 	f.now = f.now.Add(10 * time.Second)
 	if p := other.Place(next, &balance.Demand{Service: f.engines, Objective: time.Second, Prompt: 100, Output: 10}); p == nil || p.Backlog > 0 {
-		t.Errorf("reports about the previous process apply to the restarted one: %+v", p)
+		t.Errorf("placed %+v, want no backlog, since reports were about the previous process", p)
 	}
 
-	// A choice made by an instance that only knows the previous process is not adopted.
-	choice := b.Grant(7, previous, f.long(9))
-	if p, _ := other.Adopt(choice, next, f.long(9)); p != nil {
-		t.Errorf("choice of the previous process adopted for the restarted one: %+v", p)
+	// A grant made by an instance that only knows the previous process is not accepted.
+	grant := b.Grant(7, previous, f.long(9))
+	if p, _ := other.AcceptGrant(grant, next, f.long(9)); p != nil {
+		t.Errorf("accepted %+v, want none, since the previous process was chosen", p)
 	}
 }
 
@@ -71,12 +71,12 @@
 func TestIncarnations(t *testing.T) {
 	e := catalog.Endpoint{ID: "e"}
 	if got := e.Incarnation(); got != "e" {
-		t.Errorf("got %q, want e", got)
+		t.Errorf("incarnation %q without a start time, want e", got)
 	}
 	e.Born = 1784010890952
 	later := e
 	later.Born++
 	if e.Incarnation() == "e" || e.Incarnation() == later.Incarnation() {
-		t.Errorf("got %q and %q, want two distinct incarnations", e.Incarnation(), later.Incarnation())
+		t.Errorf("incarnations %q and %q of two start times, want distinct ones other than e", e.Incarnation(), later.Incarnation())
 	}
 }
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -19,7 +19,7 @@
 	return f, b
 }
 
-// earn places requests that earn budget, and lets the rate of earning decay.
+// earn places requests that earn budget, and waits until these no longer raise its capacity.
 func (f *fixture) earn(b *balance.Balancer, requests int) {
 	for range requests {
 		b.Grant(7, f.endpoints, &balance.Demand{Service: f.plain, Deposit: quota.DepositFull})
@@ -30,7 +30,7 @@
 	}
 }
 
-// granted returns how many retries of a kind are granted until one is denied.
+// granted returns how many retries of the given kind are granted until one is denied.
 func (f *fixture) granted(t *testing.T, b *balance.Balancer, kind balance.Retry) int {
 	t.Helper()
 	for n := 0; ; n++ {
@@ -39,14 +39,13 @@
 			continue
 		}
 		if c.Refusal == nil || c.Refusal.Cause != balance.RetryBudgetExhausted {
-			t.Fatalf("denied retry has refusal %+v", c.Refusal)
+			t.Fatalf("denied retry got refusal %+v, want cause RetryBudgetExhausted", c.Refusal)
 		}
 		return n
 	}
 }
 
-// The last part of a bucket is reserved for retries that gain more: a quarter is reserved from
-// late requests, a tenth from streams.
+// A quarter of a full bucket is reserved from late requests, and a tenth from streams.
 func TestRetryReserve(t *testing.T) {
 	f, b := retryFixture()
 	for _, c := range []struct {
@@ -68,7 +67,7 @@
 	d := &balance.Demand{Service: f.plain, Retry: balance.RetryInTime, Sent: true}
 	for range 20 {
 		if c := b.Grant(7, nil, d); c.Endpoint != 0 || c.Refusal != nil {
-			t.Fatalf("without endpoints: %+v", c)
+			t.Fatalf("granted %+v without endpoints, want neither endpoint nor refusal", c)
 		}
 	}
 	for range 20 {
@@ -79,18 +78,17 @@
 	}
 }
 
-// An expired share loses its remaining budget, since another instance may have taken it over and
-// spent as much.
+// Another instance may have taken over an expired share and spent its budget.
 func TestExpiredShareLosesBudget(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		lapse func(*fixture, *balance.Balancer)
+		name   string
+		expire func(*fixture, *balance.Balancer)
 	}{
 		{"paused", func(f *fixture, _ *balance.Balancer) { f.now = f.now.Add(quota.LeaseDuration + time.Millisecond) }},
 		{"cut off", func(_ *fixture, b *balance.Balancer) { b.SetRetryShare(0, 1) }},
 	} {
 		f, b := retryFixture()
-		c.lapse(f, b)
+		c.expire(f, b)
 		if b.ChargeRetry("p", balance.RetryInTime) {
 			t.Errorf("%s: retry granted without a share", c.name)
 		}
@@ -105,14 +103,13 @@
 	}
 }
 
-// Streams lost with one engine are resumed at all others, none of which gets twice the mean: their
-// prefill is lost everywhere, and a single engine would have to prefill all of them in sequence.
+// Guards against one engine having to prefill all streams lost with another in sequence.
 func TestLostStreamsAreSpread(t *testing.T) {
 	f := newFixture(9)
 	b := f.balancer()
 	b.SetRetries(quota.RetryLimit{Ratio: 1, Extra: 1000})
 	b.SetRetryShare(1, 1)
-	var on []string
+	var resumedAt []string
 	for i := range 360 {
 		d := f.stream()
 		d.Parts[2].ID = uint64(i + 100)
@@ -126,18 +123,18 @@
 		d.Retry, d.Sent, d.Avoid = balance.RetryStream, true, []uint32{balance.EndpointHash(lost.ID)}
 		p, refusal := b.Admit(f.endpoints, d)
 		if p == nil {
-			t.Fatalf("stream %d is not resumed: %+v", i, refusal)
+			t.Fatalf("stream %d got refusal %+v, want it resumed at another endpoint", i, refusal)
 		}
-		on = append(on, p.Endpoint.ID)
+		resumedAt = append(resumedAt, p.Endpoint.ID)
 	}
-	at := make(map[string]int)
-	for _, id := range on {
-		at[id]++
+	perEndpoint := make(map[string]int)
+	for _, id := range resumedAt {
+		perEndpoint[id]++
 	}
-	for id, n := range at {
-		if n > 2*len(on)/(len(f.endpoints)-1) || id == lost.ID {
-			t.Errorf("%d of %d streams resumed at %s", n, len(on), id)
+	for id, n := range perEndpoint {
+		if n > 2*len(resumedAt)/(len(f.endpoints)-1) || id == lost.ID {
+			t.Errorf("%d of %d streams resumed at %s, want at most twice an even share, and none at the lost endpoint", n, len(resumedAt), id)
 		}
 	}
-	t.Logf("%v", at)
+	t.Logf("%v", perEndpoint)
 }
--- a/balance/slowness_test.go
+++ b/balance/slowness_test.go
@@ -25,7 +25,7 @@
 
 const (
 	slowFleetStep           = 5 * time.Millisecond
-	slowFleetReportInterval = 100 * time.Millisecond // interval between reports
+	slowFleetReportInterval = 100 * time.Millisecond
 )
 
 // run simulates d with each requests per step. It returns the share of requests placed at the
@@ -84,9 +84,8 @@
 	}
 }
 
-// A recovered endpoint regains its share gradually: instances that received the same slowness must
-// not all return at once.
-func TestRecoveredEndpointIsNotOverrun(t *testing.T) {
+// Guards against all instances returning at once to an endpoint that recovered.
+func TestRecoveredEndpointIsNotOverloaded(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	f := &slowFleet{fixture: newFixture(4), slowdown: 1}
 	for range 58 {
@@ -101,15 +100,15 @@
 	t.Logf("share of requests per half second: %.2f while slow, then %.2f", slow, recovered)
 	for _, share := range slow {
 		if share > 0.2 {
-			t.Errorf("share %.2f of a half second's requests at the slow endpoint, want at most 0.2", share)
+			t.Errorf("the slow endpoint got a fraction of %.2f of the requests within half a second, want at most 0.2", share)
 		}
 	}
 	for i, share := range recovered {
 		if share > 0.5 {
-			t.Errorf("share %.2f of a half second's requests at the recovering endpoint, want at most 0.5", share)
+			t.Errorf("the recovering endpoint got a fraction of %.2f of the requests within half a second, want at most 0.5", share)
 		}
 		if i >= 3 && share < 0.15 {
-			t.Errorf("share %.2f of a half second's requests 1.5 s after recovery, want at least 0.15", share)
+			t.Errorf("from 1.5 s after recovery the endpoint got a fraction of %.2f of the requests within half a second, want at least 0.15", share)
 		}
 	}
 }
--- a/balance/suspect_test.go
+++ b/balance/suspect_test.go
@@ -23,7 +23,7 @@
 		// Three endpoints are busy.
 		for _, e := range f.endpoints[:3] {
 			for range 20 {
-				a.Adopt(balance.Choice{Endpoint: balance.EndpointHash(e.ID)}, f.endpoints, &balance.Demand{Service: suspect().Service})
+				a.AcceptGrant(balance.Grant{Endpoint: balance.EndpointHash(e.ID)}, f.endpoints, &balance.Demand{Service: suspect().Service})
 			}
 		}
 		b.Place(f.endpoints, &balance.Demand{Service: suspect().Service}).Done(balance.Served)
@@ -48,7 +48,7 @@
 		// Granted suspects count too.
 		c := a.Grant(7, f.endpoints[3:], suspect())
 		if p := a.Place(f.endpoints[3:], suspect()); balance.EndpointHash(p.Endpoint.ID) == c.Endpoint {
-			t.Errorf("%s: suspect placed where another was just granted", service)
+			t.Errorf("%s: suspect placed at the endpoint just granted to another suspect", service)
 		}
 	}
 }
--- a/balance/urgency_test.go
+++ b/balance/urgency_test.go
@@ -24,24 +24,23 @@
 		}
 		admitted++
 	}
-	t.Fatal("a thousand concurrent long prompts admitted")
+	t.Fatal("1000 concurrent long prompts admitted, want one refused")
 	return 0
 }
 
-// mixedLoad admits n rounds of a stream, a medium request and a long prompt. Streams and medium
-// requests use half the time of engines that prefill tokensPerMS, and start before the next round.
-// It returns how many of each were refused.
+// mixedLoad admits n rounds of a stream, a medium request and a long prompt, and counts refusals.
+// Streams and medium requests use half the time of the engines and start before the next round.
 func (f *fixture) mixedLoad(b *balance.Balancer, n int, tokensPerMS float64) (streams, medium, long int) {
-	var begun []*balance.Placement
-	turn := time.Duration(5000 / tokensPerMS / float64(len(f.endpoints)) * float64(time.Millisecond))
+	var started []*balance.Placement
+	interval := time.Duration(5000 / tokensPerMS / float64(len(f.endpoints)) * float64(time.Millisecond))
 	for part := range uint64(n) {
-		f.now = f.now.Add(turn)
-		for _, p := range begun {
-			p.RecordFirstEvent(turn)
+		f.now = f.now.Add(interval)
+		for _, p := range started {
+			p.RecordFirstEvent(interval)
 		}
-		begun = begun[:0]
-		begun = f.admitOrCount(b, f.stream(), &streams, begun)
-		begun = f.admitOrCount(b, f.mediumRequest(), &medium, begun)
+		started = started[:0]
+		started = f.admitOrCount(b, f.stream(), &streams, started)
+		started = f.admitOrCount(b, f.mediumRequest(), &medium, started)
 		f.admitOrCount(b, f.long(5000+part), &long, nil)
 	}
 	return streams, medium, long
@@ -67,19 +66,19 @@
 			f.deliver(f.now.Add(time.Minute))
 			f.now = f.now.Add(time.Minute)
 			admitted := f.fillWithLong(t, f.b)
-			turns := int(speed) * engines / 10 // half a second
-			streams, medium, long := f.mixedLoad(f.b, turns, speed)
+			rounds := int(speed) * engines / 10 // half a second
+			streams, medium, long := f.mixedLoad(f.b, rounds, speed)
 			if streams > 0 || medium > 0 {
-				t.Errorf("%d engines of %.0f tokens/ms, %d long prompts: %d streams and %d medium requests refused", engines, speed, admitted, streams, medium)
+				t.Errorf("%d engines of %.0f tokens/ms, %d long prompts: %d streams and %d medium requests refused, want none", engines, speed, admitted, streams, medium)
 			}
-			if long < turns/4 {
-				t.Errorf("%d engines of %.0f tokens/ms: %d of %d long prompts refused under overload", engines, speed, long, turns)
+			if long < rounds/4 {
+				t.Errorf("%d engines of %.0f tokens/ms: %d of %d long prompts refused under overload, want at least a quarter", engines, speed, long, rounds)
 			}
 		}
 	}
 }
 
-// The same if another instance placed the long prompts and reported them in notices or reports.
+// Guards against ignoring the urgency of long prompts that another instance placed and reported.
 func TestRemoteUrgencyIsReported(t *testing.T) {
 	for _, via := range []string{"notices", "reports"} {
 		f := newFixture(4)
@@ -95,13 +94,12 @@
 			f.now = f.now.Add(100 * time.Millisecond) // the notices have expired
 		}
 		if streams, medium, _ := f.mixedLoad(b, 10, 50); streams > 0 || medium > 0 {
-			t.Errorf("reported by %s: %d streams and %d medium requests refused", via, streams, medium)
+			t.Errorf("long prompts reported by %s: %d streams and %d medium requests refused, want none", via, streams, medium)
 		}
 	}
 }
 
-// More urgent requests count: medium requests that fill the engines yield to streams, after long
-// prompts do.
+// Medium requests that fill the engines yield to streams, but only after long prompts do.
 func TestLeastUrgentYieldFirst(t *testing.T) {
 	f := newFixture(4)
 	b := f.balancer()
@@ -116,6 +114,6 @@
 		t.Errorf("%d of 20 streams refused behind medium requests, want 0", refused)
 	}
 	if refused := admit(t, f, b, 20, f.mediumRequest); refused < 19 {
-		t.Errorf("%d of 20 medium requests refused behind others of their level, want at least 19", refused)
+		t.Errorf("%d of 20 medium requests refused while their own level is under pressure, want at least 19", refused)
 	}
 }
--- a/cmd/ivyctl/fleet.go
+++ b/cmd/ivyctl/fleet.go
@@ -25,17 +25,15 @@
 	inventoryTimeout = 2 * time.Second
 	// fleetPollInterval is the interval between the requests of --wait.
 	fleetPollInterval = 500 * time.Millisecond
-	// idleConnTimeout is how long an idle connection to the instance is kept.
-	idleConnTimeout = 5 * time.Second
+	idleConnTimeout   = 5 * time.Second
 )
 
 type fleetOptions struct {
-	addr, output, wait, diff, with string
-	within                         time.Duration
-	client                         inventory.Client
+	addr, output, wait, diff, diffWith string
+	within                             time.Duration
+	client                             inventory.Client
 }
 
-// fleet runs "ivyctl fleet".
 func fleet(args []string) (int, error) {
 	o := fleetOptions{output: "table", within: 30 * time.Second}
 	o.client = inventory.Client{HTTP: fetch.NewClient(1, idleConnTimeout), Wait: inventoryTimeout}
@@ -45,7 +43,7 @@
 	p.String(&o.wait, "w", "wait", "settings=HASH: wait until all instances run these settings")
 	p.Duration(&o.within, "f", "for", "how long to wait")
 	p.String(&o.diff, "d", "diff", "peers' address of an instance whose settings to compare with those of INSTANCE")
-	p.AddPositionalValue(&o.with, "INSTANCE", 1, false, "peers' address of the other instance, with --diff")
+	p.AddPositionalValue(&o.diffWith, "INSTANCE", 1, false, "peers' address of the other instance, with --diff")
 	if err := p.ParseArgs(args); err != nil {
 		return cli.UsageError, err
 	}
@@ -57,7 +55,7 @@
 		return cli.UsageError, errors.Errorf("ivyctl fleet: -o %s: want table or json", o.output)
 	case o.wait != "" && (!waits || settings == ""):
 		return cli.UsageError, errors.Errorf("ivyctl fleet: --wait %s: want settings=HASH", o.wait)
-	case (o.diff == "") != (o.with == ""):
+	case (o.diff == "") != (o.diffWith == ""):
 		return cli.UsageError, errors.New("ivyctl fleet: --diff needs two instances")
 	case o.diff != "":
 		return o.compare()
@@ -67,10 +65,9 @@
 	return o.show()
 }
 
-// show prints the fleet.
 func (o *fleetOptions) show() (int, error) {
 	ctx := context.Background()
-	f, err := o.client.AskFleet(ctx, o.addr)
+	f, err := o.client.GetFleet(ctx, o.addr)
 	if err != nil {
 		return cli.Failed, err
 	}
@@ -78,8 +75,8 @@
 	if o.output == "json" {
 		return printJSON(struct {
 			*inventory.Fleet
-			Groups []inventory.Group   `json:"groups"`
-			Odd    []inventory.Outlier `json:"differing"`
+			Groups    []inventory.Group   `json:"groups"`
+			Differing []inventory.Outlier `json:"differing"`
 		}{f, f.Groups(), f.Outliers()})
 	}
 	o.print(os.Stdout, f)
@@ -93,14 +90,13 @@
 	return cli.OK, out.Encode(v)
 }
 
-// print prints the groups of instances that run the same, and the instances that differ from the
-// largest group.
+// print prints the groups of instances that run the same, and those outside the largest group.
 func (o *fleetOptions) print(w io.Writer, f *inventory.Fleet) {
 	partial := ""
 	if f.Partial {
 		partial = " (partial: a region or all schedulers did not answer)"
 	}
-	fmt.Fprintf(w, "%d instances, listed by %s%s\n\n", len(f.Instances), f.Asked, partial)
+	fmt.Fprintf(w, "%d instances, listed by %s%s\n\n", len(f.Instances), f.ReportedBy, partial)
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "INSTANCES\tBUILD\tSETTINGS\tCONFIGURATION\tDATA CENTRES")
 	for _, g := range f.Groups() {
@@ -110,13 +106,13 @@
 			fmt.Fprintf(tw, "%d\t-\t-\t-\t%s\n", g.Count, byDataCentre(g.DataCentres))
 		}
 	}
-	odd := f.Outliers()
-	if len(odd) > 0 {
+	outliers := f.Outliers()
+	if len(outliers) > 0 {
 		fmt.Fprintln(tw, "\nDIFFERING\tDATA CENTRE\tIN\tSETTINGS\tCONFIGURATION\tHEARD")
 	}
-	for _, r := range odd {
-		heard := (time.Duration(r.HeardMS) * time.Millisecond).Round(100 * time.Millisecond)
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s ago\n", r.Address, r.DataCentre, strings.Join(r.Differs, ", "), orDash(r.Settings), r.Version, heard)
+	for _, r := range outliers {
+		sinceHeartbeat := (time.Duration(r.SinceHeartbeatMS) * time.Millisecond).Round(100 * time.Millisecond)
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%s ago\n", r.Address, r.DataCentre, strings.Join(r.Differs, ", "), orDash(r.Settings), r.Version, sinceHeartbeat)
 	}
 	_ = tw.Flush()
 }
@@ -140,8 +136,7 @@
 	return strings.Join(names, ", ")
 }
 
-// printDifferences prints, for each hash of settings that differs from the largest group's, which
-// settings differ.
+// printDifferences prints how each other hash of settings differs from the largest group's.
 func (o *fleetOptions) printDifferences(ctx context.Context, w io.Writer, f *inventory.Fleet) {
 	groups := f.Groups()
 	if len(groups) == 0 || !groups[0].Reported {
@@ -154,7 +149,7 @@
 			continue
 		}
 		seen[r.Settings] = true
-		details, err := o.client.AskDetails(ctx, o.addr, common, r.Address)
+		details, err := o.client.GetDetails(ctx, o.addr, common, r.Address)
 		if err == nil && len(details) == 2 {
 			printDiff(w, &details[0], &details[1])
 			continue
@@ -173,11 +168,10 @@
 	return ""
 }
 
-// printDiff prints the settings in which a and b differ.
 func printDiff(w io.Writer, a, b *inventory.Detail) {
 	for _, d := range []*inventory.Detail{a, b} {
 		if d.Error != "" {
-			fmt.Fprintf(w, "\n%s could not be asked: %s\n", d.Address, d.Error)
+			fmt.Fprintf(w, "\n%s could not be queried: %s\n", d.Address, d.Error)
 			return
 		}
 	}
@@ -190,8 +184,8 @@
 		fmt.Fprintf(w, "  %s: %q, %q%s\n", d.Path, d.A, d.B, warning)
 	}
 	for _, d := range []*inventory.Detail{a, b} {
-		if d.Refused != "" {
-			fmt.Fprintf(w, "  %s refused new settings: %s\n", d.Address, d.Refused)
+		if d.Rejected != "" {
+			fmt.Fprintf(w, "  %s rejected new settings: %s\n", d.Address, d.Rejected)
 		}
 		if len(d.PendingRestart) > 0 {
 			fmt.Fprintf(w, "  %s needs a restart for: %s\n", d.Address, strings.Join(d.PendingRestart, ", "))
@@ -199,9 +193,8 @@
 	}
 }
 
-// compare prints the settings in which two instances differ.
 func (o *fleetOptions) compare() (int, error) {
-	details, err := o.client.AskDetails(context.Background(), o.addr, o.diff, o.with)
+	details, err := o.client.GetDetails(context.Background(), o.addr, o.diff, o.diffWith)
 	if err == nil && len(details) != 2 {
 		err = errors.Errorf("ivyctl fleet: %s returned the settings of %d instances, want 2", o.addr, len(details))
 	}
@@ -215,11 +208,11 @@
 	return cli.OK, nil
 }
 
-// await waits until all instances run settings. At the timeout it prints those that do not.
+// await waits until all instances run settings. After the timeout it prints those that do not.
 func (o *fleetOptions) await(settings string) (int, error) {
 	end := time.Now().Add(o.within)
 	for {
-		f, err := o.client.AskFleet(context.Background(), o.addr)
+		f, err := o.client.GetFleet(context.Background(), o.addr)
 		var lacking []inventory.Instance
 		if err == nil {
 			lacking = f.WithoutSettings(settings)
--- a/cmd/ivyload/main.go
+++ b/cmd/ivyload/main.go
@@ -25,7 +25,7 @@
 	workload, targets, out, control string
 	seed                            uint64
 	mark                            int
-	a, b                            string
+	reportA, reportB                string
 	dir, scenario, policies         string
 	without                         string
 	seeds                           int
@@ -47,8 +47,8 @@
 	run.Int(&o.mark, "k", "mark", "also print attainment in the 10 s before and after this second")
 	compare := flaggy.NewSubcommand("compare")
 	compare.Description = "print two reports side by side"
-	compare.AddPositionalValue(&o.a, "A", 1, true, "a report.json")
-	compare.AddPositionalValue(&o.b, "B", 2, true, "another")
+	compare.AddPositionalValue(&o.reportA, "A", 1, true, "a report.json")
+	compare.AddPositionalValue(&o.reportB, "B", 2, true, "another")
 	policy := flaggy.NewSubcommand("policy")
 	policy.Description = "measure policies in simulated time"
 	policy.String(&o.dir, "d", "dir", "directory with declarations and workloads")
@@ -104,12 +104,12 @@
 	client := load.NewClient(fmt.Sprintf("%s-%d", w.Name, o.seed), strings.Split(o.targets, ","))
 	arrivals := w.Arrivals(o.seed)
 	go progress(ctx, client, len(arrivals))
-	outs := client.Run(ctx, arrivals)
+	outcomes := client.Run(ctx, arrivals)
 	runLog, err := load.FetchRunLog(o.control)
 	if err != nil {
 		return cli.Failed, err
 	}
-	r := load.Summarize(w, o.seed, outs, runLog)
+	r := load.Summarize(w, o.seed, outcomes, runLog)
 	if err := r.Save(o.out); err != nil {
 		return cli.Failed, err
 	}
@@ -124,29 +124,28 @@
 }
 
 // progress prints the numbers of requests sent and answered while standard error is a terminal.
-func progress(ctx context.Context, c *load.Client, all int) {
+func progress(ctx context.Context, c *load.Client, total int) {
 	if info, err := os.Stderr.Stat(); err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return
 	}
 	for ctx.Err() == nil {
-		fmt.Fprintf(os.Stderr, "\rsent %d of %d, answered %d ", c.Sent.Load(), all, c.Done.Load())
+		fmt.Fprintf(os.Stderr, "\rsent %d of %d, answered %d ", c.Sent.Load(), total, c.Done.Load())
 		time.Sleep(time.Second)
 	}
 }
 
 func (o *options) compare() (int, error) {
-	a, err := load.ReadReport(o.a)
+	a, err := load.ReadReport(o.reportA)
 	if err != nil {
 		return cli.UsageError, err
 	}
-	b, err := load.ReadReport(o.b)
+	b, err := load.ReadReport(o.reportB)
 	if err != nil {
 		return cli.UsageError, err
 	}
 	return cli.OK, load.Compare(os.Stdout, a, b)
 }
 
-// policy runs the policy experiments and prints a table of the results.
 func (o *options) policy() (int, error) {
 	users, err := experiment.Users(o.dir)
 	if err != nil {
@@ -170,24 +169,23 @@
 	return cli.OK, experiment.Write(os.Stdout, rows)
 }
 
-// A variant is a policy to measure and its name in the table.
 type variant struct {
 	name   string
 	policy home.Policy
 }
 
 func (o *options) variants() ([]variant, error) {
-	var off []string
+	var disabled []string
 	if o.without != "" {
-		off = strings.Split(o.without, ",")
+		disabled = strings.Split(o.without, ",")
 	}
 	var out []variant
 	for _, name := range strings.Split(o.policies, ",") {
-		p, err := home.ParsePolicy(name, off...)
+		p, err := home.ParsePolicy(name, disabled...)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, variant{strings.Join(append([]string{name}, off...), " -"), p})
+		out = append(out, variant{strings.Join(append([]string{name}, disabled...), " -"), p})
 	}
 	if o.ablate {
 		for _, m := range home.Mechanisms() {
--- a/cmd/ivysoak/main.go
+++ b/cmd/ivysoak/main.go
@@ -22,7 +22,7 @@
 )
 
 func main() {
-	binary, out, seed, duration, instances, rate, net := "bin/ivyentry", "out/soak", uint64(1), 60*time.Second, 6, 80.0, 64
+	binary, out, seed, duration, instances, rate, subnet := "bin/ivyentry", "out/soak", uint64(1), 60*time.Second, 6, 80.0, 64
 	p := cli.Parser("ivysoak", "Runs instances under injected faults and checks what callers, endpoints and the store observe.")
 	p.String(&binary, "b", "binary", "path of the daemon")
 	p.String(&out, "o", "out", "directory for settings, logs and the report")
@@ -30,7 +30,7 @@
 	p.Duration(&duration, "f", "for", "how long faults are injected")
 	p.Int(&instances, "i", "instances", "number of instances")
 	p.Float64(&rate, "r", "rate", "requests per second")
-	p.Int(&net, "n", "net", "second octet of the loopback addresses, 1 to 254; concurrent soaks need different ones")
+	p.Int(&subnet, "n", "net", "second octet of the loopback addresses, 1 to 254; concurrent soaks need different ones")
 	var kinds []string
 	list := false
 	var older soak.Build
@@ -52,23 +52,23 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		cli.Exit(cli.Failed, errors.Wrap(err, "soak"))
 	}
-	result, err := play(soak.Params{
-		Seed: seed, Duration: duration, Instances: instances, Rate: rate, Binary: binary, Dir: dir, Subnet: net, Kinds: kinds, PreviousBuild: older,
+	result, err := runSoak(soak.Params{
+		Seed: seed, Duration: duration, Instances: instances, Rate: rate, Binary: binary, Dir: dir, Subnet: subnet, Kinds: kinds, PreviousBuild: older,
 	})
 	if err != nil {
 		cli.Exit(cli.Failed, err)
 	}
 	result.Write(os.Stdout)
-	if err := write(result, dir); err != nil {
+	if err := writeReport(result, dir); err != nil {
 		cli.Exit(cli.Failed, err)
 	}
 	if len(result.Violations) > 0 {
-		cli.Exit(cli.Failed, errors.Errorf("%d promises were broken; logs and timeline: %s", len(result.Violations), dir))
+		cli.Exit(cli.Failed, errors.Errorf("%d rules were violated; logs and timeline: %s", len(result.Violations), dir))
 	}
 }
 
-// play runs a soak, which SIGINT or SIGTERM ends early.
-func play(p soak.Params) (*soak.Result, error) {
+// runSoak runs a soak, which SIGINT or SIGTERM ends early.
+func runSoak(p soak.Params) (*soak.Result, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	file, err := os.Create(filepath.Join(p.Dir, "soak.log"))
@@ -83,8 +83,7 @@
 	return soak.Run(ctx, p)
 }
 
-// write writes the report and the timeline into dir.
-func write(r *soak.Result, dir string) error {
+func writeReport(r *soak.Result, dir string) error {
 	report, err := os.Create(filepath.Join(dir, "report.txt"))
 	if err != nil {
 		return errors.Wrap(err, "soak")
--- a/command/command.go
+++ b/command/command.go
@@ -1,13 +1,10 @@
 // Package command implements operators' commands: changes to the published
 // declarations that stay effective until a newer publication overrides them.
 //
-// The system has no writable storage, so the instances hold the commands. A
-// command is replicated in two phases: every listed instance must promise to
-// accept it (Prepare) before it takes effect (Commit). Heartbeats carry accepted
-// commands to new instances, so they survive a rolling replacement of the fleet.
-// An instance promises only versions above all it has seen, so versions are ordered.
-//
-// A Set does no I/O and is not safe for concurrent use.
+// The system has no writable storage, so the instances hold the commands. A command takes effect
+// (Commit) after every listed instance has promised to accept it (Prepare). An instance promises only
+// versions above all it has seen, which orders them. Heartbeats carry accepted commands to new
+// instances, so they survive a rolling replacement of the fleet.
 package command
 
 import (
@@ -21,7 +18,7 @@
 	"ivyridge/decl"
 )
 
-// promiseTimeout is how long a promise is binding without its commit.
+// promiseTimeout is how long a promise is binding if its command is neither committed nor aborted.
 const promiseTimeout = 5 * time.Second
 
 // An Op is a kind of command.
@@ -42,16 +39,14 @@
 	Target string `json:"target"`
 	Field  string `json:"field,omitempty"`
 	Value  string `json:"value,omitempty"`
-	// Base is the published value of the field when the command was given. The
-	// command is overridden once the published value differs.
+	// Base is the value published when the command was given. Publishing another overrides the command.
 	Base     string `json:"base,omitempty"`
 	Operator string `json:"who"`
 	Origin   string `json:"origin"` // instance that received the command
 	Version  int64  `json:"version"`
 }
 
-// Key identifies what a command changes. A later command for the same slot
-// replaces an earlier one.
+// Key returns the slot that a command changes. A later command replaces the one in its slot.
 func (c *Command) Key() string {
 	switch c.Op {
 	case SetClass:
@@ -62,7 +57,7 @@
 	return "endpoint/" + c.Target
 }
 
-// A Set holds the commands known to an instance.
+// A Set holds the commands known to an instance. It is not safe for concurrent use.
 type Set struct {
 	accepted map[string]Command
 	promised map[string]promise
@@ -103,7 +98,7 @@
 			delete(s.promised, slot)
 		case p.version == c.Version && p.origin == c.Origin:
 		case p.version >= c.Version || slot == c.Key():
-			return errors.Errorf("another command for %s is in progress", slot)
+			return errors.Errorf("another operator is changing %s", slot)
 		}
 	}
 	s.promised[c.Key()] = promise{c.Version, c.Origin, now}
@@ -186,9 +181,9 @@
 		if class == nil || fields[c.Field] == nil || fields[c.Field].read(class) != c.Base {
 			continue
 		}
-		next, ok := set.WithClass(c.Target, func(k *decl.Class) { _ = fields[c.Field].write(k, c.Value) })
+		changed, ok := set.WithClass(c.Target, func(k *decl.Class) { _ = fields[c.Field].write(k, c.Value) })
 		if ok {
-			set = next
+			set = changed
 		}
 	}
 	return set
@@ -210,7 +205,7 @@
 		return err
 	}
 	if copied.Target() <= 0 {
-		return errors.Errorf("class %q would have no latency target", c.Target)
+		return errors.Errorf("class %q would be left without a target", c.Target)
 	}
 	return nil
 }
@@ -229,15 +224,15 @@
 	"guaranteed_share": {read: readShare, write: writeShare},
 }
 
-func durationField(at func(*decl.Class) *time.Duration) *field {
+func durationField(ptr func(*decl.Class) *time.Duration) *field {
 	return &field{
-		read: func(c *decl.Class) string { return at(c).String() },
+		read: func(c *decl.Class) string { return ptr(c).String() },
 		write: func(c *decl.Class, v string) error {
 			d, err := time.ParseDuration(v)
 			if err != nil || d < 0 {
 				return errors.Errorf("want a duration such as 250ms or 2s, got %q", v)
 			}
-			*at(c) = d
+			*ptr(c) = d
 			return nil
 		},
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,4 @@
-// Package daemon assembles one ivyrouted instance: its node, listeners, logs and
-// counters. cmd/ivyrouted is a thin main around it.
+// Package daemon assembles one ivyrouted instance: its node, listeners, logs and counters.
 package daemon
 
 import (
@@ -27,11 +26,9 @@
 	"ivyridge/settings"
 )
 
-// readinessDelay is how long an instance that is shutting down accepts requests, for
-// the load balancer to see that it is not ready.
+// readinessDelay gives the load balancer time to see that an instance is not ready.
 const readinessDelay = time.Second
 
-// Timeouts of connections.
 const (
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 2 * time.Minute
@@ -123,8 +120,8 @@
 	})
 	d.peers = peer.NewServer(keys, d.node.Handler())
 	d.node.SetQuery(operator.QueryHandler(d.node))
-	disp := dispatch.New(d.node, subMap(counts, "retries"))
-	d.api = api.New(d.node, disp, api.Options{
+	dispatcher := dispatch.New(d.node, subMap(counts, "retries"))
+	d.api = api.New(d.node, dispatcher, api.Options{
 		MaxBody: int64(s.Limits.MaxBody),
 		MaxTime: s.Limits.MaxTime,
 		Open:    s.Limits.MaxOpenRequests,
@@ -155,10 +152,9 @@
 
 func (d *Daemon) Node() *node.Node { return d.node }
 
-// Shutdown shuts the instance down gracefully. It reports not ready, accepts requests
-// until the load balancer has noticed, completes those in flight and queued, hands
-// its cells and keys over, and stops. It returns when all is done or the drain_within
-// setting has passed, with an error if requests were then still in flight.
+// Shutdown shuts the instance down gracefully. It reports not ready, accepts requests until the load
+// balancer has noticed, completes those in flight and queued, and hands over its cells and its
+// records of idempotency keys. It returns an error if requests are in flight after drain_within.
 func (d *Daemon) Shutdown() error {
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTimeout)
 	defer cancel()
--- a/decl/decl_test.go
+++ b/decl/decl_test.go
@@ -8,7 +8,7 @@
 	"ivyridge/decl"
 )
 
-func read(t testing.TB) *decl.Set {
+func parseDemo(t testing.TB) *decl.Set {
 	t.Helper()
 	data, err := os.ReadFile("../demo/huurtoets/declarations.yaml")
 	if err != nil {
@@ -22,14 +22,14 @@
 }
 
 func TestAuthenticate(t *testing.T) {
-	s := read(t)
+	s := parseDemo(t)
 	id, ok := s.Authenticate("demo-token-agents-zuid")
 	if !ok || id.Team.Name != "agents-zuid" || id.Caller != "portal" {
-		t.Errorf("got %+v, %v", id, ok)
+		t.Errorf("valid token: got identity %+v, accepted %v; want team agents-zuid and caller portal", id, ok)
 	}
 	for _, token := range []string{"", "demo-token", "demo-token-agents-zuid "} {
 		if _, ok := s.Authenticate(token); ok {
-			t.Errorf("token %q was accepted", token)
+			t.Errorf("invalid token %q was accepted", token)
 		}
 	}
 }
@@ -51,13 +51,13 @@
 	} {
 		_, err := decl.Parse("f", []byte(c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: got %v; want %q", c.text, err, c.want)
+			t.Errorf("Parse of %q: got error %v, want one that contains %q", c.text, err, c.want)
 		}
 	}
 }
 
-func TestWithCopies(t *testing.T) {
-	s := read(t)
+func TestWithClassCopies(t *testing.T) {
+	s := parseDemo(t)
 	next, ok := s.WithClass("letter", func(c *decl.Class) { c.Tier = 5 })
 	if !ok || next.Class("letter").Tier != 5 || s.Class("letter").Tier != 2 {
 		t.Error("WithClass changed the original set or did not change the copy")
@@ -75,7 +75,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := decl.Parse("f", data)
 		if (s == nil) == (err == nil) {
-			t.Errorf("got %v and %v", s, err)
+			t.Errorf("Parse returned set %v and error %v, want exactly one of them", s, err)
 		}
 	})
 }
--- a/discovery/changelog_test.go
+++ b/discovery/changelog_test.go
@@ -10,8 +10,7 @@
 	"ivyridge/discovery"
 )
 
-// An instance that receives only deltas lists the same endpoints as their source, for random
-// changes, deletions, full updates, store outages and polling intervals.
+// An instance that receives deltas lists the same endpoints as its source, whatever the changes.
 func TestDeltasConvergeToSourceList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, clock := newTable()
@@ -62,19 +61,18 @@
 			r1, d1 := source.Digest()
 			r2, d2 := follower.Digest()
 			if r1 != r2 || d1 != d2 {
-				t.Fatalf("lists differ at revisions %d and %d, full update: %v", r1, r2, update.Full)
+				t.Fatalf("source at revision %d and follower at revision %d differ after an update, full: %v", r1, r2, update.Full)
 			}
 			for id := range listed {
 				if !follower.HasIncarnation(id) {
-					t.Fatalf("the follower lacks %s", id)
+					t.Fatalf("the follower lacks listed endpoint %s", id)
 				}
 			}
 		}
 	})
 }
 
-// The cost of a change does not depend on the size of the list: unchanged endpoints are shared with
-// the previous view, and the delta contains only the change.
+// Guards against rebuilding or sending the whole list at each change.
 func TestChangeCostIsIndependentOfListSize(t *testing.T) {
 	for _, n := range []int{1000, 4000} {
 		table, clock := newTable()
@@ -102,7 +100,7 @@
 		}
 		delta, ok := table.Since(1)
 		if !ok || len(delta.Endpoints) != 2 || len(delta.Deleted) != 1 || delta.Full {
-			t.Errorf("delta is %+v, %v", delta, ok)
+			t.Errorf("delta is %+v, %v; want two endpoints, one deletion and true", delta, ok)
 		}
 		_ = table.Apply(&discovery.Update{Revision: 3, ValidatedAt: clock.current})
 		if unchanged := table.View().Endpoints("s"); &unchanged[0] != &after[0] {
@@ -111,7 +109,6 @@
 	}
 }
 
-// Old changes are dropped from the log, and later ones are still available.
 func TestChangeLogExpires(t *testing.T) {
 	table, clock := newTable()
 	_ = table.Apply(&discovery.Update{Revision: 1, Full: true, ValidatedAt: clock.current})
@@ -120,13 +117,13 @@
 		_ = table.Apply(&discovery.Update{Revision: revision, ValidatedAt: clock.current, Endpoints: []discovery.Record{record(fmt.Sprint(revision), revision)}})
 	}
 	if _, ok := table.Since(5); ok {
-		t.Error("changes made 45 s ago are still in the log")
+		t.Error("a change older than changeLogTTL is still in the log")
 	}
 	u, ok := table.Since(40)
 	if !ok || len(u.Endpoints) != 10 {
-		t.Errorf("delta is %+v, %v; want 10 endpoints", u, ok)
+		t.Errorf("delta is %+v, %v; want 10 endpoints and true", u, ok)
 	}
 	if _, ok := table.Since(0); ok {
-		t.Error("an empty instance is sent a delta")
+		t.Error("an instance without state is sent a delta")
 	}
 }
--- a/discovery/follow_test.go
+++ b/discovery/follow_test.go
@@ -13,7 +13,7 @@
 	"ivyridge/internal/fetch"
 )
 
-// Coalescing changes may take only a part of the 2 s within which a change must take effect.
+// A change must take effect within 2 s, so coalescing may take only a part of that.
 func TestCoalesceDelayGrowsWithReaders(t *testing.T) {
 	for n, want := range map[int]time.Duration{
 		1: minCoalesceDelay, 7: minCoalesceDelay, 50: 500 * time.Millisecond, 80: 800 * time.Millisecond, 390: maxCoalesceDelay,
@@ -23,7 +23,7 @@
 		}
 	}
 	if maxCoalesceDelay > time.Second {
-		t.Errorf("changes are delayed by up to %v", maxCoalesceDelay)
+		t.Errorf("changes are delayed by up to %v, want at most 1 s", maxCoalesceDelay)
 	}
 }
 
@@ -33,14 +33,12 @@
 	}
 	for rank := 1; rank < 400; rank++ {
 		if validationAgeFor(rank) < validationAgeFor(rank-1) || validationAgeFor(rank) > maxValidationAge {
-			t.Errorf("rank %d validates at %v, rank %d at %v", rank, validationAgeFor(rank), rank-1, validationAgeFor(rank-1))
+			t.Errorf("rank %d validates at an age of %v, rank %d at %v, want no decrease and at most maxValidationAge", rank, validationAgeFor(rank), rank-1, validationAgeFor(rank-1))
 		}
 	}
 }
 
-// Guards against all instances of a fleet calling the store at the same time once none of them has
-// a recent validation. A rank counts only recently validated instances, so all of them would be
-// first.
+// Guards against all instances calling the store at the same time when none of them has a rank.
 func TestUnrankedInstancesLimitStoreCalls(t *testing.T) {
 	const unranked = 280
 	now := time.Unix(1000, 0)
@@ -52,17 +50,17 @@
 	const seconds = 3
 	for tick := range int(seconds * time.Second / validationPollInterval) {
 		at := now.Add(time.Duration(tick) * validationPollInterval)
-		for _, p := range validators {
-			if p.due(at, maxValidationAge-time.Millisecond) {
+		for _, v := range validators {
+			if v.due(at, maxValidationAge-time.Millisecond) {
 				t.Fatal("an unranked instance calls before the maximum validation age")
 			}
 		}
 	}
 	for tick := range int(seconds * time.Second / validationPollInterval) {
 		at := now.Add(time.Duration(tick) * validationPollInterval)
-		for _, p := range validators {
-			if p.due(at, maxValidationAge) {
-				p.randomDue = time.Time{}
+		for _, v := range validators {
+			if v.due(at, maxValidationAge) {
+				v.randomDue = time.Time{}
 				calls++
 			}
 		}
@@ -73,16 +71,15 @@
 	}
 }
 
-// An instance that hears no scheduler calls as soon as the maximum validation age is reached.
+// A single unranked instance calls as soon as the maximum validation age is reached.
 func TestLoneUnrankedInstanceCallsImmediately(t *testing.T) {
-	p := &Validator{Turn: func() ValidationTurn { return ValidationTurn{Unranked: 1} }}
+	v := &Validator{Turn: func() ValidationTurn { return ValidationTurn{Unranked: 1} }}
 	now := time.Unix(1000, 0)
-	if p.due(now, maxValidationAge-time.Millisecond) || !p.due(now, maxValidationAge) {
-		t.Fatal("want it to be due exactly from the maximum validation age on")
+	if v.due(now, maxValidationAge-time.Millisecond) || !v.due(now, maxValidationAge) {
+		t.Fatal("due before the maximum validation age, or not due at it")
 	}
 }
 
-// A fakeSource answers with its functions, and counts calls.
 type fakeSource struct {
 	loads, watches atomic.Int32
 	load           func() (*Update, error)
@@ -103,7 +100,7 @@
 	return &Update{Revision: revision, Full: true, Config: &catalog.Document{Version: revision}, ValidatedAt: time.Now()}
 }
 
-// blockingWatch does not answer until its context is done or its wait is abandoned.
+// blockingWatch blocks, unless q.Wait is zero, until ctx is done or the watch is superseded.
 func blockingWatch(ctx context.Context, q Query) (*Update, error) {
 	if q.Wait == 0 {
 		return &Update{Revision: 1, ValidatedAt: time.Now()}, nil
@@ -112,7 +109,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-q.Superseded:
-		return nil, fetch.ErrAbandoned
+		return nil, fetch.ErrCanceled
 	}
 }
 
@@ -124,7 +121,6 @@
 	})
 }
 
-// startFollowerWithUpstream is startFollower with an upstream that may change.
 func startFollowerWithUpstream(t *testing.T, store *fakeSource, newer func() <-chan struct{}, upstream func(bool) (NamedSource, bool)) *Table {
 	t.Helper()
 	table := NewTable(time.Now)
@@ -142,7 +138,6 @@
 	return table
 }
 
-// runFollower runs a Follower until the test ends.
 func runFollower(t *testing.T, f *Follower) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -167,7 +162,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("not within 5 s: %s", what)
+	t.Fatalf("waited 5 s in vain for %s", what)
 }
 
 func TestUpstreamReplacesStore(t *testing.T) {
@@ -176,7 +171,7 @@
 	table := startFollower(t, store, upstream, neverNewer)
 	eventually(t, "a watch at the upstream", func() bool { return upstream.watches.Load() == 1 })
 	if table.View().Revision != 1 || store.loads.Load()+store.watches.Load() != 0 {
-		t.Fatalf("revision %d, %d calls to the store", table.View().Revision, store.loads.Load()+store.watches.Load())
+		t.Fatalf("revision %d, %d calls to the store, want 1 and none", table.View().Revision, store.loads.Load()+store.watches.Load())
 	}
 }
 
@@ -191,24 +186,23 @@
 	eventually(t, "a watch at the store", func() bool { return store.watches.Load() == 1 })
 }
 
-// A newer revision of another instance ends a watch once. If the source does not have that revision
-// yet, it is not polled repeatedly.
-func TestAbandonedWatchIsRetriedOnce(t *testing.T) {
-	closed := make(chan struct{})
-	close(closed)
+// A newer revision at another instance ends a watch once. The source is not polled repeatedly.
+func TestCanceledWatchIsRetriedOnce(t *testing.T) {
+	newerRevision := make(chan struct{})
+	close(newerRevision)
 	var signalled atomic.Bool
 	newer := func() <-chan struct{} {
 		if signalled.Swap(true) {
 			return nil
 		}
-		return closed
+		return newerRevision
 	}
 	store := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
 	startFollower(t, store, nil, newer)
 	eventually(t, "a new watch", func() bool { return store.watches.Load() == 3 })
 	time.Sleep(300 * time.Millisecond)
 	if got := store.watches.Load(); got != 3 {
-		t.Fatalf("%d watches, want the abandoned one, one without wait, and one with wait", got)
+		t.Fatalf("%d watches, want 3: the canceled one, one without wait, and one with wait", got)
 	}
 }
 
@@ -235,11 +229,10 @@
 	close(published)
 	eventually(t, "the configuration", func() bool { return table.View().Catalog != nil })
 	if loads := store.loads.Load(); loads != 1 {
-		t.Fatalf("%d loads, want one", loads)
+		t.Fatalf("%d loads of the full state, want one", loads)
 	}
 }
 
-// startFollowerWithPeers runs a Follower that waits for peers at its start.
 func startFollowerWithPeers(t *testing.T, store *fakeSource, peers func() []NamedSource, newer func() <-chan struct{}, upstream func(bool) (NamedSource, bool)) *Table {
 	t.Helper()
 	table := NewTable(time.Now)
@@ -255,28 +248,28 @@
 
 func noUpstream(bool) (NamedSource, bool) { return NamedSource{}, false }
 
-// Guards against every instance of a fleet that starts at once loading from and watching the store.
+// Guards against all instances of a starting fleet loading from and watching the store.
 func TestBootstrapFromPeer(t *testing.T) {
 	store := &fakeSource{}
 	peer := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
-	heard := make(chan struct{})
-	var heardPeer atomic.Bool
+	peerAvailable := make(chan struct{})
+	var hasPeer atomic.Bool
 	time.AfterFunc(50*time.Millisecond, func() {
-		heardPeer.Store(true)
-		close(heard)
+		hasPeer.Store(true)
+		close(peerAvailable)
 	})
 	upstreamKnown := time.Now().Add(300 * time.Millisecond)
 	table := startFollowerWithPeers(t, store, func() []NamedSource {
-		if !heardPeer.Load() {
+		if !hasPeer.Load() {
 			return nil
 		}
 		return []NamedSource{{Name: "peer", Source: peer}}
-	}, func() <-chan struct{} { return heard }, func(bool) (NamedSource, bool) {
+	}, func() <-chan struct{} { return peerAvailable }, func(bool) (NamedSource, bool) {
 		return NamedSource{Name: "peer", Source: peer}, time.Now().After(upstreamKnown)
 	})
 	eventually(t, "a watch at the peer", func() bool { return peer.watches.Load() == 1 })
 	if table.View().Revision != 1 || store.loads.Load()+store.watches.Load() != 0 {
-		t.Fatalf("revision %d, %d calls to the store", table.View().Revision, store.loads.Load()+store.watches.Load())
+		t.Fatalf("revision %d, %d calls to the store, want 1 and none", table.View().Revision, store.loads.Load()+store.watches.Load())
 	}
 }
 
@@ -291,70 +284,66 @@
 	}
 }
 
-// Guards against a restarted fleet refusing requests while its instances wait for each other's
-// state.
+// Guards against refusing requests while the instances of a restarted fleet wait for each other.
 func TestBootstrapSkipsWaitForPendingRequests(t *testing.T) {
 	store := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
-	hurry := make(chan struct{})
+	skip := make(chan struct{})
 	table := NewTable(time.Now)
 	f := &Follower{
 		Table: table, Store: NamedSource{Name: "store", IsStore: true, Source: store},
 		Upstream: noUpstream, Peers: func() []NamedSource { return nil }, NewerRevision: neverNewer,
 		StoreReaders: func() int { return 1 }, Log: zap.NewNop(), Count: func(string) {},
-		BootstrapTimeout: time.Minute, SkipBootstrap: hurry,
+		BootstrapTimeout: time.Minute, SkipBootstrap: skip,
 	}
 	runFollower(t, f)
 	time.Sleep(50 * time.Millisecond)
 	if store.loads.Load() != 0 {
 		t.Fatal("the store was called though no request is waiting")
 	}
-	close(hurry)
+	close(skip)
 	eventually(t, "state from the store", func() bool { return table.View().Revision == 1 })
 }
 
-// A peer that fails does not delay the start.
 func TestBootstrapWithFailingPeer(t *testing.T) {
 	store := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
 	peer := &fakeSource{load: func() (*Update, error) { return nil, errors.New("lost") }}
 	table := startFollowerWithPeers(t, store, func() []NamedSource { return []NamedSource{{Name: "peer", Source: peer}} }, neverNewer, noUpstream)
 	eventually(t, "state from the store", func() bool { return table.View().Revision == 1 })
 	if n := peer.loads.Load(); n > 5 {
-		t.Errorf("a failing peer was called %d times within 300ms", n)
+		t.Errorf("a failing peer was called %d times within 300 ms, want at most 5", n)
 	}
 }
 
-// If the upstream stays silent while other instances are ahead, the store is used.
 func TestSilentUpstreamIsReplacedByStore(t *testing.T) {
-	overtaken := make(chan struct{})
+	newerRevision := make(chan struct{})
 	store := &fakeSource{watch: func(_ context.Context, q Query) (*Update, error) {
 		return &Update{Revision: max(q.After, 2), ValidatedAt: time.Now()}, nil
 	}}
 	upstream := &fakeSource{load: func() (*Update, error) { return fullUpdate(1), nil }, watch: blockingWatch}
-	table := startFollowerWithUpstream(t, store, func() <-chan struct{} { return overtaken }, func(behind bool) (NamedSource, bool) {
+	table := startFollowerWithUpstream(t, store, func() <-chan struct{} { return newerRevision }, func(behind bool) (NamedSource, bool) {
 		return NamedSource{Name: "upstream", Source: upstream}, !behind
 	})
 	eventually(t, "a watch at the upstream", func() bool { return upstream.watches.Load() == 1 })
-	close(overtaken)
+	close(newerRevision)
 	eventually(t, "the change from the store", func() bool { return table.View().Revision == 2 })
 }
 
-// An instance that follows another one gives entries that disappear during a store outage a grace
-// period, like one that reads the store itself, since all entries of a service may expire then
-// though its endpoints are alive. After the outage, deleted entries are removed at once.
+// During a store outage all entries of a service may expire though its endpoints are alive, so an
+// instance that follows another one also gives them a grace period.
 func TestFollowerKeepsEntriesDeletedDuringOutage(t *testing.T) {
-	at := time.Unix(1000, 0)
-	table := NewTable(func() time.Time { return at })
+	now := time.Unix(1000, 0)
+	table := NewTable(func() time.Time { return now })
 	upstream := NamedSource{Name: "upstream"}
 	apply := func(u *Update) { Apply(table, upstream, u, zap.NewNop(), func(string) {}) }
 	entries := []Record{{Endpoint: catalog.Endpoint{ID: "a", Service: "s"}, Revision: 1}, {Endpoint: catalog.Endpoint{ID: "b", Service: "s"}, Revision: 2}}
-	apply(&Update{Revision: 2, Full: true, Config: &catalog.Document{Version: 1}, Endpoints: entries, ValidatedAt: at})
-	at = at.Add(4 * time.Second)
-	apply(&Update{Revision: 3, Full: true, Endpoints: entries[:1], ValidatedAt: at})
+	apply(&Update{Revision: 2, Full: true, Config: &catalog.Document{Version: 1}, Endpoints: entries, ValidatedAt: now})
+	now = now.Add(4 * time.Second)
+	apply(&Update{Revision: 3, Full: true, Endpoints: entries[:1], ValidatedAt: now})
 	if got := table.View().Endpoints("s"); len(got) != 2 || got[1].GraceUntil.IsZero() {
 		t.Fatalf("%d endpoints after the outage, want two, the second in its grace period", len(got))
 	}
-	at = at.Add(100 * time.Millisecond)
-	apply(&Update{Revision: 4, Full: true, ValidatedAt: at})
+	now = now.Add(100 * time.Millisecond)
+	apply(&Update{Revision: 4, Full: true, ValidatedAt: now})
 	for _, e := range table.View().Endpoints("s") {
 		if e.ID == "a" {
 			t.Fatal("an entry that was deleted after the outage is kept")
@@ -362,20 +351,19 @@
 	}
 }
 
-// No validating call is made while a response of the store arrives, unless the last validation is
-// old.
+// No validating call is made while a store response arrives, unless the last validation is old.
 func TestValidationWaitsForArrivingResponse(t *testing.T) {
 	arriving := true
-	p := &Validator{Turn: func() ValidationTurn { return ValidationTurn{} }, Receiving: func() bool { return arriving }}
+	v := &Validator{Turn: func() ValidationTurn { return ValidationTurn{} }, Receiving: func() bool { return arriving }}
 	now := time.Unix(1000, 0)
-	if p.due(now, maxValidationAge-time.Millisecond) {
-		t.Error("due while a response arrives")
+	if v.due(now, maxValidationAge-time.Millisecond) {
+		t.Error("due below the maximum validation age while a response arrives")
 	}
-	if !p.due(now, maxValidationAge) {
-		t.Error("not due at the maximum validation age")
+	if !v.due(now, maxValidationAge) {
+		t.Error("not due at the maximum validation age while a response arrives")
 	}
 	arriving = false
-	if !p.due(now, validationInterval) {
-		t.Error("not due though no response arrives")
+	if !v.due(now, validationInterval) {
+		t.Error("not due at the validation interval though no response arrives")
 	}
 }
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -23,21 +23,19 @@
 const (
 	connectTimeout      = 300 * time.Millisecond
 	maxIdleConnsPerHost = 256
-	// stallTimeout is the maximum pause within an answer.
-	stallTimeout = 30 * time.Second
-	// headerTimeoutFactor times the class's target is the timeout for response
-	// headers, if it exceeds stallTimeout.
+	stallTimeout        = 30 * time.Second // maximum pause within an answer
+	// headerTimeoutFactor times the target is the timeout for headers, if above stallTimeout.
 	headerTimeoutFactor = 4
 	// RequestIDHeader carries the request's ID to the endpoint.
 	RequestIDHeader = "X-Request-Id"
 )
 
-func transport(keep bool) *http.Transport {
+func transport(keepAlive bool) *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: connectTimeout}).DialContext,
 		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     20 * time.Second,
-		DisableKeepAlives:   !keep,
+		DisableKeepAlives:   !keepAlive,
 		DisableCompression:  true,
 	}
 }
@@ -59,29 +57,28 @@
 		return r.classifyError(ctx, connected, err)
 	}
 	defer res.Body.Close()
-	if end, err, failed := r.classifyStatus(res); failed {
-		return end, err
+	if outcome, err, failed := r.classifyStatus(res); failed {
+		return outcome, err
 	}
 	r.machine.Step(evHeaders)
 	timer.reset(stallTimeout)
-	var end node.Outcome
+	var outcome node.Outcome
 	if r.req.Stream && res.StatusCode == http.StatusOK {
-		end, err = r.stream(res, g, sent, timer)
+		outcome, err = r.stream(res, g, sent, timer)
 	} else {
-		end, err = r.readComplete(res, sent)
+		outcome, err = r.readComplete(res, sent)
 	}
 	if err != nil {
 		r.machine.Step(evCut)
-		end.Failed = end.Failed && caller.Err() == nil // not if the caller cancelled it
-		return end, err
+		outcome.Failed = outcome.Failed && caller.Err() == nil // not if the caller cancelled it
+		return outcome, err
 	}
 	r.machine.Step(evFinish)
-	return end, nil
+	return outcome, nil
 }
 
-var errStalled = errors.New("endpoint timed out")
+var errStalled = errors.New("the endpoint fell silent")
 
-// headerTimeout returns the timeout for the response headers.
 func (r *run) headerTimeout() time.Duration {
 	return max(stallTimeout, headerTimeoutFactor*r.req.Class.Whole)
 }
@@ -101,8 +98,7 @@
 	req.Header.Set("X-Class", r.req.Class.Name)
 	client := r.d.pooled
 	if len(r.req.Body) == 0 && !r.req.Repeatable {
-		// The transport retries a GET if a reused connection breaks; on a
-		// new connection it does not.
+		// On a reused connection that breaks, the transport would send a GET again.
 		client = r.d.unpooled
 	}
 	return client.Do(req)
@@ -116,7 +112,7 @@
 	}
 }
 
-// classifyError returns the outcome of an attempt without a response.
+// classifyError returns the outcome and error of an attempt that got no response because of err.
 func (r *run) classifyError(ctx context.Context, connected bool, err error) (node.Outcome, error) {
 	if !connected {
 		r.machine.Step(evUnsent)
@@ -129,21 +125,21 @@
 		return node.Outcome{}, errors.Wrap(err, "send")
 	}
 	r.machine.Step(evCut)
-	return node.Outcome{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "no response: %v", err)
+	return node.Outcome{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointCut, "no answer: %v", err)
 }
 
-// classifyStatus handles the status codes that mean that the endpoint failed. Only 429
-// means that the request was not run; after a 5xx it may have run.
-func (r *run) classifyStatus(res *http.Response) (end node.Outcome, err error, failed bool) {
+// classifyStatus handles status 429, which means that the request was not run, and 5xx, after which
+// it may have run. For any other status failed is false.
+func (r *run) classifyStatus(res *http.Response) (outcome node.Outcome, err error, failed bool) {
 	switch {
 	case res.StatusCode == http.StatusTooManyRequests:
 		r.machine.Step(evRefusedUnrun)
-		e := verdict.Fail(verdict.NotRun, verdict.EndpointBusy, "endpoint refused the request with 429")
+		e := verdict.Fail(verdict.NotRun, verdict.EndpointBusy, "the endpoint takes no more")
 		return node.Outcome{Busy: true}, e.WithRetryAfter(retryAfter(res)), true
 	case res.StatusCode >= http.StatusInternalServerError:
 		r.machine.Step(evCut)
 		_, _ = io.CopyN(io.Discard, res.Body, 4<<10)
-		return node.Outcome{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointError, "endpoint returned %s", res.Status), true
+		return node.Outcome{Failed: true}, verdict.Fail(verdict.MayHaveRun, verdict.EndpointError, "the endpoint answered %s", res.Status), true
 	}
 	return node.Outcome{}, nil, false
 }
@@ -167,29 +163,29 @@
 func (r *run) readComplete(res *http.Response, sent time.Duration) (node.Outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(res.Body, r.d.answerLimit+1))
 	if err != nil {
-		return node.Outcome{Failed: true}, verdict.Fail(verdict.Ran, verdict.EndpointCut, "response truncated: %v", err)
+		return node.Outcome{Failed: true}, verdict.Fail(verdict.Ran, verdict.EndpointCut, "the answer was cut: %v", err)
 	}
 	if int64(len(body)) > r.d.answerLimit {
-		return node.Outcome{}, verdict.Fail(verdict.Ran, verdict.EndpointError, "response is larger than %d bytes", r.d.answerLimit)
+		return node.Outcome{}, verdict.Fail(verdict.Ran, verdict.EndpointError, "the answer is larger than %d bytes", r.d.answerLimit)
 	}
 	now := r.d.fleet.Now()
 	r.res.FirstToken = now - r.req.Arrived
-	end := node.Outcome{Complete: true, Late: r.lateAt(now, now)}
+	outcome := node.Outcome{Complete: true, Late: r.lateAt(now, now)}
 	if r.req.Pool.Kind == decl.Model {
 		var u usage
 		if json.Unmarshal(body, &u) == nil {
-			end.Tokens = u.Usage.CompletionTokens
+			outcome.Tokens = u.Usage.CompletionTokens
 		}
-		r.res.Tokens = end.Tokens
+		r.res.Tokens = outcome.Tokens
 	}
 	r.start(res.StatusCode, res.Header)
 	if err := r.sink.Write(body); err != nil {
-		return end, errors.Wrap(err, "caller")
+		return outcome, errors.Wrap(err, "caller")
 	}
-	return end, nil
+	return outcome, nil
 }
 
-// lateAt reports whether an answer with the given times misses its class's targets.
+// lateAt reports whether an answer whose first token came at first and which ended at end is late.
 func (r *run) lateAt(first, end time.Duration) bool {
 	c, at := r.req.Class, r.req.Arrived
 	return c.FirstToken > 0 && first-at > c.FirstToken || c.Whole > 0 && end-at > c.Whole
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,15 +1,13 @@
 // Package engine simulates an inference engine with continuous batching.
 //
 // An Engine runs in iterations. Each admits waiting sequences by priority while memory allows,
-// prefills a bounded number of prompt tokens, and decodes one token of every sequence whose
-// prompt is complete. An iteration takes longer with more decoding sequences and more prompt
-// tokens, so that a fully loaded engine is slow. Prompt prefixes are cached in limited memory.
-// When memory runs out, the most recently admitted sequence of the lowest priority is preempted
-// and later recomputes its tokens.
+// prefills a bounded number of prompt tokens, and decodes one token of every sequence whose prompt
+// is complete. An iteration takes longer with more decoding sequences and more prompt tokens.
+// Prompt prefixes are cached in limited memory. When memory runs out, the most recently admitted
+// sequence of the lowest priority is preempted and later recomputes its tokens.
 //
-// The simulation has no clock: Step runs one iteration and returns how long it took. Simulated
-// endpoints drive it in real time, policy experiments in virtual time. It doesn't model any
-// particular product.
+// The simulation has no clock: Step runs one iteration and returns how long it took, so it can run
+// in real or virtual time. It does not model any particular product.
 package engine
 
 import (
@@ -28,8 +26,7 @@
 	CacheTokens  int // tokens of cached prompt prefixes
 }
 
-// Default returns the parameters of the simulated endpoints: 30 ms between tokens at 25
-// sequences.
+// Default returns the parameters of simulated endpoints: 30 ms between tokens at 25 sequences.
 func Default() Params {
 	return Params{
 		Base:         10 * time.Millisecond,
@@ -60,13 +57,13 @@
 
 // An Engine simulates one engine. Use New to create one. It is not safe for concurrent use.
 type Engine struct {
-	params   Params
-	Slowness float64 // factor of the duration of iterations; one if healthy
-	waiting  []*Sequence
-	running  []*Sequence
-	used     int
-	lastID   uint64
-	cache    cache
+	params     Params
+	Slowness   float64 // factor of the duration of iterations; one if healthy
+	waiting    []*Sequence
+	running    []*Sequence
+	usedTokens int
+	lastID     uint64
+	cache      cache
 	// Computed is the number of decoded tokens, Prefilled of prefilled prompt tokens, and
 	// Preempted of sequences preempted for lack of memory.
 	Computed, Prefilled, Preempted int64
@@ -89,7 +86,7 @@
 	s.cancelled = true
 	if i := index(e.running, s); i >= 0 {
 		e.running = append(e.running[:i], e.running[i+1:]...)
-		e.used -= s.size()
+		e.usedTokens -= s.size()
 	}
 	if i := index(e.waiting, s); i >= 0 {
 		e.waiting = append(e.waiting[:i], e.waiting[i+1:]...)
@@ -117,9 +114,8 @@
 // size returns the memory of s, in tokens.
 func (s *Sequence) size() int { return s.Prompt + s.Produced }
 
-// Step runs one iteration. It returns the duration of the iteration and the sequences for
-// which it generated a token. Those with Produced equal to Length have finished and been
-// removed.
+// Step runs one iteration. It returns its duration and the sequences for which it generated a
+// token. Those with Produced equal to Length have finished and been removed.
 func (e *Engine) Step() (time.Duration, []*Sequence) {
 	e.admit()
 	e.preempt()
@@ -136,7 +132,7 @@
 			e.cache.add(s.Prefix, s.PrefixLen)
 		}
 		s.Produced++
-		e.used++
+		e.usedTokens++
 		out = append(out, s)
 	}
 	e.Computed += int64(len(out))
@@ -161,13 +157,13 @@
 	})
 	n := 0
 	for _, s := range e.waiting {
-		if len(e.running) >= e.params.MaxRunning || e.used+s.size() > e.params.MemoryTokens && len(e.running) > 0 {
+		if len(e.running) >= e.params.MaxRunning || e.usedTokens+s.size() > e.params.MemoryTokens && len(e.running) > 0 {
 			break
 		}
 		e.lastID++
 		s.admission = e.lastID
 		s.prefill = max(1, s.size()-e.cache.hit(s.Prefix, s.PrefixLen))
-		e.used += s.size()
+		e.usedTokens += s.size()
 		e.running = append(e.running, s)
 		n++
 	}
@@ -176,7 +172,7 @@
 
 // preempt returns sequences to the queue while memory is exceeded.
 func (e *Engine) preempt() {
-	for e.used > e.params.MemoryTokens && len(e.running) > 1 {
+	for e.usedTokens > e.params.MemoryTokens && len(e.running) > 1 {
 		victim := e.running[0]
 		for _, s := range e.running {
 			if s.Priority > victim.Priority || s.Priority == victim.Priority && s.admission > victim.admission {
@@ -190,12 +186,11 @@
 	}
 }
 
-// removeFinished removes finished sequences.
 func (e *Engine) removeFinished() {
 	kept := e.running[:0]
 	for _, s := range e.running {
 		if s.Produced >= s.Length {
-			e.used -= s.size()
+			e.usedTokens -= s.size()
 			continue
 		}
 		kept = append(kept, s)
@@ -212,8 +207,7 @@
 
 func newCache(capacity int) cache { return cache{capacity: capacity, sizes: make(map[uint64]int)} }
 
-// hit returns the number of leading prompt tokens that are cached, and marks the prefix as
-// used.
+// hit returns how many of the first n prompt tokens are cached as prefix, and marks it as used.
 func (c *cache) hit(prefix uint64, n int) int {
 	if prefix == 0 || c.sizes[prefix] == 0 {
 		return 0
--- a/entry/body.go
+++ b/entry/body.go
@@ -1,9 +1,7 @@
 package entry
 
-// This file reads request bodies.
-//
-// A body that makes no progress for the operator's header timeout, or is not complete at the
-// request's deadline, is rejected. Memory is reserved before it is allocated.
+// This file reads request bodies. A body is rejected if it makes no progress for the header
+// timeout or is incomplete at the request's deadline.
 
 import (
 	"io"
@@ -21,49 +19,47 @@
 const (
 	// defaultBodyStall applies if the operator sets no header timeout.
 	defaultBodyStall = 5 * time.Second
-	// initialBodyBytes is the initial buffer size for a body of unknown length. It doubles
-	// as the body grows.
+	// initialBodyBytes is the initial buffer size for a body of unknown length.
 	initialBodyBytes = 4 << 10
 )
 
-// readBody reads the request body within the configured limits.
-func (f *exchange) readBody() *verdict.Error {
-	limits := f.entry.State.View().Catalog.Limits()
-	length, limit := f.r.ContentLength, int64(limits.MaxBodyBytes)
+func (ex *exchange) readBody() *verdict.Error {
+	limits := ex.proxy.State.View().Catalog.Limits()
+	length, limit := ex.r.ContentLength, int64(limits.MaxBodyBytes)
 	if limit > 0 && length > limit {
-		return verdict.Refuse(verdict.TooLarge, "body of %d bytes exceeds the limit of %d", length, limit)
+		return verdict.Refuse(verdict.TooLarge, "the body has %d bytes, %d are allowed", length, limit)
 	}
 	if length == 0 {
 		return nil
 	}
-	body := &callerBody{r: f.r.Body, control: http.NewResponseController(f.w), stallTimeout: limits.HeaderTimeout, deadline: f.deadline, now: f.entry.Now}
+	body := &callerBody{r: ex.r.Body, control: http.NewResponseController(ex.w), stallTimeout: limits.HeaderTimeout, deadline: ex.deadline, now: ex.proxy.Now}
 	if body.stallTimeout <= 0 {
 		body.stallTimeout = defaultBodyStall
 	}
-	data, err := f.readLimited(body, length, limit)
+	data, err := ex.readLimited(body, length, limit)
 	body.clearDeadline()
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		f.w.Header().Set("Connection", "close")
-		return verdict.Refuse(verdict.BodySlow, "body stalled: %d bytes received, the last %s ago", body.bytesRead, f.entry.Now().Sub(body.lastRead).Round(time.Millisecond))
+		ex.w.Header().Set("Connection", "close")
+		return verdict.Refuse(verdict.BodySlow, "%d bytes of the body came, the last %s ago", body.bytesRead, ex.proxy.Now().Sub(body.lastRead).Round(time.Millisecond))
 	case err == errBodyMemory:
-		return f.noMemory("request body")
+		return ex.noMemory("the body")
 	case err != nil:
-		return verdict.Refuse(verdict.BodyCut, "body incomplete: connection closed")
+		return verdict.Refuse(verdict.BodyCut, "the body broke off")
 	case limit > 0 && int64(len(data)) > limit:
-		return verdict.Refuse(verdict.TooLarge, "body exceeds the limit of %d bytes", limit)
+		return verdict.Refuse(verdict.TooLarge, "the body has more than %d bytes", limit)
 	}
-	f.call.Body = data
+	ex.call.Body = data
 	return nil
 }
 
-var errBodyMemory = errors.New("no memory for the request body")
+var errBodyMemory = errors.New("no room for the body")
 
 // readLimited reads a body of the given length (negative: unknown), at most limit+1 bytes
 // (zero: no limit).
-func (f *exchange) readLimited(body io.Reader, length, limit int64) ([]byte, error) {
+func (ex *exchange) readLimited(body io.Reader, length, limit int64) ([]byte, error) {
 	if length > 0 {
-		if !f.mem.Grow(memory.Bodies, length) {
+		if !ex.mem.Grow(memory.Bodies, length) {
 			return nil, errBodyMemory
 		}
 		data := make([]byte, length)
@@ -77,12 +73,12 @@
 	for {
 		if len(data) == cap(data) {
 			size := max(initialBodyBytes, 2*cap(data))
-			if !f.mem.Grow(memory.Bodies, int64(size)) {
+			if !ex.mem.Grow(memory.Bodies, int64(size)) {
 				return nil, errBodyMemory
 			}
 			oldCap := cap(data)
 			data = append(make([]byte, 0, size), data...)
-			f.mem.Shrink(memory.Bodies, int64(oldCap))
+			ex.mem.Shrink(memory.Bodies, int64(oldCap))
 		}
 		n, err := body.Read(data[len(data):cap(data)])
 		data = data[:len(data)+n]
@@ -103,7 +99,7 @@
 	deadline     time.Time
 	now          func() time.Time
 
-	bytesRead int       // so far
+	bytesRead int
 	lastRead  time.Time // time of the last read that returned data
 }
 
@@ -124,6 +120,5 @@
 	return n, err
 }
 
-// clearDeadline removes the read deadline: after the body, the server reads on in the
-// background to notice a disconnect.
+// clearDeadline removes the read deadline, as the server goes on reading to detect a disconnect.
 func (b *callerBody) clearDeadline() { _ = b.control.SetReadDeadline(time.Time{}) }
--- a/entry/chunk_source.go
+++ b/entry/chunk_source.go
@@ -19,15 +19,15 @@
 
 // An eventSource returns the events of a stream that the caller does not have yet.
 type eventSource struct {
-	f      *exchange
+	ex     *exchange
 	events *eventReader
 	timing *streamTiming
 }
 
-func (f *exchange) newEventSource(body io.Reader) *eventSource {
+func (ex *exchange) newEventSource(body io.Reader) *eventSource {
 	events := newEventReader(body)
-	events.mem = f.mem
-	return &eventSource{f, events, f.newStreamTiming()}
+	events.mem = ex.mem
+	return &eventSource{ex, events, ex.newStreamTiming()}
 }
 
 func (s *eventSource) next() ([]byte, error) {
@@ -39,12 +39,12 @@
 		if err != nil {
 			return nil, err
 		}
-		s.timing.recordEvent(s.f.entry.Now())
-		if alreadySent(event.id, s.f.call.LastEventID) {
+		s.timing.recordEvent(s.ex.proxy.Now())
+		if alreadySent(event.id, s.ex.call.LastEventID) {
 			continue
 		}
 		if event.id != "" {
-			s.f.call.LastEventID = event.id
+			s.ex.call.LastEventID = event.id
 		}
 		return event.data, nil
 	}
@@ -63,11 +63,11 @@
 
 func newBodySource(r io.Reader) *bodySource { return &bodySource{r, make([]byte, bodyChunkSize)} }
 
-func (c *bodySource) next() ([]byte, error) {
+func (s *bodySource) next() ([]byte, error) {
 	for {
-		n, err := c.r.Read(c.buffer)
+		n, err := s.r.Read(s.buffer)
 		if n > 0 {
-			return c.buffer[:n], nil // the error, if any, is returned by the next Read
+			return s.buffer[:n], nil // the error, if any, is returned by the next Read
 		}
 		if err != nil {
 			return nil, err
@@ -75,4 +75,4 @@
 	}
 }
 
-func (c *bodySource) detach() { c.buffer = make([]byte, len(c.buffer)) }
+func (s *bodySource) detach() { s.buffer = make([]byte, len(s.buffer)) }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,11 +1,9 @@
-// Package entry is the HTTP front of the router. It admits callers' requests,
-// has an endpoint chosen for each, forwards it and relays the response.
+// Package entry is the HTTP front end of the router. It admits callers' requests, obtains an
+// endpoint for each from a Placer, forwards the request and relays the response.
 //
-// A request stays on the instance that accepted it. How a failed request may
-// be answered follows from its verdict: a response that says "not run" is given
-// only if no endpoint can have run the request, and a request that must run at
-// most once is retried only in that case. Configuration and endpoint state are
-// read again, and their age checked, before every attempt.
+// A response says "not run" only if no endpoint can have run the request, and a request that must
+// run at most once is retried only in that case. The configuration and the endpoints are read
+// again before every attempt.
 package entry
 
 import (
@@ -25,8 +23,8 @@
 	"ivyridge/verdict"
 )
 
-// Bounds are the limits that a Proxy enforces.
-type Bounds struct {
+// Limits are enforced by a Proxy.
+type Limits struct {
 	Propagation  time.Duration // a configuration change must be in force within this time
 	StrictRevoke bool          // a revoked key must be rejected within Revoke
 	Revoke       time.Duration // see StrictRevoke
@@ -37,14 +35,13 @@
 	StallTimeout time.Duration // a caller that reads nothing of its response for this long is disconnected; zero: a default
 }
 
-// revokeMargin is how much earlier than Bounds.Revoke a configuration counts as too old.
+// revokeMargin is how much earlier than Limits.Revoke a configuration counts as too old.
 const revokeMargin = 600 * time.Millisecond
 
-// A Placer chooses endpoints. It is safe for concurrent use.
+// A Placer chooses endpoints. Implementations must be safe for concurrent use.
 type Placer interface {
-	// Place chooses an endpoint and counts the request as running there, or
-	// returns a refusal. It returns neither if no endpoint may serve the
-	// request.
+	// Place chooses an endpoint and counts the request as running there, or returns a
+	// refusal. It returns nil for both if no endpoint may serve the request.
 	Place(ctx context.Context, endpoints []*discovery.Endpoint, d *balance.Demand) (*balance.Placement, *balance.Refusal)
 }
 
@@ -54,25 +51,24 @@
 	Placer   Placer
 	Pool     *upstream.Pool
 	Codec    Codec
-	Bounds   Bounds // initial value; see SetBounds
+	Limits   Limits // initial value; see SetLimits
 	Log      *zap.Logger
 	Counters *Counters
 	Now      func() time.Time
-	// Settings returns the name of the settings in force, for the log; may be nil.
+	// Settings returns the hash of the effective settings, for the log; may be nil.
 	Settings func() string
 	Memory   *memory.Account // nil: no limit
 	Poison   *poison.Table   // nil: an empty table
 	// PublishPoison, if set, sends new findings about poison requests to the other instances.
 	PublishPoison func([]poison.Entry)
-	// OnConfigurationWait, if set, is called for each request that waits for the first
-	// configuration.
+	// OnConfigurationWait, if set, is called for each request that waits for a configuration.
 	OnConfigurationWait func()
 }
 
 // A Proxy is the http.Handler for callers' requests. It is safe for concurrent use.
 type Proxy struct {
 	Options
-	bounds       atomic.Pointer[Bounds]
+	limits       atomic.Pointer[Limits]
 	retryBudgets *retryBudgets
 	monitor      *relayMonitor
 	crashes      *crashTracker
@@ -95,61 +91,58 @@
 	if o.Poison == nil {
 		o.Poison = poison.NewTable()
 	}
-	e := &Proxy{Options: o, crashes: newCrashTracker(), monitor: newRelayMonitor(o.Now), origin: o.Now().Add(-time.Nanosecond), retryBudgets: newRetryBudgets(o.Bounds.RetryRatio, o.Bounds.RetryExtra, o.Now)}
-	e.SetBounds(o.Bounds)
-	return e
+	p := &Proxy{Options: o, crashes: newCrashTracker(), monitor: newRelayMonitor(o.Now), origin: o.Now().Add(-time.Nanosecond), retryBudgets: newRetryBudgets(o.Limits.RetryRatio, o.Limits.RetryExtra, o.Now)}
+	p.SetLimits(o.Limits)
+	return p
 }
 
-// SetBounds replaces the bounds. Requests in progress use the new ones too.
-func (e *Proxy) SetBounds(b Bounds) {
-	e.bounds.Store(&b)
-	e.retryBudgets.setBounds(b.RetryRatio, b.RetryExtra)
+// SetLimits replaces the limits. Requests in progress use the new ones too.
+func (p *Proxy) SetLimits(l Limits) {
+	p.limits.Store(&l)
+	p.retryBudgets.setLimits(l.RetryRatio, l.RetryExtra)
 }
 
-// SetInstances sets how many instances, this one included, share the retry
-// budget. Zero means unknown.
-func (e *Proxy) SetInstances(n int) { e.retryBudgets.setInstances(n) }
+// SetInstances sets how many instances, including this one, share the retry budget; zero: unknown.
+func (p *Proxy) SetInstances(n int) { p.retryBudgets.setInstances(n) }
 
-// drainDelay is how long a leaving instance still accepts requests: the load
-// balancer in front needs that long to notice that it is not ready.
+// drainDelay is how long a leaving instance accepts requests, until its load balancer has noticed.
 const drainDelay = 2600 * time.Millisecond
 
 // Leave makes Ready return false. Requests are accepted for drainDelay more.
-func (e *Proxy) Leave() { e.leaving.CompareAndSwap(0, int64(e.Now().Sub(e.origin))) }
+func (p *Proxy) Leave() { p.leaving.CompareAndSwap(0, int64(p.Now().Sub(p.origin))) }
 
-// Leaving reports whether Leave was called, and whether new requests are
-// rejected by now.
-func (e *Proxy) Leaving() (leaving, stopped bool) {
-	at := e.leaving.Load()
+// Leaving reports whether Leave was called, and whether new requests are rejected by now.
+func (p *Proxy) Leaving() (leaving, stopped bool) {
+	at := p.leaving.Load()
 	if at == 0 {
 		return false, false
 	}
-	return true, e.Now().Sub(e.origin)-time.Duration(at) > drainDelay
+	return true, p.Now().Sub(p.origin)-time.Duration(at) > drainDelay
 }
 
 // Ready reports whether a load balancer should send requests to this instance.
-func (e *Proxy) Ready() bool {
-	if leaving, _ := e.Leaving(); leaving {
+func (p *Proxy) Ready() bool {
+	if leaving, _ := p.Leaving(); leaving {
 		return false
 	}
-	return e.State.View().Catalog != nil && e.fresh()
+	return p.State.View().Catalog != nil && p.configFresh()
 }
 
-// fresh reports whether the configuration is recent enough to authenticate callers.
-func (e *Proxy) fresh() bool {
-	age, ok := e.State.Age()
-	b := e.bounds.Load()
+// configFresh reports whether the configuration is recent enough to authenticate callers.
+func (p *Proxy) configFresh() bool {
+	age, ok := p.State.Age()
+	b := p.limits.Load()
 	return ok && (!b.StrictRevoke || age < b.Revoke-revokeMargin)
 }
 
 // Open returns the number of requests being handled.
-func (e *Proxy) Open() int { return int(e.open.Load()) }
+func (p *Proxy) Open() int { return int(p.open.Load()) }
 
 // Wait returns when no request is being handled or ctx is done.
-func (e *Proxy) Wait(ctx context.Context) {
+func (p *Proxy) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		e.handlers.Wait()
+		p.handlers.Wait()
 		close(done)
 	}()
 	select {
@@ -158,67 +151,64 @@
 	}
 }
 
-// atLimit reports whether MaxRunning requests are running. Requests whose bodies
-// are still being read are limited by the number of connections instead.
-func (e *Proxy) atLimit() bool {
-	limit := e.bounds.Load().MaxRunning
-	return limit > 0 && int(e.running.Load()) >= limit
+// atLimit reports whether MaxRunning is reached. Requests whose bodies are still being read do
+// not count; the connection limit bounds them.
+func (p *Proxy) atLimit() bool {
+	limit := p.limits.Load().MaxRunning
+	return limit > 0 && int(p.running.Load()) >= limit
 }
 
-// acquireRunning counts a request whose body has been read as running. It
-// returns false if MaxRunning is exceeded, which atLimit cannot rule out: several
-// bodies may be complete at once. Pair with releaseRunning.
-func (e *Proxy) acquireRunning() bool {
-	n, limit := int(e.running.Add(1)), e.bounds.Load().MaxRunning
+// acquireRunning counts a request as running until releaseRunning. It returns false if MaxRunning
+// would be exceeded: atLimit is checked before the body is read, so too many requests may pass it.
+func (p *Proxy) acquireRunning() bool {
+	n, limit := int(p.running.Add(1)), p.limits.Load().MaxRunning
 	if limit > 0 && n > limit {
-		e.releaseRunning()
+		p.releaseRunning()
 		return false
 	}
 	return true
 }
 
-func (e *Proxy) releaseRunning() { e.running.Add(-1) }
+func (p *Proxy) releaseRunning() { p.running.Add(-1) }
 
-// overloaded returns the error of a request rejected because of MaxRunning.
-func (e *Proxy) overloaded() *verdict.Error {
-	return verdict.Refuse(verdict.Overloaded, "%d requests in progress", e.Open()).WithRetryAfter(retryAfterLong)
+func (p *Proxy) overloaded() *verdict.Error {
+	return verdict.Refuse(verdict.Overloaded, "%d requests in hand", p.Open()).WithRetryAfter(retryAfterLong)
 }
 
 // stallTimeout returns how long a caller may read nothing of its response.
-func (e *Proxy) stallTimeout() time.Duration {
-	if d := e.bounds.Load().StallTimeout; d > 0 {
+func (p *Proxy) stallTimeout() time.Duration {
+	if d := p.limits.Load().StallTimeout; d > 0 {
 		return d
 	}
 	return defaultStallTimeout
 }
 
-// ServeHTTP handles a caller's request. It panics with http.ErrAbortHandler
-// to break the connection if a response was truncated.
-func (e *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e.handlers.Add(1)
-	defer e.handlers.Done()
-	defer e.open.Add(-1)
-	e.open.Add(1)
-	leaving, stopped := e.Leaving()
+// ServeHTTP handles a caller's request. It panics with http.ErrAbortHandler to close the
+// connection if the response was truncated, so that the caller notices.
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	p.handlers.Add(1)
+	defer p.handlers.Done()
+	defer p.open.Add(-1)
+	p.open.Add(1)
+	leaving, stopped := p.Leaving()
 	if leaving {
 		w.Header().Set("Connection", "close")
 	}
-	f := &exchange{entry: e, w: w, r: r, arrived: e.Now()}
-	call, err := e.Codec.Decode(r)
-	f.call = call
+	ex := &exchange{proxy: p, w: w, r: r, arrived: p.Now()}
+	call, err := p.Codec.Decode(r)
+	ex.call = call
 	switch {
 	case err != nil:
-		f.refuse(verdict.Of(err))
+		ex.refuse(verdict.Of(err))
 	case stopped:
-		f.refuse(verdict.Refuse(verdict.Leaving, "this instance is shutting down").WithRetryAfter(retryAfterShort))
-	case e.atLimit():
-		f.refuse(e.overloaded())
+		ex.refuse(verdict.Refuse(verdict.Leaving, "this instance stops").WithRetryAfter(retryAfterShort))
+	case p.atLimit():
+		ex.refuse(p.overloaded())
 	default:
-		f.serve()
+		ex.serve()
 	}
-	f.logRequest()
-	if f.truncated {
-		// Makes the truncation visible to the caller.
+	ex.logRequest()
+	if ex.truncated {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -1,8 +1,7 @@
 package entry
 
-// This file keeps the set of requests in progress. It is used to cancel requests whose
-// deadlines passed while the machine was suspended, which the runtime's timers do not count,
-// and to find the endpoints at which a team has requests.
+// This file keeps the set of requests in progress. It serves to cancel requests whose deadlines
+// passed while the machine was suspended, and to find the endpoints that run a team's requests.
 
 import (
 	"context"
@@ -18,61 +17,60 @@
 }
 
 type inFlightRequest struct {
-	deadline time.Time
-	cancel   context.CancelFunc
-	location atomic.Pointer[location] // nil: not placed yet
+	deadline   time.Time
+	cancel     context.CancelFunc
+	assignment atomic.Pointer[assignment] // nil: not placed yet
 }
 
-// A location is the endpoint that a request was sent to.
-type location struct {
+// An assignment identifies the endpoint that a request was sent to, and the request's team.
+type assignment struct {
 	service, team, endpoint string
 }
 
 // register adds the request to the set. The returned context is done when the caller
 // disconnects or the deadline passes; the returned function removes the request.
-func (f *exchange) register() (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(f.r.Context(), f.deadline.Sub(f.entry.Now()))
-	t := &f.entry.inFlight
+func (ex *exchange) register() (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(ex.r.Context(), ex.deadline.Sub(ex.proxy.Now()))
+	t := &ex.proxy.inFlight
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.requests == nil {
 		t.requests = make(map[*inFlightRequest]struct{})
 	}
-	f.inFlight = &inFlightRequest{deadline: f.deadline, cancel: cancel}
-	t.requests[f.inFlight] = struct{}{}
+	ex.inFlight = &inFlightRequest{deadline: ex.deadline, cancel: cancel}
+	t.requests[ex.inFlight] = struct{}{}
 	return ctx, func() {
 		t.mu.Lock()
-		delete(t.requests, f.inFlight)
+		delete(t.requests, ex.inFlight)
 		t.mu.Unlock()
 		cancel()
 	}
 }
 
-// HandleResume must be called after the machine was suspended. It cancels requests whose deadlines
-// have passed, and the others at their deadlines.
-func (e *Proxy) HandleResume() {
-	now := e.Now()
-	e.inFlight.mu.Lock()
-	defer e.inFlight.mu.Unlock()
-	for h := range e.inFlight.requests {
-		time.AfterFunc(max(0, h.deadline.Sub(now)), h.cancel)
+// HandleResume must be called after the machine was suspended. It cancels requests at their
+// deadlines, since the runtime's timers do not count the suspension.
+func (p *Proxy) HandleResume() {
+	now := p.Now()
+	p.inFlight.mu.Lock()
+	defer p.inFlight.mu.Unlock()
+	for r := range p.inFlight.requests {
+		time.AfterFunc(max(0, r.deadline.Sub(now)), r.cancel)
 	}
 }
 
-// endpointsByTeam returns at how many endpoints of a service, except one, each team has
-// requests in progress.
+// endpointsByTeam counts the endpoints of a service, except one, that run requests of each team.
 func (t *inFlightRequests) endpointsByTeam(service, except string) map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	seen := make(map[location]bool)
+	seen := make(map[assignment]bool)
 	teams := make(map[string]int)
-	for h := range t.requests {
-		p := h.location.Load()
-		if p == nil || p.service != service || p.endpoint == except || seen[*p] {
+	for r := range t.requests {
+		a := r.assignment.Load()
+		if a == nil || a.service != service || a.endpoint == except || seen[*a] {
 			continue
 		}
-		seen[*p] = true
-		teams[p.team]++
+		seen[*a] = true
+		teams[a.team]++
 	}
 	return teams
 }
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -1,11 +1,8 @@
 package entry
 
-// This file charges retries to budgets.
-//
-// A retry is charged to the instance's own budget. If that is exhausted, the next placement
-// asks for one from the fleet's budget, and succeeds only if that grants it. A request whose
-// retry is denied fails with the error of its last attempt, so that its verdict does not
-// claim less than what endpoints may have done.
+// This file charges retries to the instance's own budget or, if that is exhausted, to the fleet's
+// with the next placement. If both deny it, the request fails with the error of its last attempt,
+// whose verdict covers what endpoints may have run.
 
 import (
 	"go.uber.org/zap"
@@ -17,73 +14,71 @@
 
 // Budgets that pay for retries, as counted and logged.
 const (
-	payerInstance = "own"
-	payerFleet    = "fleet"
-	payerNone     = "denied"
+	budgetInstance = "own"
+	budgetFleet    = "fleet"
+	budgetDenied   = "denied"
 )
 
 // A retryState describes the next attempt if it is a retry.
 type retryState struct {
-	cause *verdict.Error // error of the attempt before; nil: not a retry
-	payer string         // empty: no charge, since the request did not reach an endpoint
-	kind  balance.Retry  // requested from the fleet's budget
+	cause  *verdict.Error // error of the attempt before; nil: not a retry
+	budget string         // empty: no charge, since the request did not reach an endpoint
+	kind   balance.Retry  // requested from the fleet's budget
 }
 
-// reserveRetry charges the retry after err to the instance's own budget, or has the next
-// placement request it from the fleet's.
-func (f *exchange) reserveRetry(err *verdict.Error) {
-	f.retry = retryState{cause: err, payer: payerInstance}
-	if !f.entry.retryBudgets.spend(f.service.Name) {
-		f.retry.payer, f.retry.kind = payerFleet, f.retryKind()
+// reserveRetry charges the instance's budget, or has the next placement charge the fleet's.
+func (ex *exchange) reserveRetry(err *verdict.Error) {
+	ex.retry = retryState{cause: err, budget: budgetInstance}
+	if !ex.proxy.retryBudgets.spend(ex.service.Name) {
+		ex.retry.budget, ex.retry.kind = budgetFleet, ex.retryKind()
 	}
 }
 
 // attemptDeposit returns what the current attempt adds to the fleet's retry budget.
-func (f *exchange) attemptDeposit() quota.DepositKind {
-	if f.attempts > 1 {
+func (ex *exchange) attemptDeposit() quota.DepositKind {
+	if ex.attempts > 1 {
 		return quota.DepositNone
 	}
-	return f.deposit
+	return ex.deposit
 }
 
 // retryKind returns the kind of the retry, by which the fleet's budget ranks retries.
-func (f *exchange) retryKind() balance.Retry {
+func (ex *exchange) retryKind() balance.Retry {
 	switch {
-	case f.headSent:
+	case ex.headSent:
 		return balance.RetryStream
-	case f.route.Objective == 0 || f.entry.Now().Sub(f.arrived) < f.route.Objective:
+	case ex.route.Objective == 0 || ex.proxy.Now().Sub(ex.arrived) < ex.route.Objective:
 		return balance.RetryInTime
 	}
 	return balance.RetryLate
 }
 
 // retryGranted records that the request was placed, and counts the retry if it is one.
-func (f *exchange) retryGranted() {
-	r := f.retry
-	f.retry = retryState{}
+func (ex *exchange) retryGranted() {
+	r := ex.retry
+	ex.retry = retryState{}
 	if r.cause == nil {
 		return
 	}
-	f.entry.Counters.retried(r.cause.Reason)
-	if r.payer == "" {
+	ex.proxy.Counters.retried(r.cause.Reason)
+	if r.budget == "" {
 		return
 	}
-	f.retryPayer = r.payer
-	f.entry.Counters.retryPaid(r.payer, f.service.Name)
-	if f.entry.retryBudgets.noteGranted(f.service.Name) {
-		f.entry.Log.Info("retry budget available again", zap.String("service", f.service.Name))
+	ex.chargedBudget = r.budget
+	ex.proxy.Counters.retryCharged(r.budget, ex.service.Name)
+	if ex.proxy.retryBudgets.recordGranted(ex.service.Name) {
+		ex.proxy.Log.Info("retry budget available again", zap.String("service", ex.service.Name))
 	}
 }
 
-// retryDenied records that the fleet's budget denied the retry, and returns the error of the
-// refused placement.
-func (f *exchange) retryDenied(refusal *balance.Refusal) *verdict.Error {
-	f.attempts--
-	f.retryPayer = payerNone
-	f.scheduler = refusal.Scheduler
-	f.entry.Counters.retryPaid(payerNone, f.service.Name)
-	if f.entry.retryBudgets.noteDenied(f.service.Name) {
-		f.entry.Log.Warn("retry budget exhausted", zap.String("service", f.service.Name), zap.String("scheduler", refusal.Scheduler))
+// retryDenied counts a retry that the fleet's budget denied, and returns the placement error.
+func (ex *exchange) retryDenied(refusal *balance.Refusal) *verdict.Error {
+	ex.attempts--
+	ex.chargedBudget = budgetDenied
+	ex.scheduler = refusal.Scheduler
+	ex.proxy.Counters.retryCharged(budgetDenied, ex.service.Name)
+	if ex.proxy.retryBudgets.recordDenied(ex.service.Name) {
+		ex.proxy.Log.Warn("retry budget exhausted", zap.String("service", ex.service.Name), zap.String("scheduler", refusal.Scheduler))
 	}
-	return placementError(f.service.Name, refusal)
+	return placementError(ex.service.Name, refusal)
 }
--- a/entry/stall.go
+++ b/entry/stall.go
@@ -1,11 +1,8 @@
 package entry
 
-// This file decides when a caller that does not read its response is disconnected.
-//
-// Completed writes alone do not measure progress: the kernel reports a socket as
-// writable again only when a third of its send buffer is free, which can take many
-// seconds with a caller that reads slowly but steadily. So bytes acknowledged by the peer
-// (TCP_INFO) count as well, where available.
+// This file decides when a caller that does not read its response is disconnected. Besides writes,
+// bytes that the peer acknowledged (TCP_INFO) count as progress: the kernel reports a socket as
+// writable only when a third of its send buffer is free, which takes slow readers many seconds.
 
 import (
 	"context"
@@ -20,7 +17,7 @@
 // stallCheckEvery is the number of monitor checks per stall check, which costs a system call.
 const stallCheckEvery = 2
 
-// A stall tracks a caller's progress. Access must be serialised.
+// A stall detects a caller that has stopped reading its response. Access must be serialised.
 type stall struct {
 	chunks uint64 // written
 	last   progress
@@ -50,13 +47,13 @@
 	if r.closed || r.aborted {
 		return
 	}
-	allowed := r.f.entry.stallTimeout()
-	if now.After(r.f.deadline) {
+	allowed := r.ex.proxy.stallTimeout()
+	if now.After(r.ex.deadline) {
 		allowed = min(allowed, lateStallTimeout)
 	}
 	if r.stall.exceeded(now, r.progress(), r.writing, allowed) {
 		r.stalled = true
-		r.stall.detail = fmt.Sprintf("%d bytes buffered, no progress for %s", r.buffer.size+len(r.direct),
+		r.stall.detail = fmt.Sprintf("%d bytes waited, nothing was taken for %s", r.buffer.size+len(r.direct),
 			now.Sub(r.stall.since).Round(time.Millisecond))
 		r.abortWrite()
 	}
@@ -64,7 +61,7 @@
 
 // progress returns the progress so far. The caller holds r.mu.
 func (r *relay) progress() progress {
-	return progress{chunks: r.stall.chunks, acked: acked(r.f.r.Context())}
+	return progress{chunks: r.stall.chunks, acked: acked(r.ex.r.Context())}
 }
 
 type connKey struct{}
@@ -83,8 +80,7 @@
 	return context.WithValue(ctx, connKey{}, raw)
 }
 
-// acked returns how many bytes the caller's TCP has acknowledged on its connection; zero if
-// unknown.
+// acked returns how many bytes the peer has acknowledged on its connection; zero if unknown.
 func acked(ctx context.Context) (n uint64) {
 	raw, ok := ctx.Value(connKey{}).(syscall.RawConn)
 	if !ok {
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -22,7 +22,7 @@
 			}
 		}
 	}
-	t.Fatalf("unknown scenario %s", name)
+	t.Fatalf("scenario %s is not in the suite", name)
 	return nil
 }
 
@@ -35,17 +35,15 @@
 	return p
 }
 
-// The simulation must be deterministic for a given seed.
 func TestDeterministic(t *testing.T) {
 	s := scenario(t, "huurtoets/letter x2")
 	a, b := s.Run(policy(t, home.Full), 1), s.Run(policy(t, home.Full), 1)
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("two runs differ:\n%+v\n%+v", a, b)
+		t.Errorf("two runs with the same seed differ, want equal results:\n%+v\n%+v", a, b)
 	}
 }
 
-// The full policy protects tier-0 requests from a surge of a lower tier. FIFO
-// must fail in the same scenario, else the surge is too small for this test.
+// FIFO must fail where the full policy succeeds, else the surge is too small.
 func TestHighTierProtectedDuringSurge(t *testing.T) {
 	s := scenario(t, "huurtoets/letter x5")
 	full, fifo := s.Run(policy(t, home.Full), 1), s.Run(policy(t, home.FIFO), 1)
@@ -57,26 +55,25 @@
 	}
 }
 
-// No request may be left without a response when an engine crashes.
 func TestNoRequestUnfinishedAfterCrash(t *testing.T) {
 	s := scenario(t, "huurtoets/engine crash in a wave")
 	for _, c := range s.Run(policy(t, home.Full), 1).Classes {
 		if c.Unfinished > 0 {
-			t.Errorf("%d requests of class %s unfinished", c.Unfinished, c.Class)
+			t.Errorf("%d requests of class %s unfinished at the end of the run, want none", c.Unfinished, c.Class)
 		}
 	}
 }
 
-// A policy that exceeds the bound means that the bound is wrong.
+// If a result exceeds the bound, the bound is wrong.
 func TestResultsWithinBound(t *testing.T) {
 	for _, name := range []string{"huurtoets/verdict x2", "inspection/report x2"} {
 		s := scenario(t, name)
 		r, b := s.Run(policy(t, home.Full), 1), s.Bound(1)
 		if got := r.Class(s.SurgeClass).SurgeOnTime; got > b.Surge {
-			t.Errorf("%s: %d requests of the surge on time, bound is %d", name, got, b.Surge)
+			t.Errorf("%s: %d requests of the surge on time, want at most the bound of %d", name, got, b.Surge)
 		}
 		if r.Goodput > b.Goodput {
-			t.Errorf("%s: goodput %.0f tokens/s, bound is %.0f", name, r.Goodput, b.Goodput)
+			t.Errorf("%s: goodput is %.0f tokens/s, want at most the bound of %.0f", name, r.Goodput, b.Goodput)
 		}
 	}
 }
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -10,8 +10,8 @@
 	"ivyridge/fair"
 )
 
-// A request is refused only if its team is above the fair rate, never while the service has
-// spare capacity, for a sole team, or if it is Unlimited.
+// A request is refused only if its team is above the fair rate, there are other teams, there is no
+// spare capacity, and the request is not Unlimited.
 func TestOnlyUseAboveTheFairRateIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -26,20 +26,19 @@
 			r := &fair.Request{
 				Team:  uint32(rapid.IntRange(1, teams).Draw(t, "team")),
 				Level: rapid.IntRange(0, fair.Levels-1).Draw(t, "level"), Work: rapid.Float64Range(0.1, 10).Draw(t, "work"),
-				Congestion: rapid.Float64Range(0, maxCongestion).Draw(t, "congestion"), Chance: rapid.Float64Range(0, 1).Draw(t, "chance"),
+				Congestion: rapid.Float64Range(0, maxCongestion).Draw(t, "congestion"), Random: rapid.Float64Range(0, 1).Draw(t, "chance"),
 				Unlimited: rapid.IntRange(0, 3).Draw(t, "fixed") == 0,
 			}
-			over, refused := s.Offer(now, r)
+			over, refused := s.Admit(now, r)
 			if refused && (spare || teams == 1 || r.Unlimited || over <= 1) {
-				t.Fatalf("refused at %.2f times the fair rate: %+v", over, r)
+				t.Fatalf("request refused at %.2f times the fair rate, want it served: %+v", over, r)
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "pause")) * time.Millisecond)
 		}
 	})
 }
 
-// A surge is a scenario in which some teams send many times their usual rate, through several
-// schedulers that exchange reports.
+// A surge is a scenario in which some teams send many times their usual rate.
 type surge struct {
 	name    string
 	teams   int     // together use 0.8 of the capacity
@@ -64,15 +63,15 @@
 	step     = 10 * time.Millisecond
 )
 
-// send offers a request of one unit of work and reports whether it is served.
-func (f *fleet) send(at int, team uint32) bool {
-	s := f.schedulers[at%len(f.schedulers)]
+// send submits a request of one unit of work and reports whether it is served.
+func (f *fleet) send(scheduler int, team uint32) bool {
+	s := f.schedulers[scheduler%len(f.schedulers)]
 	// Congestion is 1 at 60 ms of queued work; the queue is full at 120 ms.
-	_, refused := s.Offer(f.now, &fair.Request{Team: team, Level: 2, Work: 1, Congestion: f.queue / (0.06 * capacity), Chance: f.rand.Float64()})
+	_, refused := s.Admit(f.now, &fair.Request{Team: team, Level: 2, Work: 1, Congestion: f.queue / (0.06 * capacity), Random: f.rand.Float64()})
 	if refused || f.queue > 0.12*capacity {
 		return false
 	}
-	s.Grant(f.now, team, 2, 1)
+	s.RecordGranted(f.now, team, 2, 1)
 	f.queue++
 	return true
 }
@@ -94,8 +93,7 @@
 	}
 }
 
-// run returns the part of the requests of the non-surging teams that are served, from one
-// second after the start of the surge.
+// run returns the fraction of the other teams' requests that is served, from 1 s into the surge.
 func (r *surge) run(factor float64) float64 {
 	f := &fleet{now: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(1, 2))}
 	for range 6 {
@@ -114,11 +112,11 @@
 				rate *= factor
 			}
 			for n := rate*step.Seconds() + f.rand.Float64(); n >= 1; n-- {
-				at := f.rand.IntN(len(f.schedulers))
+				scheduler := f.rand.IntN(len(f.schedulers))
 				if heavy && r.partial {
-					at /= 2
+					scheduler /= 2
 				}
-				ok := f.send(at, uint32(team+1))
+				ok := f.send(scheduler, uint32(team+1))
 				if !heavy && i >= 300 {
 					sent++
 					if ok {
@@ -135,8 +133,7 @@
 	return float64(served) / float64(sent)
 }
 
-// Teams that don't surge keep at least 0.95 of what they are served without the surge, even if
-// a scheduler is lost or restarts or the schedulers are partitioned.
+// Other teams keep at least 0.95 of their service, even if schedulers are lost or partitioned.
 func TestSurgeDoesNotAffectOtherTeams(t *testing.T) {
 	for _, r := range []surge{
 		{name: "one", teams: 24, heavy: 1, factor: 30},
@@ -151,14 +148,13 @@
 			baseline, got := r.run(1), r.run(r.factor)
 			t.Logf("served %.3f without and %.3f with the surge", baseline, got)
 			if got < 0.95*baseline {
-				t.Errorf("served %.3f, want 0.95 of %.3f", got, baseline)
+				t.Errorf("other teams are served %.3f of their requests, want at least 0.95 of %.3f", got, baseline)
 			}
 		})
 	}
 }
 
-// A team may use the capacity that others leave: the others ask for half of it, this team for
-// twice.
+// One team asks for twice the capacity, the others together for half. It must get what they leave.
 func TestSpareCapacityIsUsed(t *testing.T) {
 	f := &fleet{now: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(1, 2)), schedulers: []*fair.Shares{new(fair.Shares)}}
 	served := 0
@@ -174,17 +170,16 @@
 		}
 		f.advance()
 	}
-	if part := float64(served) / (6 * capacity); part < 0.95 {
-		t.Errorf("%.2f of the capacity is used, want at least 0.95", part)
+	if used := float64(served) / (6 * capacity); used < 0.95 {
+		t.Errorf("%.2f of the capacity is used, want at least 0.95", used)
 	}
 }
 
-// Memory and reports are bounded, whatever the number of teams.
 func TestManyTeamsUseBoundedMemory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s fair.Shares
 	for i := range 100_000 {
-		s.Offer(now, &fair.Request{Team: uint32(i%23000 + 1), Level: 2, Work: 1, Congestion: 2, Chance: 1})
+		s.Admit(now, &fair.Request{Team: uint32(i%23000 + 1), Level: 2, Work: 1, Congestion: 2, Random: 1})
 		now = now.Add(100 * time.Microsecond)
 	}
 	if n := len(s.Report(now)); n > 16 {
@@ -195,7 +190,7 @@
 			t.Errorf("%d teams tracked, want at most 64", len(l.Teams))
 		}
 		if l.Limited > 0 {
-			t.Errorf("%d of 23,000 equal teams are limited", l.Limited)
+			t.Errorf("%d of 23,000 equal teams are limited, want none", l.Limited)
 		}
 	}
 }
@@ -209,11 +204,11 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				i++
-				r := &fair.Request{Team: uint32(i*7919%teams + 1), Level: 2, Work: 1, Congestion: 2, Chance: 0.5}
-				s.Offer(now, r)
+				r := &fair.Request{Team: uint32(i*7919%teams + 1), Level: 2, Work: 1, Congestion: 2, Random: 0.5}
+				s.Admit(now, r)
 				now = now.Add(100 * time.Microsecond)
 				if i%2000 == 0 {
-					other.Offer(now, r)
+					other.Admit(now, r)
 					s.Merge(now, 1, other.Report(now))
 				}
 			}
@@ -221,28 +216,27 @@
 	}
 }
 
-// Without a fair rate no team is above it; with one, only teams that use more are.
 func TestTeamsAboveTheFairRate(t *testing.T) {
 	var s fair.Shares
 	now := time.Unix(1000, 0)
-	offer := func(steps int, congestion float64) {
+	send := func(steps int, congestion float64) {
 		for range steps {
 			now = now.Add(10 * time.Millisecond)
-			s.Offer(now, &fair.Request{Team: 1, Work: 10, Congestion: congestion, Unlimited: true})
-			s.Offer(now, &fair.Request{Team: 2, Work: 1, Congestion: congestion, Unlimited: true})
-			s.Grant(now, 1, 0, 1)
-			s.Grant(now, 2, 0, 1)
+			s.Admit(now, &fair.Request{Team: 1, Work: 10, Congestion: congestion, Unlimited: true})
+			s.Admit(now, &fair.Request{Team: 2, Work: 1, Congestion: congestion, Unlimited: true})
+			s.RecordGranted(now, 1, 0, 1)
+			s.RecordGranted(now, 2, 0, 1)
 		}
 	}
-	offer(400, 0)
+	send(400, 0)
 	if s.Above(now, 1, 0) {
-		t.Error("a team is above the fair rate without congestion")
+		t.Error("Above is true for a team without congestion, want false")
 	}
-	offer(50, 3)
+	send(50, 3)
 	if !s.Above(now, 1, 0) || s.Above(now, 2, 0) || s.Above(now, 3, 0) {
-		t.Errorf("above the fair rate: %v at use 10, %v at use 1, %v at use 0", s.Above(now, 1, 0), s.Above(now, 2, 0), s.Above(now, 3, 0))
+		t.Errorf("above the fair rate: %v at use 10, %v at use 1, %v at use 0, want only the first", s.Above(now, 1, 0), s.Above(now, 2, 0), s.Above(now, 3, 0))
 	}
 	if now = now.Add(time.Minute); s.Above(now, 1, 0) {
-		t.Error("a fair rate is valid after a minute without requests")
+		t.Error("Above is true for a team after a minute without requests, want false")
 	}
 }
--- a/fair/granted_test.go
+++ b/fair/granted_test.go
@@ -7,9 +7,8 @@
 	"ivyridge/fair"
 )
 
-// More work may be granted than was asked for, since a request may be sent to an endpoint that
-// has less of its prompt cached than the one it was counted for. That must not disable
-// limiting.
+// A request may be granted more work than it was counted with, if its endpoint has less of its
+// prompt cached. That must not disable limiting.
 func TestTeamsAreLimitedWhereMoreIsGrantedThanAsked(t *testing.T) {
 	for _, granted := range []float64{1, 2} {
 		var s fair.Shares
@@ -25,12 +24,12 @@
 			if i < 2000 {
 				congestion = 0.5
 			}
-			r := fair.Request{Team: team, Work: 1, Congestion: congestion, Chance: float64(i*7919%1000) / 1000}
-			if _, denied := s.Offer(now, &r); denied {
+			r := fair.Request{Team: team, Work: 1, Congestion: congestion, Random: float64(i*7919%1000) / 1000}
+			if _, denied := s.Admit(now, &r); denied {
 				refused++
 				continue
 			}
-			s.Grant(now, team, 0, granted)
+			s.RecordGranted(now, team, 0, granted)
 		}
 		t.Logf("granted %.0f: %d refused", granted, refused)
 		if refused == 0 {
--- a/gossip/cold_share_test.go
+++ b/gossip/cold_share_test.go
@@ -8,8 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// coldShares returns the sum of the live instances' shares of a cold endpoint's rate, and the
-// number of instances that hold one.
+// coldShares returns the sum of the live instances' cold shares, and the number of holders.
 func (w *simulation) coldShares() (sum float64, holders int) {
 	for _, n := range w.nodes {
 		if n.dead {
@@ -28,23 +27,23 @@
 
 const maxShareSum = 1 + 1e-9
 
-// In a settled fleet the shares sum to one. One instance per data centre holds a share in a large
-// fleet, and all do in a small one.
+// Once membership is stable, the shares sum to one. All instances of a small fleet hold a share; in
+// a large one, only its schedulers in use do.
 func TestColdSharesSumToOne(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ n, dataCentres, holders int }{{6, 3, 6}, {60, 3, 3}, {295, 5, 10}} {
 		w := newSimulation(t, c.n, c.dataCentres)
 		if sum, _ := w.coldShares(); sum != 0 {
-			t.Errorf("%d instances: shares sum to %.2f at the start", c.n, sum)
+			t.Errorf("%d instances: cold shares sum to %.2f at the start, want 0", c.n, sum)
 		}
 		w.run(12 * time.Second)
 		if sum, holders := w.coldShares(); sum < 0.99 || sum > maxShareSum || holders != c.holders {
-			t.Errorf("%d instances: %d hold shares of %.2f in sum, want %d holders and 1", c.n, holders, sum, c.holders)
+			t.Errorf("%d instances: %d hold cold shares of %.2f in sum, want %d holders and 1", c.n, holders, sum, c.holders)
 		}
 	}
 }
 
-// An instance that is isolated while running, or from its start, must not hold a share.
+// An instance that is isolated while running, or from its start, holds no share.
 func TestIsolatedInstanceHasNoColdShare(t *testing.T) {
 	w := newSimulation(t, 60, 3)
 	w.run(12 * time.Second)
@@ -52,7 +51,7 @@
 	w.lost = func(a, b *node) bool { return a == first || b == first }
 	w.run(8 * time.Second)
 	if sum, _ := w.coldShares(); sum > maxShareSum {
-		t.Errorf("shares sum to %.2f while one instance is isolated", sum)
+		t.Errorf("cold shares sum to %.2f while one instance is isolated, want at most maxShareSum", sum)
 	}
 	w.start(0, 9999, "dc0", 0.8)
 	w.lost = func(a, b *node) bool { return a == w.nodes[0] || b == w.nodes[0] }
@@ -61,29 +60,27 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if share := n.members.coldShare(w.now, n.members.currentRoles(w.now), 0); share != 0 {
-		t.Errorf("instance that started isolated holds a share of %.2f", share)
+		t.Errorf("instance that started isolated holds a cold share of %.2f, want 0", share)
 	}
 }
 
-// coldSharesNeverExceed fails the test if the sum of all shares exceeds limit at any time during
-// d.
 func (w *simulation) coldSharesNeverExceed(limit float64, d time.Duration) {
 	w.t.Helper()
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.run(100 * time.Millisecond)
 		if sum, holders := w.coldShares(); sum > limit+1e-9 {
-			w.t.Fatalf("%d instances hold shares of %.2f in sum", holders, sum)
+			w.t.Fatalf("%d instances hold cold shares of %.2f in sum, more than the limit", holders, sum)
 		}
 	}
 }
 
-// isolate partitions the given instances from all others and drops 2% of the datagrams.
+// isolate partitions each given instance from all others and drops 2% of the other datagrams.
 func (w *simulation) isolate(rng *rand.Rand, instances ...int) {
-	cut := make(map[*node]bool)
+	isolated := make(map[*node]bool)
 	for _, i := range instances {
-		cut[w.nodes[i]] = true
+		isolated[w.nodes[i]] = true
 	}
-	w.lost = func(a, b *node) bool { return cut[a] || cut[b] || rng.IntN(50) == 0 }
+	w.lost = func(a, b *node) bool { return isolated[a] || isolated[b] || rng.IntN(50) == 0 }
 }
 
 // Regression test: after a partition healed, instances that had been isolated from each other saw
@@ -138,11 +135,11 @@
 					}
 				}
 			case 2: // isolate some instances
-				cut := make(map[*node]bool)
+				isolated := make(map[*node]bool)
 				for range rapid.IntRange(1, w.size/2).Draw(rt, "cuts") {
-					cut[w.nodes[rapid.IntRange(0, w.size-1).Draw(rt, "cut off")]] = true
+					isolated[w.nodes[rapid.IntRange(0, w.size-1).Draw(rt, "cut off")]] = true
 				}
-				w.lost = func(a, b *node) bool { return cut[a] || cut[b] || rng.IntN(50) == 0 }
+				w.lost = func(a, b *node) bool { return isolated[a] || isolated[b] || rng.IntN(50) == 0 }
 			default: // partition two data centres from each other
 				w.lost = func(a, b *node) bool {
 					return a.DataCentre == "dc0" && b.DataCentre == "dc1" || a.DataCentre == "dc1" && b.DataCentre == "dc0"
@@ -151,7 +148,7 @@
 			for end := w.now.Add(time.Duration(rapid.IntRange(1, 6).Draw(rt, "s")) * time.Second); w.now.Before(end); {
 				w.run(100 * time.Millisecond)
 				if sum, holders := w.coldShares(); sum > 1+2/float64(dataCentres)+1e-9 {
-					rt.Fatalf("%d instances hold shares of %.2f in sum", holders, sum)
+					rt.Fatalf("%d instances hold cold shares of %.2f in sum, want at most 1 plus those of two data centres", holders, sum)
 				}
 			}
 		}
--- a/gossip/link.go
+++ b/gossip/link.go
@@ -2,12 +2,11 @@
 
 // This file measures the round trip to other regions. It does no I/O.
 //
-// The capacity and utilization of the link between regions aren't known, but queueing delay shows
-// in the round trip. Each scheduler measures it from the echoes of schedulers in other regions,
-// less the time that they held the token. Process pauses delay single datagrams, while queueing
-// delays all of them; so the minimum over a second is the present round trip, and the minimum
-// over a minute is the propagation delay. Counting bytes is not an alternative: an instance only
-// knows its own, and the capacity would have to be configured.
+// Queueing delay shows how loaded the link between regions is. Each scheduler measures the round
+// trip from the echoes of schedulers in other regions, less the time that they held the token.
+// Process pauses delay single datagrams and queueing delays all of them, so the minimum over a
+// second is the current round trip, and the minimum over a minute is the propagation delay. Bytes
+// are no measure: an instance only knows its own, and not the capacity of the link.
 
 import (
 	"time"
@@ -16,13 +15,12 @@
 )
 
 const (
-	// linkQueueWindow is the window whose minimum is the present round trip. It holds at least
-	// one sample of each remote scheduler.
+	// linkQueueWindow is the window whose minimum is the current round trip. It holds about one
+	// sample from each scheduler of the other regions.
 	linkQueueWindow = time.Second
 	// linkBaseWindow is the window whose minimum is the propagation delay.
 	linkBaseWindow = time.Minute
-	// Queueing delays from which the link is logged as congested, and below which it is logged as
-	// clear again.
+	// Queueing delays at which the link is logged as congested, and below which as clear again.
 	linkCongested = 20 * time.Millisecond
 	linkClear     = 5 * time.Millisecond
 )
@@ -30,11 +28,11 @@
 // A windowedMin is the minimum of a sliding window, whose length is accurate to half the window.
 type windowedMin struct {
 	window            time.Duration
-	halfStart         time.Time // start of the current half window
+	halfStart         time.Time
 	current, previous time.Duration
 }
 
-// add records a value and returns the minimum of the window.
+// add records v at now and returns the minimum of the window.
 func (l *windowedMin) add(now time.Time, v time.Duration) time.Duration {
 	passed := now.Sub(l.halfStart)
 	switch {
@@ -58,15 +56,14 @@
 	return link{recent: windowedMin{window: linkQueueWindow}, base: windowedMin{window: linkBaseWindow}}
 }
 
-// add records a round trip, and returns the propagation delay and the present queueing delay.
+// add records the round trip rtt, and returns the propagation delay and the present queueing delay.
 func (l *link) add(now time.Time, rtt time.Duration) (propagation, queueing time.Duration) {
 	propagation = l.base.add(now, rtt)
 	l.rtt = l.recent.add(now, rtt)
 	return propagation, max(0, l.rtt-propagation)
 }
 
-// measureLink records the round trip that a message from another region shows. The caller holds
-// g.mu.
+// measureLink records the round trip of a message from another region. The caller holds g.mu.
 func (g *Gossip) measureLink(now time.Time, m *Message) {
 	if m.TokenHeld == 0 || m.Echo == 0 || m.Echo > g.token || g.token-m.Echo >= tokenWindow || g.Regions[m.DataCentre] == g.Regions[g.DataCentre] {
 		return
--- a/gossip/members_test.go
+++ b/gossip/members_test.go
@@ -10,8 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Members must be visited in order of their addresses, each once, without sorting or allocation
-// per visit.
+// Live members are visited in order of address, each once, without allocation.
 func TestMembersStaySorted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -38,15 +37,15 @@
 		s.eachLive(now, func(m *Member) {
 			got = append(got, m.Address)
 			if m.ID != want[m.Address] || s.byAddress[m.Address] != m {
-				t.Fatalf("%s is %d, want %d", m.Address, m.ID, want[m.Address])
+				t.Fatalf("member at %s has ID %d, want %d, and the same entry in byAddress", m.Address, m.ID, want[m.Address])
 			}
 		})
 		if addresses := slices.Sorted(maps.Keys(want)); !slices.Equal(got, addresses) {
-			t.Fatalf("visited %v, want %v", got, addresses)
+			t.Fatalf("eachLive visits %v, want %v", got, addresses)
 		}
 		n := 0
 		if allocs := testing.AllocsPerRun(10, func() { s.eachLive(now, func(*Member) { n++ }) }); allocs > 0 {
-			t.Fatalf("eachLive allocates %v times", allocs)
+			t.Fatalf("eachLive allocates %v times, want none", allocs)
 		}
 	})
 }
--- a/gossip/permit_test.go
+++ b/gossip/permit_test.go
@@ -1,7 +1,6 @@
 package gossip
 
-// This file simulates fleets whose instances request permits in virtual time, and checks how many
-// are granted.
+// This file checks how many permits simulated fleets grant in virtual time.
 
 import (
 	"fmt"
@@ -54,33 +53,32 @@
 	}
 }
 
-// request has an instance request a permit from the allocator that it knows, and from the one
-// that this names.
+// request has n request a permit from the allocator that it knows, and follow redirects.
 func (c *permitClients) request(n *node) {
-	a := &PermitRequest{Endpoint: permitEndpoint, DataCentre: "dc1", Urgency: 2, Limit: balance.ReportedLimit{Known: true, Limited: true, Rate: c.rate}}
+	req := &PermitRequest{Endpoint: permitEndpoint, DataCentre: "dc1", Urgency: 2, Limit: balance.ReportedLimit{Known: true, Limited: true, Rate: c.rate}}
 	n.mu.Lock()
-	to := n.limitAllocator(c.w.now, a.Endpoint, a.DataCentre)
+	to := n.limitAllocator(c.w.now, req.Endpoint, req.DataCentre)
 	n.mu.Unlock()
-	answer := limit.Answer{Wait: limit.NoShareWait}
+	decision := limit.Decision{Wait: limit.NoShareWait}
 	for range maxPermitHops {
 		other := c.w.byAddress(to)
 		if other == nil || !c.w.reaches(n, other) || !c.w.reaches(other, n) {
 			break
 		}
 		c.requests++
-		answer, to = other.allocate(a)
+		decision, to = other.allocate(req)
 		if to == "" {
 			break
 		}
 	}
-	if answer.Granted {
+	if decision.Granted {
 		c.permits = append(c.permits, c.w.now)
 		return
 	}
-	c.retryAt[n] = c.w.now.Add(answer.Wait)
+	c.retryAt[n] = c.w.now.Add(decision.Wait)
 }
 
-// byAddress returns the live instance at an address, or nil.
+// byAddress returns the live instance at address, or nil.
 func (w *simulation) byAddress(address string) *node {
 	for _, n := range w.nodes {
 		if n.address.String() == address && !n.dead && !n.paused {
@@ -90,7 +88,7 @@
 	return nil
 }
 
-// reaches reports whether a datagram would arrive.
+// reaches reports whether a datagram of from would arrive at to.
 func (w *simulation) reaches(from, to *node) bool {
 	return from == to || w.lost == nil || !w.lost(from, to)
 }
@@ -111,7 +109,7 @@
 	return permitTolerance*c.rate*permitWindow.Seconds() + permitSlack
 }
 
-// used returns the fraction of the limit that was granted since a time.
+// used returns the fraction of the limit that was granted after since.
 func (c *permitClients) used(since time.Time) float64 {
 	n := 0
 	for _, at := range c.permits {
@@ -122,8 +120,7 @@
 	return float64(n) / (c.rate * c.w.now.Sub(since).Seconds())
 }
 
-// limitFleetSize returns the size of the largest fleet of TestLimitUtilization, which the
-// environment variable IVYRIDGE_INSTANCES overrides: 120 take minutes under the race detector.
+// limitFleetSize is the largest fleet of TestLimitUtilization; IVYRIDGE_INSTANCES overrides it.
 func limitFleetSize() int {
 	if n, err := strconv.Atoi(os.Getenv("IVYRIDGE_INSTANCES")); err == nil {
 		return n
@@ -131,8 +128,7 @@
 	return 30
 }
 
-// With enough demand at least 90% of a limit is used in small and large fleets, and at least 80%
-// if all demand is at one instance.
+// At least 90% of a limit is used if all instances have demand, and at least 80% if one does.
 func TestLimitUtilization(t *testing.T) {
 	t.Parallel()
 	all := []float64{0.5, 1.2, 50}
@@ -148,33 +144,32 @@
 				}
 				w.run(10 * time.Second)
 				clients := newPermitClients(w, rate, 1)
-				began, asks := w.now, 0
+				began, sent := w.now, 0
 				clients.run(20 * time.Second)
-				asks = clients.requests
+				sent = clients.requests
 				if used := clients.used(began); used < 0.9 || used > 1.1 {
-					t.Errorf("%.2f of the limit used", used)
+					t.Errorf("clients used %.2f of the limit, want 0.9 to 1.1", used)
 				}
-				if perSecond := float64(asks) / 20; perSecond > 1000 {
-					t.Errorf("%.0f requests per second", perSecond)
+				if perSecond := float64(sent) / 20; perSecond > 1000 {
+					t.Errorf("%.0f permit requests per second, want at most 1000", perSecond)
 				}
 				for _, only := range []*node{w.nodes[0], w.nodes[c.n-1]} {
 					clients.demand = func(n *node) bool { return n == only }
 					began = w.now
 					clients.run(10 * time.Second)
 					if used := clients.used(began); used < 0.8 {
-						t.Errorf("%.2f of the limit used with all demand at one instance", used)
+						t.Errorf("%.2f of the limit used with all demand at one instance, want at least 0.8", used)
 					}
 				}
 				if n := clients.maxInWindow(); float64(n) > clients.allowed() {
-					t.Errorf("%d permits in 4 s, at most %.0f allowed", n, clients.allowed())
+					t.Errorf("%d permits granted within 4 s, want at most %.0f", n, clients.allowed())
 				}
 			})
 		}
 	}
 }
 
-// After the allocator of a limit is lost, another one takes over within some seconds. A joining
-// instance doesn't reduce utilization.
+// Limits stay in use after their allocator is lost, and while an instance joins.
 func TestLimitUtilizationDuringChurn(t *testing.T) {
 	t.Parallel()
 	w := newSimulation(t, 24, 3)
@@ -192,22 +187,21 @@
 		began := w.now
 		clients.run(10 * time.Second)
 		if used := clients.used(began); used < 0.9 {
-			t.Errorf("%.2f of the limit used 4 s after the allocator was lost", used)
+			t.Errorf("%.2f of the limit used from 4 s after the allocator was lost, want at least 0.9", used)
 		}
 		began = w.now
 		w.start(slices.Index(w.nodes, lost), clients.rng.Uint64()|1, lost.DataCentre, lost.Cores)
 		clients.run(12 * time.Second)
 		if used := clients.used(began); used < 0.85 {
-			t.Errorf("%.2f of the limit used while an instance joins", used)
+			t.Errorf("%.2f of the limit used while an instance joins, want at least 0.85", used)
 		}
 	}
 	if n := clients.maxInWindow(); float64(n) > clients.allowed() {
-		t.Errorf("%d permits in 4 s, at most %.0f allowed", n, clients.allowed())
+		t.Errorf("%d permits granted within 4 s, want at most %.0f", n, clients.allowed())
 	}
 }
 
-// Each region allocates its own part of a limit. The sum never exceeds the limit, also during a
-// long partition between the regions.
+// The regions' parts of a limit are used but never exceed it, also during a long partition.
 func TestRegionsSplitLimits(t *testing.T) {
 	t.Parallel()
 	regions := map[string]string{"dc0": "east", "dc1": "east", "dc2": "west", "dc3": "west"}
@@ -217,25 +211,24 @@
 	began := w.now
 	clients.run(20 * time.Second)
 	if used := clients.used(began); used < 0.9 || used > 1.1 {
-		t.Errorf("%.2f of the limit used", used)
+		t.Errorf("clients used %.2f of the limit, want 0.9 to 1.1", used)
 	}
 	w.lost = func(a, b *node) bool { return regions[a.DataCentre] != regions[b.DataCentre] }
 	clients.run(10 * time.Second)
 	began = w.now
 	clients.run(60 * time.Second)
 	if used := clients.used(began); used < 0.9 || used > 1.1 {
-		t.Errorf("%.2f of the limit used while the regions are partitioned", used)
+		t.Errorf("%.2f of the limit used while the regions are partitioned, want 0.9 to 1.1", used)
 	}
 	w.lost = nil
 	clients.run(10 * time.Second)
 	if n := clients.maxInWindow(); float64(n) > clients.allowed() {
-		t.Errorf("%d permits in 4 s, at most %.0f allowed", n, clients.allowed())
+		t.Errorf("%d permits granted within 4 s, want at most %.0f", n, clients.allowed())
 	}
 }
 
-// With random crashes, restarts, pauses, partitions, lost and duplicated datagrams and different
-// limits, the permits granted within any 4 s stay within the bound. Run more cases with
-// -rapid.checks=400.
+// The permits granted within any 4 s stay within the bound under random faults. Run more cases
+// with -rapid.checks=400.
 func TestLimitsUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) { checkPermitsUnderFaults(t, rt) })
@@ -279,42 +272,39 @@
 		}
 		clients.run(time.Duration(rapid.IntRange(1, 6).Draw(rt, "s")) * time.Second)
 		if n := clients.maxInWindow(); float64(n) > clients.allowed() {
-			rt.Fatalf("%d permits in 4 s, at most %.0f allowed", n, clients.allowed())
+			rt.Fatalf("%d permits granted within 4 s, want at most %.0f", n, clients.allowed())
 		}
 	}
 }
 
-// setDataCentres sets the configured number of data centres.
 func (w *simulation) setDataCentres(n int) {
 	for _, node := range w.nodes {
 		node.DataCentres = n
 	}
 }
 
-// Permit requests, permits and limits survive encoding and decoding; an invalid rate decodes as
-// no limit.
+// Permit messages survive encoding and decoding; an invalid rate decodes as no limit.
 func TestPermitMessageRoundTrip(t *testing.T) {
 	lim := balance.ReportedLimit{Known: true, Limited: true, Rate: 1.2, Age: 1500 * time.Millisecond}
 	m := &Message{Sender: 1, DataCentre: "a", AllocatesLimits: true,
 		PermitRequest: &PermitRequest{Number: 7, Endpoint: 99, DataCentre: "b", Urgency: 2, Limit: lim}}
 	got, err := Decode(m.Append(nil))
 	if err != nil || !got.AllocatesLimits || *got.PermitRequest != *m.PermitRequest {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("decoded message is %+v, error %v, want the encoded one", got, err)
 	}
 	m = &Message{Sender: 1, PermitResponse: &PermitResponse{Number: 7, Granted: true, Wait: time.Second, Allocator: "10.0.0.1:1", Limit: lim},
 		Reports: []balance.Report{{Endpoint: 5, Limit: lim}, {Endpoint: 6}}}
 	got, err = Decode(m.Append(nil))
 	if err != nil || *got.PermitResponse != *m.PermitResponse || got.Reports[0].Limit != lim || got.Reports[1].Limit.Known {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("decoded message is %+v, error %v, want the encoded one", got, err)
 	}
 	m.PermitResponse.Limit.Rate = -1
 	if got, err = Decode(m.Append(nil)); err != nil || got.PermitResponse.Limit.Known {
-		t.Errorf("got %+v, %v", got.PermitResponse, err)
+		t.Errorf("response with a negative rate decodes to %+v, error %v, want no known limit", got.PermitResponse, err)
 	}
 }
 
-// BenchmarkPermit measures receiving a permit request, answering it and sending the answer, in a
-// fleet of 120.
+// BenchmarkPermit measures decoding a permit request and sending the response in a fleet of 120.
 func BenchmarkPermit(b *testing.B) {
 	w := newSimulation(b, 120, 6)
 	w.run(10 * time.Second)
--- a/gossip/rolling_release_test.go
+++ b/gossip/rolling_release_test.go
@@ -44,9 +44,9 @@
 }
 
 // update has the selected followers fetch changes, or everything if they have nothing yet.
-func (c *followerChain) update(t *testing.T, which func(i int) bool) {
+func (c *followerChain) update(t *testing.T, selected func(i int) bool) {
 	for i, table := range c.followers {
-		if !which(i) {
+		if !selected(i) {
 			continue
 		}
 		var u *discovery.Update
@@ -64,8 +64,8 @@
 	}
 }
 
-// During a rolling release the bandwidth per follower stays bounded, whatever the number of
-// endpoints. A follower that misses more changes than are remembered gets everything once.
+// A rolling release takes bounded bandwidth per follower, whatever the number of endpoints. A
+// follower that misses more changes than are remembered gets everything once.
 func TestRollingReleaseTraffic(t *testing.T) {
 	const (
 		perSecond      = 53
@@ -105,7 +105,7 @@
 			rate := float64(c.bytes[1]) / duration.Seconds()
 			t.Logf("%d endpoints: %d bytes at the start, %.0f B/s during the release", n, start, rate)
 			if rate > maxRate {
-				t.Errorf("%.0f B/s sent per follower", rate)
+				t.Errorf("%.0f B/s sent per follower, want at most maxRate", rate)
 			}
 			c.now = c.now.Add(time.Minute)
 			_ = c.reader.Apply(&discovery.Update{Revision: revision + 1, ValidatedAt: c.now})
@@ -113,7 +113,7 @@
 			_, want := c.reader.Digest()
 			for i, table := range c.followers {
 				if _, got := table.Digest(); got != want {
-					t.Errorf("follower %d has other endpoints than the reader", i)
+					t.Errorf("follower %d lists other endpoints than the reader", i)
 				}
 			}
 		})
--- a/gossip/suspects_test.go
+++ b/gossip/suspects_test.go
@@ -15,7 +15,7 @@
 	"ivyridge/poison"
 )
 
-// pull answers an instance that fetches the suspect table of another one.
+// pull returns the suspect table of the instance at address, as fetched by from.
 func (w *simulation) pull(from *node, address string) ([]byte, error) {
 	for _, n := range w.nodes {
 		if n.address.String() != address {
@@ -29,7 +29,7 @@
 		w.pullBytes += len(data)
 		return data, nil
 	}
-	return nil, errors.New("no answer")
+	return nil, errors.New("instance did not respond")
 }
 
 // suspectID returns the ID of the n-th request.
@@ -38,8 +38,7 @@
 	return id
 }
 
-// reportEndpointFailure has an instance report that an endpoint crashed while it served a request
-// and the given number of others.
+// reportEndpointFailure has instance report a crash of endpoint with request and others in flight.
 func (w *simulation) reportEndpointFailure(instance, endpoint, request, others int) {
 	n := w.nodes[instance]
 	entries := []poison.Entry{{ID: suspectID(request), Outline: poison.Outline(request), Service: "m", Route: "chat", Team: "team"}}
@@ -53,14 +52,14 @@
 	n.SendSuspects(n.Suspects.EndpointCrashed(w.now, entries))
 }
 
-// countKnown counts the live instances at which a request is known to crash endpoints.
+// countKnown counts the live instances, and those at which request is known to crash endpoints.
 func (w *simulation) countKnown(request int) (known, live int) {
 	for _, n := range w.nodes {
 		if n.dead {
 			continue
 		}
 		live++
-		if n.Suspects.Standing(suspectID(request)) == poison.Confirmed {
+		if n.Suspects.State(suspectID(request)) == poison.Confirmed {
 			known++
 		}
 	}
@@ -70,12 +69,11 @@
 func (w *simulation) wantSuspectKnown(when string, request int) {
 	w.t.Helper()
 	if known, live := w.countKnown(request); known != live {
-		w.t.Errorf("%s: suspect known at %d of %d instances", when, known, live)
+		w.t.Errorf("%s: suspect confirmed at %d of %d live instances, want all", when, known, live)
 	}
 }
 
-// suspectFleetSize returns the size of the largest fleet in these tests, which the environment
-// variable IVYRIDGE_INSTANCES overrides: 390 take minutes under the race detector.
+// suspectFleetSize is the size of the largest fleet; IVYRIDGE_INSTANCES overrides it.
 func suspectFleetSize() int {
 	if n, err := strconv.Atoi(os.Getenv("IVYRIDGE_INSTANCES")); err == nil {
 		return n
@@ -83,9 +81,8 @@
 	return 120
 }
 
-// Three crashes reported by three instances are known everywhere a second after the third, in
-// small and large fleets, with 5% datagram loss, a lost first scheduler and an instance that
-// restarts afterwards.
+// Three crashes are known everywhere a second after the third, despite 5% datagram loss, a lost
+// first scheduler and an instance that restarts afterwards.
 func TestSuspectsReachAllInstances(t *testing.T) {
 	for _, c := range []struct{ instances, dataCentres int }{{6, 3}, {suspectFleetSize(), 6}} {
 		t.Run(fmt.Sprint(c.instances), func(t *testing.T) {
@@ -111,13 +108,13 @@
 			w.run(4 * time.Second)
 			for i, n := range w.nodes {
 				if n.Suspects.Digest() != digest {
-					t.Errorf("instance %d has another suspect table than the first one", i)
+					t.Errorf("instance %d has a different suspect table than instance 0", i)
 				}
 			}
 			sent, pulls := w.suspectBytes, w.pulls
 			w.run(8 * time.Second)
 			if w.suspectBytes != sent || w.pulls != pulls {
-				t.Errorf("%d bytes sent and %d tables fetched in 8 s without news", w.suspectBytes-sent, w.pulls-pulls)
+				t.Errorf("%d bytes sent and %d tables fetched in 8 s without new suspects, want none", w.suspectBytes-sent, w.pulls-pulls)
 			}
 			t.Logf("3 crashes with 41 requests each: %d bytes sent per instance, %d tables of %d bytes fetched in total",
 				sent/c.instances, pulls, w.pullBytes/max(1, pulls))
@@ -129,7 +126,7 @@
 func TestSuspectsMergeAfterRegionPartition(t *testing.T) {
 	w := newRegionSimulation(t, 36, 4, map[string]string{"dc0": "north", "dc1": "south", "dc2": "north", "dc3": "south"}, true)
 	w.run(12 * time.Second)
-	w.lost = w.apart
+	w.lost = w.inDifferentRegions
 	w.run(8 * time.Second)
 	w.reportEndpointFailure(0, 1, 1, 5) // the north
 	w.run(time.Second)
@@ -138,7 +135,7 @@
 	w.reportEndpointFailure(0, 3, 1, 5)
 	w.run(time.Second)
 	if known, _ := w.countKnown(1); known != 0 {
-		t.Errorf("suspect known at %d instances, though each region has seen fewer than three crashes", known)
+		t.Errorf("suspect confirmed at %d instances, want none: each region has seen fewer than three crashes", known)
 	}
 	w.lost = nil
 	w.run(5 * time.Second)
@@ -146,7 +143,7 @@
 	w.nodes[7].SendSuspects(w.nodes[7].Suspects.Clear(suspectID(1)))
 	w.run(time.Second)
 	if known, live := w.countKnown(1); known != 0 {
-		t.Errorf("suspect known at %d of %d instances after one has seen it answered", known, live)
+		t.Errorf("suspect confirmed at %d of %d live instances after one has cleared it, want none", known, live)
 	}
 }
 
@@ -167,7 +164,7 @@
 	size := len(EncodeSuspects(w.now, w.nodes[5].Suspects))
 	t.Logf("table has %d bytes, %d sent per instance, %d tables fetched", size, w.suspectBytes/60, w.pulls)
 	if size > 100_000 {
-		t.Errorf("table of a thousand suspects has %d bytes", size)
+		t.Errorf("table of a thousand suspects has %d bytes, want at most 100,000", size)
 	}
 }
 
@@ -184,9 +181,9 @@
 	if rapid.Bool().Draw(t, "came") {
 		e.LastSeen = now.Add(-past("since"))
 	}
-	for range rapid.IntRange(0, poison.MostStrikes).Draw(t, "strikes") {
+	for range rapid.IntRange(0, poison.MaxStrikes).Draw(t, "strikes") {
 		s := poison.Strike{
-			Endpoint: rapid.Uint32().Draw(t, "endpoint"), CrashedAt: now.Add(-past("ago")), Void: rapid.Bool().Draw(t, "void"),
+			Endpoint: rapid.Uint32().Draw(t, "endpoint"), CrashedAt: now.Add(-past("ago")), Cleared: rapid.Bool().Draw(t, "void"),
 			ListedEndpoints: rapid.IntRange(0, maxCount).Draw(t, "of"), InFlight: rapid.IntRange(0, maxCount).Draw(t, "among"),
 			TeamSpread: float64(rapid.IntRange(0, 10_000).Draw(t, "spread")) * shareUnit,
 		}
@@ -206,13 +203,12 @@
 			t.Fatal(err)
 		}
 		if a, b := fmt.Sprintf("%+v", e), fmt.Sprintf("%+v", got); a != b {
-			t.Fatalf("got\n%s, want\n%s", b, a)
+			t.Fatalf("decoded suspect is\n%s, want\n%s", b, a)
 		}
 	})
 }
 
-// Arbitrary input decodes to a bounded entry that encodes and decodes to itself, and that a table
-// can merge.
+// Arbitrary input decodes to a bounded entry that encodes to itself and that a table can merge.
 func FuzzSuspects(f *testing.F) {
 	now := time.Unix(1_000_000, 0)
 	e := poison.Entry{ID: suspectID(1), Service: "m", Strikes: []poison.Strike{{Endpoint: 7, CrashedAt: now.Add(-time.Second), SentAt: now.Add(-2 * time.Second)}}}
@@ -229,17 +225,17 @@
 	if err != nil {
 		return
 	}
-	if len(e.Strikes) > poison.MostStrikes {
-		t.Fatalf("%d strikes", len(e.Strikes))
+	if len(e.Strikes) > poison.MaxStrikes {
+		t.Fatalf("decoded entry has %d strikes, want at most poison.MaxStrikes", len(e.Strikes))
 	}
 	again, err := DecodeSuspect(now, AppendSuspect(nil, now, &e))
 	if err != nil || fmt.Sprintf("%+v", again) != fmt.Sprintf("%+v", e) {
-		t.Fatalf("%+v decodes again to %+v, %v", e, again, err)
+		t.Fatalf("encoding of %+v decodes to %+v, error %v, want the same entry", e, again, err)
 	}
 	table := poison.NewTable()
-	news := table.Merge(now, []poison.Entry{e})
-	if len(table.Merge(now, news)) > 0 {
-		t.Fatalf("merged entries reported as new again: %+v", news)
+	changed := table.Merge(now, []poison.Entry{e})
+	if len(table.Merge(now, changed)) > 0 {
+		t.Fatalf("merged entries reported as new again: %+v", changed)
 	}
 	table.Slowed(now, e.Service, e.Team)
 }
@@ -249,7 +245,7 @@
 	now := time.Unix(1_000_000, 0)
 	strike := poison.Strike{Endpoint: 7, CrashedAt: now.Add(-time.Second), SentAt: now.Add(-2 * time.Second), ListedEndpoints: 12, InFlight: 3, TeamSpread: 0.1}
 	later := strike
-	later.CrashedAt, later.Void = now, true
+	later.CrashedAt, later.Cleared = now, true
 	one := poison.Entry{ID: suspectID(1), Service: "m", Team: "team", Route: "chat", Strikes: []poison.Strike{strike, later}}
 	two := poison.Entry{ID: suspectID(2), Service: "n", Confirmed: true, LastSeen: now, Strikes: []poison.Strike{strike, strike, later}}
 	source := mutate.New(1, AppendSuspect(nil, now, &one), AppendSuspect(nil, now, &two))
