--- a/gossip/teams_test.go
+++ b/gossip/teams_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(m.Teams, uses) {
-		t.Errorf("got %+v, want %+v", m.Teams, uses)
+		t.Errorf("decoded uses are %+v, want %+v", m.Teams, uses)
 	}
 }
 
@@ -35,20 +35,19 @@
 		level uint64
 		fails bool
 	}{
-		{"a hash cut off", []byte{1, 2}, 1, true},
-		{"a rate cut off", []byte{1, 2, 3, 4, 0x80}, 1, true},
+		{"a truncated hash", []byte{1, 2}, 1, true},
+		{"a truncated rate", []byte{1, 2, 3, 4, 0x80}, 1, true},
 		{"an unknown level", []byte{1, 2, 3, 4, 5}, fair.Levels, false},
 	} {
 		group := appendUint(nil, fieldTeamLevel, c.level)
 		m, err := Decode(appendBytes((&Message{Sender: 1}).Append(nil), fieldTeams, appendBytes(group, fieldTeamRates, c.rates)))
 		if (err != nil) != c.fails || len(m.Teams) > 0 {
-			t.Errorf("%s: got %v, %+v", c.name, err, m.Teams)
+			t.Errorf("%s: error is %v and uses are %+v, want no uses, and an error if malformed", c.name, err, m.Teams)
 		}
 	}
 }
 
-// A team message replaces what was sent for a service before, so the uses of a service must be in
-// one message.
+// The uses of a service stay in one message, since a message replaces earlier ones of the service.
 func TestTeamUsesSplitByService(t *testing.T) {
 	var uses []balance.TeamUse
 	for service := range uint32(7) {
@@ -61,7 +60,7 @@
 		var first []balance.TeamUse
 		first, uses = splitTeams(uses)
 		if len(first) == 0 || len(first) > maxTeamUses || seen[first[0].Service] {
-			t.Fatalf("message %d has %d uses, from service %d on", sent, len(first), first[0].Service)
+			t.Fatalf("message %d has %d uses, from service %d on, want 1 to maxTeamUses of services not sent before", sent, len(first), first[0].Service)
 		}
 		for _, u := range first {
 			seen[u.Service] = true
@@ -69,8 +68,7 @@
 	}
 }
 
-// While a service is short of capacity, its schedulers know the demand of teams at the others.
-// Nothing is sent once the rush is over.
+// While a service is short of capacity, and only then, its schedulers exchange the teams' demand.
 func TestTeamUsesReachOtherSchedulers(t *testing.T) {
 	t.Parallel()
 	w := newSimulation(t, 30, 2)
@@ -101,19 +99,19 @@
 	for i, n := range w.nodes[:2] {
 		shares := n.Balancer.Shares()
 		if len(shares) != 1 || len(shares[0].Levels) != 1 {
-			t.Fatalf("scheduler %d has shares %+v", i, shares)
+			t.Fatalf("scheduler %d has shares %+v, want one service with one priority level", i, shares)
 		}
 		if s := shares[0].Levels[0].Teams[0]; s.Team != heavy || s.Others < s.Asked/2 {
-			t.Errorf("scheduler %d knows %+v of the team with the highest demand", i, s)
+			t.Errorf("first team of scheduler %d is %+v, want heavy with at least half its demand at others", i, s)
 		}
 	}
 	if messages == 0 {
-		t.Error("no team messages sent during the rush")
+		t.Error("no team messages sent while capacity was short")
 	}
 	w.run(5 * time.Second)
 	messages = 0
 	w.run(5 * time.Second)
 	if messages > 0 {
-		t.Errorf("%d team messages sent after the rush", messages)
+		t.Errorf("%d team messages sent after demand ended, want none", messages)
 	}
 }
--- a/home/home.go
+++ b/home/home.go
@@ -1,18 +1,13 @@
 // Package home implements admission control, ordering and placement of the
 // requests of one cell of endpoints.
 //
-// A cell is a bounded group of identical endpoints. Its home instance holds the
-// cell's only queue and grants a request only when an endpoint has a free slot
-// for it. A Home does no I/O and reads no clock: every method takes the current
-// time and an event, and TakeDecisions returns the resulting decisions. All its
-// state is soft and rebuilt within seconds from the entry instances: they hold the
-// requests, ask again elsewhere when a home is lost, and report what they run
-// to each home.
+// A cell is a bounded group of identical endpoints. Its home instance holds the cell's only queue
+// and grants a request only when an endpoint has a free slot for it. The state of a Home is rebuilt
+// within seconds from the entry instances, at which requests arrive: they hold the requests, ask
+// another instance when a home is lost, and report their runs to each home.
 //
-// home.go handles events and state, estimate.go predicts service and waiting
-// times and decides admission, place.go selects endpoints, limits.go and fit.go
-// set the concurrency limits, and policy.go defines the policy switches. A Home
-// is not safe for concurrent use.
+// A Home does no I/O and reads no clock: its methods take the current time and an event, and
+// TakeDecisions returns the resulting decisions. It is not safe for concurrent use.
 package home
 
 import (
@@ -25,17 +20,12 @@
 	"ivyridge/verdict"
 )
 
-// Timeouts of a Home's soft state.
 const (
 	// RunLease is how long a run is counted after its entry last reported it.
-	RunLease = 3 * time.Second
-	// maxReportAge is the age above which an endpoint's load report is stale
-	// when a Home resumes deciding; reportTimeout is how long a Home waits
-	// for a new report before it uses the endpoint anyway.
-	maxReportAge  = time.Second
-	reportTimeout = 400 * time.Millisecond
-	// syncGrace is how long a new grant may be missing from its entry's Sync.
-	syncGrace = time.Second
+	RunLease      = 3 * time.Second
+	maxReportAge  = time.Second            // older load reports are stale when a Home resumes deciding
+	reportTimeout = 400 * time.Millisecond // wait for a report, after which the endpoint is used without
+	syncGrace     = time.Second            // how long a new grant may be missing from its entry's Sync
 )
 
 // A Key identifies one attempt by entry instance and sequence number.
@@ -44,7 +34,7 @@
 	Seq   uint64
 }
 
-// A Request is a request for an endpoint slot.
+// A Request asks for a slot on an endpoint.
 type Request struct {
 	Key
 	Class      string
@@ -94,6 +84,7 @@
 	Stopped    bool // by an operator command
 }
 
+// A run is a granted request that has not ended.
 type run struct {
 	key       Key
 	endpoint  *endpoint
@@ -104,28 +95,28 @@
 
 // A Home is the state of one cell.
 type Home struct {
-	pool         decl.Pool
-	policy       Policy
-	classes      []*decl.Class
-	classIndex   map[string]int
-	set          *decl.Set
-	q            *queue.Queue
-	lengths      *length.Distributions
-	stats        []classStats
-	waiting      map[Key]*queue.Request
-	running      map[Key]*run
-	byName       map[string]*endpoint
-	list         []*endpoint
-	nextIndex    int     // next round-robin index
-	share        float64 // part of each concurrency limit that this instance may grant
-	decisions    []Decision
-	freeRequests []*queue.Request
-	freeRuns     []*run // for reuse
-	accept       func(*queue.Request) bool
-	acceptOwed   func(*queue.Request) bool
-	runsByTier   [decl.MaxTier + 1]int // number of runs
-	now          time.Duration
-	Counts       Counts
+	pool             decl.Pool
+	policy           Policy
+	classes          []*decl.Class
+	classIndex       map[string]int
+	set              *decl.Set
+	q                *queue.Queue
+	lengths          *length.Distributions
+	stats            []classStats
+	waiting          map[Key]*queue.Request
+	running          map[Key]*run
+	byName           map[string]*endpoint
+	endpoints        []*endpoint
+	nextIndex        int     // of the round robin in endpoints
+	share            float64 // part of each concurrency limit that this instance may grant
+	decisions        []Decision
+	freeRequests     []*queue.Request
+	freeRuns         []*run
+	accept           func(*queue.Request) bool
+	acceptBelowShare func(*queue.Request) bool
+	runsByTier       [decl.MaxTier + 1]int
+	now              time.Duration
+	Counts           Counts
 }
 
 // Counts are totals since the Home was created.
@@ -143,13 +134,13 @@
 		byName:  make(map[string]*endpoint),
 		share:   1,
 	}
-	h.accept, h.acceptOwed = h.placeable, h.placeableOwed
+	h.accept, h.acceptBelowShare = h.placeable, h.placeableBelowShare
 	h.Configure(0, set, pool)
 	return h
 }
 
-// Configure applies new declarations. Waiting requests keep their order;
-// those whose class no longer exists are refused.
+// Configure applies the declarations in set, with pool as the cell's pool. Waiting requests keep
+// their order; those whose class no longer exists are refused.
 func (h *Home) Configure(now time.Duration, set *decl.Set, pool *decl.Pool) {
 	h.now = now
 	oldClasses, oldStats, oldIndex := h.classes, h.stats, h.classIndex
@@ -172,8 +163,7 @@
 	h.dispatch()
 }
 
-// reassignRuns maps the runs to the new class indexes. A run whose class no
-// longer exists is counted under the first class.
+// reassignRuns recounts all runs by the new classes, those of a removed class under the first.
 func (h *Home) reassignRuns(oldClasses []*decl.Class) {
 	h.runsByTier = [decl.MaxTier + 1]int{}
 	for _, e := range h.byName {
@@ -185,7 +175,6 @@
 	}
 }
 
-// requeue moves the waiting requests to the new queue.
 func (h *Home) requeue(oldClasses []*decl.Class) {
 	for key, r := range h.waiting {
 		a := r.Payload.(*Request)
@@ -202,15 +191,15 @@
 	}
 }
 
-// SetShare sets the part, 0 to 1, of every endpoint's limit that this Home may
-// grant: 1 for the home of the cell, less for an instance that stands in for it.
+// SetShare sets the part, 0 to 1, of every endpoint's limit that this Home may grant: 1 for the
+// home of the cell, less for a fallback.
 func (h *Home) SetShare(now time.Duration, share float64) {
 	h.now = now
 	h.share = share
 	h.dispatch()
 }
 
-// SetEndpoints sets the endpoints of the cell. An endpoint that is leaving,
+// SetEndpoints sets the endpoints of the cell to eps. An endpoint that is leaving,
 // stopped or absent receives no more requests; its runs continue.
 func (h *Home) SetEndpoints(now time.Duration, eps []Endpoint) {
 	h.now = now
@@ -220,7 +209,7 @@
 		x := h.byName[e.Name]
 		if x == nil || x.spec.Addr != e.Addr {
 			x = newEndpoint(e, &h.pool)
-			x.unheardSince = now
+			x.awaitingReportSince = now
 			h.byName[e.Name] = x
 		}
 		x.update(e)
@@ -233,27 +222,26 @@
 			}
 		}
 	}
-	h.list = h.list[:0]
+	h.endpoints = h.endpoints[:0]
 	for _, e := range eps {
-		h.list = append(h.list, h.byName[e.Name])
+		h.endpoints = append(h.endpoints, h.byName[e.Name])
 	}
 	h.dispatch()
 }
 
-// RequireReports reports that this Home has not decided for some time. Endpoints
-// without a recent load report may have begun to leave meanwhile, so they get no
-// requests until they report again or reportTimeout passes.
+// RequireReports withholds requests from endpoints without a recent load report, which may be
+// leaving, until they report or reportTimeout passes. Call it when this Home resumes deciding.
 func (h *Home) RequireReports(now time.Duration) {
 	h.now = now
-	for _, e := range h.list {
+	for _, e := range h.endpoints {
 		if now-e.reported > maxReportAge {
 			e.machine.Step(evRequireReports)
-			e.unheardSince = now
+			e.awaitingReportSince = now
 		}
 	}
 }
 
-// Submit submits a request, which is granted, refused or queued.
+// Submit grants, refuses or queues a. It ignores a request that already waits or runs.
 func (h *Home) Submit(now time.Duration, a Request) {
 	h.now = now
 	h.Counts.Asked++
@@ -263,7 +251,7 @@
 		return
 	}
 	if _, duplicate := h.waiting[a.Key]; duplicate {
-		return // retransmitted message
+		return // a retransmission
 	}
 	if _, duplicate := h.running[a.Key]; duplicate {
 		return
@@ -304,8 +292,7 @@
 	return 1
 }
 
-// Cancel removes a waiting request. A request already granted is unaffected;
-// its entry releases it.
+// Cancel removes the request key if it waits. A granted one is not ended: its entry releases it.
 func (h *Home) Cancel(now time.Duration, key Key) {
 	h.now = now
 	if r, ok := h.waiting[key]; ok {
@@ -315,7 +302,7 @@
 	}
 }
 
-// Done ends a run and updates the estimates from it.
+// Done ends the run that rel reports and updates the estimates from it.
 func (h *Home) Done(now time.Duration, rel Release) {
 	h.now = now
 	r := h.running[rel.Key]
@@ -334,7 +321,6 @@
 	h.freeRuns = append(h.freeRuns, r)
 }
 
-// startRun records a run.
 func (h *Home) startRun(x run) {
 	var r *run
 	if n := len(h.freeRuns); n > 0 {
@@ -348,16 +334,14 @@
 	h.countRun(r, 1)
 }
 
-// countRun adds delta to the run counts of r's endpoint and tier.
 func (h *Home) countRun(r *run, delta int) {
 	r.endpoint.running += delta
 	r.endpoint.runsByTier[h.classes[r.class].Tier] += delta
 	h.runsByTier[h.classes[r.class].Tier] += delta
 }
 
-// Sync reports all runs of entry in this cell. Runs that the entry no longer
-// reports are ended, and unknown ones are added, which is how a new home learns
-// what runs in its cell.
+// Sync applies runs, all that entry has in this cell. Its other runs older than syncGrace are
+// ended, and unknown ones are added, from which a new home learns what runs in its cell.
 func (h *Home) Sync(now time.Duration, entry string, runs []ActiveRun) {
 	h.now = now
 	for _, x := range runs {
@@ -389,9 +373,9 @@
 	if h.policy.Admit {
 		h.q.Expire(now, h.refuseExpired)
 	}
-	for _, e := range h.list {
-		if e.machine.State() == stUnheard && now-e.unheardSince > reportTimeout {
-			e.machine.Step(evTrust)
+	for _, e := range h.endpoints {
+		if e.machine.State() == stAwaitingReport && now-e.awaitingReportSince > reportTimeout {
+			e.machine.Step(evReportTimeout)
 		}
 	}
 	for _, r := range h.running {
@@ -406,7 +390,7 @@
 func (h *Home) refuseExpired(r *queue.Request) {
 	a := r.Payload.(*Request)
 	delete(h.waiting, a.Key)
-	e := verdict.Refuse(verdict.DeadlineMissed, "class %q can no longer meet its target", a.Class)
+	e := verdict.Refuse(verdict.DeadlineMissed, "class %q can no longer be answered in time", a.Class)
 	h.decide(a.Key, nil, e.WithRetryAfter(h.retryAfter(r)))
 	h.freeRequests = append(h.freeRequests, r)
 }
@@ -414,7 +398,7 @@
 // dispatch grants queued requests while endpoints have free slots.
 func (h *Home) dispatch() {
 	for h.q.Len() > 0 {
-		r := h.q.Pop(h.accept, h.acceptOwed)
+		r := h.q.Pop(h.accept, h.acceptBelowShare)
 		if r == nil {
 			return
 		}
@@ -476,8 +460,8 @@
 
 // Endpoints returns the state of every endpoint of the cell.
 func (h *Home) Endpoints(now time.Duration) []EndpointStatus {
-	out := make([]EndpointStatus, len(h.list))
-	for i, e := range h.list {
+	out := make([]EndpointStatus, len(h.endpoints))
+	for i, e := range h.endpoints {
 		out[i] = EndpointStatus{e.spec.Name, e.machine.Name(), e.running, e.limit, e.lowLimit, e.foreign, e.gapDuration(), now - e.reported}
 	}
 	return out
@@ -498,9 +482,9 @@
 	evLeave          = chart.Endpoint.Event("leave")
 	evStop           = chart.Endpoint.Event("stop")
 	evStart          = chart.Endpoint.Event("start")
-	evTrust          = chart.Endpoint.Event("trust")
+	evReportTimeout  = chart.Endpoint.Event("trust")
 	evRequireReports = chart.Endpoint.Event("distrust")
-	stUnheard        = chart.Endpoint.State("unheard")
+	stAwaitingReport = chart.Endpoint.State("unheard")
 	stServing        = chart.Endpoint.State("serving")
 	stSlow           = chart.Endpoint.State("slow")
 )
--- a/instance/settings_test.go
+++ b/instance/settings_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	if s.Name != "front-ams-a-1" || len(s.Seeds) != 2 || s.Promises.GraceS != 8 || s.Log.Level != "info" {
-		t.Errorf("got %+v", s)
+		t.Errorf("got %+v, want name front-ams-a-1, two seeds, grace_s 8 and log level info", s)
 	}
 }
 
@@ -62,7 +62,7 @@
 	} {
 		_, err := instance.ParseSettings("s.yaml", []byte(strings.Replace(validSettings, c.from, c.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("with %s: got %v, want %s", c.to, err, c.want)
+			t.Errorf("with %s: got %v, want an error that contains: %s", c.to, err, c.want)
 		}
 	}
 }
--- a/internal/fetch/fetch.go
+++ b/internal/fetch/fetch.go
@@ -1,6 +1,5 @@
-// Package fetch makes HTTP calls that read the complete response. A call is aborted when the
-// source stops sending, not when the response is long. The error of an incomplete response tells
-// how much of it arrived.
+// Package fetch makes HTTP calls that read the complete response, with separate limits for silence,
+// total time and size. The error of an incomplete response tells how much of it arrived.
 package fetch
 
 import (
@@ -14,26 +13,23 @@
 	"github.com/pkg/errors"
 )
 
-// Timeouts of a response whose header has arrived. They bound the cost of a source that stops or
-// trickles, and do not depend on the size of the response.
+// Timeouts of a response whose header has arrived, whatever its size.
 const (
-	// silenceTimeout is the longest pause between bytes: twice the half second by which a
-	// saturated link delays the packets that it still forwards.
-	silenceTimeout = time.Second
-	// arrivalTimeout bounds the transfer of a response. It suffices for 12 MB at 10 Mbit/s.
-	arrivalTimeout = 10 * time.Second
+	// readIdleTimeout is the longest pause between bytes. A saturated link delays packets by half this.
+	readIdleTimeout = time.Second
+	// bodyTimeout limits the transfer of the body. It suffices for 12 MB at 10 Mbit/s.
+	bodyTimeout = 10 * time.Second
 )
 
 // Reasons for which Do aborts a call.
 var (
-	ErrTooLong   = errors.New("response too long")
-	ErrIdle      = errors.New("source stopped sending")
-	ErrTooSlow   = errors.New("response took too long to arrive")
-	ErrAbandoned = errors.New("wait for the response was abandoned")
+	ErrTooLong  = errors.New("response too long")
+	ErrIdle     = errors.New("source stopped sending")
+	ErrTooSlow  = errors.New("response took too long to arrive")
+	ErrCanceled = errors.New("call canceled before the response header arrived")
 )
 
-// Timeouts of connections. Keep-alive probes detect a connection that died without a reset within
-// three seconds.
+// Keep-alive probes detect a connection that died without a reset within three seconds.
 const (
 	dialTimeout   = 600 * time.Millisecond
 	probeInterval = time.Second // idle time before the first keep-alive probe, and between probes
@@ -41,7 +37,7 @@
 )
 
 // NewClient returns a client that keeps up to maxIdle idle connections per host, each for up to
-// idleTimeout, and follows no redirects. It detects a dead connection by keep-alive probes.
+// idleTimeout, and follows no redirects.
 func NewClient(maxIdle int, idleTimeout time.Duration) *http.Client {
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
@@ -60,14 +56,12 @@
 	}
 }
 
-// A HeaderWait bounds the wait for the response header.
-type HeaderWait struct {
+// HeaderOptions control the wait for the response header.
+type HeaderOptions struct {
 	Timeout time.Duration // until the header arrives
-	// Abandon, once closed, ends the wait for the header; nil: never. A response whose header has
-	// arrived is still read to its end.
-	Abandon <-chan struct{}
-	// OnHeader, if set, is called when the header has arrived.
-	OnHeader func()
+	// Cancel, if not nil and closed before the header has arrived, aborts the call.
+	Cancel   <-chan struct{}
+	OnHeader func() // called when the header has arrived; may be nil
 }
 
 // A Response is a complete response.
@@ -80,8 +74,8 @@
 
 // A TruncatedError is the error of a call without a complete response.
 type TruncatedError struct {
-	HeaderReceived bool          // the header arrived
-	Bytes          int           // of the body that arrived
+	HeaderReceived bool
+	Bytes          int           // received of the body
 	HeaderTime     time.Duration // from the call to the header; zero if it did not arrive
 	Elapsed        time.Duration // from the call to the error
 	Err            error
@@ -94,18 +88,17 @@
 	return fmt.Sprintf("response truncated after %d bytes and %v: %v", e.Bytes, e.Elapsed.Round(time.Millisecond), e.Err)
 }
 
-// Unwrap returns the reason of the failure.
 func (e *TruncatedError) Unwrap() error { return e.Err }
 
 // Do makes a call and reads its complete response, whose body may have up to maxBytes. Every error
 // is a *TruncatedError.
-func Do(client *http.Client, req *http.Request, maxBytes int64, w HeaderWait) (*Response, error) {
+func Do(client *http.Client, req *http.Request, maxBytes int64, w HeaderOptions) (*Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
 	defer cancel(nil)
-	silence := time.AfterFunc(w.Timeout, func() { cancel(ErrIdle) })
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(w.Timeout, func() { cancel(ErrIdle) })
+	defer idleTimer.Stop()
 	began := time.Now()
-	res, err := head(ctx, cancel, client, req, w.Abandon)
+	res, err := awaitHeader(ctx, cancel, client, req, w.Cancel)
 	if err != nil {
 		return nil, &TruncatedError{Elapsed: time.Since(began), Err: cause(ctx, err)}
 	}
@@ -113,30 +106,30 @@
 	if w.OnHeader != nil {
 		w.OnHeader()
 	}
-	arrival := time.AfterFunc(arrivalTimeout, func() { cancel(ErrTooSlow) })
-	defer arrival.Stop()
-	a := &Response{Status: res.StatusCode, HeaderTime: time.Since(began)}
-	a.Body, err = io.ReadAll(io.LimitReader(&idleReader{res.Body, silence}, maxBytes+1))
-	a.TotalTime = time.Since(began)
-	if err == nil && int64(len(a.Body)) > maxBytes {
+	bodyTimer := time.AfterFunc(bodyTimeout, func() { cancel(ErrTooSlow) })
+	defer bodyTimer.Stop()
+	out := &Response{Status: res.StatusCode, HeaderTime: time.Since(began)}
+	out.Body, err = io.ReadAll(io.LimitReader(&idleReader{res.Body, idleTimer}, maxBytes+1))
+	out.TotalTime = time.Since(began)
+	if err == nil && int64(len(out.Body)) > maxBytes {
 		err = ErrTooLong
 	}
 	if err != nil {
-		return nil, &TruncatedError{HeaderReceived: true, Bytes: len(a.Body), HeaderTime: a.HeaderTime, Elapsed: a.TotalTime, Err: cause(ctx, err)}
+		return nil, &TruncatedError{HeaderReceived: true, Bytes: len(out.Body), HeaderTime: out.HeaderTime, Elapsed: out.TotalTime, Err: cause(ctx, err)}
 	}
-	return a, nil
+	return out, nil
 }
 
-// head makes a call and returns when the response header has arrived. Until then, closing abandon
-// aborts the call.
-func head(ctx context.Context, cancel context.CancelCauseFunc, client *http.Client, req *http.Request, abandon <-chan struct{}) (*http.Response, error) {
-	begun := make(chan struct{})
-	defer close(begun)
+// awaitHeader returns when the response header has arrived. If canceled is closed first, it aborts
+// the call.
+func awaitHeader(ctx context.Context, cancel context.CancelCauseFunc, client *http.Client, req *http.Request, canceled <-chan struct{}) (*http.Response, error) {
+	returned := make(chan struct{})
+	defer close(returned)
 	go func() {
 		select {
-		case <-begun:
-		case <-abandon:
-			cancel(ErrAbandoned)
+		case <-returned:
+		case <-canceled:
+			cancel(ErrCanceled)
 		}
 	}()
 	return client.Do(req.WithContext(ctx))
@@ -150,13 +143,13 @@
 	return err
 }
 
-// An idleReader postpones the silence timer with each read.
+// An idleReader restarts the idle timer at each read.
 type idleReader struct {
 	io.Reader
-	silence *time.Timer
+	idleTimer *time.Timer
 }
 
 func (r *idleReader) Read(p []byte) (int, error) {
-	r.silence.Reset(silenceTimeout)
+	r.idleTimer.Reset(readIdleTimeout)
 	return r.Reader.Read(p)
 }
--- a/internal/fetch/fetch_test.go
+++ b/internal/fetch/fetch_test.go
@@ -26,9 +26,9 @@
 		w.WriteHeader(http.StatusGone)
 		_, _ = w.Write([]byte("whole"))
 	})
-	a, err := Do(http.DefaultClient, req, 5, HeaderWait{Timeout: time.Second})
+	a, err := Do(http.DefaultClient, req, 5, HeaderOptions{Timeout: time.Second})
 	if err != nil || a.Status != http.StatusGone || string(a.Body) != "whole" || a.TotalTime < a.HeaderTime {
-		t.Fatalf("got %+v, %v", a, err)
+		t.Fatalf("got %+v, %v, want status 410 and the whole body", a, err)
 	}
 }
 
@@ -40,76 +40,75 @@
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
-	_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Second})
+	_, err := Do(http.DefaultClient, req, 100, HeaderOptions{Timeout: time.Second})
 	var truncated *TruncatedError
 	if !errors.As(err, &truncated) || !truncated.HeaderReceived || truncated.Bytes != len("a part") || !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want a TruncatedError with the length of the part and the deadline as its cause", err)
 	}
 }
 
-func TestTimeoutBeforeHeaderIsNotBegun(t *testing.T) {
+func TestTimeoutBeforeHeader(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	req := newRequest(ctx, t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Second})
+	_, err := Do(http.DefaultClient, req, 100, HeaderOptions{Timeout: time.Second})
 	var truncated *TruncatedError
 	if !errors.As(err, &truncated) || truncated.HeaderReceived {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want a TruncatedError without a header", err)
 	}
 }
 
 func TestOversizedResponse(t *testing.T) {
 	req := newRequest(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("123456")) })
-	if _, err := Do(http.DefaultClient, req, 5, HeaderWait{Timeout: time.Second}); !errors.Is(err, ErrTooLong) {
-		t.Fatalf("got %v", err)
+	if _, err := Do(http.DefaultClient, req, 5, HeaderOptions{Timeout: time.Second}); !errors.Is(err, ErrTooLong) {
+		t.Fatalf("got %v, want ErrTooLong", err)
 	}
 }
 
-// A response that arrives steadily is read to its end, even if that takes longer than the wait for
-// its header or the wait is abandoned meanwhile.
+// Neither the timeout of the header nor Cancel ends a response whose header has arrived.
 func TestSteadyResponseOutlastsHeaderTimeout(t *testing.T) {
-	const begin = 500 * time.Millisecond
+	const headerTimeout = 500 * time.Millisecond
 	req := newRequest(context.Background(), t, func(w http.ResponseWriter, _ *http.Request) {
 		for range 6 {
 			_, _ = w.Write([]byte("a part"))
 			w.(http.Flusher).Flush()
-			time.Sleep(begin / 2)
+			time.Sleep(headerTimeout / 2)
 		}
 	})
-	abandon := make(chan struct{})
-	time.AfterFunc(2*begin, func() { close(abandon) })
-	a, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: begin, Abandon: abandon})
-	if err != nil || len(a.Body) != 6*len("a part") || a.TotalTime < 2*begin {
-		t.Fatalf("got %+v, %v", a, err)
+	canceled := make(chan struct{})
+	time.AfterFunc(2*headerTimeout, func() { close(canceled) })
+	a, err := Do(http.DefaultClient, req, 100, HeaderOptions{Timeout: headerTimeout, Cancel: canceled})
+	if err != nil || len(a.Body) != 6*len("a part") || a.TotalTime < 2*headerTimeout {
+		t.Fatalf("got %+v, %v, want all six parts after more than twice the header timeout", a, err)
 	}
 }
 
 func TestIdleSourceEndsCall(t *testing.T) {
-	for name, begin := range map[string]bool{"before the header": false, "in the body": true} {
+	for name, sendsHeader := range map[string]bool{"before the header": false, "in the body": true} {
 		t.Run(name, func(t *testing.T) {
 			req := newRequest(context.Background(), t, func(w http.ResponseWriter, r *http.Request) {
-				if begin {
+				if sendsHeader {
 					_, _ = w.Write([]byte("a part"))
 					w.(http.Flusher).Flush()
 				}
 				<-r.Context().Done()
 			})
-			_, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: 500 * time.Millisecond})
+			_, err := Do(http.DefaultClient, req, 100, HeaderOptions{Timeout: 500 * time.Millisecond})
 			var truncated *TruncatedError
-			if !errors.Is(err, ErrIdle) || !errors.As(err, &truncated) || truncated.HeaderReceived != begin {
-				t.Fatalf("got %v", err)
+			if !errors.Is(err, ErrIdle) || !errors.As(err, &truncated) || truncated.HeaderReceived != sendsHeader {
+				t.Fatalf("got %v, want ErrIdle in a TruncatedError that says whether the header arrived", err)
 			}
 		})
 	}
 }
 
-func TestAbandonEndsWaitForHeader(t *testing.T) {
-	abandon := make(chan struct{})
+func TestCancelEndsWaitForHeader(t *testing.T) {
+	canceled := make(chan struct{})
 	req := newRequest(context.Background(), t, func(_ http.ResponseWriter, r *http.Request) {
-		close(abandon)
+		close(canceled)
 		<-r.Context().Done()
 	})
-	if _, err := Do(http.DefaultClient, req, 100, HeaderWait{Timeout: time.Minute, Abandon: abandon}); !errors.Is(err, ErrAbandoned) {
-		t.Fatalf("got %v", err)
+	if _, err := Do(http.DefaultClient, req, 100, HeaderOptions{Timeout: time.Minute, Cancel: canceled}); !errors.Is(err, ErrCanceled) {
+		t.Fatalf("got %v, want ErrCanceled", err)
 	}
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -13,8 +13,7 @@
 	"ivyridge/internal/logs"
 )
 
-// Logging does not block on a pipe that nobody reads, and dropped lines are counted.
-func TestFullPipeDoesNotBlock(t *testing.T) {
+func TestBlockedOutputDropsLines(t *testing.T) {
 	_, w := io.Pipe()
 	dropped := new(expvar.Int)
 	log, err := logs.New("info", logs.JSON, w, dropped)
@@ -55,7 +54,7 @@
 		t.Fatal(err)
 	}
 	if line.Msg != "request" || line.ID != "r1" || line.Took != 1500 {
-		t.Fatalf("got %+v", line)
+		t.Fatalf("got %+v, want message request, ID r1 and 1500 ms", line)
 	}
 }
 
--- a/inventory/http.go
+++ b/inventory/http.go
@@ -1,7 +1,5 @@
 package inventory
 
-// This file implements the HTTP client and handlers.
-
 import (
 	"context"
 	"encoding/json"
@@ -15,15 +13,15 @@
 	"ivyridge/internal/fetch"
 )
 
-// Paths on the listener for other instances.
+// Paths on the peer listener.
 const (
 	DetailPath = "/v2/inventory/detail" // the instance's Detail
-	FleetPath  = "/v2/inventory/fleet"  // the Fleet that the instance receives heartbeats from
+	FleetPath  = "/v2/inventory/fleet"  // the instances that it receives heartbeats from
 )
 
 // Paths on the metrics listener, for operators.
 const (
-	PagePath        = "/fleet"        // HTML page
+	PagePath        = "/fleet"        // the Fleet as an HTML page
 	FleetJSONPath   = "/fleet.json"   // the whole Fleet, as known to the schedulers
 	DetailsJSONPath = "/details.json" // the Details of the instances given by ?address=
 	addressQuery    = "address"
@@ -31,9 +29,9 @@
 )
 
 const (
-	// maxResponseSize bounds a response: some 200 bytes per instance, for 4,000 instances.
+	// maxResponseSize is in bytes; 4,000 instances take about 200 each.
 	maxResponseSize = 1 << 20
-	// maxDetails bounds the instances whose details are returned by one request.
+	// maxDetails is the maximum number of instances in one request for details.
 	maxDetails = 32
 	// QueryTimeout is the timeout for a request to another instance.
 	QueryTimeout = 400 * time.Millisecond
@@ -45,19 +43,18 @@
 	Wait time.Duration // maximum time until a response begins
 }
 
-// get requests a path from address and decodes the JSON response into out.
 func (c *Client) get(ctx context.Context, address, path string, query url.Values, out any) error {
 	target := url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
 		return errors.Wrap(err, "inventory")
 	}
-	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.HeaderWait{Timeout: c.Wait})
+	resp, err := fetch.Do(c.HTTP, req, maxResponseSize, fetch.HeaderOptions{Timeout: c.Wait})
 	if err != nil {
 		return errors.Wrapf(err, "inventory: %s", address)
 	}
 	if resp.Status != http.StatusOK {
-		return errors.Errorf("inventory: %s answered %d", address, resp.Status)
+		return errors.Errorf("inventory: %s answered with status %d", address, resp.Status)
 	}
 	return errors.Wrapf(json.Unmarshal(resp.Body, out), "inventory: %s", address)
 }
@@ -68,39 +65,38 @@
 	return f, c.get(ctx, address, FleetPath, nil, f)
 }
 
-// FullFleet returns the fleet including other regions from the instance with the given peer
-// address.
+// FullFleet returns the instances of all regions from the one with the given peer address.
 func (c *Client) FullFleet(ctx context.Context, address string) (*Fleet, error) {
 	f := new(Fleet)
 	return f, c.get(ctx, address, FleetPath, url.Values{allRegionsQuery: {"1"}}, f)
 }
 
-// Detail returns the report of the instance with the given peer address.
+// Detail returns the Detail of the instance with the given peer address.
 func (c *Client) Detail(ctx context.Context, address string) (*Detail, error) {
 	d := new(Detail)
 	return d, c.get(ctx, address, DetailPath, nil, d)
 }
 
-// AskFleet returns the whole fleet from the instance with the given metrics address.
-func (c *Client) AskFleet(ctx context.Context, address string) (*Fleet, error) {
+// GetFleet returns the instances of all regions from the one with the given metrics address.
+func (c *Client) GetFleet(ctx context.Context, address string) (*Fleet, error) {
 	f := new(Fleet)
 	return f, c.get(ctx, address, FleetJSONPath, nil, f)
 }
 
-// AskDetails returns the details of instances, given by their peer addresses, through the one with
+// GetDetails returns the Details of the instances with the given peer addresses, from the one with
 // the given metrics address. An instance that could not be queried has its Error set.
-func (c *Client) AskDetails(ctx context.Context, address string, instances ...string) ([]Detail, error) {
+func (c *Client) GetDetails(ctx context.Context, address string, instances ...string) ([]Detail, error) {
 	var out []Detail
 	return out, c.get(ctx, address, DetailsJSONPath, url.Values{addressQuery: instances}, &out)
 }
 
 // A Source provides the data that the handlers serve.
 type Source struct {
-	Detail     func() *Detail                                             // of this instance
-	LocalFleet func() *Fleet                                              // instances that this one receives heartbeats from
-	FullFleet  func(ctx context.Context) *Fleet                           // the whole fleet
-	Ask        func(ctx context.Context, address string) (*Detail, error) // of another instance, which must be in the fleet
-	Log        *zap.Logger
+	Detail       func() *Detail                                             // of this instance
+	LocalFleet   func() *Fleet                                              // instances that this one receives heartbeats from
+	FullFleet    func(ctx context.Context) *Fleet                           // the whole fleet
+	RemoteDetail func(ctx context.Context, address string) (*Detail, error) // of another instance, which must be in the fleet
+	Log          *zap.Logger
 }
 
 func (s *Source) writeJSON(w http.ResponseWriter, v any) {
@@ -135,7 +131,7 @@
 	}
 	out := make([]Detail, len(addresses))
 	for i, address := range addresses {
-		d, err := s.Ask(r.Context(), address)
+		d, err := s.RemoteDetail(r.Context(), address)
 		if err != nil {
 			d = &Detail{Address: address, Error: err.Error()}
 		}
--- a/inventory/page.go
+++ b/inventory/page.go
@@ -10,11 +10,9 @@
 	"go.uber.org/zap"
 )
 
-// groupColours distinguish groups. The most common group is grey, so that others stand out. Groups
-// beyond the last colour share it.
+// groupColours start with grey for the largest group. Groups beyond the last colour share it.
 var groupColours = []string{"#b8c4bb", "#d9480f", "#1971c2", "#9c36b5", "#e8a200", "#2f9e44", "#862e9c"}
 
-// Colours of instances that report nothing or are lost.
 const (
 	colourNotReported = "#222222"
 	colourLost        = "#ffffff"
@@ -60,29 +58,28 @@
 	return p
 }
 
-func (p *page) add(r *Instance) {
+func (p *page) add(inst *Instance) {
 	n := len(p.DataCentres)
-	if n == 0 || p.DataCentres[n-1].Name != r.DataCentre {
-		p.DataCentres = append(p.DataCentres, pageDataCentre{Name: r.DataCentre})
+	if n == 0 || p.DataCentres[n-1].Name != inst.DataCentre {
+		p.DataCentres = append(p.DataCentres, pageDataCentre{Name: inst.DataCentre})
 		n++
 	}
 	d := &p.DataCentres[n-1]
-	d.Squares = append(d.Squares, pageSquare{Colour: p.colour(r), Title: r.Address + " " + r.Role + ", heard " + formatAge(r.HeardMS) + " ago"})
+	d.Squares = append(d.Squares, pageSquare{Colour: p.colour(inst), Title: inst.Address + " " + inst.Role + ", heard " + formatAge(inst.SinceHeartbeatMS) + " ago"})
 }
 
-func (p *page) colour(r *Instance) string {
-	if r.Lost {
+func (p *page) colour(inst *Instance) string {
+	if inst.Lost {
 		return colourLost
 	}
 	for _, g := range p.Groups {
-		if g.contains(r) {
+		if g.contains(inst) {
 			return g.Colour
 		}
 	}
 	return colourNotReported
 }
 
-// formatAge formats a time in ms for display.
 func formatAge(ms int64) string {
 	if ms < 0 {
 		return "never"
@@ -105,7 +102,7 @@
 .warn{color:#b00}
 </style></head><body>
 <h1>Fleet inventory</h1>
-<p>Listed by {{.Fleet.Asked}}.{{if .Fleet.Partial}} <span class="warn">Partial: a region or all schedulers did not answer.</span>{{end}}</p>
+<p>Listed by {{.Fleet.ReportedBy}}.{{if .Fleet.Partial}} <span class="warn">Partial: a region or all schedulers did not answer.</span>{{end}}</p>
 <table><tr><th></th><th>instances</th><th>build</th><th>settings</th><th>configuration</th><th>by data centre</th></tr>
 {{range .Groups}}<tr><td><span class="sq" style="background:{{.Colour}}"></span></td><td>{{.Count}}</td>
 {{if .Reported}}<td>{{.Build}}</td><td>{{.Settings}}</td><td>{{.Version}}</td>{{else}}<td colspan="3">does not tell (an older build)</td>{{end}}
@@ -116,7 +113,7 @@
 <h2>Differing</h2>
 {{if .Outliers}}<table><tr><th>instance</th><th>data centre</th><th>differs in</th><th>build</th><th>settings</th><th>configuration</th><th>heard</th><th>proof</th></tr>
 {{range .Outliers}}<tr><td>{{.Address}}</td><td>{{.DataCentre}}</td><td class="warn">{{range $i, $d := .Differs}}{{if $i}}, {{end}}{{$d}}{{end}}</td>
-<td>{{.Build}}</td><td>{{.Settings}}</td><td>{{.Version}}</td><td>{{age .HeardMS}} ago</td><td>{{age .ValidatedMS}}</td></tr>{{end}}
+<td>{{.Build}}</td><td>{{.Settings}}</td><td>{{.Version}}</td><td>{{age .SinceHeartbeatMS}} ago</td><td>{{age .ValidatedMS}}</td></tr>{{end}}
 </table>{{else}}<p>None: all {{len .Fleet.Instances}} instances run the same.</p>{{end}}
 </body></html>
 `))
--- a/inventory/sets.go
+++ b/inventory/sets.go
@@ -1,13 +1,13 @@
 package inventory
 
-// This file reports to operators which of a service's endpoints an instance chooses among.
+// This file reports the working sets of an instance.
 
 import "context"
 
 // SetsPath is the path at which an instance reports its working sets.
 const SetsPath = "/sets.json"
 
-// Sets are the working sets of an instance, and the slow endpoints that it knows of.
+// Sets are the working sets of an instance, and the endpoints that it knows to be slow.
 type Sets struct {
 	Services []WorkingSet   `json:"services"`
 	Slow     []SlowEndpoint `json:"slow"`
@@ -30,8 +30,8 @@
 	AgeMS    int64   `json:"age_ms"`   // since it reported that
 }
 
-// AskSets returns the working sets of the instance with the given metrics address.
-func (c *Client) AskSets(ctx context.Context, address string) (*Sets, error) {
+// GetSets returns the working sets of the instance with the given metrics address.
+func (c *Client) GetSets(ctx context.Context, address string) (*Sets, error) {
 	s := new(Sets)
 	return s, c.get(ctx, address, SetsPath, nil, s)
 }
--- a/limit/order.go
+++ b/limit/order.go
@@ -1,7 +1,5 @@
 package limit
 
-// This file selects the instance that allocates the limit of an endpoint.
-
 import (
 	"encoding/binary"
 
@@ -14,11 +12,9 @@
 	DataCentre string
 }
 
-// AllocatorOf returns the index of the candidate that allocates the limit of an endpoint in a data
-// centre, or -1 if there are none. Candidates in the endpoint's data centre come first, since
-// an instance that can't reach that data centre can't send to the endpoint either. Otherwise
-// data centres, and the instances in each, are ordered by rendezvous hashing, so that limits
-// are spread evenly and a candidate that joins or leaves moves only its own.
+// AllocatorOf returns the index of the candidate that allocates the limit of endpoint, or -1 if
+// there are none. It prefers dataCentre, that of the endpoint, since an instance that can't reach it
+// can't send to the endpoint either. Rendezvous hashing spreads limits evenly.
 func AllocatorOf(endpoint uint32, dataCentre string, candidates []Candidate) int {
 	best := -1
 	for i := range candidates {
@@ -40,9 +36,9 @@
 	return score(endpoint, x) > score(endpoint, y)
 }
 
-func score(endpoint uint32, name uint64) uint64 {
+func score(endpoint uint32, candidate uint64) uint64 {
 	var b [12]byte
 	binary.LittleEndian.PutUint32(b[:], endpoint)
-	binary.LittleEndian.PutUint64(b[4:], name)
+	binary.LittleEndian.PutUint64(b[4:], candidate)
 	return xxhash.Sum64(b[:])
 }
--- a/load/report.go
+++ b/load/report.go
@@ -1,7 +1,5 @@
 package load
 
-// This file computes the report of a run.
-
 import (
 	"encoding/json"
 	"math"
@@ -25,22 +23,19 @@
 	GoodputTokens  float64 `json:"goodput_tokens_per_s"`
 	ComputedTokens int     `json:"computed_tokens"`
 	WastedTokens   int     `json:"wasted_tokens"`
-	// Duplicates counts requests with an idempotency key that ran more than
-	// once; Lost, requests without a final response; Misdirected, requests that got
-	// the response to another; RefusedButRun, requests that ran although the
-	// response said that they had not.
-	Duplicates    int   `json:"duplicates"`
-	Lost          int   `json:"lost"`
-	Misdirected   int   `json:"crossed"`
-	RefusedButRun int   `json:"refused_but_run"`
+	// Numbers of requests.
+	Duplicates    int `json:"duplicates"`      // ran more than once despite an idempotency key
+	Lost          int `json:"lost"`            // got no final response
+	Misdirected   int `json:"crossed"`         // got the response to another request
+	RefusedButRun int `json:"refused_but_run"` // ran although reported as not run
+
 	PlatformCalls int64 `json:"platform_calls"`
 
 	Series []Sample `json:"series"`
 }
 
-// A ClassReport summarizes the requests of one class. Latencies are in seconds
-// and cover complete responses: to the first token if the class has a target
-// for it, else to the end. Attainment is OnTime / Offered.
+// A ClassReport summarizes one class. P50 to P99 are latencies of complete responses
+// in seconds, to the first token if the class has a target for it, else to the end.
 type ClassReport struct {
 	Class           string         `json:"class"`
 	Offered         int            `json:"offered"`
@@ -50,7 +45,7 @@
 	RefusedByReason map[string]int `json:"refused_by_reason"`
 	Failed          int            `json:"failed"`
 	FailedByReason  map[string]int `json:"failed_by_reason"`
-	Attainment      float64        `json:"attainment"`
+	Attainment      float64        `json:"attainment"` // OnTime / Offered
 	P50             float64        `json:"p50_s"`
 	P95             float64        `json:"p95_s"`
 	P99             float64        `json:"p99_s"`
@@ -60,13 +55,12 @@
 	refusals *hdrhistogram.Histogram
 }
 
-// A Sample covers the arrivals of one second of a run. The slices are indexed
-// like Report.Classes. Open counts the requests in progress in that second.
+// A Sample covers one second of arrivals. Its slices are indexed like Report.Classes.
 type Sample struct {
 	Second  int       `json:"second"`
 	Offered []int     `json:"offered"`
 	OnTime  []int     `json:"on_time"`
-	Open    []int     `json:"open"`
+	Open    []int     `json:"open"` // in progress
 	Share   []float64 `json:"attainment"`
 }
 
@@ -75,9 +69,8 @@
 	histSignificantDigits = 3
 )
 
-// Summarize computes the report of a run from the clients' outcomes and the
-// runs that the fakes recorded. It ignores outcomes without a class, which were
-// not sent.
+// Summarize computes the report from the outcomes of Client.Run and the runs that the
+// fakes recorded.
 func Summarize(w *Workload, seed uint64, outcomes []Outcome, runLog *fake.RunLogResponse) *Report {
 	r := &Report{Workload: w.Name, Seed: seed, Seconds: w.Duration.Seconds()}
 	classIndex := make(map[string]int)
@@ -113,7 +106,6 @@
 	return r
 }
 
-// checkGuarantees counts the violations of delivery guarantees by one request.
 func (r *Report) checkGuarantees(o *Outcome, runs []fake.Run) {
 	if o.Class.Keyed && len(runs) > 1 {
 		r.Duplicates++
@@ -167,8 +159,6 @@
 	c.RefusalP99 = quantile(c.refusals, 99)
 }
 
-// computeSeries computes the time series. A request counts in the second of its
-// scheduled arrival.
 func (r *Report) computeSeries(w *Workload, classIndex map[string]int, outcomes []Outcome) {
 	n := int(math.Ceil(w.Duration.Seconds()))
 	for s := range n {
@@ -201,13 +191,13 @@
 	}
 }
 
-// FetchRunLog reads the recorded runs from the fakes' control address.
+// FetchRunLog fetches the runs recorded by the fakes with the given control address.
 func FetchRunLog(control string) (*fake.RunLogResponse, error) {
 	res, err := http.Get("http://" + control + "/books")
 	if err != nil {
 		return nil, errors.Wrap(err, "books")
 	}
 	defer res.Body.Close()
-	b := new(fake.RunLogResponse)
-	return b, errors.Wrap(json.NewDecoder(res.Body).Decode(b), "books")
+	runLog := new(fake.RunLogResponse)
+	return runLog, errors.Wrap(json.NewDecoder(res.Body).Decode(runLog), "books")
 }
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -28,7 +28,7 @@
 	tb := member.New("n0")
 	tb.SetList(0, listOf(5, "n0", "n1"))
 	if tb.SetList(0, listOf(4, "n0")) || len(tb.Peers()) != 2 {
-		t.Error("SetList applied an older list")
+		t.Error("SetList applied revision 4 after revision 5; want it ignored")
 	}
 }
 
@@ -44,7 +44,7 @@
 	}
 	tb.HandleHeartbeat(2*time.Second, "n2", member.Heartbeat{})
 	if !tb.Peer("n2").Usable() {
-		t.Error("n2 is still suspected after a heartbeat")
+		t.Error("n2 is not usable after a heartbeat; want it usable")
 	}
 }
 
@@ -54,15 +54,15 @@
 	tb.HandleHeartbeat(time.Second, "n2", member.Heartbeat{})
 	tb.HandleHeartbeat(time.Second, "n1", member.Heartbeat{SuspectedBySender: []member.Suspicion{{Instance: "n2", Since: 500 * time.Millisecond}}})
 	if !tb.Peer("n2").Usable() {
-		t.Error("a suspicion older than the last heartbeat was applied")
+		t.Error("n2 is suspected, though heard since the suspicion began; want it usable")
 	}
 	tb.HandleHeartbeat(2*time.Second, "n1", member.Heartbeat{SuspectedBySender: []member.Suspicion{{Instance: "n2", Since: 1500 * time.Millisecond}}})
 	if tb.Peer("n2").Usable() {
-		t.Error("a newer suspicion was not applied")
+		t.Error("n2 is usable after a suspicion newer than its last heartbeat; want it suspected")
 	}
 }
 
-func TestSleptClearsOwnSilence(t *testing.T) {
+func TestResetSilenceAfterSuspension(t *testing.T) {
 	tb := member.New("n0")
 	tb.SetList(0, listOf(1, "n0", "n1"))
 	tb.HandleHeartbeat(0, "n1", member.Heartbeat{})
@@ -70,11 +70,11 @@
 	tb.ResetSilence(time.Hour)
 	tb.Tick(time.Hour)
 	if !tb.Peer("n1").Usable() {
-		t.Error("a suspended instance suspects its peers")
+		t.Error("n1 is suspected after this instance was suspended; want it usable")
 	}
 }
 
-// News reaches the whole fleet in few rounds of heartbeats to few partners.
+// A change reaches the whole fleet in few rounds of heartbeats to few partners.
 func TestPartners(t *testing.T) {
 	for _, n := range []int{6, 40, 390} {
 		all := names(n)
@@ -84,15 +84,15 @@
 			tb.SetList(0, listOf(1, all...))
 			for _, p := range tb.Partners() {
 				links[name] = append(links[name], p.Name)
-				links[p.Name] = append(links[p.Name], name) // the answer carries the same
+				links[p.Name] = append(links[p.Name], name) // the answer is a heartbeat too
 			}
 			if k := len(tb.Partners()); k > 8 {
 				t.Errorf("%d partners in a fleet of %d; want at most 8", k, n)
 			}
 		}
 		reached := map[string]bool{all[0]: true}
-		beats := 0
-		for ; len(reached) < n && beats < 20; beats++ {
+		rounds := 0
+		for ; len(reached) < n && rounds < 20; rounds++ {
 			next := make(map[string]bool)
 			for name := range reached {
 				next[name] = true
@@ -102,8 +102,8 @@
 			}
 			reached = next
 		}
-		if beats > 8 {
-			t.Errorf("in a fleet of %d, news takes %d rounds of heartbeats; want at most 8", n, beats)
+		if rounds > 8 {
+			t.Errorf("in a fleet of %d, a change takes %d rounds of heartbeats; want at most 8", n, rounds)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 		if before != after {
 			moved++
 			if before != all[9] {
-				t.Fatalf("job %s moved from %s, which was not removed", job, before)
+				t.Fatalf("job %s moved from %s, which was not removed; want it to stay", job, before)
 			}
 		}
 	}
--- a/memory/memory_test.go
+++ b/memory/memory_test.go
@@ -11,8 +11,7 @@
 
 const mb = 1 << 20
 
-// As memory fills up, requests are refused by priority, and before that those of a team with a
-// large part of it.
+// As memory fills up, requests are refused by priority, and before that those of a large team.
 func TestAdmission(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -24,39 +23,39 @@
 	}{
 		{"low use", 10, 1, 0, 9, ""},
 		{"large team, low use", 10, 1, 30, 9, ""},
-		{"large team, medium use", 55, 1, 30, 0, memory.TeamHigh},
+		{"large team, medium use", 55, 1, 30, 0, memory.TeamOverLimit},
 		{"sole team", 55, 1, 55, 0, ""},
 		{"other team, medium use", 55, 2, 0, 0, ""},
 		{"no team, medium use", 55, 0, 0, 0, ""},
-		{"lowest priority", 76, 2, 0, 3, memory.Full},
+		{"lowest priority", 76, 2, 0, 3, memory.OverLimit},
 		{"second lowest priority", 76, 2, 0, 2, ""},
-		{"second highest priority", 86, 2, 0, 1, memory.Full},
+		{"second highest priority", 86, 2, 0, 1, memory.OverLimit},
 		{"highest priority", 86, 2, 0, 0, ""},
-		{"highest priority, full", 91, 2, 0, 0, memory.Full},
+		{"highest priority, full", 91, 2, 0, 0, memory.OverLimit},
 	} {
 		a := memory.New(100 * mb * 100 / 85) // 0.15 of the limit is reserved for Buffered
 		if a.Reserve(memory.Buffered, 17*mb) == nil {
-			t.Fatalf("%s: Buffered memory refused", c.name)
+			t.Fatalf("%s: setup: Buffered memory of 17 MB refused", c.name)
 		}
 		if c.teamHeld > 0 {
-			if h, cause := a.Admit(1, 0, c.teamHeld*mb); h == nil {
-				t.Fatalf("%s: team refused at the start: %s", c.name, cause)
+			if r, cause := a.Admit(1, 0, c.teamHeld*mb); r == nil {
+				t.Fatalf("%s: setup: first request of the team refused with cause %s", c.name, cause)
 			}
 		}
 		if c.used > c.teamHeld { // held by another team
-			h, _ := a.Admit(7, 0, mb)
-			if h == nil || !h.Grow(memory.Bodies, (c.used-c.teamHeld-1)*mb) {
-				t.Fatalf("%s: setup request refused", c.name)
+			r, _ := a.Admit(7, 0, mb)
+			if r == nil || !r.Grow(memory.Bodies, (c.used-c.teamHeld-1)*mb) {
+				t.Fatalf("%s: setup: request or memory of another team refused", c.name)
 			}
 		}
 		if _, got := a.Admit(c.team, c.priority, mb/10); got != c.want {
-			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: Admit returned cause %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// In any sequence of operations the limit is not exceeded, the kinds add up to the total, and
-// nothing is in use after all holdings are closed.
+// In any sequence of operations the limit is not exceeded, and closing all reservations frees all
+// memory.
 func TestAccountStatsAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Int64Range(1, 1000).Draw(t, "limit")
@@ -67,9 +66,9 @@
 			n := rapid.Int64Range(0, 200).Draw(t, "n")
 			switch step := rapid.IntRange(0, 5).Draw(t, "step"); {
 			case step == 0:
-				if h, _ := a.Admit(rapid.Uint64Range(0, 3).Draw(t, "team"), rapid.IntRange(-1, 5).Draw(t, "priority"), n); h != nil {
-					open = append(open, h)
-					held[h] = [6]int64{memory.Requests: n}
+				if r, _ := a.Admit(rapid.Uint64Range(0, 3).Draw(t, "team"), rapid.IntRange(-1, 5).Draw(t, "priority"), n); r != nil {
+					open = append(open, r)
+					held[r] = [6]int64{memory.Requests: n}
 				}
 			case len(open) == 0:
 			case step == 1:
@@ -79,30 +78,30 @@
 				delete(held, open[at])
 				open = append(open[:at], open[at+1:]...)
 			default:
-				h := open[rapid.IntRange(0, len(open)-1).Draw(t, "which")]
+				r := open[rapid.IntRange(0, len(open)-1).Draw(t, "which")]
 				k := memory.Kind(rapid.IntRange(0, 5).Draw(t, "kind"))
-				sums := held[h]
-				if step < 4 && h.Grow(k, n) {
+				sums := held[r]
+				if step < 4 && r.Grow(k, n) {
 					sums[k] += n
 				} else if step >= 4 {
 					n = min(n, sums[k])
-					h.Shrink(k, n)
+					r.Shrink(k, n)
 					sums[k] -= n
 				}
-				held[h] = sums
+				held[r] = sums
 			}
-			check(t, a, held)
+			checkStats(t, a, held)
 		}
-		for _, h := range open {
-			h.Close()
+		for _, r := range open {
+			r.Close()
 		}
 		if s := a.Stats(); s.Used != 0 || s.Teams != 0 {
-			t.Fatalf("memory in use after closing all holdings: %+v", s)
+			t.Fatalf("after closing all reservations: %+v, want no memory in use and no teams", s)
 		}
 	})
 }
 
-func check(t *rapid.T, a *memory.Account, held map[*memory.Reservation][6]int64) {
+func checkStats(t *rapid.T, a *memory.Account, held map[*memory.Reservation][6]int64) {
 	s := a.Stats()
 	var want, kinds int64
 	for _, sums := range held {
@@ -114,11 +113,10 @@
 		kinds += n
 	}
 	if s.Used != want || kinds != want || s.Used > s.Limit {
-		t.Fatalf("used %d, by kinds %d, want %d within %d", s.Used, kinds, want, s.Limit)
+		t.Fatalf("%d bytes used, %d by kind, want %d for both, within the limit of %d", s.Used, kinds, want, s.Limit)
 	}
 }
 
-// Concurrent requests don't exceed the limit.
 func TestConcurrentUseStaysWithinLimit(t *testing.T) {
 	a := memory.New(1000)
 	var wg sync.WaitGroup
@@ -127,17 +125,17 @@
 		go func() {
 			defer wg.Done()
 			for i := range 2000 {
-				h, _ := a.Admit(uint64(n%3), n%4, int64(i%90))
-				if h == nil {
+				r, _ := a.Admit(uint64(n%3), n%4, int64(i%90))
+				if r == nil {
 					continue
 				}
-				h.Grow(memory.Buffered, int64(i%200))
-				h.Close()
+				r.Grow(memory.Buffered, int64(i%200))
+				r.Close()
 			}
 		}()
 	}
 	wg.Wait()
 	if s := a.Stats(); s.Peak > s.Limit || s.Used != 0 || s.Teams != 0 {
-		t.Errorf("limit exceeded or memory in use at the end: %+v", s)
+		t.Errorf("at the end: %+v, want the peak within the limit, no memory in use and no teams", s)
 	}
 }
--- a/node/answers.go
+++ b/node/answers.go
@@ -16,8 +16,7 @@
 )
 
 const (
-	// maxAnswerBytes bounds the total size of the stored bodies.
-	maxAnswerBytes = 48 << 20
+	maxAnswerBytes = 48 << 20 // total of the stored bodies
 	joinTimeout    = 4 * time.Minute
 	joinAttempts   = 2
 )
@@ -27,13 +26,12 @@
 	Status      int
 	ContentType string
 	Body        []byte
-	// Failure is set if the attempt ended without an answer; the other
-	// fields are then zero.
+	// Failure is set if the attempt ended without an answer; the other fields are then zero.
 	Failure *verdict.Error
 }
 
-// An attemptKey identifies one attempt at a key. An attempt that is missing from
-// the store was withdrawn before anything was sent.
+// An attemptKey identifies one attempt at a key. An attempt that is missing from the store was
+// withdrawn before anything was sent.
 type attemptKey struct {
 	key     owner.Key
 	attempt uint64
@@ -63,7 +61,7 @@
 	a.attempts[attemptKey{k, attempt}] = &attemptAnswer{done: make(chan struct{})}
 }
 
-// drop removes an attempt that was not sent.
+// drop removes attempt at k, which was not sent.
 func (a *answerStore) drop(k owner.Key, attempt uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -74,7 +72,7 @@
 	}
 }
 
-// StoreAnswer stores the answer of a claim's attempt for retries.
+// StoreAnswer stores ans as the answer of c's attempt, for retries.
 func (n *Node) StoreAnswer(c *Claim, ans *Answer) {
 	a := n.answers
 	a.mu.Lock()
@@ -98,11 +96,11 @@
 	x := a.attempts[a.completed[a.evicted]]
 	a.evicted++
 	a.bytes -= len(x.answer.Body)
-	x.answer = &Answer{Failure: verdict.Fail(verdict.Ran, verdict.Duplicate, "the request ran, but its answer has been evicted")}
+	x.answer = &Answer{Failure: verdict.Fail(verdict.Ran, verdict.Duplicate, "the request ran; its answer is no longer held")}
 }
 
-// expire removes answers that are older than any owner's record of them. Removing
-// one earlier would make a retry take the attempt for one that was not sent.
+// expire removes answers that are older than any owner's record of them. If one were
+// removed earlier, a retry would take its attempt for one that was not sent.
 func (a *answerStore) expire(now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,7 +116,7 @@
 	}
 }
 
-// wait waits for the answer of an attempt. It returns nil if the attempt was not sent.
+// wait waits for the answer of attempt at k. It returns nil if the attempt was not sent.
 func (a *answerStore) wait(ctx context.Context, k owner.Key, attempt uint64) (*Answer, error) {
 	a.mu.Lock()
 	x := a.attempts[attemptKey{k, attempt}]
@@ -136,12 +134,12 @@
 	return x.answer, nil
 }
 
-// Join waits for the answer of the attempt that holds a key. A nil answer means that
+// Join waits for the answer of r's attempt, which holds a key. A nil answer means that
 // the attempt was not sent, so the key may be claimed again.
 func (n *Node) Join(ctx context.Context, r *owner.Record) (*Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	n.count.joins.Add(1)
+	n.count.joinCalls.Add(1)
 	if r.Entry == n.opt.Name {
 		return n.joinLocal(ctx, r)
 	}
@@ -156,13 +154,13 @@
 			break
 		}
 	}
-	n.count.joinErrors.Add(1)
-	return nil, verdict.Fail(verdict.MayHaveRun, verdict.EntryLost, "instance %s, which holds the earlier attempt, did not answer: %v", r.Entry, err)
+	n.count.joinFailures.Add(1)
+	return nil, verdict.Fail(verdict.MayHaveRun, verdict.EntryLost, "instance %s, which had the request, does not answer: %v", r.Entry, err)
 }
 
 func (n *Node) joinLocal(ctx context.Context, r *owner.Record) (*Answer, error) {
 	if r.Incarnation != n.incarnation {
-		return nil, verdict.Fail(verdict.MayHaveRun, verdict.EntryLost, "instance %s, which held the earlier attempt, has restarted", r.Entry)
+		return nil, verdict.Fail(verdict.MayHaveRun, verdict.EntryLost, "instance %s, which had the request, was restarted", r.Entry)
 	}
 	ans, err := n.answers.wait(ctx, r.Key, r.Attempt)
 	if err == nil && ans == nil {
@@ -171,8 +169,7 @@
 	return ans, err
 }
 
-// Join serves a peer that received a retry of a request whose attempt is on this
-// instance.
+// Join serves a peer that received a retry of an attempt on this instance.
 func (s ownerService) Join(ctx context.Context, r *peerpb.JoinRequest) (*peerpb.JoinReply, error) {
 	rec := &owner.Record{Key: keyFromBytes(r.Key), Entry: s.opt.Name, Attempt: r.Attempt, Incarnation: r.Incarnation}
 	ans, err := s.joinLocal(ctx, rec)
--- a/node/ask.go
+++ b/node/ask.go
@@ -1,8 +1,7 @@
 package node
 
-// This file asks the home of a cell for a grant on behalf of an entry. The entry
-// holds the request until it is answered, so the loss of a home loses no request:
-// the entry asks the next home and passes the request's age.
+// This file asks the home of a cell for a grant. The entry holds the request until it is answered:
+// if a home is lost, it asks the next one and passes the request's age.
 
 import (
 	"context"
@@ -15,9 +14,8 @@
 	"ivyridge/verdict"
 )
 
-// GrantTTL is how long a grant may be used after it was given. It is far below
-// home.RunLease and owner.Retention, so that an entry that was suspended does not
-// act on a grant whose slot or key record has expired.
+// GrantTTL is how long a grant may be used. It is far below home.RunLease and owner.Retention, so
+// that an entry that was suspended does not use a grant whose slot or key record has expired.
 const GrantTTL = time.Second
 
 const (
@@ -35,7 +33,7 @@
 	MaxTokens  int
 	Prefix     uint64
 	Avoid      string
-	Arrived    time.Duration // time of arrival
+	Arrived    time.Duration
 	DataCentre string
 }
 
@@ -54,7 +52,7 @@
 // Acquire waits until an endpoint is granted. The error is a *verdict.Error of a
 // request that was not run, or wraps the error of ctx.
 func (n *Node) Acquire(ctx context.Context, r *Request) (*Grant, error) {
-	var last error
+	var lastErr error
 	for round := 0; round < maxAskRounds; round++ {
 		v := n.view.Load()
 		if !v.ready {
@@ -68,14 +66,14 @@
 		if err == nil || !again {
 			return g, err
 		}
-		last = err
-		n.count.askRetries.Add(1)
+		lastErr = err
+		n.count.acquireRetries.Add(1)
 		if !n.sleepContext(ctx, askRetryDelay) {
 			return nil, errors.Wrap(ctx.Err(), "ask")
 		}
 	}
-	n.count.asksFailed.Add(1)
-	return nil, verdict.Refuse(verdict.HomeLost, "no home granted or refused the request: %v", last).WithRetryAfter(time.Second)
+	n.count.acquireFailures.Add(1)
+	return nil, verdict.Refuse(verdict.HomeLost, "no home kept the request: %v", lastErr).WithRetryAfter(time.Second)
 }
 
 func (n *Node) sleepContext(ctx context.Context, d time.Duration) bool {
@@ -89,8 +87,8 @@
 	}
 }
 
-// acquireFromCells tries the first cells in order; if one is overloaded, it tries the
-// next. The result again reports that the homes changed, so Acquire should retry.
+// acquireFromCells tries the first cells in order until one is not overloaded. The result again
+// reports that the homes changed, so Acquire should retry.
 func (n *Node) acquireFromCells(ctx context.Context, v *view, cells []*cellView, r *Request) (g *Grant, again bool, err error) {
 	const maxCells = 2
 	for _, c := range cells[:min(maxCells, len(cells))] {
@@ -105,8 +103,8 @@
 	return nil, false, err
 }
 
-// acquireFromCell asks the homes of one cell in order of rank. If none of them serves
-// the cell, this instance decides itself, with a bounded share.
+// acquireFromCell asks the homes of one cell in order of rank. If none of them serves the cell,
+// this instance decides itself, within its share as a fallback.
 func (n *Node) acquireFromCell(ctx context.Context, v *view, c *cellView, r *Request) (*Grant, bool, error) {
 	for _, name := range c.homes[:min(maxHomesTried, len(c.homes))] {
 		d, moved, err := n.askHome(ctx, v, c, name, r)
@@ -123,7 +121,7 @@
 		}
 		return n.recordGrant(c, name, d, r), false, nil
 	}
-	n.count.fallbackAsks.Add(1)
+	n.count.fallbackRequests.Add(1)
 	d, moved, err := n.getCell(c, v).ask(ctx, n, n.newHomeRequest(r))
 	if err != nil || moved {
 		return nil, moved, err
@@ -163,14 +161,14 @@
 	}
 }
 
-// askHome asks one home, which may be this instance.
+// askHome asks the home called name, which may be this instance. If true, another must be asked.
 func (n *Node) askHome(ctx context.Context, v *view, c *cellView, name string, r *Request) (home.Decision, bool, error) {
 	a := n.newHomeRequest(r)
 	if name == n.opt.Name {
-		n.count.asksLocal.Add(1)
+		n.count.grantRequestsLocal.Add(1)
 		return n.getCell(c, v).ask(ctx, n, a)
 	}
-	n.count.asksSent.Add(1)
+	n.count.grantRequestsSent.Add(1)
 	n.out.addWaiting(name, 1)
 	defer n.out.addWaiting(name, -1)
 	ctx, cancel := context.WithCancel(ctx)
@@ -203,8 +201,8 @@
 	return d, reply.NotHome, nil
 }
 
-// GrantValid reports whether a grant may still be used. A newer list, an operator command or
-// GrantTTL may have invalidated it.
+// GrantValid reports whether a grant may still be used. GrantTTL, a newer list or an operator
+// command may have invalidated it.
 func (n *Node) GrantValid(g *Grant) bool {
 	return n.view.Load().endpoints[g.Endpoint] && n.now()-g.At < GrantTTL
 }
--- a/node/claim.go
+++ b/node/claim.go
@@ -1,8 +1,7 @@
 package node
 
-// This file claims keys. A request that must not be repeated is sent only after two
-// of its key's three owners have recorded it. The file also serves the owner's side
-// of claims; settle.go transfers records when the owners change.
+// This file claims keys: a request that must not be repeated is sent only after two of its key's
+// three owners have recorded it. It also serves the owner's side of claims.
 
 import (
 	"context"
@@ -31,7 +30,7 @@
 	Holder *owner.Record
 }
 
-// Claim records an attempt with the key's owners. The error is a *verdict.Error of a
+// Claim records a new attempt at k with k's owners. The error is a *verdict.Error of a
 // request that was not run.
 func (n *Node) Claim(ctx context.Context, k owner.Key) (*Claim, error) {
 	start := n.now()
@@ -57,18 +56,17 @@
 		}
 	}
 	n.Withdraw(c)
-	e := verdict.Refuse(reason, "no quorum of the key's owners recorded the request")
+	e := verdict.Refuse(reason, "the owners of the request's key could not all vouch for it")
 	return nil, e.WithRetryAfter(time.Second)
 }
 
-// A tally counts the replies of the owners to one round of Begin.
+// A tally sums up the owners' replies to one attempt to record a claim at all of them.
 type tally struct {
 	quorum, recorded, unsettled int
 	holder                      *owner.Record
 }
 
-// requestQuorum sends Begin to all owners of the key and returns as soon as a quorum
-// has recorded the attempt.
+// requestQuorum sends Begin to all owners of the key and returns once a quorum has recorded it.
 func (n *Node) requestQuorum(ctx context.Context, c *Claim) tally {
 	n.mu.Lock()
 	revision, live := n.owners.Revision(), n.owners.Live()
@@ -110,8 +108,7 @@
 	}
 }
 
-// beginAt sends Begin to one owner, which may be this instance. A failed call counts
-// as the outcome Unknown.
+// beginAt sends Begin to the owner called name or handles it here. A failed call counts as Unknown.
 func (n *Node) beginAt(ctx context.Context, name string, rec *peerpb.Record, revision int64) *peerpb.BeginReply {
 	req := &peerpb.BeginRequest{Record: rec, ListRevision: revision}
 	if name == n.opt.Name {
@@ -120,16 +117,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, beginTimeout)
 	defer cancel()
-	n.count.begins.Add(1)
+	n.count.beginCalls.Add(1)
 	r, err := n.dial.To(n.view.Load().peers[name]).Begin(ctx, req)
 	if err != nil {
-		n.count.beginErrors.Add(1)
+		n.count.beginCallErrors.Add(1)
 		return &peerpb.BeginReply{}
 	}
 	return r
 }
 
-// Withdraw tells the owners that an attempt was not and will not be sent, so that
+// Withdraw tells the owners that c's attempt was not and will not be sent, so that
 // its key may be claimed again.
 func (n *Node) Withdraw(c *Claim) {
 	n.answers.drop(c.Key, c.Attempt)
--- a/node/commands.go
+++ b/node/commands.go
@@ -1,8 +1,7 @@
 package node
 
-// This file distributes operator commands with a two-phase commit over all listed
-// instances. If an instance does not prepare a command, the command is refused and
-// the error names that instance.
+// This file distributes operator commands by two-phase commit over all listed instances. A command
+// that an instance does not prepare is refused; the error names that instance.
 
 import (
 	"context"
@@ -25,7 +24,7 @@
 	commandRetryDelay = 200 * time.Millisecond
 )
 
-// Command applies an operator's command on every instance and returns the command
+// Command applies the operator's command c on every instance and returns the command
 // that it replaced. On an error the command is not in force.
 func (n *Node) Command(ctx context.Context, c command.Command) (old command.Command, err error) {
 	c.Origin = n.opt.Name
@@ -43,8 +42,7 @@
 	return old, err
 }
 
-// An InvalidCommand is the error of a command that fails validation; retrying it
-// cannot succeed.
+// An InvalidCommand is the error of a command that fails validation, so that a retry is useless.
 type InvalidCommand struct{ Why string }
 
 func (e *InvalidCommand) Error() string { return e.Why }
@@ -76,15 +74,14 @@
 		n.mu.Lock()
 		n.commands.Abort(c)
 		n.mu.Unlock()
-		return old, errors.Errorf("command refused: not accepted by all instances: %s", strings.Join(refusals, "; "))
+		return old, errors.Errorf("refused: not in force, since these instances did not promise it: %s", strings.Join(refusals, "; "))
 	}
 	old = n.commit(c)
 	n.commitAll(ctx, peers, req)
 	return old, nil
 }
 
-// checkCommand validates c against the configuration and the list. The caller holds
-// n.mu.
+// checkCommand validates c. The caller holds n.mu.
 func (n *Node) checkCommand(c *command.Command) error {
 	if n.docs.set == nil {
 		return errors.New("no configuration is in force yet")
@@ -111,8 +108,7 @@
 	return nil
 }
 
-// prepareAll sends Prepare to all peers and returns those that did not accept, each
-// with the reason.
+// prepareAll sends Prepare to all peers and returns those that did not accept, with the reasons.
 func (n *Node) prepareAll(ctx context.Context, peers map[string]string, req *peerpb.CommandRequest) []string {
 	var mu sync.Mutex
 	var refusals []string
@@ -176,17 +172,16 @@
 	return old
 }
 
-// Prepare implements the first phase: it reserves the command's slot and version on
-// this instance.
+// Prepare is the first phase: it reserves the command's slot and version on this instance.
 func (s memberService) Prepare(_ context.Context, r *peerpb.CommandRequest) (*peerpb.CommandReply, error) {
 	var c command.Command
 	if err := json.Unmarshal(r.Command, &c); err != nil {
-		return &peerpb.CommandReply{Why: "command cannot be decoded"}, nil
+		return &peerpb.CommandReply{Why: "not a command"}, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.docs.config.revision != r.ConfigRevision {
-		return &peerpb.CommandReply{Why: "has a different configuration revision"}, nil
+		return &peerpb.CommandReply{Why: "holds another configuration"}, nil
 	}
 	if err := s.commands.Prepare(s.now(), c); err != nil {
 		return &peerpb.CommandReply{Why: err.Error()}, nil
@@ -194,11 +189,11 @@
 	return &peerpb.CommandReply{Ok: true}, nil
 }
 
-// Commit implements the second phase: it applies a prepared command.
+// Commit is the second phase: it applies a prepared command.
 func (s memberService) Commit(_ context.Context, r *peerpb.CommandRequest) (*peerpb.CommandReply, error) {
 	var c command.Command
 	if err := json.Unmarshal(r.Command, &c); err != nil {
-		return &peerpb.CommandReply{Why: "command cannot be decoded"}, nil
+		return &peerpb.CommandReply{Why: "not a command"}, nil
 	}
 	s.commit(c)
 	return &peerpb.CommandReply{Ok: true}, nil
--- a/node/documents.go
+++ b/node/documents.go
@@ -1,9 +1,8 @@
 package node
 
-// This file distributes the configuration and the instance list. Two instances poll
-// the platform on behalf of the fleet. A new revision is offered to a few peers, and
-// heartbeats carry the revisions so that an instance that is behind fetches the
-// document. A revision older than the accepted one is ignored, whatever its source.
+// This file distributes the configuration and the instance list. Two instances poll the platform.
+// They offer a new revision to a few peers; the others see it in heartbeats and fetch it. A
+// revision older than the accepted one is ignored, whatever its source.
 
 import (
 	"context"
@@ -28,10 +27,8 @@
 	watchRetryDelay  = 500 * time.Millisecond
 	offerFanout      = 3
 	callTimeout      = 500 * time.Millisecond
-	// documentTimeout is the timeout of calls that carry a document: 1 MB takes
-	// 8.4 s over a link of 1 Mbit/s, and with callTimeout such a transfer would
-	// be cut and restarted forever. Calls to a dead peer end sooner, by the
-	// connection's pings.
+	// documentTimeout is for calls that carry a document: 1 MB takes 8.4 s at 1 Mbit/s, and
+	// callTimeout would cut such a transfer every time. Calls to a dead peer end sooner, by pings.
 	documentTimeout     = 10 * time.Second
 	platformLostAfter   = 5 * time.Second // without contact, after which further instances poll the platform
 	watchStagger        = time.Second     // added delay for each rank
@@ -67,8 +64,7 @@
 	evPlatformSeen = chart.Configuration.Event("platform_seen")
 )
 
-// accept applies a document if it is valid and newer than the accepted one. It
-// reports whether it did.
+// accept applies a document and reports true if it is valid and newer than the accepted one.
 func (n *Node) accept(kind peerpb.Kind, revision int64, value []byte, from string) bool {
 	var ok bool
 	switch kind {
@@ -139,8 +135,7 @@
 	return true
 }
 
-// applyCommands applies the operator commands to the configuration and the table.
-// The caller holds n.mu.
+// applyCommands applies the commands to the configuration and the table. The caller holds n.mu.
 func (n *Node) applyCommands() {
 	if n.docs.set != nil {
 		n.docs.effective = n.commands.Apply(n.docs.set)
@@ -148,7 +143,7 @@
 	n.table.SetDrained(n.commands.Drained)
 }
 
-// document returns the accepted document of a kind. The caller holds n.mu.
+// document returns the accepted document of kind. The caller holds n.mu.
 func (n *Node) document(kind peerpb.Kind) *peerpb.Document {
 	d := &peerpb.Document{Kind: kind, From: n.opt.Name}
 	switch kind {
@@ -162,7 +157,7 @@
 	return d
 }
 
-// offer sends a new document to a few randomly chosen peers.
+// offer sends the accepted document of kind to up to offerFanout random peers except exclude.
 func (n *Node) offer(kind peerpb.Kind, exclude string) {
 	n.mu.Lock()
 	d := n.document(kind)
@@ -171,7 +166,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(n.ctx, documentTimeout)
 			defer cancel()
-			n.count.offers.Add(1)
+			n.count.offerCalls.Add(1)
 			_, _ = n.dial.To(addr).Offer(ctx, d)
 		}()
 	}
@@ -191,7 +186,7 @@
 	return all[:min(limit, len(all))]
 }
 
-// fetch gets a document from a peer that has announced a newer revision.
+// fetch applies the document of kind from the peer called from, at addr, if its revision is newer.
 func (n *Node) fetch(kind peerpb.Kind, from, addr string) {
 	key := fetchKey{kind, from}
 	n.mu.Lock()
@@ -209,7 +204,7 @@
 	}()
 	ctx, cancel := context.WithTimeout(n.ctx, documentTimeout)
 	defer cancel()
-	n.count.fetches.Add(1)
+	n.count.fetchCalls.Add(1)
 	r, err := n.dial.To(addr).Fetch(ctx, &peerpb.FetchRequest{Kind: kind, Have: have})
 	if err != nil || r.Document == nil {
 		return
@@ -217,7 +212,7 @@
 	n.accept(kind, r.Document.Revision, r.Document.Value, from)
 }
 
-// watchLoop polls the platform for one document while this instance is a watcher.
+// watchLoop returns a loop that polls the platform for kind while this instance is a watcher.
 func (n *Node) watchLoop(kind platformclient.Kind) func() {
 	return func() {
 		for n.ctx.Err() == nil {
@@ -232,9 +227,9 @@
 	}
 }
 
-// shouldWatch reports whether this instance polls the platform now: it is one of the
-// first platformWatchers by rank, or the platform has not been reached for
-// platformLostAfter plus a delay that grows with the rank.
+// shouldWatch reports whether this instance is to poll the platform: it is one of the first
+// platformWatchers by rank, or no instance has reached the platform for platformLostAfter plus a
+// delay that grows with the rank.
 func (n *Node) shouldWatch() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -248,7 +243,7 @@
 	if rank < platformWatchers {
 		return true
 	}
-	return n.now()-n.platformHeard > platformLostAfter+time.Duration(rank)*watchStagger
+	return n.now()-n.lastPlatformContact > platformLostAfter+time.Duration(rank)*watchStagger
 }
 
 func (n *Node) watchOnce(kind platformclient.Kind, wait time.Duration) error {
@@ -268,7 +263,7 @@
 		n.count.platformErrors.Add(1)
 		return errors.Wrap(err, "watch")
 	}
-	n.recordPlatformHeard(n.now())
+	n.recordPlatformContact(n.now())
 	if p != nil {
 		if p.Revision < after {
 			n.count.oldRevisions.Add(1)
@@ -279,15 +274,14 @@
 	return nil
 }
 
-// recordPlatformHeard records that some instance reached the platform at the given
-// time.
-func (n *Node) recordPlatformHeard(at time.Duration) {
+// recordPlatformContact records that some instance reached the platform at the time at.
+func (n *Node) recordPlatformContact(at time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if at > n.platformHeard {
-		n.platformHeard = at
+	if at > n.lastPlatformContact {
+		n.lastPlatformContact = at
 	}
-	if n.now()-n.platformHeard < platformLostAfter {
+	if n.now()-n.lastPlatformContact < platformLostAfter {
 		n.docs.machine.Step(evPlatformSeen)
 	} else {
 		n.docs.machine.Step(evPlatformLost)
@@ -315,9 +309,8 @@
 	}
 }
 
-// Ready reports whether the instance can serve requests, and if not, the reason. A
-// new instance first waits up to bootstrapGrace for a heartbeat of a peer, so that it
-// starts from the highest revisions known.
+// Ready reports whether the instance can serve requests, or why not. A new instance first waits up
+// to bootstrapGrace for a heartbeat, so that it starts from the highest revisions known.
 func (n *Node) Ready() (bool, string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -329,9 +322,9 @@
 	case n.docs.list.revision == 0:
 		return false, "no list"
 	case !n.view.Load().ready:
-		return false, "no view" // requests are served from the view, which is built after the documents are accepted
+		return false, "no view" // requests are served from the view, which is built after the documents
 	}
-	others, slow := 0, n.now()-n.started > bootstrapGrace
+	others, graceElapsed := 0, n.now()-n.started > bootstrapGrace
 	for _, p := range n.table.Peers() {
 		if p.Name == n.opt.Name {
 			continue
@@ -343,7 +336,7 @@
 			return false, "behind " + p.Name
 		}
 	}
-	if others > 0 && !n.peerHeard && !slow {
+	if others > 0 && !n.heartbeatReceived && !graceElapsed {
 		return false, "no peer heard yet"
 	}
 	return true, ""
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -21,7 +21,7 @@
 		ConfigRevision:  n.docs.config.revision,
 		ListRevision:    n.docs.list.revision,
 		CommandVersion:  n.commands.Version(),
-		PlatformAgeMs:   (now - n.platformHeard).Milliseconds(),
+		PlatformAgeMs:   (now - n.lastPlatformContact).Milliseconds(),
 		Leaving:         n.leaving,
 		Ready:           n.docs.set != nil,
 		SettledRevision: n.settledRevision(),
@@ -32,8 +32,8 @@
 	return b
 }
 
-// settledRevision returns the list revision under which this instance has settled
-// all partitions that it owns, or zero. The caller holds n.mu.
+// settledRevision returns the list revision under which this instance has settled all partitions
+// that it owns, or zero. The caller holds n.mu.
 func (n *Node) settledRevision() int64 {
 	if n.owners.Settled() {
 		return n.owners.Revision()
@@ -41,8 +41,7 @@
 	return 0
 }
 
-// handleHeartbeat applies a heartbeat and fetches documents that are newer at its
-// sender.
+// handleHeartbeat applies a heartbeat and fetches documents that are newer at its sender.
 func (n *Node) handleHeartbeat(b *peerpb.Beat) {
 	now := n.now()
 	h := member.Heartbeat{
@@ -62,13 +61,13 @@
 	n.mu.Lock()
 	before := n.table.Version()
 	n.table.HandleHeartbeat(now, b.From, h)
-	n.peerHeard = true
+	n.heartbeatReceived = true
 	changed := n.table.Version() != before
 	config := b.ConfigRevision > max(n.docs.config.revision, n.docs.rejectedRevision)
 	list := b.ListRevision > n.docs.list.revision
 	commands := b.CommandVersion > n.commands.Version()
 	n.mu.Unlock()
-	n.recordPlatformHeard(h.PlatformHeard)
+	n.recordPlatformContact(h.PlatformHeard)
 	if config {
 		go n.fetch(peerpb.Kind_CONFIG, b.From, b.Addr)
 	}
@@ -84,14 +83,13 @@
 	}
 }
 
-// heartbeatLoop sends heartbeats to the partners of this instance.
 func (n *Node) heartbeatLoop() {
 	for n.sleep(member.HeartbeatInterval) {
 		n.sendHeartbeats(false)
 	}
 }
 
-// sendHeartbeats sends one heartbeat to the partners, or to all peers.
+// sendHeartbeats sends one heartbeat to each partner, or to each peer if toAll is set.
 func (n *Node) sendHeartbeats(toAll bool) {
 	now := n.now()
 	n.mu.Lock()
@@ -116,7 +114,7 @@
 func (n *Node) sendHeartbeat(name, addr string, b *peerpb.Beat) {
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
-	n.count.beats.Add(1)
+	n.count.heartbeatsSent.Add(1)
 	reply, err := n.dial.To(addr).Heartbeat(ctx, b)
 	switch {
 	case err == nil:
@@ -126,7 +124,7 @@
 	}
 }
 
-// suspect records that a call to an instance failed.
+// suspect records that a call to the instance called name failed.
 func (n *Node) suspect(name string) {
 	n.mu.Lock()
 	before := n.table.Version()
@@ -150,7 +148,7 @@
 	return s.heartbeat(s.now()), nil
 }
 
-// Fetch returns a document if it is newer than the caller's revision.
+// Fetch returns the document of r.Kind if it is newer than the caller's revision r.Have.
 func (s memberService) Fetch(_ context.Context, r *peerpb.FetchRequest) (*peerpb.FetchReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,7 +159,7 @@
 	return &peerpb.FetchReply{Document: d}, nil
 }
 
-// Offer applies a document that a peer has just accepted.
+// Offer applies d, a document that a peer has just accepted.
 func (s memberService) Offer(_ context.Context, d *peerpb.Document) (*peerpb.OfferReply, error) {
 	s.accept(d.Kind, d.Revision, d.Value, d.From)
 	s.mu.Lock()
--- a/node/status.go
+++ b/node/status.go
@@ -18,7 +18,7 @@
 // Query answers an operator's query that a peer forwards.
 func (s memberService) Query(_ context.Context, r *peerpb.QueryRequest) (*peerpb.QueryReply, error) {
 	if s.query == nil {
-		return nil, errors.New("this instance does not serve queries")
+		return nil, errors.New("queries are not served here")
 	}
 	table, err := s.query(r.Text)
 	if err != nil {
@@ -34,7 +34,7 @@
 	Err      error
 }
 
-// QueryAll sends a query to every listed instance, including this one.
+// QueryAll sends the query text to every listed instance, including this one.
 func (n *Node) QueryAll(ctx context.Context, text string) []PeerAnswer {
 	n.mu.Lock()
 	peers := make(map[string]string)
@@ -66,8 +66,7 @@
 	return out
 }
 
-// rootCause returns the innermost wrapped error, without the prefixes of the layers
-// that it passed through.
+// rootCause returns the innermost wrapped error, without the prefixes that its callers added.
 func rootCause(err error) error {
 	for inner := errors.Unwrap(err); inner != nil; inner = errors.Unwrap(err) {
 		err = inner
@@ -159,7 +158,7 @@
 	return ConfigStatus{
 		State: n.docs.machine.Name(), Revision: n.docs.config.revision, ListRevision: n.docs.list.revision,
 		Commands: n.commands.Version(), Rejected: n.docs.rejectedRevision, Rejection: n.docs.rejection,
-		PlatformAge: now - n.platformHeard, AcceptedSince: now - n.docs.acceptedAt,
+		PlatformAge: now - n.lastPlatformContact, AcceptedSince: now - n.docs.acceptedAt,
 		Settled: n.owners.Settled(), Records: n.owners.Len(),
 	}
 }
--- a/node/view.go
+++ b/node/view.go
@@ -1,8 +1,7 @@
 package node
 
-// This file builds the immutable view that requests read, from the list, the liveness
-// of the peers and the declarations: the cells, the ranked homes of each, and the
-// addresses of peers.
+// This file builds the immutable view that requests read (the cells, the ranked homes of each and
+// the addresses of peers) from the list, the liveness of the peers and the declarations.
 
 import (
 	"context"
@@ -19,11 +18,11 @@
 	"ivyridge/member"
 )
 
-// maxCellSize is the maximum number of endpoints of a cell. A larger group of
-// endpoints with the same pool and region is split.
+// maxCellSize is the maximum mean size of the cells that a group of endpoints is split into.
 const maxCellSize = 16
 
-// A cellView is the immutable description of one cell in a view.
+// A cellView describes a cell: identical endpoints that share a queue, which one instance, the cell's
+// home, holds (see package home). It is immutable.
 type cellView struct {
 	name        string
 	pool        *decl.Pool
@@ -48,8 +47,8 @@
 // refreshDelay coalesces rebuilds that follow liveness changes.
 const refreshDelay = 20 * time.Millisecond
 
-// refreshSoon schedules a refresh after refreshDelay, one for all changes until then:
-// if many peers fail at once, each suspicion would otherwise rebuild the view.
+// refreshSoon schedules a refresh after refreshDelay, one for all changes until then: if many peers
+// fail at once, each suspicion would otherwise rebuild the view.
 func (n *Node) refreshSoon() {
 	if n.refreshing.CompareAndSwap(false, true) {
 		time.AfterFunc(refreshDelay, func() {
@@ -73,8 +72,7 @@
 	notify(n.out.homesChanged)
 }
 
-// unusablePeers returns the peers whose calls should not be waited for. The caller
-// holds n.mu.
+// unusablePeers returns the peers whose calls are to be cancelled. The caller holds n.mu.
 func (n *Node) unusablePeers() []string {
 	var out []string
 	for _, p := range n.table.Peers() {
@@ -116,8 +114,7 @@
 	return v
 }
 
-// buildCells groups the listed endpoints by pool and region and splits groups of more
-// than maxCellSize.
+// buildCells groups the listed endpoints by pool and region into cells of at most maxCellSize on average.
 func (n *Node) buildCells(v *view, l *member.List) {
 	type group struct{ pool, region string }
 	groups := make(map[group][]member.Endpoint)
@@ -148,7 +145,7 @@
 	}
 }
 
-// shardOf assigns an endpoint to one of the cells of its group by rendezvous hashing.
+// shardOf assigns the endpoint called name to one of its group's shards by rendezvous hashing.
 func shardOf(name string, shards int) int {
 	if shards == 1 {
 		return 0
@@ -173,8 +170,7 @@
 	return c
 }
 
-// rankHomes ranks the usable instances for a cell, those in the data centres of its
-// endpoints first.
+// rankHomes ranks the usable instances as homes of c, those in c's data centres first.
 func (n *Node) rankHomes(c *cellView, usable []string, dataCentreOf map[string]string) []string {
 	if n.opt.Alone {
 		return []string{n.opt.Name}
@@ -196,9 +192,9 @@
 	return -1
 }
 
-// cellsInOrder returns the cells of a pool in the order in which an instance tries
-// them: those with endpoints in its data centre first, then by a hash of cell and
-// instance, so that each instance uses few homes.
+// cellsInOrder returns the cells of pool in the order in which instance tries them: those with
+// endpoints in dataCentre first, then in an order fixed by a hash of cell and instance, so that an
+// instance sends most requests to the same few cells, and thus to few home instances.
 func (v *view) cellsInOrder(pool, dataCentre, instance string) []*cellView {
 	cells := v.pools[pool]
 	if len(cells) < 2 {
@@ -216,8 +212,7 @@
 	return out
 }
 
-// peerContexts cancel the calls that wait for a peer when it becomes unusable, so that
-// a request does not wait at a dead home.
+// peerContexts cancel the calls to a peer when it becomes unusable.
 type peerContexts struct {
 	mu     sync.Mutex
 	byPeer map[string]*cancelableContext
@@ -230,7 +225,7 @@
 
 func (p *peerContexts) init() { p.byPeer = make(map[string]*cancelableContext) }
 
-// get returns a context that is cancelled when the peer becomes unusable.
+// get returns a context that is cancelled when the peer called name becomes unusable.
 func (p *peerContexts) get(name string) context.Context {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/platformclient/platformclient_test.go
+++ b/platformclient/platformclient_test.go
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// Guards against applying the limit on the start of a response to its whole body: a document that
-// arrives slowly would be aborted and requested again forever.
+// Guards against a document that arrives slowly being aborted and requested again forever.
 func TestSlowResponseBodyIsReadToEnd(t *testing.T) {
 	value := strings.Repeat("a declaration\n", 1000)
 	data, err := json.Marshal(&Published{Revision: 2, Value: value})
@@ -28,6 +27,6 @@
 	defer server.Close()
 	got, err := NewClient(strings.TrimPrefix(server.URL, "http://")).Watch(context.Background(), Config, 1, 0)
 	if err != nil || got.Revision != 2 || got.Value != value {
-		t.Fatalf("got %v, %v", got, err)
+		t.Fatalf("Watch returned %v, error %v, want revision 2 with the whole value", got, err)
 	}
 }
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -23,7 +23,7 @@
 	q.Push(low)
 	q.Push(high)
 	if got := pop(q); got != high {
-		t.Error("the lower tier was served first")
+		t.Error("Pop returned the request of tier 1; want that of tier 0")
 	}
 }
 
@@ -44,8 +44,7 @@
 	}
 }
 
-// A burst of one team does not delay the others: every team with waiting
-// requests is served within one round.
+// A burst of one team does not delay the others: each is served within a round.
 func TestFairBetweenTeams(t *testing.T) {
 	q := queue.New([]queue.Class{{}}, allLevels)
 	for i := range 500 {
@@ -61,7 +60,7 @@
 		}
 	}
 	if served != 5 {
-		t.Errorf("%d of 5 other teams were served within two rounds", served)
+		t.Errorf("%d requests of teams other than rush among the first 12, want 5", served)
 	}
 }
 
@@ -88,7 +87,7 @@
 	first := &queue.Request{Team: "a", Cost: 1, Arrival: 1}
 	q.Push(first)
 	if pop(q) != first {
-		t.Error("the earlier arrival was not served first")
+		t.Error("Pop returned the later arrival; want the earlier one")
 	}
 }
 
@@ -111,7 +110,7 @@
 		waiting := make(map[*queue.Request]bool)
 		remove := func(r *queue.Request) {
 			if !waiting[r] {
-				t.Fatal("a request left twice or was never pushed")
+				t.Fatal("a request that was not waiting left the queue; want each to leave once")
 			}
 			delete(waiting, r)
 		}
--- a/quota/partition_test.go
+++ b/quota/partition_test.go
@@ -10,24 +10,22 @@
 )
 
 // stabilize gives a claim the same view for long enough to reach its share.
-func stabilize(c *quota.PartitionClaim, s quota.PartitionView, now time.Time) float64 {
-	c.Share(s, now)
-	return c.Share(s, now.Add(2*time.Second))
+func stabilize(c *quota.PartitionClaim, v quota.PartitionView, now time.Time) float64 {
+	c.Share(v, now)
+	return c.Share(v, now.Add(2*time.Second))
 }
 
-// The share is zero at the start, whole while all instances are heard, and falls at once in a
-// partition.
 func TestShareFollowsReachableInstances(t *testing.T) {
 	var c quota.PartitionClaim
-	all := quota.PartitionView{Heard: 6, MaxPeerHeard: 6, DataCentres: 3, ConfiguredDataCentres: 3}
+	all := quota.PartitionView{Reachable: 6, MaxPeerReachable: 6, DataCentres: 3, ConfiguredDataCentres: 3}
 	if share := c.Share(all, start); share != 0 {
 		t.Errorf("share %.2f at the start, want 0", share)
 	}
 	if share := c.Share(all, start.Add(2*time.Second)); share != 1 {
-		t.Errorf("share %.2f while all instances are heard, want 1", share)
+		t.Errorf("share %.2f while all instances are reachable, want 1", share)
 	}
 	at := start.Add(3 * time.Second)
-	if share := c.Share(quota.PartitionView{Heard: 2, MaxPeerHeard: 2, DataCentres: 1, ConfiguredDataCentres: 3}, at); share < 0.4 || share > 0.5 {
+	if share := c.Share(quota.PartitionView{Reachable: 2, MaxPeerReachable: 2, DataCentres: 1, ConfiguredDataCentres: 3}, at); share < 0.4 || share > 0.5 {
 		t.Errorf("share %.2f of one data centre of three, want 0.4 to 0.5", share)
 	}
 	if share := c.Share(all, at.Add(time.Second)); share > 0.5 {
@@ -38,57 +36,56 @@
 	}
 }
 
-// Losing one data centre of three or six leaves the share whole. The last instance of a fleet
-// has a share at once and, without configured data centres, the whole after a while.
+// Losing one data centre or one instance of six leaves the share whole. The last instance keeps a
+// part, and gets the whole after a while if no data centres are configured.
 func TestInstanceLossKeepsShare(t *testing.T) {
-	for _, s := range []quota.PartitionView{
-		{Heard: 83, MaxPeerHeard: 83, DataCentres: 5, ConfiguredDataCentres: 6},
-		{Heard: 5, MaxPeerHeard: 5, DataCentres: 3, ConfiguredDataCentres: 3},
+	for _, v := range []quota.PartitionView{
+		{Reachable: 83, MaxPeerReachable: 83, DataCentres: 5, ConfiguredDataCentres: 6},
+		{Reachable: 5, MaxPeerReachable: 5, DataCentres: 3, ConfiguredDataCentres: 3},
 	} {
 		var c quota.PartitionClaim
-		stabilize(&c, quota.PartitionView{Heard: 6 * s.Heard / 5, MaxPeerHeard: 6 * s.Heard / 5, DataCentres: s.ConfiguredDataCentres, ConfiguredDataCentres: s.ConfiguredDataCentres}, start)
-		if share := c.Share(s, start.Add(3*time.Second)); share != 1 {
-			t.Errorf("%+v: share %.2f, want 1", s, share)
+		stabilize(&c, quota.PartitionView{Reachable: 6 * v.Reachable / 5, MaxPeerReachable: 6 * v.Reachable / 5, DataCentres: v.ConfiguredDataCentres, ConfiguredDataCentres: v.ConfiguredDataCentres}, start)
+		if share := c.Share(v, start.Add(3*time.Second)); share != 1 {
+			t.Errorf("share after the loss of instances, with %+v: %.2f, want 1", v, share)
 		}
 	}
 	var c quota.PartitionClaim
-	stabilize(&c, quota.PartitionView{Heard: 6, MaxPeerHeard: 6}, start)
-	last := quota.PartitionView{Heard: 1, MaxPeerHeard: 1}
+	stabilize(&c, quota.PartitionView{Reachable: 6, MaxPeerReachable: 6}, start)
+	last := quota.PartitionView{Reachable: 1, MaxPeerReachable: 1}
 	if share := c.Share(last, start.Add(3*time.Second)); share < 0.2 {
-		t.Errorf("share %.2f of the last instance, want at least 0.2", share)
+		t.Errorf("share %.2f for the only instance left, right after the others are lost, want at least 0.2", share)
 	}
 	if share := stabilize(&c, last, start.Add(40*time.Second)); share != 1 {
-		t.Errorf("share %.2f of the last instance after a while, want 1", share)
+		t.Errorf("share %.2f for the only instance left, some time after the others are lost, want 1", share)
 	}
 }
 
-// However a fleet is partitioned, the shares of all sides add up to less than one and a half,
-// at once and later, even if no instance remembers the size of the fleet or two sides hear the
-// same instances.
+// However a fleet is partitioned, the shares of all sides add up to at most 1.4, even if no instance
+// remembers the size of the fleet.
 func TestSharesOfAllPartitionsStayBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		named := rapid.IntRange(2, 6).Draw(t, "data centres")
+		dataCentres := rapid.IntRange(2, 6).Draw(t, "data centres")
 		perDataCentre := rapid.IntRange(1, 60).Draw(t, "instances of each")
-		partition := make([]int, named) // index of the side, by data centre
+		partition := make([]int, dataCentres) // index of the side, by data centre
 		for i := range partition {
-			partition[i] = rapid.IntRange(0, named-1).Draw(t, "side")
+			partition[i] = rapid.IntRange(0, dataCentres-1).Draw(t, "side")
 		}
-		forgotten := rapid.Bool().Draw(t, "forgotten")
+		forgetPeak := rapid.Bool().Draw(t, "forgotten")
 		sum := 0.0
-		for p := range named {
-			heard := 0
+		for side := range dataCentres {
+			reachable := 0
 			for _, other := range partition {
-				if other == p {
-					heard++
+				if other == side {
+					reachable++
 				}
 			}
-			if heard == 0 {
+			if reachable == 0 {
 				continue
 			}
 			var c quota.PartitionClaim
-			stabilize(&c, quota.PartitionView{Heard: named * perDataCentre, MaxPeerHeard: named * perDataCentre, DataCentres: named, ConfiguredDataCentres: named}, start)
-			view := quota.PartitionView{Heard: heard * perDataCentre, MaxPeerHeard: heard * perDataCentre, DataCentres: heard, ConfiguredDataCentres: named}
-			if forgotten {
+			stabilize(&c, quota.PartitionView{Reachable: dataCentres * perDataCentre, MaxPeerReachable: dataCentres * perDataCentre, DataCentres: dataCentres, ConfiguredDataCentres: dataCentres}, start)
+			view := quota.PartitionView{Reachable: reachable * perDataCentre, MaxPeerReachable: reachable * perDataCentre, DataCentres: reachable, ConfiguredDataCentres: dataCentres}
+			if forgetPeak {
 				c = quota.PartitionClaim{}
 				sum += stabilize(&c, view, start.Add(time.Hour))
 			} else {
@@ -99,13 +96,13 @@
 			t.Fatalf("sides %v: total share %.2f, want at most 1.4", partition, sum)
 		}
 	})
-	// Two instances hear the same third data centre but not each other.
+	// Two instances reach the same third data centre but not each other.
 	sum := 0.0
 	for range 2 {
 		var c quota.PartitionClaim
-		sum += stabilize(&c, quota.PartitionView{Heard: 40, MaxPeerHeard: 60, DataCentres: 2, ConfiguredDataCentres: 3}, start)
+		sum += stabilize(&c, quota.PartitionView{Reachable: 40, MaxPeerReachable: 60, DataCentres: 2, ConfiguredDataCentres: 3}, start)
 	}
 	if sum > 1.4+1e-9 {
-		t.Errorf("total share %.2f of two that hear the same others, want at most 1.4", sum)
+		t.Errorf("total share %.2f of two instances that reach the same others but not each other, want at most 1.4", sum)
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -11,7 +11,6 @@
 	"go.uber.org/zap"
 )
 
-// Parameters of the short soak. It draws the same faults on every run.
 const (
 	shortSeed      = 4
 	shortFor       = 12 * time.Second
@@ -20,8 +19,7 @@
 	shortNet       = 16
 )
 
-// TestShortSoak runs a race build of the daemon under a fixed sequence of faults and expects no rule
-// to be violated.
+// Runs a race build of the daemon under a fixed sequence of faults, which must violate no rule.
 func TestShortSoak(t *testing.T) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "ivyentry")
@@ -42,6 +40,6 @@
 		t.Errorf("%s: %s", b.Rule, b.What)
 	}
 	if c := r.Count(); c.Served < c.Requests/2 || r.inContact() == 0 {
-		t.Errorf("%+v, %d requests in contact: too few served requests to check the rules", c, r.inContact())
+		t.Errorf("got counts %+v and %d requests to instances in contact, want at least half of the requests served and one in contact", c, r.inContact())
 	}
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -15,8 +15,7 @@
 	"ivyridge/verdict"
 )
 
-// startEndpoint runs a server that calls serve with the number of each connection, from 1,
-// and returns its address.
+// startEndpoint runs a server that calls serve with each connection and its number, from 1.
 func startEndpoint(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,7 +87,7 @@
 	c := newClient(t, addr)
 	for n := range 3 {
 		if got, err := c.do(fmt.Sprint(n), "GET", ""); err != nil || got != "ok" {
-			t.Fatalf("got %q, %v", got, err)
+			t.Fatalf("got %q, %v, want the response ok", got, err)
 		}
 	}
 	if c.events["dialled"] != 1 || c.events["reused"] != 2 {
@@ -96,8 +95,8 @@
 	}
 }
 
-// Guards against a transparent retry, as net/http's client does for a GET if a persistent
-// connection closes before the response. No retry budget would count it.
+// Guards against a retry that no budget counts, as net/http's client makes for a GET if a
+// persistent connection closes before the response.
 func TestRequestsAreNotRetried(t *testing.T) {
 	requests := make(chan string, 10)
 	addr := startEndpoint(t, func(n int, c net.Conn, r *bufio.Reader) {
@@ -189,7 +188,7 @@
 		}
 	})
 	if got, err := newClient(t, addr).do("1", "POST", ""); err != nil || got != "yours" {
-		t.Fatalf("got %q, %v", got, err)
+		t.Fatalf("got %q, %v, want the second response, yours", got, err)
 	}
 }
 
